--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -16,7 +16,7 @@
 use puffinladder_control::serve::{start, Setup, Tls};
 use puffinladder_control::stream::Lease;
 use puffinladder_control::view::{Bounds, Report, Verdict, Views};
-use puffinladder_owners::words::Event;
+use puffinladder_leases::words::Event;
 use std::io::Write;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/cli/src/fleet/archive.rs
+++ b/crates/cli/src/fleet/archive.rs
@@ -4,10 +4,10 @@
 use crate::say::{bar, step, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
-use puffinladder_archive::export::export;
-use puffinladder_archive::serve::{start, Setup};
-use puffinladder_archive::store::Store;
-use puffinladder_archive::words::{Answer, Ask};
+use puffinladder_trace_store::export::export;
+use puffinladder_trace_store::serve::{start, Setup};
+use puffinladder_trace_store::store::Store;
+use puffinladder_trace_store::words::{Answer, Ask};
 use puffinladder_charter::fleet::Archive as Told;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -71,7 +71,7 @@
                 return Err(Wrong::Failed(format!("{}: there is no archive", told.folder)));
             }
             let (store, _) = Store::open(folder, told.most_bytes).map_err(|e| failed(e.to_string()))?;
-            let made = (puffinladder_links::Clock::system().unix() * 1e6) as i64;
+            let made = (puffinladder_transport::Clock::system().unix() * 1e6) as i64;
             let rows = bar("rows");
             let met = export(&store, &into, made, &mut step(&rows));
             let met = met.map_err(failed)?;
--- a/crates/cli/src/fleet/duties.rs
+++ b/crates/cli/src/fleet/duties.rs
@@ -5,9 +5,9 @@
 use crate::say::{Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
-use puffinladder_owners::table::{Command as Order, Row, Seat};
-use puffinladder_owners::words::{Answer, Ask};
-use puffinladder_owners::Duty;
+use puffinladder_leases::table::{Command as Order, Row, Seat};
+use puffinladder_leases::words::{Answer, Ask};
+use puffinladder_leases::Duty;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/cli/src/fleet/keeper.rs
+++ b/crates/cli/src/fleet/keeper.rs
@@ -5,11 +5,11 @@
 use crate::serve;
 use clap::{Args, Subcommand};
 use puffinladder_charter::fleet::Keeper as Told;
-use puffinladder_keeper::core::Terms;
-use puffinladder_keeper::serve::{start, Setup};
-use puffinladder_keeper::store::Store;
-use puffinladder_owners::table::{Declared, Rules};
-use puffinladder_owners::words::{Answer, Ask, Status};
+use puffinladder_lease_store::core::Terms;
+use puffinladder_lease_store::serve::{start, Setup};
+use puffinladder_lease_store::store::Store;
+use puffinladder_leases::table::{Declared, Rules};
+use puffinladder_leases::words::{Answer, Ask, Status};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/cli/src/fleet/steward.rs
+++ b/crates/cli/src/fleet/steward.rs
@@ -5,10 +5,10 @@
 use crate::serve;
 use clap::Args;
 use puffinladder_charter::fleet::Steward as Told;
-use puffinladder_owners::desk;
-use puffinladder_steward::haul;
-use puffinladder_steward::life;
-use puffinladder_steward::serve::{start, Reported, Setup};
+use puffinladder_leases::desk;
+use puffinladder_worker::haul;
+use puffinladder_worker::life;
+use puffinladder_worker::serve::{start, Reported, Setup};
 use std::path::{Path, PathBuf};
 
 /// Servers that may report to one steward at once.
@@ -54,7 +54,7 @@
             span: told.quota.as_ref().map_or(2.0, |quota| quota.span),
             drift,
             turns: told.turns.as_ref().map_or_else(Default::default, |turns| {
-                puffinladder_owners::turns::Rules {
+                puffinladder_leases::turns::Rules {
                     most: turns.most,
                     zone_share: turns.zone_share,
                     span: turns.span,
@@ -81,7 +81,7 @@
     tracing::info!("steward {}, life {incarnation}", told.name);
     let mut running = start(setup).await.map_err(failed)?;
     let listen = running.listen.map_or(String::new(), |at| at.to_string());
-    ground.events.tell(&puffinladder_owners::words::Event::Ready { listen });
+    ground.events.tell(&puffinladder_leases::words::Event::Ready { listen });
     match serve::until_told(running.ended()).await? {
         Some(()) => Err(failed(format!("steward {}: a later life of it has spoken", told.name))),
         None => {
--- a/crates/cli/tests/proving.rs
+++ b/crates/cli/tests/proving.rs
@@ -1,10 +1,10 @@
 //! Owners, keepers and the archive as processes of the program, with faults between them: a story for each failure. What every run has to hold is
 //! checked by the proving ground itself; each story says beside that what it was about.
 
-use puffinladder_archive::store::Planted;
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::table::What;
-use puffinladder_owners::words::Event;
+use puffinladder_trace_store::store::Planted;
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::table::What;
+use puffinladder_leases::words::Event;
 use puffinladder_proving::ground::{play, Run, Setup};
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::{Schedule, Who};
@@ -116,7 +116,7 @@
         "(schedule (stewards 3) (parts 3) (servers 6) (span 10s)
            (fault (at 1s) (do cut) (who \"s1\") (to \"archive\") (span 9s)))",
     );
-    let stalled = |event: &Event| matches!(event, Event::Change(c) if c.cause == puffinladder_owners::table::Cause::Stalled);
+    let stalled = |event: &Event| matches!(event, Event::Change(c) if c.cause == puffinladder_leases::table::Cause::Stalled);
     assert!(grey.history.told().any(|(_, event)| stalled(event)));
 }
 
--- a/crates/config/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -8,7 +8,7 @@
 use crate::history::History;
 use crate::seal::Head;
 use crate::words::{self, Ack, Piece, Tell, Way, PIECE};
-use puffinladder_owners::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, Shuffle};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
--- a/crates/config/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -2,7 +2,7 @@
 use crate::content::{Change, Key};
 use crate::history::{Command, Entry, Limits, Origin, Put};
 use crate::seal::Seal;
-use puffinladder_owners::Owner;
+use puffinladder_leases::Owner;
 use std::collections::BTreeSet;
 
 fn apply(history: &mut History, command: Command) {
--- a/crates/config/src/history.rs
+++ b/crates/config-rollout/src/history.rs
@@ -7,7 +7,7 @@
 use crate::check::Checker;
 use crate::content::{Change, Content, Wrong, NAME};
 use crate::seal::{Digest, Head, Seal};
-use puffinladder_owners::Epoch;
+use puffinladder_leases::Epoch;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use thiserror::Error;
--- a/crates/config/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -7,7 +7,7 @@
 use crate::history::{Command, History, CANARIES};
 use crate::seal::Head;
 use crate::words::Ack;
-use puffinladder_owners::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, Shuffle};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/config/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -3,7 +3,7 @@
 use crate::history::{Entry, Limits, Origin, Put};
 use crate::seal::Seal;
 use crate::words::Refused;
-use puffinladder_owners::Owner;
+use puffinladder_leases::Owner;
 
 /// An owner, its history, and servers that speak four times a second.
 struct Fleet {
--- a/crates/config/src/words.rs
+++ b/crates/config-rollout/src/words.rs
@@ -3,7 +3,7 @@
 
 use crate::content::{Change, Content};
 use crate::seal::{Digest, Head, Seal};
-use puffinladder_owners::Owner;
+use puffinladder_leases::Owner;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Bytes of a body in one piece, and of a whole body at the most: what no content needs more than.
--- a/crates/config/tests/schedules.rs
+++ b/crates/config-rollout/tests/schedules.rs
@@ -9,14 +9,14 @@
 //!
 //! A bug planted in the hosts has to be caught by the same schedules, or they prove nothing.
 
-use puffinladder_config::content::FLEET;
-use puffinladder_config::distributor::{Distributor, Rules as Pace};
-use puffinladder_config::follower::{Began, Follower, Heard};
-use puffinladder_config::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
-use puffinladder_config::rollout::{Rollout, Rules};
-use puffinladder_config::words::{Ack, Piece, Tell, Way};
-use puffinladder_config::{Change, Content, Digest, Field, Head, Key, Seal, Section, Wrong};
-use puffinladder_owners::{Epoch, Owner};
+use puffinladder_config_rollout::content::FLEET;
+use puffinladder_config_rollout::distributor::{Distributor, Rules as Pace};
+use puffinladder_config_rollout::follower::{Began, Follower, Heard};
+use puffinladder_config_rollout::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
+use puffinladder_config_rollout::rollout::{Rollout, Rules};
+use puffinladder_config_rollout::words::{Ack, Piece, Tell, Way};
+use puffinladder_config_rollout::{Change, Content, Digest, Field, Head, Key, Seal, Section, Wrong};
+use puffinladder_leases::{Epoch, Owner};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -505,7 +505,7 @@
                 // A content of his own, well formed, under a number that stands or comes.
                 let own =
                     Content::default().after(&Change::default().set(Key::tenant("mine"), 1e6)).expect("fit");
-                let body = puffinladder_config::words::body_of_content(&own);
+                let body = puffinladder_config_rollout::words::body_of_content(&own);
                 let digest = if self.rng.random_bool(0.5) {
                     Seal::keyed([8; 32]).digest(number, &own)
                 } else {
--- a/crates/config/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -1,11 +1,11 @@
 //! What the plan's size takes in bytes: lines as they stand on a link, bodies, snapshots. `docs/config.md` has the figures; run with
 //! `--nocapture` to see them.
 
-use puffinladder_config::distributor::Rules;
-use puffinladder_config::history::{Command, Entry, History, Limits, Origin, Put};
-use puffinladder_config::words::{body_of_change, body_of_content, Ack, Piece, Tell, Way};
-use puffinladder_config::{Change, Content, Field, Head, Key, Seal};
-use puffinladder_owners::Owner;
+use puffinladder_config_rollout::distributor::Rules;
+use puffinladder_config_rollout::history::{Command, Entry, History, Limits, Origin, Put};
+use puffinladder_config_rollout::words::{body_of_change, body_of_content, Ack, Piece, Tell, Way};
+use puffinladder_config_rollout::{Change, Content, Field, Head, Key, Seal};
+use puffinladder_leases::Owner;
 use std::collections::BTreeSet;
 
 const TENANTS: u32 = 15_000;
--- a/crates/config/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -1,12 +1,12 @@
 //! Two writers, one server, one trial, explored exhaustively: every order of puts, of what the owner says, of pieces that come late, doubled
 //! or never, and of a restart from a disk that is behind.
 
-use puffinladder_config::check::Shape;
-use puffinladder_config::follower::{Follower, GOOD};
-use puffinladder_config::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
-use puffinladder_config::words::{body_of_change, body_of_content, Piece, Tell, Way};
-use puffinladder_config::{Change, Content, Head, Key, Seal};
-use puffinladder_owners::Owner;
+use puffinladder_config_rollout::check::Shape;
+use puffinladder_config_rollout::follower::{Follower, GOOD};
+use puffinladder_config_rollout::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
+use puffinladder_config_rollout::words::{body_of_change, body_of_content, Piece, Tell, Way};
+use puffinladder_config_rollout::{Change, Content, Head, Key, Seal};
+use puffinladder_leases::Owner;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -1,7 +1,7 @@
 //! Reports of servers: a TCP connection each, one JSON object a line, nothing back. A server that finds nobody goes on without.
 
 use super::{Desk, Word};
-use puffinladder_links::{Fault, Lines};
+use puffinladder_transport::{Fault, Lines};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -23,7 +23,7 @@
             Ok(())
         }
     };
-    puffinladder_links::serve(listener, "reports", MOST, stopped, each).await;
+    puffinladder_transport::serve(listener, "reports", MOST, stopped, each).await;
 }
 
 async fn read(stream: TcpStream, desk: &Desk) -> Result<(), Fault> {
--- a/crates/gauging/src/archive.rs
+++ b/crates/gauging/src/archive.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Keepers;
 use crate::meter::{Meter, Passed};
 use crate::{count, pass, size, steward, Counted, Gauge, Sizes, Taken};
-use puffinladder_archive::words::{Answer, Ask};
+use puffinladder_trace_store::words::{Answer, Ask};
 use puffinladder_trace::file::{Meta, Writer};
 use puffinladder_trace::merge::Blocks;
 use puffinladder_trace::row::Names;
@@ -65,7 +65,7 @@
 }
 
 async fn blocks(archive: SocketAddr) -> Option<u64> {
-    let asked = puffinladder_links::ask(archive, &Ask::Status, Duration::from_secs(2), 1 << 20).await;
+    let asked = puffinladder_transport::ask(archive, &Ask::Status, Duration::from_secs(2), 1 << 20).await;
     match asked {
         Ok(Some(Answer::Status { blocks, .. })) => Some(blocks),
         _ => None,
--- a/crates/gauging/src/fleet.rs
+++ b/crates/gauging/src/fleet.rs
@@ -3,8 +3,8 @@
 use crate::child::{until, Child};
 use crate::meter::{Meter, Passed};
 use crate::Gauge;
-use puffinladder_owners::table::{Row, Seat};
-use puffinladder_owners::words::{Answer, Ask, Status};
+use puffinladder_leases::table::{Row, Seat};
+use puffinladder_leases::words::{Answer, Ask, Status};
 use puffinladder_proving::ground::{ask, ask_leader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -8,9 +8,9 @@
 use crate::fleet::Keepers;
 use crate::meter::Passed;
 use crate::{count, pass, Counted, Gauge, Sizes, Taken};
-use puffinladder_links::Clock;
-use puffinladder_owners::words::{Events, Status};
-use puffinladder_steward::serve as steward;
+use puffinladder_transport::Clock;
+use puffinladder_leases::words::{Events, Status};
+use puffinladder_worker::serve as steward;
 use std::time::{Duration, Instant};
 
 /// Most parts of an instance over an even load, once they are levelled.
--- a/crates/gauging/src/meter.rs
+++ b/crates/gauging/src/meter.rs
@@ -1,7 +1,7 @@
 //! A relay that only counts: what passes it in each direction, bytes and lines. A role's peers dial it in the role's place, so that what it gets and
 //! sends is counted where it is on the wire.
 
-use puffinladder_links::dial;
+use puffinladder_transport::dial;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/gauging/src/meter/tests.rs
+++ b/crates/gauging/src/meter/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use puffinladder_links::{say, Lines, OPEN};
+use puffinladder_transport::{say, Lines, OPEN};
 
 #[tokio::test]
 async fn bytes_and_lines_of_each_direction_are_counted_and_arrive_as_they_were() {
--- a/crates/gauging/src/server/peers.rs
+++ b/crates/gauging/src/server/peers.rs
@@ -1,7 +1,7 @@
 //! Whom a server speaks with, each with the moments that the added latency is reckoned from.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_links::{dial, Lines};
+use puffinladder_transport::{dial, Lines};
 use puffinladder_toy::gateway::{message, now};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,7 +34,7 @@
 
 async fn listen() -> Result<(TcpListener, SocketAddr), String> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    puffinladder_links::bind("a stand-in", any).await.map_err(|e| e.to_string())
+    puffinladder_transport::bind("a stand-in", any).await.map_err(|e| e.to_string())
 }
 
 /// When each launch came and, once it is written, its outcome.
--- a/crates/hollow/src/callers.rs
+++ b/crates/hollow/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::counts::{Counts, Held, Way};
 use crate::{draw, starts};
 use hdrhistogram::Histogram;
-use puffinladder_owners::Shuffle;
+use puffinladder_leases::Shuffle;
 use puffinladder_proxy::{Acked, Event, Proxy, TYPES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/hollow/src/draw.rs
+++ b/crates/hollow/src/draw.rs
@@ -1,6 +1,6 @@
 //! What hollow servers are called and what they say, by a seed: no I/O, no clock.
 
-use puffinladder_owners::Shuffle;
+use puffinladder_leases::Shuffle;
 use puffinladder_reports::{Class, State};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod seats;
 pub mod servers;
 
-use puffinladder_owners::Shuffle;
+use puffinladder_leases::Shuffle;
 use std::time::Duration;
 
 /// When each of `count` starts, over `within`: evenly, each somewhere in its own piece of the span. A start of all at once would
--- a/crates/hollow/tests/peers.rs
+++ b/crates/hollow/tests/peers.rs
@@ -5,8 +5,8 @@
 use common::{any, service, some_callers, some_servers, until};
 use puffinladder_hollow::callers::{self, Callers, Lags};
 use puffinladder_hollow::servers::{self, Servers};
-use puffinladder_owners::desk::{Desk, Report, QUOTA};
-use puffinladder_owners::{turns, Duty};
+use puffinladder_leases::desk::{Desk, Report, QUOTA};
+use puffinladder_leases::{turns, Duty};
 use puffinladder_proxy::{Acked, Proxy};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     // Who has left and does not come back counts as away: all may be.
     let rules = turns::Rules { most: 5, zone_share: 1.0, span: 0.5, ..turns::Rules::default() };
     let customers = (0..20).map(|at| (puffinladder_hollow::draw::customer(at), 100.0)).collect();
-    let told_desk = puffinladder_owners::desk::Told {
+    let told_desk = puffinladder_leases::desk::Told {
         customers,
         servers: 5,
         parts: 1,
@@ -111,7 +111,7 @@
         turns: rules,
     };
     let mut desk = Desk::new(told_desk);
-    let (quota, turn) = (Duty::new(QUOTA, 0), Duty::new(puffinladder_owners::desk::TURNS, 0));
+    let (quota, turn) = (Duty::new(QUOTA, 0), Duty::new(puffinladder_leases::desk::TURNS, 0));
     desk.begin(0.0, &quota, 3);
     desk.begin(0.0, &turn, 3);
     // All connections of the steward, read and answered by one task.
@@ -122,7 +122,7 @@
             let (from, mut to) = stream.into_split();
             let (heard, mut answer) = (heard.clone(), answer.resubscribe());
             tokio::spawn(async move {
-                let mut lines = puffinladder_links::Lines::new(from, 1 << 20);
+                let mut lines = puffinladder_transport::Lines::new(from, 1 << 20);
                 while let Ok(Some(report)) = lines.next().await {
                     let _ = heard.send(report).await;
                 }
@@ -157,7 +157,7 @@
         for duty in [&quota, &turn] {
             for reply in desk.plan(now, duty) {
                 turns.extend(reply.turn.as_ref().map(|_| reply.server.clone()));
-                let _ = answers.send(puffinladder_links::line(&reply).unwrap());
+                let _ = answers.send(puffinladder_transport::line(&reply).unwrap());
             }
         }
         if holds.len() == 5 {
--- a/crates/keeper/src/core.rs
+++ b/crates/lease-store/src/core.rs
@@ -5,10 +5,10 @@
 use crate::log::{Disk, Kept, Log, Save, Shot, Torn, Vote};
 use crate::members::{Change as Turnover, Members, Seat, Unfit};
 use protobuf::Message as _;
-use puffinladder_owners::pace::Pace;
-use puffinladder_owners::table::{Change, Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_owners::words::Status;
-use puffinladder_owners::Owner;
+use puffinladder_leases::pace::Pace;
+use puffinladder_leases::table::{Change, Command, Declared, Entry, Rules, Said, Table, Told};
+use puffinladder_leases::words::Status;
+use puffinladder_leases::Owner;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfChangeV2, EntryType, Message};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -372,7 +372,7 @@
     /// An instance's line. A later one of the same life takes its place: it tells all that the earlier told.
     pub fn say(&mut self, said: Said) -> Result<(), Refusal> {
         self.leading()?;
-        if self.lines.len() >= puffinladder_owners::table::INSTANCES {
+        if self.lines.len() >= puffinladder_leases::table::INSTANCES {
             return Err(Refusal::Full);
         }
         let newer = |old: &Said| old.serial >= said.serial;
--- a/crates/keeper/src/serve.rs
+++ b/crates/lease-store/src/serve.rs
@@ -7,10 +7,10 @@
 use crate::members::Change as Turnover;
 use crate::store::Store;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_links::{bind, dial, line, say, Clock, Lines, Running};
-use puffinladder_owners::table::{Told, What};
-use puffinladder_owners::words::{Answer, Ask, Event, Events, LINE};
-use puffinladder_owners::Owner;
+use puffinladder_transport::{bind, dial, line, say, Clock, Lines, Running};
+use puffinladder_leases::table::{Told, What};
+use puffinladder_leases::words::{Answer, Ask, Event, Events, LINE};
+use puffinladder_leases::Owner;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -64,7 +64,7 @@
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(UNHEARD);
     let most = setup.most_connections;
-    let accept = puffinladder_links::serve(listener, "keeper", most, stopped.clone(), move |stream, _| {
+    let accept = puffinladder_transport::serve(listener, "keeper", most, stopped.clone(), move |stream, _| {
         converse(stream, asks.clone())
     });
     tokio::spawn(accept);
@@ -75,7 +75,7 @@
 }
 
 /// One connection: what it asks goes to the desk, what comes back is written by a task of its own.
-async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), puffinladder_links::Fault> {
+async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), puffinladder_transport::Fault> {
     let (from, to) = stream.into_split();
     let (back, answers) = mpsc::channel(ANSWERS);
     let writer = tokio::spawn(answer(to, answers));
@@ -260,7 +260,7 @@
             Ask::Status => {
                 let (up, mut counts) = (now, self.counts.clone());
                 counts.insert("syncs".into(), self.syncs.load(Ordering::Relaxed));
-                let status = puffinladder_owners::words::Status { up, counts, ..self.core.status(now) };
+                let status = puffinladder_leases::words::Status { up, counts, ..self.core.status(now) };
                 let _ = back.try_send(Answer::Status(Box::new(status)));
             }
             Ask::Duties => {
--- a/crates/keeper/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -2,11 +2,11 @@
 //! cut off one way or both; disks of 2 s a sync; instances that ask all the while. Whoever has applied an entry has applied the same
 //! as all others, no epoch is given twice, nobody believes in what another believes in, and with a majority well there is an owner.
 
-use puffinladder_keeper::core::{Core, Out, Terms};
-use puffinladder_keeper::log::{Disk, Save};
-use puffinladder_owners::holder::{Act, Holder, Stage};
-use puffinladder_owners::table::{Change, Declared, Said, Told, What};
-use puffinladder_owners::{Duty, Epoch, Owner};
+use puffinladder_lease_store::core::{Core, Out, Terms};
+use puffinladder_lease_store::log::{Disk, Save};
+use puffinladder_leases::holder::{Act, Holder, Stage};
+use puffinladder_leases::table::{Change, Declared, Said, Told, What};
+use puffinladder_leases::{Duty, Epoch, Owner};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -241,7 +241,7 @@
                         continue;
                     }
                     let refused = keeper.core.as_mut().map(|core| core.say(said));
-                    if let Some(Err(puffinladder_keeper::core::Refusal::NotLeading(Some(leader)))) = refused {
+                    if let Some(Err(puffinladder_lease_store::core::Refusal::NotLeading(Some(leader)))) = refused {
                         self.instances[from].to = leader as usize - 1;
                     }
                 }
--- a/crates/owners/tests/schedules.rs
+++ b/crates/leases/tests/schedules.rs
@@ -4,11 +4,11 @@
 //!
 //! A bug planted in the host has to be caught by the same schedules, or they prove nothing.
 
-use puffinladder_owners::fence::{Fence, Verdict};
-use puffinladder_owners::holder::{Act, Holder, Stage};
-use puffinladder_owners::pace::Pace;
-use puffinladder_owners::table::{Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_owners::{Duty, Epoch, Owner};
+use puffinladder_leases::fence::{Fence, Verdict};
+use puffinladder_leases::holder::{Act, Holder, Stage};
+use puffinladder_leases::pace::Pace;
+use puffinladder_leases::table::{Command, Declared, Entry, Rules, Said, Table, Told};
+use puffinladder_leases::{Duty, Epoch, Owner};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/owners/tests/small.rs
+++ b/crates/leases/tests/small.rs
@@ -1,10 +1,10 @@
 //! Two owners, one part, one fence, explored exhaustively: every order of lines, answers, effects, looks at the clock and restarts within
 //! a few seconds of whole ones. Messages may lie on their way for good.
 
-use puffinladder_owners::fence::{Fence, Verdict};
-use puffinladder_owners::holder::{Act, Holder, Stage};
-use puffinladder_owners::table::{Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_owners::{Duty, Epoch, Owner};
+use puffinladder_leases::fence::{Fence, Verdict};
+use puffinladder_leases::holder::{Act, Holder, Stage};
+use puffinladder_leases::table::{Command, Declared, Entry, Rules, Said, Table, Told};
+use puffinladder_leases::{Duty, Epoch, Owner};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -1,10 +1,10 @@
 //! What has to hold of every history. A checker reads what processes told, and nothing of how they came to it.
 
 use crate::history::History;
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::table::{Change, What};
-use puffinladder_owners::words::Event;
-use puffinladder_owners::{Duty, Epoch, Owner};
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::table::{Change, What};
+use puffinladder_leases::words::Event;
+use puffinladder_leases::{Duty, Epoch, Owner};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -344,7 +344,7 @@
 mod tests {
     use super::*;
     use crate::history::Happened;
-    use puffinladder_owners::table::Cause;
+    use puffinladder_leases::table::Cause;
 
     fn duty() -> Duty {
         Duty::new("gather", 0)
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -9,10 +9,10 @@
 use crate::relay::Relay;
 use crate::rows::{write, Rows};
 use crate::schedule::{Fault, Schedule, Way, What, Who};
-use puffinladder_archive::store::Planted;
-use puffinladder_archive::words as archive;
-use puffinladder_owners::table::{Command, Row};
-use puffinladder_owners::words::{Answer, Ask, Event};
+use puffinladder_trace_store::store::Planted;
+use puffinladder_trace_store::words as archive;
+use puffinladder_leases::table::{Command, Row};
+use puffinladder_leases::words::{Answer, Ask, Event};
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -824,10 +824,10 @@
 }
 
 fn export(folder: &Path) -> Result<(Rows, u64), String> {
-    let (store, _) = puffinladder_archive::store::Store::open(&folder.join("archive"), u64::MAX)
+    let (store, _) = puffinladder_trace_store::store::Store::open(&folder.join("archive"), u64::MAX)
         .map_err(|e| e.to_string())?;
     let into = folder.join("export.trace");
-    let met = puffinladder_archive::export::export(&store, &into, 0, &mut |_, _| {})?;
+    let met = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})?;
     let rows = Rows::read(&into)?;
     let _ = std::fs::remove_file(into);
     Ok((rows, met.doubled))
@@ -836,7 +836,7 @@
 /// Asks one process one thing, within a bound.
 pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
     let wait = Duration::from_secs(1);
-    let asked = puffinladder_links::ask(at, what, wait, 64 << 20);
+    let asked = puffinladder_transport::ask(at, what, wait, 64 << 20);
     tokio::time::timeout(wait, asked).await.ok()?.ok().flatten()
 }
 
@@ -860,7 +860,7 @@
     steps: mpsc::UnboundedSender<Step>,
     done: tokio::sync::watch::Receiver<bool>,
 ) {
-    let mut chance = puffinladder_owners::Shuffle::new(seed ^ (number << 40));
+    let mut chance = puffinladder_leases::Shuffle::new(seed ^ (number << 40));
     let mut who = number;
     let mut unknown = 0;
     for _ in 0..ASKED / OPERATORS as usize {
--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -2,10 +2,10 @@
 //! after it.
 
 use crate::history::{Happened, History};
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::table::What;
-use puffinladder_owners::words::Event;
-use puffinladder_owners::{Duty, Epoch};
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::table::What;
+use puffinladder_leases::words::Event;
+use puffinladder_leases::{Duty, Epoch};
 use std::collections::BTreeMap;
 
 /// From each fault of that word to the first effect that stood under a later epoch, for each part that the one hit owned; s. Parts without any such
@@ -52,8 +52,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use puffinladder_owners::table::{Cause, Change};
-    use puffinladder_owners::Owner;
+    use puffinladder_leases::table::{Cause, Change};
+    use puffinladder_leases::Owner;
 
     #[test]
     fn a_gap_lasts_until_the_successors_first_effect_and_not_a_late_one_of_the_dead() {
--- a/crates/proving/src/picture.rs
+++ b/crates/proving/src/picture.rs
@@ -2,9 +2,9 @@
 
 use crate::history::{Happened, History};
 use plotters::prelude::*;
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::table::What;
-use puffinladder_owners::words::Event;
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::table::What;
+use puffinladder_leases::words::Event;
 use std::collections::BTreeMap;
 
 const COLOURS: [RGBColor; 10] = [
--- a/crates/proving/src/pipe.rs
+++ b/crates/proving/src/pipe.rs
@@ -1,6 +1,6 @@
 //! One direction of a link: when bytes that came may go on. Decided without a clock; a relay sleeps as it is told.
 
-use puffinladder_owners::Shuffle;
+use puffinladder_leases::Shuffle;
 
 /// What a direction does to bytes, until it is changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::pipe::{Pass, Pipe, Trouble};
 use crate::schedule::Way;
-use puffinladder_links::dial;
+use puffinladder_transport::dial;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -103,7 +103,7 @@
     let tree = String::from_utf8(tree.stdout).unwrap();
     let linked: BTreeSet<&str> = tree.lines().filter_map(|line| line.split(' ').next()).collect();
     assert!(linked.contains("may") && linked.contains("puffinladder-trace"), "{linked:?}");
-    for never in ["raft", "raft-proto", "tokio", "redb", "puffinladder-keeper", "puffinladder-owners"] {
+    for never in ["raft", "raft-proto", "tokio", "redb", "puffinladder-lease-store", "puffinladder-leases"] {
         assert!(!linked.contains(never), "{never}");
     }
 }
--- a/crates/archive/src/core.rs
+++ b/crates/trace-store/src/core.rs
@@ -2,8 +2,8 @@
 //! archive never answers for what a crash would take back.
 
 use crate::words::{Outcome, Piece, Source, Taken};
-use puffinladder_owners::fence::{Fence, Seen, Verdict};
-use puffinladder_owners::{Duty, Epoch};
+use puffinladder_leases::fence::{Fence, Seen, Verdict};
+use puffinladder_leases::{Duty, Epoch};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Files that are known at the most; names of a file in bytes; parts of duties.
--- a/crates/archive/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -5,10 +5,10 @@
 use crate::store::{Planted, Store};
 use crate::words::{Answer, Ask, Outcome, Source, LINE};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_links::{bind, say, Fault, Lines, Running};
-use puffinladder_owners::assign::part_of;
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::words::{Event, Events};
+use puffinladder_transport::{bind, say, Fault, Lines, Running};
+use puffinladder_leases::assign::part_of;
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::words::{Event, Events};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(WAITING);
     let serve =
-        puffinladder_links::serve(listener, "archive", setup.most_connections, stopped, move |stream, _| {
+        puffinladder_transport::serve(listener, "archive", setup.most_connections, stopped, move |stream, _| {
             converse(stream, asks.clone())
         });
     // The desk ends once nobody can ask any more.
--- a/crates/archive/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -3,8 +3,8 @@
 
 use crate::core::{Core, Write};
 use crate::words::{Source, Taken};
-use puffinladder_owners::fence::Seen;
-use puffinladder_owners::Duty;
+use puffinladder_leases::fence::Seen;
+use puffinladder_leases::Duty;
 use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::path::{Path, PathBuf};
--- a/crates/archive/src/words.rs
+++ b/crates/trace-store/src/words.rs
@@ -1,7 +1,7 @@
 //! What owners and the archive say to each other, a line of JSON each.
 
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::{Duty, Epoch};
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::{Duty, Epoch};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a line at the most: a block as base64.
--- a/crates/steward/src/haul.rs
+++ b/crates/worker/src/haul.rs
@@ -2,10 +2,10 @@
 
 use crate::gather::{over, part_of, Lying, Plan};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_archive::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
-use puffinladder_links::{dial, say, Clock, Lines};
-use puffinladder_owners::fence::Verdict;
-use puffinladder_owners::{Duty, Epoch};
+use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
+use puffinladder_transport::{dial, say, Clock, Lines};
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::{Duty, Epoch};
 use puffinladder_trace::file::{pack_notes, pack_rows, Kind};
 use puffinladder_trace::{Names, Trace};
 use std::fs::File;
@@ -222,14 +222,14 @@
     let mut lying = Vec::new();
     for folder in listed.filter_map(Result::ok) {
         let Some(server) = folder.file_name().to_str().map(String::from) else { continue };
-        if part_of(&server, parts) != part || !puffinladder_archive::core::fit(&server) {
+        if part_of(&server, parts) != part || !puffinladder_trace_store::core::fit(&server) {
             continue;
         }
         let Ok(files) = std::fs::read_dir(folder.path()) else { continue };
         let mut found = Vec::new();
         for file in files.filter_map(Result::ok) {
             let Some(name) = file.file_name().to_str().map(String::from) else { continue };
-            if name.ends_with(".trace") && puffinladder_archive::core::fit(&name) {
+            if name.ends_with(".trace") && puffinladder_trace_store::core::fit(&name) {
                 found.push((name, false));
             }
         }
--- a/crates/steward/src/serve.rs
+++ b/crates/worker/src/serve.rs
@@ -3,13 +3,13 @@
 
 use crate::haul::{Came, Haul, Told};
 use crate::link::{Link, News};
-use puffinladder_links::{bind, say, Clock, Fault, Lines};
-use puffinladder_owners::desk::{self, Desk, Reply, Report};
-use puffinladder_owners::holder::{Act, Holder, Stage, Why};
-use puffinladder_owners::route::{Next, Route};
-use puffinladder_owners::table::Refused;
-use puffinladder_owners::words::{Answer, Ask, Event, Events};
-use puffinladder_owners::{Duty, Epoch, Owner};
+use puffinladder_transport::{bind, say, Clock, Fault, Lines};
+use puffinladder_leases::desk::{self, Desk, Reply, Report};
+use puffinladder_leases::holder::{Act, Holder, Stage, Why};
+use puffinladder_leases::route::{Next, Route};
+use puffinladder_leases::table::Refused;
+use puffinladder_leases::words::{Answer, Ask, Event, Events};
+use puffinladder_leases::{Duty, Epoch, Owner};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -118,7 +118,7 @@
         let (listener, at) = bind("reports", desk.listen).await.map_err(|e| e.to_string())?;
         listen = Some(at);
         let each = move |stream, _| converse(stream, reports.clone());
-        tokio::spawn(puffinladder_links::serve(
+        tokio::spawn(puffinladder_transport::serve(
             listener,
             "reports",
             desk.most_connections,
@@ -177,7 +177,7 @@
         wants.extend(setup.desk.iter().filter(|desk| desk.quota).map(|_| desk::QUOTA.to_string()));
         wants.extend(setup.desk.iter().filter(|desk| desk.turns).map(|_| desk::TURNS.to_string()));
         let desk = setup.desk.as_ref().map(|reported| Desk::new(reported.told.clone()));
-        let seed = puffinladder_owners::assign::rank("route", setup.incarnation as u32, &setup.name);
+        let seed = puffinladder_leases::assign::rank("route", setup.incarnation as u32, &setup.name);
         // What is received in place of these comes with the two channels of `work`.
         let (news, _) = mpsc::channel(1);
         let (steps, _) = mpsc::channel(1);
