--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -4,8 +4,8 @@
 use smallvec::SmallVec;
 use std::collections::HashMap;
 
-/// One thing that happened to a txn. The codes stand in files: they are never given a second meaning, and one
-/// that a reader does not know is kept as [`Step::OTHER`] would be shown.
+/// One thing that happened to a txn. The codes stand in files: they are never given a second meaning, and a
+/// reader keeps a code that it does not know as it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Step(pub u8);
 
