--- a/crates/control/src/serve/ads.rs
+++ b/crates/control/src/serve/ads.rs
@@ -260,3 +260,6 @@
         tracing::error!("xds: {e}");
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/control/tests/pages.rs
@@ -0,0 +1,112 @@
+//! The names on the service's HTTP pages, as literals: people's dashboards and alerts read them.
+
+mod common;
+
+use common::{report, routes, service, until, Servers};
+use puffinladder_control::view::Class;
+use puffinladder_proxy::Proxy;
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Names and kinds of values on each page, a line each; then the descriptions of the metrics, and those with labels.
+const NAMES: [&str; 5] = [
+    include_str!("golden/plan.names"),
+    include_str!("golden/servers.names"),
+    include_str!("golden/proxies.names"),
+    include_str!("golden/metrics.names"),
+    include_str!("golden/labels.names"),
+];
+
+async fn get(at: SocketAddr, path: &str) -> String {
+    let mut stream = TcpStream::connect(at).await.unwrap();
+    let request = format!("GET {path} HTTP/1.0\r\nHost: x\r\n\r\n");
+    stream.write_all(request.as_bytes()).await.unwrap();
+    let mut text = String::new();
+    stream.read_to_string(&mut text).await.unwrap();
+    text
+}
+
+fn body(response: &str) -> &str {
+    response.split_once("\r\n\r\n").unwrap().1
+}
+
+/// Every name with those that it stands in, and what kind of value it has.
+fn names(value: &Value, within: &str, all: &mut BTreeSet<String>) {
+    let kind = match value {
+        Value::Null => "null",
+        Value::Bool(_) => "bool",
+        Value::Number(_) => "number",
+        Value::String(_) => "string",
+        Value::Array(items) => {
+            items.iter().for_each(|item| names(item, &format!("{within}[]"), all));
+            return;
+        }
+        Value::Object(fields) => {
+            fields.iter().for_each(|(name, item)| names(item, &format!("{within}.{name}"), all));
+            return;
+        }
+    };
+    all.insert(format!("{within} {kind}"));
+}
+
+fn shape(response: &str) -> String {
+    let mut all = BTreeSet::new();
+    names(&serde_json::from_str(body(response)).unwrap(), "", &mut all);
+    all.into_iter().collect::<Vec<_>>().join("\n")
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn the_pages_have_the_same_names_as_ever() {
+    let running = service(None, None).await;
+    let servers = Servers::start(vec![running.reports], vec![report(1), report(2)]);
+    let class = Class { product: "p".into(), customer: "k".into(), worth: 1.0, asked: 100.0, declined: 60.0 };
+    servers.change(|server| server.classes = vec![class.clone()]);
+    let debug = running.debug.unwrap();
+    let proxy = Proxy::start(running.xds, "p1", "a", true);
+    until("it to route", || routes(&proxy)).await;
+    while !get(debug, "/plan").await.contains("customer") {
+        tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+    }
+    let mut shapes = Vec::new();
+    for page in ["/plan", "/servers", "/proxies"] {
+        shapes.push(shape(&get(debug, page).await));
+    }
+    let health = get(debug, "/health").await;
+    assert!(
+        health.starts_with("HTTP/1.0 200 OK\r\n") || health.starts_with("HTTP/1.1 200 OK\r\n"),
+        "{health}"
+    );
+    assert_eq!(body(&health), "a plan holds\n");
+    let metrics = get(debug, "/metrics").await;
+    assert!(metrics.contains("content-type: application/openmetrics-text; version=1.0.0; charset=utf-8"));
+    let described: Vec<&str> = body(&metrics).lines().filter(|line| line.starts_with('#')).collect();
+    let labelled: BTreeSet<&str> = body(&metrics)
+        .lines()
+        .filter_map(|line| line.contains('{').then(|| line.rsplit_once(' '))?)
+        .map(|(name, _)| name)
+        .collect();
+    shapes.push(described.join(
+        "
+",
+    ));
+    shapes.push(labelled.into_iter().collect::<Vec<_>>().join(
+        "
+",
+    ));
+    assert_eq!(shapes, NAMES.map(str::trim_end));
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn without_a_plan_the_pages_say_so() {
+    let running = service(None, None).await;
+    let debug = running.debug.unwrap();
+    let health = get(debug, "/health").await;
+    assert!(health.contains(" 503 Service Unavailable\r\n"), "{health}");
+    assert_eq!(body(&health), "no plan holds\n");
+    assert!(get(debug, "/plan").await.contains(" 503 Service Unavailable\r\n"));
+    assert_eq!(body(&get(debug, "/servers").await), r#"{"panic":false,"servers":[]}"#);
+    assert_eq!(body(&get(debug, "/proxies").await), r#"{"proxies":[],"settled":0}"#);
+}
