--- a/crates/cli/src/control/bench.rs
+++ b/crates/cli/src/control/bench.rs
@@ -4,9 +4,10 @@
 use super::town::{report, setup};
 use crate::measure::{memory, percentile};
 use crate::say::Done;
+use puffinladder_control::fleet::{FleetConfig, FleetView};
 use puffinladder_control::plan::Planner;
+use puffinladder_control::report::LoadReport;
 use puffinladder_control::serve::start;
-use puffinladder_control::view::{Bounds, Report, Views};
 use puffinladder_proxy::{Pick, Proxy};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,7 +16,7 @@
 
 fn planning() {
     for count in [100, 1000, 10_000] {
-        let mut views = Views::new(Bounds::default());
+        let mut views = FleetView::new(FleetConfig::default());
         let mut planner = Planner::default();
         let address = SocketAddr::from(([127, 0, 0, 1], 4100));
         let mut times = Vec::new();
@@ -24,7 +25,16 @@
             for at in 0..count {
                 let takes = 0.01 * (1.0 + ((at as u64 * 7 + step) % 10) as f64 * 0.02);
                 let zone = ["a", "b", "c"][at % 3].into();
-                views.take(now, Report { sequence: step + 1, made: now, takes, zone, ..report(at, address) });
+                views.record(
+                    now,
+                    LoadReport {
+                        sequence: step + 1,
+                        created_at: now,
+                        service_time: takes,
+                        zone,
+                        ..report(at, address)
+                    },
+                );
             }
             let begun = Instant::now();
             let plan = planner.plan(now, &views);
@@ -55,13 +65,13 @@
     stream: &mut TcpStream,
     begun: Instant,
 ) -> Done<String> {
-    let bound = setup().told.lease.bound;
+    let bound = setup().service.lease.max_decision_age;
     let (mut oldest, mut looks, mut nothing) = (0.0f64, 0u64, 0u64);
     let end = Instant::now() + Duration::from_secs(3);
     while Instant::now() < end {
         let mut lines = Vec::new();
         for report in all.iter_mut() {
-            (report.sequence, report.made) = (report.sequence + 1, begun.elapsed().as_secs_f64());
+            (report.sequence, report.created_at) = (report.sequence + 1, begun.elapsed().as_secs_f64());
             serde_json::to_writer(&mut lines, report).map_err(std::io::Error::from)?;
             lines.push(b'\n');
         }
@@ -82,16 +92,16 @@
 /// Changes one server's health back and forth, and waits until every proxy has said that it holds the new plan.
 async fn push(count: usize, servers: usize, changes: usize, incremental: bool) -> Done {
     let mut told = setup();
-    told.told.subsets.size = servers;
-    let running = start(told).await?;
+    told.service.subsets.size = servers;
+    let running = start(told).await.map_err(std::io::Error::from)?;
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    let mut all: Vec<Report> = (0..servers).map(|at| report(at, address)).collect();
+    let mut all: Vec<LoadReport> = (0..servers).map(|at| report(at, address)).collect();
     let mut stream = TcpStream::connect(running.reports).await?;
     let begun = Instant::now();
-    let send = |all: &mut Vec<Report>| -> Result<Vec<u8>, std::io::Error> {
+    let send = |all: &mut Vec<LoadReport>| -> Result<Vec<u8>, std::io::Error> {
         let mut lines = Vec::new();
         for report in all {
-            (report.sequence, report.made) = (report.sequence + 1, begun.elapsed().as_secs_f64());
+            (report.sequence, report.created_at) = (report.sequence + 1, begun.elapsed().as_secs_f64());
             serde_json::to_writer(&mut lines, report)?;
             lines.push(b'\n');
         }
@@ -101,8 +111,13 @@
     let fleet: Vec<Proxy> =
         (0..count).map(|at| Proxy::start(running.xds, &format!("p{at}"), "a", incremental)).collect();
     let settled = || async {
-        let found = running.desk.ask(|core, _| {
-            (core.settled(), core.peers(), core.serial(), core.plan().map(|p| p.shares.len()))
+        let found = running.handle.query(|core, _| {
+            (
+                core.in_sync_count(),
+                core.proxy_count(),
+                core.plan_version(),
+                core.plan().map(|p| p.shares.len()),
+            )
         });
         found.await.unwrap_or_default()
     };
@@ -126,7 +141,7 @@
     let start_bytes = bytes();
     let mut sent_at = Instant::now();
     for change in 0..changes {
-        let old = running.desk.ask(|core, _| core.serial()).await.unwrap_or_default();
+        let old = running.handle.query(|core, _| core.plan_version()).await.unwrap_or_default();
         all[0].healthy = change % 2 == 1;
         let lines = send(&mut all)?;
         let begun = Instant::now();
--- a/crates/cli/src/control/fleet.rs
+++ b/crates/cli/src/control/fleet.rs
@@ -5,8 +5,9 @@
 //! Simulated, and cruder than the bench: no queues, no SLA times but that what is not served is lost.
 
 use super::town::report;
+use puffinladder_control::fleet::{FleetConfig, FleetView};
 use puffinladder_control::plan::{Plan, Planner};
-use puffinladder_control::view::{Bounds, Class, Report, Views};
+use puffinladder_control::report::{ClassLoad, LoadReport};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -29,8 +30,8 @@
 /// Share of the value asked for that was served, from `from` s on.
 pub fn play(servers: usize, day: Day, planned: bool, tries: usize) -> f64 {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    let (mut views, mut planner) = (Views::new(Bounds::default()), Planner::default());
-    let (mut plans, mut late): (VecDeque<Plan>, VecDeque<Vec<Report>>) = Default::default();
+    let (mut views, mut planner) = (FleetView::new(FleetConfig::default()), Planner::default());
+    let (mut plans, mut late): (VecDeque<Plan>, VecDeque<Vec<LoadReport>>) = Default::default();
     let mut held: Option<Plan> = None;
     let (mut asked_value, mut served_value) = (0.0, 0.0);
     let all = CAN * servers as f64;
@@ -52,7 +53,7 @@
         let drop = |which: usize| {
             let name = ["cheap", "dear"][which];
             let drops = held.as_ref().map(|plan| plan.drops.as_slice()).unwrap_or_default();
-            drops.iter().find(|d| d.product == name).map_or(0.0, |d| d.share)
+            drops.iter().find(|d| d.product == name).map_or(0.0, |d| d.fraction)
         };
         let sent = [asked[0] * (1.0 - drop(0)), asked[1] * (1.0 - drop(1))];
         let even = 1.0 / servers as f64;
@@ -82,18 +83,18 @@
             asked_value += (asked[0] * worth[0] + asked[1] * worth[1]) * STEP;
         }
         let reports = (0..servers).map(|at| {
-            let class = |which: usize| Class {
+            let class = |which: usize| ClassLoad {
                 product: ["cheap", "dear"][which].into(),
                 customer: "k".into(),
-                worth: worth[which],
-                asked: seen[at][which],
-                declined: refused[at][which],
+                priority_weight: worth[which],
+                offered: seen[at][which],
+                rejected: refused[at][which],
             };
             let use_ = 1.0 - can[at] / (CAN * speed(at));
-            Report {
+            LoadReport {
                 sequence: step + 1,
-                made: now,
-                takes: 0.01 / speed(at),
+                created_at: now,
+                service_time: 0.01 / speed(at),
                 pressure: ((use_ - 0.95) * 20.0).clamp(0.0, 1.0),
                 classes: vec![class(0), class(1)],
                 ..report(at, address)
@@ -102,7 +103,7 @@
         late.push_back(reports.collect());
         if late.len() > 1 {
             for report in late.pop_front().unwrap_or_default() {
-                views.take(now, report);
+                views.record(now, report);
             }
         }
         if planned {
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -10,12 +10,13 @@
 use crate::serve::runtime;
 use clap::{Args, Subcommand};
 use puffinladder_charter::settings::Control as Told;
-use puffinladder_control::core::{Times, Told as Core};
+use puffinladder_control::fleet::{FleetConfig, FleetView, ReportOutcome};
 use puffinladder_control::plan::Planner;
-use puffinladder_control::resources::Subsets;
-use puffinladder_control::serve::{start, Setup, Tls};
-use puffinladder_control::stream::Lease;
-use puffinladder_control::view::{Bounds, Report, Verdict, Views};
+use puffinladder_control::report::LoadReport;
+use puffinladder_control::resources::SubsetConfig;
+use puffinladder_control::serve::{start, ServeConfig, TlsConfig};
+use puffinladder_control::service::{PlanSchedule, ServiceConfig};
+use puffinladder_control::stream::LeaseConfig;
 use puffinladder_leases::words::Event;
 use std::io::Write;
 use std::path::PathBuf;
@@ -79,33 +80,37 @@
     },
 }
 
-fn setup(told: &Told) -> Setup {
-    let bounds = Bounds {
-        fresh: told.fresh,
-        gone: told.gone,
-        panic: told.panic,
-        most_servers: told.most_servers,
-        ..Bounds::default()
+fn setup(told: &Told) -> ServeConfig {
+    let fleet = FleetConfig {
+        fresh_for: told.fresh,
+        expired_after: told.gone,
+        panic_threshold: told.panic,
+        max_servers: told.most_servers,
+        ..FleetConfig::default()
     };
-    let lease = Lease { bound: told.bound, heartbeat: told.heartbeat, ..Lease::default() };
-    let core = Core {
-        bounds,
+    let lease = LeaseConfig {
+        max_decision_age: told.bound,
+        heartbeat_interval: told.heartbeat,
+        ..LeaseConfig::default()
+    };
+    let service = ServiceConfig {
+        fleet,
         lease,
-        subsets: Subsets { size: told.subset, ..Subsets::default() },
-        times: Times { plan: told.plan_every, ..Times::default() },
+        subsets: SubsetConfig { size: told.subset, ..SubsetConfig::default() },
+        schedule: PlanSchedule { interval: told.plan_every, ..PlanSchedule::default() },
     };
-    let tls = told.tls.as_ref().map(|(certificate, key, clients)| Tls {
+    let tls = told.tls.as_ref().map(|(certificate, key, clients)| TlsConfig {
         certificate: certificate.into(),
         key: key.into(),
-        clients: clients.as_ref().map(Into::into),
+        client_authorities: clients.as_ref().map(Into::into),
     });
-    Setup {
-        told: core,
+    ServeConfig {
+        service,
         xds: told.xds,
         reports: told.reports,
         debug: told.debug,
         snapshot: told.snapshot.as_ref().map(Into::into),
-        most_proxies: told.most_proxies,
+        max_proxies: told.most_proxies,
         tls,
     }
 }
@@ -128,9 +133,9 @@
 /// Serves on the proving ground until it is told to leave, and says where: proxies, servers, people. A silent server is forgotten after `forget` s.
 pub async fn on_ground(told: &Told, forget: f64, ground: &Ground) -> Done {
     let mut setup = setup(told);
-    setup.told.bounds.forget = forget;
+    setup.service.fleet.forget_after = forget;
     let mut term = signal(SignalKind::terminate())?;
-    let running = start(setup).await?;
+    let running = start(setup).await.map_err(std::io::Error::from)?;
     let debug = running.debug.map_or(String::new(), |debug| debug.to_string());
     ground.events.tell(&Event::Ready { listen: format!("{} {} {debug}", running.xds, running.reports) });
     term.recv().await;
@@ -143,7 +148,7 @@
     let told = crate::serve::section(&name, "control", settings.control.clone())?;
     crate::serve::log(&settings);
     runtime()?.block_on(async {
-        let running = start(setup(&told)).await?;
+        let running = start(setup(&told)).await.map_err(std::io::Error::from)?;
         tracing::info!("xds on {}, reports on {}", running.xds, running.reports);
         if let Some(view) = running.debug {
             tracing::info!("debug view on http://{view}");
@@ -153,7 +158,7 @@
             tokio::select! {
                 _ = term.recv() => break,
                 _ = tokio::signal::ctrl_c() => break,
-                _ = hup.recv() => match running.reload() {
+                _ = hup.recv() => match running.reload_certificates() {
                     Ok(()) => tracing::info!("reload: new connections get the certificates as they are now"),
                     Err(e) => tracing::error!("reload: nothing changed: {e}"),
                 },
@@ -170,21 +175,21 @@
         "-" => std::io::read_to_string(std::io::stdin())?,
         path => std::fs::read_to_string(path).map_err(|e| Wrong::Failed(format!("{path}: {e}")))?,
     };
-    let reports: Vec<Report> = serde_json::from_str(&text)
+    let reports: Vec<LoadReport> = serde_json::from_str(&text)
         .map_err(|e| Wrong::Asked(format!("{views}:{}:{}: {e}", e.line(), e.column())))?;
-    let mut held = Views::new(Bounds::default());
+    let mut fleet = FleetView::new(FleetConfig::default());
     let mut planner = Planner::default();
     let mut made = None;
     for step in 0..steps.max(1) {
         let now = f64::from(step) * 0.25;
         for (at, report) in reports.iter().enumerate() {
             let sequence = u64::from(step) + 1;
-            let report = Report { sequence, made: now, ..report.clone() };
-            if let Verdict::Impossible(what) = held.take(now, report) {
-                return Err(Wrong::Asked(format!("{views}: report {}: {what}", at + 1)));
+            let report = LoadReport { sequence, created_at: now, ..report.clone() };
+            if let ReportOutcome::Invalid(invalid) = fleet.record(now, report) {
+                return Err(Wrong::Asked(format!("{views}: report {}: {invalid}", at + 1)));
             }
         }
-        made = planner.plan(now, &held);
+        made = planner.plan(now, &fleet);
     }
     let plan = made.ok_or_else(|| Wrong::Failed("no plan: nobody could be routed to".into()))?;
     let mut out = std::io::stdout().lock();
@@ -198,15 +203,21 @@
         "server", "zone", "share", "target", "says", "carries", "belief"
     )?;
     for s in &plan.shares {
-        let (why, name) = (&s.why, &s.instance);
+        let (why, name) = (&s.explanation, &s.instance);
         writeln!(
             out,
             "{name:<20} {:<10} {:>8.4} {:>8.4} {:>10.1} {:>10.1} {:>7.2}  {}",
-            s.zone, s.weight, why.target, why.says, why.carries, why.belief, why.held
+            s.zone,
+            s.weight,
+            why.target_weight,
+            why.reported_capacity,
+            why.effective_capacity,
+            why.confidence,
+            why.limited_by
         )?;
     }
     for (name, z) in &plan.zones {
-        let to: Vec<String> = z.to.iter().map(|(to, share)| format!("{to} {share:.2}")).collect();
+        let to: Vec<String> = z.spill_targets.iter().map(|(to, share)| format!("{to} {share:.2}")).collect();
         let to = if z.spill > 0.0 {
             format!(", {:.1}% elsewhere: {}", z.spill * 100.0, to.join(", "))
         } else {
@@ -215,11 +226,12 @@
         writeln!(out, "zone {name}: load {:.1} of {:.1} a second{to}", z.load, z.capacity)?;
     }
     for drop in &plan.drops {
-        writeln!(out, "drop {:.1}% of {} of {}", drop.share * 100.0, drop.product, drop.customer)?;
+        writeln!(out, "drop {:.1}% of {} of {}", drop.fraction * 100.0, drop.product, drop.customer)?;
     }
     if let Some(zone) = zone {
-        for (share, weight) in plan.routes(zone) {
-            writeln!(out, "from {zone} to {} ({}): {weight:.4}", share.instance, share.address)?;
+        for route in plan.routes(zone) {
+            let (server, weight) = (route.server, route.weight);
+            writeln!(out, "from {zone} to {} ({}): {weight:.4}", server.instance, server.address)?;
         }
     }
     Ok(())
--- a/crates/cli/src/control/town.rs
+++ b/crates/cli/src/control/town.rs
@@ -1,9 +1,9 @@
 //! `control town`: servers and proxies as stand-ins round a real service, to see what it does.
 
 use crate::say::Done;
-use puffinladder_control::core::Told;
-use puffinladder_control::serve::{start, Setup};
-use puffinladder_control::view::Report;
+use puffinladder_control::report::LoadReport;
+use puffinladder_control::serve::{start, ServeConfig};
+use puffinladder_control::service::ServiceConfig;
 use puffinladder_proxy::{Pick, Proxy};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,25 +12,25 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A report as a stand-in server makes it.
-pub fn report(at: usize, address: SocketAddr) -> Report {
-    Report::sound(&format!("n{at:05}"), address)
+pub fn report(at: usize, address: SocketAddr) -> LoadReport {
+    LoadReport::healthy_server(&format!("n{at:05}"), address)
 }
 
-pub fn setup() -> Setup {
+pub fn setup() -> ServeConfig {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    Setup {
-        told: Told::default(),
+    ServeConfig {
+        service: ServiceConfig::default(),
         xds: any,
         reports: any,
         debug: Some(any),
         snapshot: None,
-        most_proxies: 100_000,
+        max_proxies: 100_000,
         tls: None,
     }
 }
 
 pub async fn town(seconds: u32) -> Done {
-    let running = start(setup()).await?;
+    let running = start(setup()).await.map_err(std::io::Error::from)?;
     println!("control service: xds {}, reports {}", running.xds, running.reports);
     if let Some(debug) = running.debug {
         println!("look at http://{debug}/plan, /servers, /proxies, /metrics");
@@ -55,10 +55,10 @@
     while begun.elapsed() < Duration::from_secs(seconds.into()) {
         let now = begun.elapsed().as_secs_f64();
         let (slow, leaves) = (f64::from(seconds) * 0.3, f64::from(seconds) * 0.65);
-        servers[1].takes = if now > slow { 0.04 } else { 0.01 };
-        servers[0].leaving = (now > leaves).then_some(3.0);
+        servers[1].service_time = if now > slow { 0.04 } else { 0.01 };
+        servers[0].terminates_in = (now > leaves).then_some(3.0);
         for server in &mut servers {
-            (server.sequence, server.made) = (server.sequence + 1, now);
+            (server.sequence, server.created_at) = (server.sequence + 1, now);
             let line = format!("{}\n", serde_json::to_string(server).map_err(std::io::Error::from)?);
             stream.write_all(line.as_bytes()).await?;
         }
--- a/crates/cli/src/hollow.rs
+++ b/crates/cli/src/hollow.rs
@@ -3,7 +3,7 @@
 use crate::say::{Done, Wrong};
 use crate::serve::runtime;
 use clap::{Args, Subcommand, ValueEnum};
-use puffinladder_control::stream::Lease;
+use puffinladder_control::stream::LeaseConfig;
 use puffinladder_hollow::callers::{self, Callers};
 use puffinladder_hollow::counts::Counts;
 use puffinladder_hollow::draw::{customer, product, Load};
@@ -274,7 +274,7 @@
             incremental: matches!(self.mode, Mode::Delta),
             seed: common.seed,
             start_within: common.start_within,
-            bound: self.bound.unwrap_or(Duration::from_secs_f64(Lease::default().bound)),
+            bound: self.bound.unwrap_or(Duration::from_secs_f64(LeaseConfig::default().max_decision_age)),
         })
     }
 }
--- /dev/null
+++ b/crates/control/src/fleet/mod.rs
@@ -0,0 +1,254 @@
+//! The service's view of the fleet: the last report of each server, and how far it is still trusted. No I/O, no clock: times come
+//! in, seconds of the control service's own monotonic clock.
+//!
+//! A report carries the server's incarnation, a growing sequence number, and when it was made by the server's own monotonic
+//! clock. The least of (received - made) over the last half minute is taken as the difference of the two clocks; what a report
+//! exceeds it by is how long it was on its way. So a late report is known as late whatever the clocks say.
+
+mod clock;
+
+#[cfg(test)]
+mod tests;
+
+use crate::report::{InvalidReport, LoadReport};
+use clock::ClockOffset;
+use std::collections::BTreeMap;
+
+/// What became of a report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportOutcome {
+    /// It is the server's latest.
+    Accepted,
+    /// It was received before.
+    Duplicate,
+    /// One that was made later came before it.
+    OutOfOrder,
+    /// It comes from a process that has been followed by another.
+    EarlierIncarnation,
+    /// A field can't be right.
+    Invalid(InvalidReport),
+    /// The fleet has as many servers as the service remembers.
+    FleetFull,
+}
+
+/// How long servers are trusted without a new report, and how many are remembered.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FleetConfig {
+    /// Seconds for which a report counts in full.
+    pub fresh_for: f64,
+    /// Seconds from which a report counts for nothing; between `fresh_for` and this, ever less.
+    pub expired_after: f64,
+    /// Seconds for which a silent server is remembered, to tell how many are silent.
+    pub forget_after: f64,
+    /// Fraction of the servers that may be silent at once; with more, the reports are suspected, not the servers.
+    pub panic_threshold: f64,
+    /// Servers that are remembered at the most.
+    pub max_servers: usize,
+}
+
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig {
+            fresh_for: 1.0,
+            expired_after: 4.0,
+            forget_after: 60.0,
+            panic_threshold: 0.5,
+            max_servers: 20_000,
+        }
+    }
+}
+
+#[derive(Clone, Debug)]
+struct ServerRecord {
+    report: LoadReport,
+    clock_offset: ClockOffset,
+    /// When the last report was made, by the service's clock.
+    created_at: f64,
+    /// When it was received.
+    received_at: f64,
+}
+
+impl ServerRecord {
+    /// A server of which no earlier report counts.
+    fn new(now: f64, report: LoadReport) -> ServerRecord {
+        let clock_offset = ClockOffset::new(now, report.created_at);
+        ServerRecord { clock_offset, created_at: now, received_at: now, report }
+    }
+}
+
+/// A server's last report and how far it is trusted.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerView<'a> {
+    /// The last report.
+    pub report: &'a LoadReport,
+    /// Trust in it, from 0 (none) to 1 (full).
+    pub confidence: f64,
+    /// Seconds since it was made.
+    pub age: f64,
+}
+
+/// Rejected reports by reason.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RejectionCounts {
+    /// Received before.
+    pub duplicate: u64,
+    /// Overtaken by a later one.
+    pub out_of_order: u64,
+    /// Of a process that has been followed by another.
+    pub earlier_incarnation: u64,
+    /// With a field that can't be right.
+    pub invalid: u64,
+    /// Of a server beyond the most that are remembered.
+    pub fleet_full: u64,
+}
+
+impl RejectionCounts {
+    fn count(&mut self, outcome: ReportOutcome) {
+        let counter = match outcome {
+            ReportOutcome::Accepted => return,
+            ReportOutcome::Duplicate => &mut self.duplicate,
+            ReportOutcome::OutOfOrder => &mut self.out_of_order,
+            ReportOutcome::EarlierIncarnation => &mut self.earlier_incarnation,
+            ReportOutcome::Invalid(_) => &mut self.invalid,
+            ReportOutcome::FleetFull => &mut self.fleet_full,
+        };
+        *counter += 1;
+    }
+
+    /// The label of each reason in the metrics, with its count.
+    pub fn by_reason(&self) -> [(&'static str, u64); 5] {
+        [
+            ("doubled", self.duplicate),
+            ("overtaken", self.out_of_order),
+            ("earlier-life", self.earlier_incarnation),
+            ("impossible", self.invalid),
+            ("full", self.fleet_full),
+        ]
+    }
+}
+
+/// All servers that have reported and are not forgotten.
+#[derive(Debug, Default)]
+pub struct FleetView {
+    config: FleetConfig,
+    servers: BTreeMap<String, ServerRecord>,
+    /// Reports that were accepted.
+    pub accepted: u64,
+    /// Reports that were rejected, for any reason.
+    pub rejected: u64,
+    /// The rejected ones by reason.
+    pub rejections: RejectionCounts,
+}
+
+impl FleetView {
+    /// An empty fleet.
+    pub fn new(config: FleetConfig) -> FleetView {
+        FleetView { config, ..FleetView::default() }
+    }
+
+    /// Records a report that was received `now`, unless it is invalid or not the server's latest.
+    pub fn record(&mut self, now: f64, report: LoadReport) -> ReportOutcome {
+        let outcome = self.try_record(now, report);
+        match outcome {
+            ReportOutcome::Accepted => self.accepted += 1,
+            _ => self.rejected += 1,
+        }
+        self.rejections.count(outcome);
+        outcome
+    }
+
+    fn try_record(&mut self, now: f64, report: LoadReport) -> ReportOutcome {
+        if let Err(invalid) = report.validate() {
+            return ReportOutcome::Invalid(invalid);
+        }
+        let Some(known) = self.servers.get_mut(&report.instance) else {
+            return self.add(now, report);
+        };
+        let last = &known.report;
+        if report.incarnation != last.incarnation {
+            // A machine whose clock was set back starts with a lower incarnation: trusted once the other is silent.
+            let still_heard = now - known.received_at < self.config.expired_after;
+            if report.incarnation < last.incarnation && still_heard {
+                return ReportOutcome::EarlierIncarnation;
+            }
+            *known = ServerRecord::new(now, report);
+            return ReportOutcome::Accepted;
+        }
+        if report.sequence == last.sequence {
+            return ReportOutcome::Duplicate;
+        }
+        if report.sequence < last.sequence {
+            return ReportOutcome::OutOfOrder;
+        }
+        if report.created_at < last.created_at {
+            return ReportOutcome::Invalid(InvalidReport::ClockWentBack);
+        }
+        let transit_time = known.clock_offset.transit_time(now, report.created_at);
+        known.created_at = now - transit_time;
+        known.received_at = now;
+        known.report = report;
+        ReportOutcome::Accepted
+    }
+
+    fn add(&mut self, now: f64, report: LoadReport) -> ReportOutcome {
+        if self.servers.len() >= self.config.max_servers {
+            return ReportOutcome::FleetFull;
+        }
+        self.servers.insert(report.instance.clone(), ServerRecord::new(now, report));
+        ReportOutcome::Accepted
+    }
+
+    /// Forgets servers that have been silent for long, or that were terminated after a drain.
+    pub fn forget_silent(&mut self, now: f64) {
+        let FleetConfig { forget_after, expired_after, .. } = self.config;
+        self.servers.retain(|_, known| {
+            let silent_for = now - known.created_at;
+            let terminated =
+                known.report.terminates_in.is_some_and(|seconds| silent_for > seconds + expired_after);
+            silent_for <= forget_after && !terminated
+        });
+    }
+
+    /// Whether so many servers went silent at once that it must be the reports, not the servers. Draining servers don't count.
+    pub fn in_panic(&self, now: f64) -> bool {
+        let staying = self.servers.values().filter(|known| !known.report.is_draining());
+        let (mut all, mut silent) = (0usize, 0usize);
+        for known in staying {
+            all += 1;
+            silent += usize::from(now - known.created_at > self.config.fresh_for);
+        }
+        silent as f64 > self.config.panic_threshold * all as f64
+    }
+
+    /// All servers, ordered by name. In panic the silent ones are trusted as they last were.
+    pub fn servers(&self, now: f64) -> Vec<ServerView<'_>> {
+        let in_panic = self.in_panic(now);
+        let FleetConfig { fresh_for, expired_after, .. } = self.config;
+        let confidence = |age: f64| match in_panic {
+            true => 1.0,
+            false => ((expired_after - age) / (expired_after - fresh_for)).clamp(0.0, 1.0),
+        };
+        self.servers
+            .values()
+            .map(|known| {
+                let age = now - known.created_at;
+                ServerView { report: &known.report, confidence: confidence(age), age }
+            })
+            .collect()
+    }
+
+    /// Number of servers that are remembered.
+    pub fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// Whether no server is remembered.
+    pub fn is_empty(&self) -> bool {
+        self.servers.is_empty()
+    }
+
+    /// Number of servers whose last report still counts in full.
+    pub fn fresh_count(&self, now: f64) -> usize {
+        self.servers.values().filter(|known| now - known.created_at <= self.config.fresh_for).count()
+    }
+}
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,18 @@
 //! A control service: servers report what they decided of late, a plan is made of it, and proxies get it over xDS.
 //! `docs/control.md` tells why it is built as it is.
 //!
-//! [`view`], [`plan`], [`shed`], [`stream`] and [`core`] decide and do no I/O; the rest carries out.
+//! [`fleet`], [`plan`], [`shedding`], [`stream`] and [`service`] decide and do no I/O; [`serve`] carries out.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-pub mod core;
+pub mod fleet;
 pub mod plan;
+pub mod report;
 pub mod resources;
 pub mod serve;
-pub mod shed;
+pub mod service;
+pub mod shedding;
+mod smoothing;
 pub mod stream;
-pub mod view;
+#[cfg(test)]
+mod test_support;
--- /dev/null
+++ b/crates/control/src/plan/rebalance.rs
@@ -0,0 +1,245 @@
+//! Shares of one zone's servers: toward their targets in bounded steps. Only what must stop (a drain, bad health, silence) stops
+//! at once.
+
+use super::capacity::{total_capacity, Candidate};
+use super::per_incarnation::PerIncarnation;
+use super::{ServerShare, ShareExplanation, ShareLimit};
+use std::collections::HashSet;
+
+/// Relative difference from its target up to which a share stays: reports jitter by about as much.
+const DEADBAND: f64 = 0.05;
+/// Fraction of itself, or of a mean share, that a share moves in a second: a slow machine is noticed in one or two.
+pub(super) const MAX_SHARE_STEP: f64 = 0.5;
+/// Fraction of a zone's load that moves in a second, forced moves aside: callers' connections follow about as fast.
+pub(super) const MAX_ZONE_STEP: f64 = 0.15;
+/// Seconds between a move one way and one the other: longer than reports and responses take to show the first.
+const REVERSAL_DELAY: f64 = 1.0;
+/// Change of a share that counts as a move; less is rounding.
+const MIN_MOVE: f64 = 1e-9;
+/// Times a server's concurrency limit that one proxy may have in flight there: a fleet of proxies shares it, none knows the
+/// others.
+const PROXY_LIMIT_FACTOR: f64 = 4.0;
+/// Most requests that one proxy may have in flight at one server: beyond any server's limit, and within what proxies take.
+const MAX_PROXY_REQUESTS: f64 = 1e6;
+
+/// What is remembered of a share from one plan to the next.
+#[derive(Clone, Copy, Debug, Default)]
+struct LastMove {
+    weight: f64,
+    upward: bool,
+    at: f64,
+}
+
+/// One server's share on its way from the last plan into this one.
+struct Step {
+    /// The share before the move, once the excluded servers' shares are handed to the others.
+    base: f64,
+    delta: f64,
+    limit: ShareLimit,
+    excluded: bool,
+}
+
+impl Step {
+    /// Whether it stays where it is, and may take up what others move.
+    fn is_still(&self) -> bool {
+        self.delta == 0.0 && !self.excluded
+    }
+
+    /// Whether it moves toward its own target, rather than to make up for others.
+    fn is_deliberate(&self) -> bool {
+        self.delta != 0.0 && self.limit != ShareLimit::Absorbs
+    }
+}
+
+/// A server's new share.
+struct NewShare {
+    weight: f64,
+    limit: ShareLimit,
+    deliberate: bool,
+}
+
+impl From<Step> for NewShare {
+    fn from(step: Step) -> NewShare {
+        let weight = (step.base + step.delta).max(0.0);
+        NewShare { weight, limit: step.limit, deliberate: step.is_deliberate() }
+    }
+}
+
+/// Moves shares from one plan to the next.
+#[derive(Debug, Default)]
+pub(super) struct Rebalancer {
+    last_moves: PerIncarnation<LastMove>,
+}
+
+fn target_weight(server: &Candidate, total: f64) -> f64 {
+    if !server.is_excluded() && total > 0.0 {
+        server.effective_capacity / total
+    } else {
+        0.0
+    }
+}
+
+impl Rebalancer {
+    /// Appends the shares of one zone's servers, `elapsed` seconds after the last plan, if there was one.
+    pub(super) fn rebalance(
+        &mut self,
+        now: f64,
+        elapsed: Option<f64>,
+        servers: &[&Candidate],
+        shares: &mut Vec<ServerShare>,
+    ) {
+        let total = total_capacity(servers);
+        // Another process under the same name starts from nothing.
+        let last_moves: Vec<LastMove> = servers
+            .iter()
+            .map(|server| self.last_moves.get(server.view.report).unwrap_or_default())
+            .collect();
+        let new_shares = match elapsed {
+            Some(elapsed) => moved_shares(now, elapsed, servers, &last_moves, total),
+            None => None,
+        };
+        // Nobody has a share yet, or those who had are all gone: there is nothing to move from.
+        let new_shares = new_shares.unwrap_or_else(|| target_shares(servers, total));
+        for ((server, last), new) in servers.iter().zip(&last_moves).zip(new_shares) {
+            self.remember(now, server, last, &new);
+            shares.push(server_share(server, target_weight(server, total), &new));
+        }
+    }
+
+    fn remember(&mut self, now: f64, server: &Candidate, last: &LastMove, new: &NewShare) {
+        let gain = new.weight - last.weight;
+        let moved = new.deliberate && gain.abs() > MIN_MOVE;
+        let last_move = match moved {
+            true => LastMove { weight: new.weight, upward: gain > 0.0, at: now },
+            false => LastMove { weight: new.weight, ..*last },
+        };
+        self.last_moves.insert(server.view.report, last_move);
+    }
+
+    /// Forgets all servers but those named.
+    pub(super) fn retain(&mut self, instances: &HashSet<&str>) {
+        self.last_moves.retain(instances);
+    }
+}
+
+fn server_share(server: &Candidate, target_weight: f64, new: &NewShare) -> ServerShare {
+    let report = server.view.report;
+    let max_requests = PROXY_LIMIT_FACTOR * report.concurrency_limit;
+    ServerShare {
+        instance: report.instance.clone(),
+        address: report.address,
+        zone: report.zone.clone(),
+        weight: new.weight,
+        max_requests: max_requests.ceil().clamp(1.0, MAX_PROXY_REQUESTS) as u32,
+        explanation: ShareExplanation {
+            reported_capacity: server.reported_capacity,
+            effective_capacity: server.effective_capacity,
+            confidence: server.view.confidence,
+            target_weight,
+            limited_by: server.exclusion.unwrap_or(new.limit),
+        },
+    }
+}
+
+fn target_shares(servers: &[&Candidate], total: f64) -> Vec<NewShare> {
+    let share = |server: &&Candidate| NewShare {
+        weight: target_weight(server, total),
+        limit: ShareLimit::None,
+        deliberate: false,
+    };
+    servers.iter().map(share).collect()
+}
+
+/// Shares a bounded step nearer to their targets; none where no server that stays had a share.
+fn moved_shares(
+    now: f64,
+    elapsed: f64,
+    servers: &[&Candidate],
+    last_moves: &[LastMove],
+    total: f64,
+) -> Option<Vec<NewShare>> {
+    let staying = servers.iter().zip(last_moves).filter(|(server, _)| !server.is_excluded());
+    let kept: f64 = staying.map(|(_, last)| last.weight).sum();
+    if kept > 0.0 {
+        let mut steps = steps(now, elapsed, servers, last_moves, total, kept);
+        balance(&mut steps, MAX_ZONE_STEP * elapsed);
+        Some(steps.into_iter().map(NewShare::from).collect())
+    } else {
+        None
+    }
+}
+
+/// The step that each server would take by itself; `kept` is what the servers that stay had in all.
+fn steps(
+    now: f64,
+    elapsed: f64,
+    servers: &[&Candidate],
+    last_moves: &[LastMove],
+    total: f64,
+    kept: f64,
+) -> Vec<Step> {
+    let mean = 1.0 / servers.len().max(1) as f64;
+    let step = |(server, last): (&&Candidate, &LastMove)| {
+        // What excluded servers had goes to the others in proportion, at once.
+        let base = if server.is_excluded() { 0.0 } else { last.weight / kept };
+        let target = target_weight(server, total);
+        let wanted = target - base;
+        let most = MAX_SHARE_STEP * elapsed * base.max(mean);
+        let reverses = last.at > 0.0 && last.upward != (wanted > 0.0) && now - last.at < REVERSAL_DELAY;
+        // A newcomer is never too near its target to begin.
+        let near = wanted.abs() <= DEADBAND * base.max(target) && base > 0.0;
+        let (delta, limit) = match () {
+            _ if server.is_excluded() || wanted == 0.0 => (0.0, ShareLimit::None),
+            _ if near => (0.0, ShareLimit::NearTarget),
+            _ if reverses => (0.0, ShareLimit::ReversedRecently),
+            _ if wanted.abs() > most => (wanted.clamp(-most, most), ShareLimit::StepSize),
+            _ => (wanted, ShareLimit::None),
+        };
+        Step { base, delta, limit, excluded: server.is_excluded() }
+    };
+    servers.iter().zip(last_moves).map(step).collect()
+}
+
+/// What moves up and what moves down in all.
+fn up_and_down(steps: &[Step]) -> (f64, f64) {
+    let up: f64 = steps.iter().map(|step| step.delta).filter(|delta| *delta > 0.0).sum();
+    let net: f64 = steps.iter().map(|step| step.delta).sum();
+    (up, up - net)
+}
+
+/// Bounds what moves in all, and lets those who stay where they are take up the difference, so that shares still sum to 1.
+fn balance(steps: &mut [Step], most: f64) {
+    bound_total(steps, most);
+    let (up, down) = up_and_down(steps);
+    let absorbing: f64 = steps.iter().filter(|step| step.is_still()).map(|step| step.base).sum();
+    if absorbing > 0.0 && absorbing > up - down {
+        for step in steps.iter_mut().filter(|step| step.is_still()) {
+            step.delta = (down - up) * step.base / absorbing;
+            step.limit = ShareLimit::Absorbs;
+        }
+        return;
+    }
+    // Nobody is left to absorb it: the larger side gives in.
+    let even = up.min(down);
+    for step in steps {
+        if step.delta > 0.0 {
+            step.delta *= even / up;
+        } else if step.delta < 0.0 {
+            step.delta *= even / down;
+        }
+    }
+}
+
+fn bound_total(steps: &mut [Step], most: f64) {
+    let (up, down) = up_and_down(steps);
+    let total = up.max(down);
+    if total <= most {
+        return;
+    }
+    for step in steps.iter_mut().filter(|step| step.delta != 0.0) {
+        step.delta *= most / total;
+        if step.limit == ShareLimit::None {
+            step.limit = ShareLimit::ZoneStepSize;
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/src/plan/spillover.rs
@@ -0,0 +1,146 @@
+//! How much of each zone's load goes to other zones: a zone near its capacity hands the rest to zones that have some left.
+
+use super::ZonePlan;
+use crate::smoothing::sample_weight;
+use std::collections::{BTreeMap, HashMap};
+
+/// Load over capacity from which a zone hands load to others.
+pub(super) const SPILL_UTILIZATION: f64 = 0.9;
+/// Load over capacity up to which a zone takes load from others.
+const RECEIVE_UTILIZATION: f64 = 0.8;
+/// Fraction of a zone's load that starts or stops going elsewhere in a second.
+pub(super) const MAX_SPILL_STEP: f64 = 0.1;
+/// Time constant of the load that a zone is taken to have, seconds: over a few reports.
+const LOAD_TIME_CONSTANT: f64 = 2.0;
+/// Most of a zone's load that is taken to have gone elsewhere when its own load is told from what its servers saw: with all of it
+/// gone nothing would be left to tell it from.
+const MAX_OBSERVED_SPILL: f64 = 0.99;
+
+/// Moves spillover from one plan to the next.
+#[derive(Debug, Default)]
+pub(super) struct Spillover {
+    /// Requests a second that start in each zone, whichever zone serves them, smoothed.
+    source_loads: HashMap<String, f64>,
+    /// The zones by the last plan.
+    last_zones: BTreeMap<String, ZonePlan>,
+}
+
+impl Spillover {
+    /// Decides where the load of each zone goes. In, `load` is what the zone's servers saw; out, what starts in the zone.
+    pub(super) fn update(&mut self, elapsed: f64, zones: &mut BTreeMap<String, ZonePlan>) {
+        let source_loads = self.estimate_source_loads(elapsed, zones);
+        let room = Room::of(zones, &source_loads);
+        let names: Vec<String> = zones.keys().cloned().collect();
+        for name in &names {
+            let spill = self.spill_fraction(elapsed, name, zones, &source_loads, &room);
+            let targets = room.targets(name, zones);
+            let Some(zone) = zones.get_mut(name) else { continue };
+            zone.spill = if targets.is_empty() { 0.0 } else { spill };
+            zone.spill_targets = targets;
+            zone.load = source_loads[name];
+        }
+        self.source_loads = source_loads;
+        self.last_zones = zones.clone();
+    }
+
+    /// What starts in each zone: what its servers saw, less what came from elsewhere by the last plan, plus what went elsewhere.
+    fn estimate_source_loads(
+        &self,
+        elapsed: f64,
+        zones: &BTreeMap<String, ZonePlan>,
+    ) -> HashMap<String, f64> {
+        let sample_weight = sample_weight(elapsed, LOAD_TIME_CONSTANT);
+        let estimate = |(name, zone): (&String, &ZonePlan)| {
+            let spilled = self.last_spill(name).min(MAX_OBSERVED_SPILL);
+            let current = ((zone.load - self.received_load(name)) / (1.0 - spilled)).max(0.0);
+            let smoothed = match self.source_loads.get(name) {
+                Some(last) => last + sample_weight * (current - last),
+                None => current,
+            };
+            (name.clone(), smoothed)
+        };
+        zones.iter().map(estimate).collect()
+    }
+
+    fn last_spill(&self, zone: &str) -> f64 {
+        self.last_zones.get(zone).map_or(0.0, |last| last.spill)
+    }
+
+    /// Load that came to a zone from others by the last plan.
+    fn received_load(&self, zone: &str) -> f64 {
+        let others = self.last_zones.iter().filter(|(other, _)| other.as_str() != zone);
+        let received = others.map(|(other, plan)| {
+            let source_load = self.source_loads.get(other).copied().unwrap_or(0.0);
+            source_load * plan.spill * plan.spill_targets.get(zone).copied().unwrap_or(0.0)
+        });
+        received.sum()
+    }
+
+    /// Fraction of a zone's load that goes elsewhere: a bounded step from the last plan's.
+    fn spill_fraction(
+        &self,
+        elapsed: f64,
+        name: &str,
+        zones: &BTreeMap<String, ZonePlan>,
+        source_loads: &HashMap<String, f64>,
+        room: &Room,
+    ) -> f64 {
+        let (load, capacity) = (source_loads[name], zones[name].capacity);
+        if capacity <= 0.0 {
+            return 1.0;
+        }
+        let wanted = if load > 0.0 { (1.0 - SPILL_UTILIZATION * capacity / load).max(0.0) } else { 0.0 };
+        let wanted = wanted * room.fraction_taken();
+        let last = self.last_spill(name);
+        let most = MAX_SPILL_STEP * elapsed;
+        wanted.clamp(last - most, last + most).clamp(0.0, 1.0)
+    }
+}
+
+/// Capacity that zones have left for others.
+struct Room {
+    /// Requests a second by zone.
+    free: BTreeMap<String, f64>,
+    /// Requests a second that all zones together want to hand over.
+    wanted: f64,
+}
+
+impl Room {
+    fn of(zones: &BTreeMap<String, ZonePlan>, source_loads: &HashMap<String, f64>) -> Room {
+        let free = |(name, zone): (&String, &ZonePlan)| {
+            (name.clone(), (RECEIVE_UTILIZATION * zone.capacity - source_loads[name]).max(0.0))
+        };
+        let excess = |(name, zone): (&String, &ZonePlan)| {
+            (source_loads[name] - SPILL_UTILIZATION * zone.capacity).max(0.0)
+        };
+        Room { free: zones.iter().map(free).collect(), wanted: zones.iter().map(excess).sum() }
+    }
+
+    /// How much of what all want to hand over the others have room for.
+    fn fraction_taken(&self) -> f64 {
+        let free: f64 = self.free.values().sum();
+        if self.wanted > 0.0 {
+            (free / self.wanted).min(1.0)
+        } else {
+            1.0
+        }
+    }
+
+    /// Where a zone's spilled load goes: to others by their room. Where nobody has room, the others that can carry anything share
+    /// what a zone without capacity must hand over.
+    fn targets(&self, name: &str, zones: &BTreeMap<String, ZonePlan>) -> BTreeMap<String, f64> {
+        let targets = proportions(self.free.iter().filter(|(other, _)| *other != name));
+        if !targets.is_empty() || zones[name].capacity > 0.0 {
+            return targets;
+        }
+        let others = zones.iter().filter(|(other, _)| *other != name);
+        proportions(others.map(|(other, zone)| (other, &zone.capacity)))
+    }
+}
+
+/// Each positive part of a whole, as a fraction of it.
+fn proportions<'a>(parts: impl Iterator<Item = (&'a String, &'a f64)> + Clone) -> BTreeMap<String, f64> {
+    let whole: f64 = parts.clone().map(|(_, part)| part).sum();
+    let positive = parts.filter(|(_, part)| **part > 0.0 && whole > 0.0);
+    positive.map(|(name, part)| (name.clone(), part / whole)).collect()
+}
--- /dev/null
+++ b/crates/control/src/plan/tests.rs
@@ -0,0 +1,219 @@
+use super::capacity::MAX_OVER_MEDIAN;
+use super::rebalance::{MAX_SHARE_STEP, MAX_ZONE_STEP};
+use super::spillover::{MAX_SPILL_STEP, SPILL_UTILIZATION};
+use super::*;
+use crate::fleet::{FleetConfig, FleetView, ReportOutcome};
+use crate::report::{ClassLoad, LoadReport};
+use crate::test_support::report;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+/// A fleet whose every server reports four times a second.
+struct Fleet {
+    views: FleetView,
+    planner: Planner,
+    now: f64,
+    sequence: u64,
+    servers: Vec<LoadReport>,
+}
+
+impl Fleet {
+    fn new(servers: Vec<LoadReport>) -> Fleet {
+        let views = FleetView::new(FleetConfig::default());
+        Fleet { views, planner: Planner::default(), now: 0.0, sequence: 0, servers }
+    }
+    fn of(count: usize) -> Fleet {
+        Fleet::new((0..count).map(|at| report(&format!("n{at:03}"), 0, 0.0)).collect())
+    }
+    /// All report, then it is planned anew.
+    fn step(&mut self) -> Plan {
+        self.now += 0.25;
+        self.sequence += 1;
+        for server in &self.servers {
+            let report = LoadReport { sequence: self.sequence, created_at: self.now, ..server.clone() };
+            assert_eq!(self.views.record(self.now, report), ReportOutcome::Accepted);
+        }
+        let plan = self.planner.plan(self.now, &self.views).unwrap();
+        sound(&plan);
+        plan
+    }
+    fn steps(&mut self, count: usize) -> Plan {
+        (1..count).for_each(|_| drop(self.step()));
+        self.step()
+    }
+}
+
+/// What holds of every plan.
+fn sound(plan: &Plan) {
+    for zone in plan.zones.keys() {
+        let sum: f64 = plan.shares.iter().filter(|s| &s.zone == zone).map(|s| s.weight).sum();
+        assert!((sum - 1.0).abs() < 1e-6 || sum == 0.0, "{zone}: shares sum to {sum}");
+        let routed: f64 = plan.routes(zone).iter().map(|route| route.weight).sum();
+        assert!((routed - 1.0).abs() < 1e-6, "{zone}: routes sum to {routed}");
+    }
+    assert!(plan.shares.iter().all(|s| s.weight >= 0.0 && s.weight.is_finite()));
+}
+
+fn weight(plan: &Plan, name: &str) -> f64 {
+    plan.shares.iter().find(|s| s.instance == name).unwrap().weight
+}
+
+#[test]
+fn equal_servers_have_equal_shares_and_a_slow_one_comes_down_in_bounded_steps() {
+    let mut fleet = Fleet::of(10);
+    assert!(fleet.step().shares.iter().all(|s| (s.weight - 0.1).abs() < 1e-9));
+    fleet.servers[3].service_time *= 5.0;
+    let mut last = 0.1;
+    for _ in 0..100 {
+        let plan = fleet.step();
+        let now = weight(&plan, "n003");
+        assert!(now <= last + 1e-9 && last - now <= MAX_ZONE_STEP * 0.25 + 1e-9, "{last} to {now}");
+        last = now;
+    }
+    assert!((last - 0.2 / 9.2).abs() < 0.002, "{last}");
+}
+
+#[test]
+fn who_leaves_is_unwell_or_silent_gets_nothing_at_once_and_the_others_all_of_it() {
+    let mut fleet = Fleet::of(5);
+    fleet.step();
+    fleet.servers[0].terminates_in = Some(3.0);
+    fleet.servers[1].healthy = false;
+    let plan = fleet.step();
+    assert_eq!((weight(&plan, "n000"), weight(&plan, "n001")), (0.0, 0.0));
+    assert!((weight(&plan, "n002") - 1.0 / 3.0).abs() < 1e-9);
+    let silent = fleet.servers.remove(4);
+    let plan = fleet.steps(20);
+    assert_eq!(weight(&plan, &silent.instance), 0.0);
+    assert_eq!(
+        plan.shares.iter().find(|s| s.instance == "n004").unwrap().explanation.limited_by.as_str(),
+        "was silent for too long"
+    );
+}
+
+#[test]
+fn if_all_go_silent_the_shares_stay_and_if_nobody_can_be_routed_to_there_is_no_plan() {
+    let mut fleet = Fleet::of(4);
+    let before = fleet.step();
+    let plan = fleet.planner.plan(fleet.now + 3.0, &fleet.views).unwrap();
+    assert!(plan.panic);
+    assert_eq!(plan.shares.iter().map(|s| s.weight).collect::<Vec<_>>(), [0.25; 4]);
+    assert_eq!(before.drops, plan.drops);
+    fleet.servers.iter_mut().for_each(|s| s.healthy = false);
+    fleet.now += 1.0;
+    for server in fleet.servers.clone() {
+        fleet.views.record(fleet.now, LoadReport { sequence: 99, created_at: fleet.now, ..server });
+    }
+    assert!(fleet.planner.plan(fleet.now, &fleet.views).is_none());
+}
+
+#[test]
+fn a_server_that_claims_to_be_far_better_than_its_peers_gets_twice_a_fair_share_at_most() {
+    let mut fleet = Fleet::of(10);
+    fleet.step();
+    (fleet.servers[7].service_time, fleet.servers[7].concurrency_limit) = (1e-6, 4000.0);
+    let plan = fleet.steps(80);
+    assert!((weight(&plan, "n007") - MAX_OVER_MEDIAN / 11.0).abs() < 0.01, "{}", weight(&plan, "n007"));
+}
+
+#[test]
+fn a_cold_server_rises_slowly_and_a_restarted_one_starts_from_nothing() {
+    let mut fleet = Fleet::of(4);
+    fleet.step();
+    fleet.servers.push(LoadReport { warm_up_progress: 0.2, ..report("n9", 0, 0.0) });
+    let first = weight(&fleet.step(), "n9");
+    assert!(first > 0.0 && first <= MAX_SHARE_STEP * 0.25 * 0.2 + 1e-9, "{first}");
+    let cold = weight(&fleet.steps(40), "n9");
+    assert!((cold - 0.2 / 4.2).abs() < 0.01, "{cold}");
+    fleet.servers[4].warm_up_progress = 1.0;
+    let warm = weight(&fleet.steps(60), "n9");
+    assert!((warm - 0.2).abs() < 0.015, "{warm}");
+    (fleet.servers[4].incarnation, fleet.servers[4].warm_up_progress) = (11, 0.2);
+    assert!(weight(&fleet.step(), "n9") <= MAX_SHARE_STEP * 0.25 * 0.2 + 1e-9);
+}
+
+fn zoned(zone: &str, name: &str, offered: f64) -> LoadReport {
+    let class = ClassLoad {
+        product: "p".into(),
+        customer: "k".into(),
+        priority_weight: 1.0,
+        offered,
+        rejected: 0.0,
+    };
+    LoadReport { zone: zone.into(), classes: vec![class], ..report(name, 0, 0.0) }
+}
+
+#[test]
+fn a_full_zone_hands_load_to_one_with_room_and_takes_it_back() {
+    // Each server carries 400 a second. Zone a gets 480 for its one, b 80 for its two.
+    let mut fleet = Fleet::new(vec![zoned("a", "a1", 480.0), zoned("b", "b1", 40.0), zoned("b", "b2", 40.0)]);
+    let (mut spill, mut most) = (0.0, 0.0f64);
+    for _ in 0..200 {
+        // What proxies do with it: the servers see their own zone's load less what goes away.
+        fleet.servers[0].classes[0].offered = 480.0 * (1.0 - spill);
+        for at in [1, 2] {
+            fleet.servers[at].classes[0].offered = (80.0 + 480.0 * spill) / 2.0;
+        }
+        let plan = fleet.step();
+        assert!((plan.zones["a"].spill - spill).abs() <= MAX_SPILL_STEP * 0.25 + 1e-9);
+        assert_eq!(plan.zones["b"].spill, 0.0);
+        spill = plan.zones["a"].spill;
+        most = most.max(spill);
+    }
+    let wanted = 1.0 - SPILL_UTILIZATION * 400.0 / 480.0;
+    assert!((spill - wanted).abs() < 0.02 && most < wanted + 0.02, "{spill}, {most}, {wanted} wanted");
+    assert_eq!(fleet.step().zones["a"].spill_targets.keys().collect::<Vec<_>>(), ["b"]);
+    fleet.servers[0].classes[0].offered = 100.0;
+    fleet.servers[1].classes[0].offered = 40.0;
+    fleet.servers[2].classes[0].offered = 40.0;
+    assert!(fleet.steps(100).zones["a"].spill < 1e-6);
+}
+
+#[test]
+fn a_zone_without_servers_is_served_by_the_others() {
+    let mut fleet = Fleet::new(vec![zoned("a", "a1", 10.0), zoned("b", "b1", 10.0)]);
+    fleet.step();
+    fleet.servers[0].terminates_in = Some(2.0);
+    let plan = fleet.step();
+    let routes = plan.routes("a");
+    assert_eq!(
+        routes.iter().map(|route| (route.server.instance.as_str(), route.weight)).collect::<Vec<_>>(),
+        [("b1", 1.0)]
+    );
+    // One that never had any, as well.
+    let sum: f64 = plan.routes("c").iter().map(|route| route.weight).sum();
+    assert!((sum - 1.0).abs() < 1e-9);
+}
+
+/// Servers whose run time grows with the load they get, seen a second late: the shares settle and stay.
+#[test]
+fn against_a_plant_with_delay_shares_settle_whatever_the_machines_are() {
+    for seed in 0..20 {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let count = rng.random_range(3..30);
+        let speeds: Vec<f64> = (0..count).map(|_| rng.random_range(0.3..1.5)).collect();
+        let load = rng.random_range(0.5..0.95) * speeds.iter().sum::<f64>();
+        let mut fleet = Fleet::of(count);
+        let mut late: Vec<Vec<f64>> = Vec::new();
+        let mut seen: Vec<Vec<f64>> = Vec::new();
+        for _ in 0..400 {
+            let acting =
+                if late.len() > 4 { late[late.len() - 5].clone() } else { vec![1.0 / count as f64; count] };
+            for (at, server) in fleet.servers.iter_mut().enumerate() {
+                let use_ = (load * acting[at] / speeds[at]).min(1.5);
+                // Runs slow down past nine tenths, pressure rises, and a little noise lies on all of it.
+                let crowd = if use_ > 0.9 { 1.0 + 2.0 * (use_ - 0.9) } else { 1.0 };
+                server.service_time = 0.01 / speeds[at] * crowd * rng.random_range(0.97..1.03);
+                server.pressure = ((use_ - 0.9) * 3.0).clamp(0.0, 1.0);
+            }
+            let plan = fleet.step();
+            late.push(plan.shares.iter().map(|s| s.weight).collect());
+            seen.push(late[late.len() - 1].clone());
+        }
+        for at in 0..count {
+            let end: Vec<f64> = seen[280..].iter().map(|w| w[at]).collect();
+            let (low, high) = end.iter().fold((1.0f64, 0.0f64), |(l, h), w| (l.min(*w), h.max(*w)));
+            assert!(high - low < 0.12 * high, "seed {seed}, server {at}: {low} to {high}");
+        }
+    }
+}
--- a/crates/control/src/serve/ads.rs
+++ b/crates/control/src/serve/ads.rs
@@ -1,265 +1,248 @@
-//! Aggregated discovery over gRPC, of both protocols: protobuf in and out, one task a stream.
+//! Aggregated discovery (ADS) over gRPC, of both protocols: one task a stream.
 
-use super::tls::{self, Certificates};
-use super::{Desk, Word, WAITING};
-use crate::resources::{kind_of, type_url};
-use crate::stream::{Push, Request};
-use envoy_types::pb::envoy::config::core::v3::{ControlPlane, Node};
+mod encoding;
+
+#[cfg(test)]
+mod tests;
+
+use super::certificates::{self, Certificates};
+use super::handle::{Message, ServiceHandle};
+use crate::service::StreamId;
+use crate::stream::Update;
+use encoding::{delta_response, state_of_the_world_response, DiscoveryMessage};
+use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::{
     AggregatedDiscoveryService, AggregatedDiscoveryServiceServer,
 };
 use envoy_types::pb::envoy::service::discovery::v3::{
-    DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
+    DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse,
 };
-use envoy_types::pb::google::protobuf::{Any, Duration as Span};
-use envoy_types::pb::google::rpc::Status as Fault;
-use prost::{Message, Name};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
+use tokio_rustls::rustls::pki_types::CertificateDer;
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tokio_stream::StreamExt;
 use tonic::transport::Server;
 use tonic::{Response, Status, Streaming};
 
-/// Bytes of a request: some thousand names.
-const MOST_REQUEST: usize = 1 << 20;
-/// A connection that is silent is asked whether it lives, and ended if it does not say so.
-const ALIVE: Duration = Duration::from_secs(5);
-/// A stream whose first request does not come in time, or does not say who it is.
-const FIRST: Duration = Duration::from_secs(5);
-
-struct Front {
-    desk: Desk,
-    ids: AtomicU64,
-    open: Arc<AtomicUsize>,
+/// Bytes of a request at the most: some thousand names.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
+/// A silent connection is probed after so long, and ended if it does not answer for as long again.
+const KEEPALIVE: Duration = Duration::from_secs(5);
+/// How long a proxy may take to its first request, which says who it is.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest id of a node, in bytes.
+const MAX_NODE_BYTES: usize = 256;
+/// Longest name of a proxy's zone, in characters; longer ones are cut.
+const MAX_ZONE_CHARS: usize = 128;
+/// Updates that wait for one stream's socket: one of each type may be out, and as many again.
+const UPDATE_QUEUE: usize = 8;
+/// Connections that wait to be served after their TLS handshake.
+const READY_QUEUE: usize = 16;
+
+struct DiscoveryService {
+    service: ServiceHandle,
+    next_id: AtomicU64,
+    open_streams: Arc<AtomicUsize>,
     /// How this service names itself.
     name: String,
     /// A proxy's certificate must name its node.
-    mutual: bool,
+    verifies_clients: bool,
 }
 
 /// Counts a stream for as long as it lives.
-struct Seat(Arc<AtomicUsize>);
+struct StreamSlot(Arc<AtomicUsize>);
 
-impl Drop for Seat {
-    fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::Relaxed);
+impl StreamSlot {
+    /// None where as many streams are open as may be.
+    fn reserve(open: &Arc<AtomicUsize>, most: usize) -> Option<StreamSlot> {
+        let slot = StreamSlot(open.clone());
+        (open.fetch_add(1, Ordering::Relaxed) < most).then_some(slot)
     }
 }
 
-/// What both protocols' requests say.
-trait Said: Send + 'static {
-    fn node(&self) -> Option<&Node>;
-    fn request(self) -> Request;
-}
-
-/// What both say of the response that they answer.
-fn answer(type_url: &str, nonce: String, fault: Option<Fault>) -> Request {
-    let fault = fault.map(|status| status.message);
-    Request { kind: kind_of(type_url), nonce, fault, ..Request::default() }
+impl Drop for StreamSlot {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
 }
 
-impl Said for DiscoveryRequest {
-    fn node(&self) -> Option<&Node> {
-        self.node.as_ref()
-    }
-    fn request(self) -> Request {
-        let names = self.resource_names;
-        Request { names, ..answer(&self.type_url, self.response_nonce, self.error_detail) }
-    }
+/// One stream, between its socket and the service's task.
+struct StreamTask<Q, A> {
+    id: StreamId,
+    service: ServiceHandle,
+    /// How this service names itself.
+    name: String,
+    requests: Streaming<Q>,
+    updates: mpsc::Receiver<Update>,
+    responses: mpsc::Sender<Result<A, Status>>,
+    encode: fn(&Update, &str) -> A,
+    _slot: StreamSlot,
 }
 
-impl Said for DeltaDiscoveryRequest {
-    fn node(&self) -> Option<&Node> {
-        self.node.as_ref()
-    }
-    fn request(self) -> Request {
-        Request {
-            names: self.resource_names_subscribe,
-            gone: self.resource_names_unsubscribe,
-            held: self.initial_resource_versions.into_iter().collect(),
-            ..answer(&self.type_url, self.response_nonce, self.error_detail)
+impl<Q: DiscoveryMessage, A: prost::Message + 'static> StreamTask<Q, A> {
+    /// Runs until either side ends the stream.
+    async fn run(mut self) {
+        loop {
+            tokio::select! {
+                update = self.updates.recv() => {
+                    let Some(update) = update else {
+                        let _ = self.responses.try_send(Err(Status::aborted("cut: connect anew")));
+                        break;
+                    };
+                    if !self.respond(&update).await {
+                        break;
+                    }
+                }
+                request = self.requests.message() => match request {
+                    Ok(Some(request)) => {
+                        let request = request.into_request();
+                        self.service.send(Message::Request { id: self.id, request }).await;
+                    }
+                    _ => break,
+                },
+                () = self.responses.closed() => break,
+            }
         }
+        self.service.send(Message::CloseStream { id: self.id }).await;
     }
-}
-
-fn lease(push: &Push) -> Option<Span> {
-    push.lease.map(|s| Span { seconds: s.trunc() as i64, nanos: (s.fract() * 1e9) as i32 })
-}
 
-fn plane(name: &str) -> Option<ControlPlane> {
-    Some(ControlPlane { identifier: name.into() })
+    /// Sends a response; whether the proxy is still there.
+    async fn respond(&self, update: &Update) -> bool {
+        let response = (self.encode)(update, &self.name);
+        self.service.traffic.update_sent(update, response.encoded_len());
+        self.responses.send(Ok(response)).await.is_ok()
+    }
 }
 
-/// The pieces as wrapped resources; a heartbeat has no body.
-fn wrapped(push: &Push) -> Vec<Resource> {
-    let ttl = lease(push);
-    let one = |piece: &crate::stream::Piece| Resource {
-        name: piece.resource.name.clone(),
-        version: format!("{:x}", piece.resource.version),
-        resource: (!piece.heartbeat)
-            .then(|| Any { type_url: type_url(push.kind), value: piece.resource.body.clone() }),
-        ttl,
-        ..Default::default()
-    };
-    push.pieces.iter().map(one).collect()
+/// The first request of a stream, which says who the proxy is.
+async fn first_request<Q: DiscoveryMessage>(requests: &mut Streaming<Q>) -> Result<Q, Status> {
+    let first = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await;
+    let first = first.map_err(|_| Status::deadline_exceeded("no first request"))??;
+    first.ok_or_else(|| Status::cancelled("no request"))
 }
 
-fn version(push: &Push) -> String {
-    format!("{}.{}", push.serial.epoch, push.serial.number)
+fn node_of(request: &impl DiscoveryMessage) -> Result<&Node, Status> {
+    let node = request.node().filter(|node| !node.id.is_empty() && node.id.len() <= MAX_NODE_BYTES);
+    node.ok_or_else(|| Status::invalid_argument("the first request names no node"))
 }
 
-fn whole(push: &Push, name: &str) -> DiscoveryResponse {
-    let plain = |resource: Resource| match resource {
-        // Wrapped only where there is a lease to tell.
-        Resource { ttl: None, resource: Some(any), .. } => any,
-        wrapped => Any { type_url: Resource::type_url(), value: wrapped.encode_to_vec() },
+fn zone_of(node: &Node) -> String {
+    let zone = |locality: &envoy_types::pb::envoy::config::core::v3::Locality| {
+        locality.zone.chars().take(MAX_ZONE_CHARS).collect()
     };
-    DiscoveryResponse {
-        version_info: version(push),
-        resources: wrapped(push).into_iter().map(plain).collect(),
-        type_url: type_url(push.kind),
-        nonce: push.nonce.clone(),
-        control_plane: plane(name),
-        ..Default::default()
-    }
+    node.locality.as_ref().map_or(String::new(), zone)
 }
 
-fn differing(push: &Push, name: &str) -> DeltaDiscoveryResponse {
-    DeltaDiscoveryResponse {
-        system_version_info: version(push),
-        resources: wrapped(push),
-        type_url: type_url(push.kind),
-        removed_resources: push.removed.clone(),
-        nonce: push.nonce.clone(),
-        control_plane: plane(name),
-        ..Default::default()
+/// Rejects a proxy whose certificate does not name its node.
+fn verify_node(chain: Option<&[CertificateDer<'static>]>, node: &Node) -> Result<(), Status> {
+    let own = chain.and_then(|chain| chain.first());
+    if own.is_some_and(|own| certificates::names_node(own, &node.id)) {
+        return Ok(());
     }
+    tracing::warn!("a proxy claims to be node {:.64}, which its certificate does not name", node.id);
+    Err(Status::permission_denied("the certificate is not this node's"))
 }
 
-impl Front {
-    /// Runs one stream: its requests to the core, what comes back as `make` writes it.
-    async fn stream<Q: Said, A: Message + 'static>(
+impl DiscoveryService {
+    /// Begins one stream: its requests to the service's task, updates back as `encode` writes them.
+    async fn open<Q: DiscoveryMessage, A: prost::Message + 'static>(
         &self,
         request: tonic::Request<Streaming<Q>>,
         incremental: bool,
-        make: fn(&Push, &str) -> A,
+        encode: fn(&Update, &str) -> A,
     ) -> Result<ReceiverStream<Result<A, Status>>, Status> {
-        let shown = request.peer_certs();
-        let mut said = request.into_inner();
-        if self.open.fetch_add(1, Ordering::Relaxed) >= self.desk.most_proxies {
-            self.open.fetch_sub(1, Ordering::Relaxed);
-            return Err(Status::resource_exhausted("as many proxies as there may be"));
-        }
-        let seat = Seat(self.open.clone());
-        let first = tokio::time::timeout(FIRST, said.message()).await;
-        let first = first.map_err(|_| Status::deadline_exceeded("no first request"))??;
-        let Some(first) = first else { return Err(Status::cancelled("no request")) };
-        let node = first.node().filter(|node| !node.id.is_empty() && node.id.len() <= 256);
-        let Some(node) = node else {
-            return Err(Status::invalid_argument("the first request names no node"));
-        };
-        if self.mutual {
-            let own = shown.as_ref().and_then(|chain| chain.first());
-            if !own.is_some_and(|own| tls::names(own, &node.id)) {
-                tracing::warn!("a proxy calls itself {:.64}, and its certificate does not", node.id);
-                return Err(Status::permission_denied("the certificate is not this node's"));
-            }
+        let chain = request.peer_certs();
+        let mut requests = request.into_inner();
+        let slot = StreamSlot::reserve(&self.open_streams, self.service.max_proxies)
+            .ok_or_else(|| Status::resource_exhausted("as many proxies as there may be"))?;
+        let first = first_request(&mut requests).await?;
+        let node = node_of(&first)?;
+        if self.verifies_clients {
+            verify_node(chain.as_deref().map(Vec::as_slice), node)?;
         }
-        let zone = node.locality.as_ref().map_or(String::new(), |at| at.zone.chars().take(128).collect());
-        let (id, node) = (self.ids.fetch_add(1, Ordering::Relaxed), node.id.clone());
-        let (out, mut pushes) = mpsc::channel::<Push>(WAITING);
-        let (answers, stream) = mpsc::channel(1);
-        let (desk, name) = (self.desk.clone(), self.name.clone());
-        desk.tell(Word::Open { id, node, zone, incremental, out }).await;
-        desk.tell(Word::Request { id, request: first.request() }).await;
-        tokio::spawn(async move {
-            let _seat = seat;
-            loop {
-                tokio::select! {
-                    push = pushes.recv() => {
-                        let Some(push) = push else {
-                            let _ = answers.try_send(Err(Status::aborted("cut: connect anew")));
-                            break;
-                        };
-                        let answer = make(&push, &name);
-                        desk.meters.response(&push, answer.encoded_len());
-                        if answers.send(Ok(answer)).await.is_err() {
-                            break;
-                        }
-                    }
-                    request = said.message() => match request {
-                        Ok(Some(request)) => desk.tell(Word::Request { id, request: request.request() }).await,
-                        _ => break,
-                    },
-                    () = answers.closed() => break,
-                }
-            }
-            desk.tell(Word::Close { id }).await;
-        });
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let (sender, updates) = mpsc::channel(UPDATE_QUEUE);
+        let (node, zone) = (node.id.clone(), zone_of(node));
+        self.service.send(Message::OpenStream { id, node, zone, incremental, updates: sender }).await;
+        self.service.send(Message::Request { id, request: first.into_request() }).await;
+        let (responses, stream) = mpsc::channel(1);
+        let (service, name) = (self.service.clone(), self.name.clone());
+        let task = StreamTask { id, service, name, requests, updates, responses, encode, _slot: slot };
+        tokio::spawn(task.run());
         Ok(ReceiverStream::new(stream))
     }
 }
 
 #[tonic::async_trait]
-impl AggregatedDiscoveryService for Front {
+impl AggregatedDiscoveryService for DiscoveryService {
     type StreamAggregatedResourcesStream = ReceiverStream<Result<DiscoveryResponse, Status>>;
+
     async fn stream_aggregated_resources(
         &self,
         request: tonic::Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
-        self.stream(request, false, whole).await.map(Response::new)
+        self.open(request, false, state_of_the_world_response).await.map(Response::new)
     }
+
     type DeltaAggregatedResourcesStream = ReceiverStream<Result<DeltaDiscoveryResponse, Status>>;
+
     async fn delta_aggregated_resources(
         &self,
         request: tonic::Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        self.stream(request, true, differing).await.map(Response::new)
+        self.open(request, true, delta_response).await.map(Response::new)
     }
 }
 
-/// Serves until the service ends.
-pub async fn serve(
+/// Serves proxies until the service is stopped.
+pub(super) async fn serve(
     listener: TcpListener,
-    desk: Desk,
+    service: ServiceHandle,
     certificates: Option<Arc<Certificates>>,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let name = format!("puffinladder {}", env!("CARGO_PKG_VERSION"));
-    let mutual = certificates.as_ref().is_some_and(|certificates| certificates.mutual());
-    let front = Front { desk, ids: AtomicU64::new(1), open: Arc::default(), name, mutual };
-    let service = AggregatedDiscoveryServiceServer::new(front).max_decoding_message_size(MOST_REQUEST);
+    let verifies_clients = certificates.as_ref().is_some_and(|certificates| certificates.verifies_clients());
+    let discovery = DiscoveryService {
+        service,
+        next_id: AtomicU64::new(1),
+        open_streams: Arc::default(),
+        name: format!("puffinladder {}", env!("CARGO_PKG_VERSION")),
+        verifies_clients,
+    };
+    let grpc = AggregatedDiscoveryServiceServer::new(discovery).max_decoding_message_size(MAX_REQUEST_BYTES);
     let mut server =
-        Server::builder().http2_keepalive_interval(Some(ALIVE)).http2_keepalive_timeout(Some(ALIVE));
-    let router = server.add_service(service);
-    let told = stopped.clone();
-    let ends = async move {
+        Server::builder().http2_keepalive_interval(Some(KEEPALIVE)).http2_keepalive_timeout(Some(KEEPALIVE));
+    let router = server.add_service(grpc);
+    let accept_stopped = stopped.clone();
+    let shutdown = async move {
         let _ = stopped.changed().await;
     };
     let served = match certificates {
         Some(certificates) => {
-            let (ready, incoming) = mpsc::channel(16);
-            tokio::spawn(tls::accept(listener, certificates, ready, told));
-            router.serve_with_incoming_shutdown(ReceiverStream::new(incoming), ends).await
+            let (ready, connections) = mpsc::channel(READY_QUEUE);
+            tokio::spawn(certificates::accept(listener, certificates, ready, accept_stopped));
+            router.serve_with_incoming_shutdown(ReceiverStream::new(connections), shutdown).await
         }
         None => {
-            let incoming = TcpListenerStream::new(listener).map(|stream| {
-                if let Ok(stream) = &stream {
-                    let _ = stream.set_nodelay(true);
-                }
-                stream
-            });
-            router.serve_with_incoming_shutdown(incoming, ends).await
+            let connections = TcpListenerStream::new(listener).map(without_delay);
+            router.serve_with_incoming_shutdown(connections, shutdown).await
         }
     };
-    if let Err(e) = served {
-        tracing::error!("xds: {e}");
+    if let Err(error) = served {
+        tracing::error!("xds: {error}");
     }
 }
 
-#[cfg(test)]
-mod tests;
+/// Small responses leave at once.
+fn without_delay(
+    connection: std::io::Result<tokio::net::TcpStream>,
+) -> std::io::Result<tokio::net::TcpStream> {
+    if let Ok(stream) = &connection {
+        let _ = stream.set_nodelay(true);
+    }
+    connection
+}
--- a/crates/control/src/serve/ads/tests.rs
+++ b/crates/control/src/serve/ads/tests.rs
@@ -1,18 +1,23 @@
-use super::*;
-use crate::stream::{Kind, Piece, Serial};
+use super::encoding::{delta_response, state_of_the_world_response, DiscoveryMessage};
+use crate::resources::type_url;
+use crate::stream::{PlanVersion, ProxyRequest, Resource, ResourceType, Update, UpdateEntry};
+use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
+use envoy_types::pb::google::rpc::Status;
+use prost::Message;
+use std::sync::Arc;
 
-fn push(kind: Kind, lease: Option<f64>) -> Push {
-    let piece = |name: &str, heartbeat| {
-        let resource = crate::stream::Resource { name: name.into(), version: 0xab12, body: vec![1, 2, 3] };
-        Piece { resource: Arc::new(resource), heartbeat }
+fn update(resource_type: ResourceType, ttl: Option<f64>) -> Update {
+    let entry = |name: &str, heartbeat| {
+        let resource = Resource { name: name.into(), version: 0xab12, body: vec![1, 2, 3] };
+        UpdateEntry { resource: Arc::new(resource), heartbeat }
     };
-    Push {
-        kind,
-        serial: Serial { epoch: 17, number: 4 },
+    Update {
+        resource_type,
+        version: PlanVersion { epoch: 17, number: 4 },
         nonce: "3.5".into(),
-        pieces: vec![piece("one", false), piece("two", lease.is_some())],
+        entries: vec![entry("one", false), entry("two", ttl.is_some())],
         removed: vec!["old".into()],
-        lease,
+        ttl,
     }
 }
 
@@ -24,9 +29,9 @@
 fn responses_have_the_bytes_that_proxies_have_always_got() {
     let name = "puffinladder 0";
     let responses = [
-        hex(&whole(&push(Kind::Cluster, None), name)),
-        hex(&whole(&push(Kind::Endpoints, Some(1.75)), name)),
-        hex(&differing(&push(Kind::Routes, Some(0.5)), name)),
+        hex(&state_of_the_world_response(&update(ResourceType::Cluster, None), name)),
+        hex(&state_of_the_world_response(&update(ResourceType::Endpoints, Some(1.75)), name)),
+        hex(&delta_response(&update(ResourceType::Routes, Some(0.5)), name)),
     ];
     assert_eq!(responses, [PLAIN, LEASED, DELTA]);
 }
@@ -57,8 +62,8 @@
 
 #[test]
 fn requests_of_both_protocols_are_read_as_they_have_always_been() {
-    let type_url = type_url(Kind::Endpoints);
-    let error_detail = Some(Fault { message: "bad weight".into(), ..Fault::default() });
+    let type_url = type_url(ResourceType::Endpoints);
+    let error_detail = Some(Status { message: "bad weight".into(), ..Status::default() });
     let request = DiscoveryRequest {
         resource_names: vec!["servers".into()],
         type_url: type_url.clone(),
@@ -66,14 +71,14 @@
         error_detail: error_detail.clone(),
         ..Default::default()
     };
-    let wanted = Request {
-        kind: Some(Kind::Endpoints),
+    let wanted = ProxyRequest {
+        resource_type: Some(ResourceType::Endpoints),
         nonce: "3.5".into(),
-        fault: Some("bad weight".into()),
+        error: Some("bad weight".into()),
         names: vec!["servers".into()],
-        ..Request::default()
+        ..ProxyRequest::default()
     };
-    assert_eq!(request.request(), wanted);
+    assert_eq!(request.into_request(), wanted);
     let request = DeltaDiscoveryRequest {
         resource_names_subscribe: vec!["servers".into()],
         resource_names_unsubscribe: vec!["old".into()],
@@ -83,6 +88,9 @@
         error_detail,
         ..Default::default()
     };
-    let held = [("servers".to_owned(), "ab12".to_owned())].into();
-    assert_eq!(request.request(), Request { gone: vec!["old".into()], held, ..wanted });
+    let initial_versions = [("servers".to_owned(), "ab12".to_owned())].into();
+    assert_eq!(
+        request.into_request(),
+        ProxyRequest { removed_names: vec!["old".into()], initial_versions, ..wanted }
+    );
 }
--- /dev/null
+++ b/crates/control/src/serve/event_loop.rs
@@ -0,0 +1,189 @@
+//! The task that owns the service's state: takes messages, lets time pass, and writes snapshots.
+
+use super::handle::Message;
+use super::{snapshot_file, unix_now};
+use crate::fleet::ReportOutcome;
+use crate::report::LoadReport;
+use crate::service::{ControlService, StreamId};
+use crate::stream::{ProxyRequest, Update};
+use std::collections::HashMap;
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
+use tokio::time::{interval, MissedTickBehavior};
+
+/// How often time passes for the service: several times between two plans.
+const TICK: Duration = Duration::from_millis(50);
+/// How often a snapshot is written at the most.
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Messages that are taken at once at the most, so that ticks are not late.
+const MESSAGE_BATCH: usize = 256;
+
+pub(super) struct EventLoop {
+    service: ControlService,
+    messages: mpsc::Receiver<Message>,
+    /// The way to each stream's task.
+    streams: HashMap<StreamId, mpsc::Sender<Update>>,
+    started_at: Instant,
+    snapshots: Option<SnapshotWriter>,
+}
+
+impl EventLoop {
+    pub(super) fn new(
+        service: ControlService,
+        messages: mpsc::Receiver<Message>,
+        snapshot: Option<PathBuf>,
+    ) -> EventLoop {
+        EventLoop {
+            service,
+            messages,
+            streams: HashMap::new(),
+            started_at: Instant::now(),
+            snapshots: snapshot.map(SnapshotWriter::new),
+        }
+    }
+
+    fn now(&self) -> f64 {
+        self.started_at.elapsed().as_secs_f64()
+    }
+
+    /// Runs until the service is stopped, or nobody has a handle to it any more.
+    pub(super) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
+        // From when the task runs, as the interval below.
+        self.started_at = Instant::now();
+        let mut tick = interval(TICK);
+        tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut batch = Vec::with_capacity(MESSAGE_BATCH);
+        loop {
+            tokio::select! {
+                count = self.messages.recv_many(&mut batch, MESSAGE_BATCH) => {
+                    if count == 0 {
+                        return;
+                    }
+                    for message in batch.drain(..) {
+                        self.handle(message);
+                    }
+                }
+                _ = tick.tick() => self.tick(),
+                _ = stopped.changed() => {
+                    self.shut_down().await;
+                    return;
+                }
+            }
+        }
+    }
+
+    fn tick(&mut self) {
+        let now = self.now();
+        for event in self.service.tick(now) {
+            match event.result {
+                Ok(update) => self.send_update(event.stream, update),
+                Err(_) => self.end_stream(event.stream),
+            }
+        }
+        if let Some(snapshots) = &mut self.snapshots {
+            snapshots.save_if_due(&self.service, now);
+        }
+    }
+
+    async fn shut_down(self) {
+        let now = self.now();
+        if let Some(snapshots) = self.snapshots {
+            snapshots.save_last(&self.service, now).await;
+        }
+        let version = self.service.plan_version();
+        tracing::info!("stopped at plan {}.{}", version.epoch, version.number);
+    }
+
+    fn handle(&mut self, message: Message) {
+        let now = self.now();
+        match message {
+            Message::Report(report) => self.handle_report(now, report),
+            Message::OpenStream { id, node, zone, incremental, updates } => {
+                self.streams.insert(id, updates);
+                self.service.open_stream(now, id, &node, &zone, incremental);
+            }
+            Message::Request { id, request } => self.handle_request(now, id, &request),
+            Message::CloseStream { id } => self.end_stream(id),
+            Message::Query(query) => query(&self.service, now),
+        }
+    }
+
+    fn handle_report(&mut self, now: f64, report: LoadReport) {
+        let instance = report.instance.clone();
+        if let ReportOutcome::Invalid(invalid) = self.service.handle_report(now, report) {
+            tracing::warn!("load report of {instance:.64} rejected: {invalid}");
+        }
+    }
+
+    fn handle_request(&mut self, now: f64, id: StreamId, request: &ProxyRequest) {
+        if let Some(error) = &request.error {
+            tracing::warn!("stream {id}: a proxy rejected {:?}: {error:.200}", request.resource_type);
+        }
+        match self.service.handle_request(now, id, request) {
+            Ok(updates) => updates.into_iter().for_each(|update| self.send_update(id, update)),
+            Err(error) => {
+                tracing::warn!("stream {id} aborted: {error}");
+                self.streams.remove(&id);
+            }
+        }
+    }
+
+    /// Hands an update to its stream's task. A stream whose queue is full reads too slowly, and is ended.
+    fn send_update(&mut self, id: StreamId, update: Update) {
+        let sent = match self.streams.get(&id) {
+            Some(updates) => {
+                let sent = updates.try_send(update).is_ok();
+                let queued = updates.max_capacity() - updates.capacity();
+                let counters = &mut self.service.counters;
+                counters.max_queued_updates = counters.max_queued_updates.max(queued);
+                sent
+            }
+            None => false,
+        };
+        if !sent {
+            self.end_stream(id);
+        }
+    }
+
+    fn end_stream(&mut self, id: StreamId) {
+        self.service.close_stream(id);
+        // Its task sees the queue closed and ends the stream.
+        self.streams.remove(&id);
+    }
+}
+
+/// Writes snapshots off the service's task: a slow disk holds up no proxy.
+struct SnapshotWriter {
+    path: PathBuf,
+    write: Option<JoinHandle<()>>,
+    last_saved_at: Instant,
+}
+
+impl SnapshotWriter {
+    fn new(path: PathBuf) -> SnapshotWriter {
+        SnapshotWriter { path, write: None, last_saved_at: Instant::now() }
+    }
+
+    /// One write at a time, into one file.
+    fn save_if_due(&mut self, service: &ControlService, now: f64) {
+        let idle = self.write.as_ref().is_none_or(JoinHandle::is_finished);
+        if !idle || self.last_saved_at.elapsed() < SAVE_INTERVAL {
+            return;
+        }
+        let Some(snapshot) = service.stored_snapshot(now, unix_now()) else { return };
+        self.last_saved_at = Instant::now();
+        let path = self.path.clone();
+        self.write = Some(tokio::task::spawn_blocking(move || snapshot_file::save(&path, &snapshot)));
+    }
+
+    async fn save_last(self, service: &ControlService, now: f64) {
+        if let Some(write) = self.write {
+            let _ = write.await;
+        }
+        if let Some(snapshot) = service.stored_snapshot(now, unix_now()) {
+            snapshot_file::save(&self.path, &snapshot);
+        }
+    }
+}
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -1,40 +1,41 @@
-//! Reports of servers: a TCP connection each, one JSON object a line, nothing back. A server that finds nobody goes on without.
+//! Reports of servers: a TCP connection each, one JSON object a line, nothing back. A server that finds no service goes on without.
 
-use super::{Desk, Word};
+use super::handle::{Message, ServiceHandle};
 use puffinladder_transport::{Fault, Lines};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes of one report: a few thousand classes.
-const MOST_LINE: usize = 1 << 20;
-/// A connection that says nothing for so long is closed.
-const SILENT: Duration = Duration::from_secs(30);
-/// Connections at once.
-const MOST: usize = 20_000;
+/// Bytes of one report at the most: a few thousand classes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
+/// A connection without a report for so long is closed: servers report several times a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Connections at once: as many as the servers that are remembered.
+const MAX_CONNECTIONS: usize = 20_000;
 
-pub async fn listen(listener: TcpListener, desk: Desk, stopped: watch::Receiver<bool>) {
-    let each = |stream: TcpStream, from| {
-        let desk = desk.clone();
+/// Takes reports until the service is stopped.
+pub(super) async fn serve(listener: TcpListener, service: ServiceHandle, stopped: watch::Receiver<bool>) {
+    let handle_connection = |stream: TcpStream, peer| {
+        let service = service.clone();
         async move {
-            if let Err(fault) = read(stream, &desk).await {
-                tracing::warn!("reports from {from}: {fault}");
+            if let Err(error) = read_reports(stream, &service).await {
+                tracing::warn!("reports from {peer}: {error}");
             }
             Ok(())
         }
     };
-    puffinladder_transport::serve(listener, "reports", MOST, stopped, each).await;
+    puffinladder_transport::serve(listener, "reports", MAX_CONNECTIONS, stopped, handle_connection).await;
 }
 
-async fn read(stream: TcpStream, desk: &Desk) -> Result<(), Fault> {
-    let mut lines = Lines::new(stream, MOST_LINE);
+async fn read_reports(stream: TcpStream, service: &ServiceHandle) -> Result<(), Fault> {
+    let mut lines = Lines::new(stream, MAX_REPORT_BYTES);
     // Dropped before the socket is: whoever sees the connection end sees the count without it.
-    let _held = desk.meters.report_connection();
+    let _connection = service.traffic.report_connection();
     let mut counted = 0;
-    while let Some(report) = lines.within(SILENT).await? {
-        desk.meters.report_bytes.add(lines.bytes() - counted);
+    while let Some(report) = lines.within(IDLE_TIMEOUT).await? {
+        service.traffic.report_bytes.add(lines.bytes() - counted);
         counted = lines.bytes();
-        desk.tell(Word::Report(report)).await;
+        service.send(Message::Report(report)).await;
     }
     Ok(())
 }
--- a/crates/control/tests/certificates.rs
+++ b/crates/control/tests/certificates.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{report, routes, until, Servers};
-use puffinladder_control::serve::{Running, Tls};
+use puffinladder_control::serve::{RunningService, TlsConfig};
 use puffinladder_proxy::{Certificate, ClientTlsConfig, Identity, Proxy};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::path::Path;
@@ -30,7 +30,7 @@
         (params.signed_by(&key, &self.issuer).unwrap().pem(), key.serialize_pem())
     }
     /// A proxy that trusts this authority and shows a certificate of another, or of this one.
-    fn proxy(&self, running: &Running, node: &str, shown: Option<(String, String)>) -> Proxy {
+    fn proxy(&self, running: &RunningService, node: &str, shown: Option<(String, String)>) -> Proxy {
         let mut tls = ClientTlsConfig::new()
             .ca_certificate(Certificate::from_pem(&self.pem))
             .domain_name("control.test");
@@ -48,11 +48,11 @@
 }
 
 /// A service by the certificates of a folder, and a server that reports to it.
-async fn service(folder: &Path) -> (Running, Servers) {
-    let tls = Tls {
+async fn service(folder: &Path) -> (RunningService, Servers) {
+    let tls = TlsConfig {
         certificate: folder.join("cert.pem"),
         key: folder.join("key.pem"),
-        clients: Some(folder.join("clients.pem")),
+        client_authorities: Some(folder.join("clients.pem")),
     };
     let running = common::service(None, Some(tls)).await;
     let servers = Servers::start(vec![running.reports], vec![report(1)]);
@@ -74,7 +74,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(![&liar, &stranger, &bare].into_iter().any(routes));
     until("the good one to go on", || routes(&good)).await;
-    assert_eq!(running.desk.ask(|core, _| core.peers()).await, Some(1));
+    assert_eq!(running.handle.query(|core, _| core.proxy_count()).await, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,13 +86,13 @@
     let first = old.proxy(&running, "p1.test", Some(old.issue("p1.test")));
     until("the first", || routes(&first)).await;
     std::fs::write(folder.path().join("key.pem"), "half a k").unwrap();
-    let wrong = running.reload().unwrap_err().to_string();
+    let wrong = running.reload_certificates().unwrap_err().to_string();
     assert!(wrong.contains("key.pem"), "{wrong}");
     let second = old.proxy(&running, "p2.test", Some(old.issue("p2.test")));
     until("one by the old certificates", || routes(&second)).await;
     write(folder.path(), &new);
     std::fs::write(folder.path().join("clients.pem"), &new.pem).unwrap();
-    running.reload().unwrap();
+    running.reload_certificates().unwrap();
     let third = new.proxy(&running, "p3.test", Some(new.issue("p3.test")));
     until("one by the new certificates", || routes(&third)).await;
     // The stream of the first has not broken.
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A service, servers that report to it and proxies on loopback, as the stories need them.
 #![allow(dead_code)]
 
-use puffinladder_control::core::Told;
-use puffinladder_control::serve::{start, Running, Setup, Tls};
-use puffinladder_control::stream::Lease;
-use puffinladder_control::view::Report;
+use puffinladder_control::report::LoadReport;
+use puffinladder_control::serve::{start, RunningService, ServeConfig, TlsConfig};
+use puffinladder_control::service::ServiceConfig;
+use puffinladder_control::stream::LeaseConfig;
 use puffinladder_proxy::{Pick, Proxy};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,25 +16,33 @@
 /// s: shorter than usual, so that stories are.
 pub const BOUND: f64 = 1.0;
 
-pub async fn service(snapshot: Option<PathBuf>, tls: Option<Tls>) -> Running {
+pub async fn service(snapshot: Option<PathBuf>, tls: Option<TlsConfig>) -> RunningService {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-    let lease = Lease { bound: BOUND, heartbeat: 0.2, ..Lease::default() };
-    let mut told = Told { lease, ..Told::default() };
-    (told.times.plan, told.times.settle) = (0.1, 0.2);
-    let setup = Setup { told, xds: any, reports: any, debug: Some(any), snapshot, most_proxies: 100, tls };
-    start(setup).await.unwrap()
+    let lease = LeaseConfig { max_decision_age: BOUND, heartbeat_interval: 0.2, ..LeaseConfig::default() };
+    let mut config = ServiceConfig { lease, ..ServiceConfig::default() };
+    (config.schedule.interval, config.schedule.min_settle_time) = (0.1, 0.2);
+    let config = ServeConfig {
+        service: config,
+        xds: any,
+        reports: any,
+        debug: Some(any),
+        snapshot,
+        max_proxies: 100,
+        tls,
+    };
+    start(config).await.unwrap()
 }
 
-pub fn report(at: u16) -> Report {
-    Report::sound(&format!("n{at}"), SocketAddr::from(([127, 0, 0, 1], 4000 + at)))
+pub fn report(at: u16) -> LoadReport {
+    LoadReport::healthy_server(&format!("n{at}"), SocketAddr::from(([127, 0, 0, 1], 4000 + at)))
 }
 
 /// Servers that report ten times a second to the services that are listed, as tests change both.
 #[derive(Clone)]
-pub struct Servers(Arc<Mutex<(Vec<SocketAddr>, Vec<Report>)>>);
+pub struct Servers(Arc<Mutex<(Vec<SocketAddr>, Vec<LoadReport>)>>);
 
 impl Servers {
-    pub fn start(services: Vec<SocketAddr>, all: Vec<Report>) -> Servers {
+    pub fn start(services: Vec<SocketAddr>, all: Vec<LoadReport>) -> Servers {
         let servers = Servers(Arc::new(Mutex::new((services, all))));
         let told = servers.clone();
         tokio::spawn(async move {
@@ -44,7 +52,8 @@
                 let (services, lines) = told.with(|(services, all)| {
                     let mut lines = String::new();
                     for report in all {
-                        (report.sequence, report.made) = (report.sequence + 1, begun.elapsed().as_secs_f64());
+                        (report.sequence, report.created_at) =
+                            (report.sequence + 1, begun.elapsed().as_secs_f64());
                         lines += &serde_json::to_string(report).unwrap();
                         lines.push('\n');
                     }
@@ -68,10 +77,10 @@
         });
         servers
     }
-    pub fn with<T>(&self, change: impl FnOnce(&mut (Vec<SocketAddr>, Vec<Report>)) -> T) -> T {
+    pub fn with<T>(&self, change: impl FnOnce(&mut (Vec<SocketAddr>, Vec<LoadReport>)) -> T) -> T {
         change(&mut self.0.lock().unwrap())
     }
-    pub fn change(&self, change: impl Fn(&mut Report)) {
+    pub fn change(&self, change: impl Fn(&mut LoadReport)) {
         self.with(|(_, all)| all.iter_mut().for_each(change));
     }
 }
--- a/crates/control/tests/pages.rs
+++ b/crates/control/tests/pages.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{report, routes, service, until, Servers};
-use puffinladder_control::view::Class;
+use puffinladder_control::report::ClassLoad;
 use puffinladder_proxy::Proxy;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -62,7 +62,13 @@
 async fn the_pages_have_the_same_names_as_ever() {
     let running = service(None, None).await;
     let servers = Servers::start(vec![running.reports], vec![report(1), report(2)]);
-    let class = Class { product: "p".into(), customer: "k".into(), worth: 1.0, asked: 100.0, declined: 60.0 };
+    let class = ClassLoad {
+        product: "p".into(),
+        customer: "k".into(),
+        priority_weight: 1.0,
+        offered: 100.0,
+        rejected: 60.0,
+    };
     servers.change(|server| server.classes = vec![class.clone()]);
     let debug = running.debug.unwrap();
     let proxy = Proxy::start(running.xds, "p1", "a", true);
--- a/crates/control/tests/regions.rs
+++ b/crates/control/tests/regions.rs
@@ -1,7 +1,7 @@
-//! What a control service does while its region is cut from another for minutes: played on the core, without sockets or waits.
+//! What a control service does while its region is cut from another for minutes: played on the service, without sockets or waits.
 
-use puffinladder_control::core::{Core, Told};
-use puffinladder_control::view::Report;
+use puffinladder_control::report::LoadReport;
+use puffinladder_control::service::{ControlService, ServiceConfig};
 use std::net::SocketAddr;
 
 /// s: reports and plans.
@@ -12,7 +12,7 @@
 
 /// Times at which no plan held, of a region with so many servers cut from one with so many.
 fn without_a_plan(near: usize, far: usize) -> Vec<f64> {
-    let mut core = Core::new(0.0, Told::default(), 1, None);
+    let mut service = ControlService::new(0.0, ServiceConfig::default(), 1, None);
     let (mut without, mut planned) = (Vec::new(), false);
     for step in 1..=(200.0 / STEP) as u64 {
         let now = step as f64 * STEP;
@@ -23,12 +23,15 @@
             }
             let address = SocketAddr::from(([127, 0, 0, 1], 4000 + at as u16));
             let zone = if at < near { "near" } else { "far" };
-            let report = Report::sound(&format!("n{at:03}"), address);
-            core.report(now, Report { sequence: step, made: now, zone: zone.into(), ..report });
+            let report = LoadReport::healthy_server(&format!("n{at:03}"), address);
+            service.handle_report(
+                now,
+                LoadReport { sequence: step, created_at: now, zone: zone.into(), ..report },
+            );
         }
-        core.tick(now);
-        planned |= core.plan().is_some();
-        if planned && !core.holds(now) {
+        service.tick(now);
+        planned |= service.plan().is_some();
+        if planned && !service.has_valid_plan(now) {
             without.push(now);
         }
     }
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -1,11 +1,12 @@
-//! Random schedules of servers, proxies, delays and failures round the service's core, in simulated time. In each of them: no
+//! Random schedules of servers, proxies, delays and failures round the service's service, in simulated time. In each of them: no
 //! proxy routes by a decision older than the bound, shares sum, a drained server gets nothing once its proxies could know,
 //! what is held is one plan's, and after the last failure all proxies hold the latest.
 
-use puffinladder_control::core::{Core, Snapshot, Told};
+use puffinladder_control::report::LoadReport;
 use puffinladder_control::resources::CLUSTER;
-use puffinladder_control::stream::{heard_of, Kind, Push, Request, Serial};
-use puffinladder_control::view::Report;
+use puffinladder_control::service::{ControlService, RestoredSnapshot, ServiceConfig, StoredSnapshot};
+use puffinladder_control::stream::nonce::requests_seen;
+use puffinladder_control::stream::{PlanVersion, ProxyRequest, ResourceType, Update};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
     version: u64,
-    serial: Serial,
+    serial: PlanVersion,
     /// True time at which the plan was made; only the test knows.
     made: f64,
     until: f64,
@@ -46,49 +47,53 @@
     up: bool,
     /// Dark until then: nothing arrives and nothing leaves.
     dark: f64,
-    held: BTreeMap<(Kind, String), Held>,
+    held: BTreeMap<(ResourceType, String), Held>,
     /// When each request on this stream was sent.
     sent: Vec<f64>,
     /// On the way, with when they arrive.
-    in_: VecDeque<(f64, Push, f64)>,
-    out: VecDeque<(f64, Request)>,
+    in_: VecDeque<(f64, Update, f64)>,
+    out: VecDeque<(f64, ProxyRequest)>,
     count: u64,
 }
 
 impl Proxy {
-    fn say(&mut self, now: f64, delay: f64, request: Request) {
+    fn say(&mut self, now: f64, delay: f64, request: ProxyRequest) {
         self.sent.push(now);
         // In order, as on a stream.
         let at = self.out.back().map_or(now + delay, |last| last.0.max(now + delay));
         self.out.push_back((at, request));
     }
 
-    fn connect(&mut self, now: f64, id: u64, core: &mut Core) {
+    fn connect(&mut self, now: f64, id: u64, service: &mut ControlService) {
         (self.id, self.up) = (id, true);
         self.sent.clear();
         self.in_.clear();
         self.out.clear();
-        core.open(now, id, &self.node, "a", self.incremental);
-        for kind in Kind::ALL {
+        service.open_stream(now, id, &self.node, "a", self.incremental);
+        for kind in ResourceType::ALL {
             let held = self.held.iter().filter(|((of, _), _)| *of == kind && self.incremental);
             let held = held.map(|((_, name), held)| (name.clone(), format!("{:x}", held.version))).collect();
-            self.say(now, 0.0, Request { kind: Some(kind), held, ..Request::default() });
+            self.say(
+                now,
+                0.0,
+                ProxyRequest { resource_type: Some(kind), initial_versions: held, ..ProxyRequest::default() },
+            );
         }
     }
 
     /// Takes a response as the protocol has it, with the lease counted from its own request.
-    fn take(&mut self, now: f64, push: &Push, made: f64, rng: &mut ChaCha8Rng) {
+    fn take(&mut self, now: f64, update: &Update, made: f64, rng: &mut ChaCha8Rng) {
         self.count += 1;
-        let seen = heard_of(&push.nonce).unwrap() as usize;
+        let seen = requests_seen(&update.nonce).unwrap() as usize;
         let since = self.sent[seen - 1];
         let refuses = self.habit == Habit::Refuses
-            && push.pieces.iter().any(|p| !p.heartbeat)
+            && update.entries.iter().any(|p| !p.heartbeat)
             && self.count.is_multiple_of(2);
-        let until = push.lease.map_or(f64::MAX, |lease| since + lease);
+        let until = update.ttl.map_or(f64::MAX, |lease| since + lease);
         if !refuses {
-            for piece in &push.pieces {
-                let key = (push.kind, piece.resource.name.clone());
-                let new = Held { version: piece.resource.version, serial: push.serial, made, until };
+            for piece in &update.entries {
+                let key = (update.resource_type, piece.resource.name.clone());
+                let new = Held { version: piece.resource.version, serial: update.version, made, until };
                 if piece.heartbeat {
                     // Renews what it holds, never brings back what it does not.
                     if let Some(held) = self.held.get_mut(&key).filter(|held| held.version == new.version) {
@@ -98,61 +103,66 @@
                     self.held.insert(key, new);
                 }
             }
-            for name in &push.removed {
-                self.held.remove(&(push.kind, name.clone()));
+            for name in &update.removed {
+                self.held.remove(&(update.resource_type, name.clone()));
             }
         }
-        let fault = refuses.then(|| "no".to_owned());
+        let error = refuses.then(|| "no".to_owned());
         let nonce = match self.habit {
             Habit::Lies if rng.random_bool(0.3) => format!("{}.7", rng.random_range(0..40)),
-            _ => push.nonce.clone(),
+            _ => update.nonce.clone(),
         };
         let delay = match self.habit {
             Habit::Slow(delay) => delay,
             Habit::Never => return,
             _ => rng.random_range(0.0..0.15),
         };
-        let answer = Request { kind: Some(push.kind), nonce, fault, ..Request::default() };
+        let answer = ProxyRequest {
+            resource_type: Some(update.resource_type),
+            nonce,
+            error,
+            ..ProxyRequest::default()
+        };
         self.say(now, delay, answer);
     }
 
     /// What it routes by now: the plan's age, if it has one that it may use.
     fn routes(&self, now: f64) -> Option<&Held> {
-        let held = self.held.get(&(Kind::Endpoints, CLUSTER.into()))?;
+        let held = self.held.get(&(ResourceType::Endpoints, CLUSTER.into()))?;
         (now < held.until).then_some(held)
     }
 }
 
 struct Server {
-    report: Report,
+    report: LoadReport,
     offset: f64,
     silent: f64,
-    on_the_way: Vec<(f64, Report)>,
+    on_the_way: Vec<(f64, LoadReport)>,
 }
 
 struct Stage {
     rng: ChaCha8Rng,
     now: f64,
-    core: Option<Core>,
+    service: Option<ControlService>,
     epoch: u64,
     proxies: Vec<Proxy>,
     servers: Vec<Server>,
     next_id: u64,
     /// Worst age that was routed by, and the highest serial that any proxy saw.
     worst: f64,
-    seen: Vec<Serial>,
+    seen: Vec<PlanVersion>,
     /// Pushes do not arrive, reports do, or the other way round, until then.
     cut_pushes: f64,
     cut_reports: f64,
     down: f64,
     with_snapshot: bool,
-    saved: Option<Snapshot>,
+    saved: Option<StoredSnapshot>,
     /// Nothing goes wrong any more.
     quiet: bool,
 }
 
-fn report(name: &str) -> Report {
-    Report::sound(name, "127.0.0.1:4100".parse().unwrap())
+fn report(name: &str) -> LoadReport {
+    LoadReport::healthy_server(name, "127.0.0.1:4100".parse().unwrap())
 }
 
 impl Stage {
@@ -190,12 +200,12 @@
                 count: 0,
             })
             .collect();
-        let core = Some(Core::new(0.0, Told::default(), 1, None));
-        let (seen, with_snapshot) = (vec![Serial::default(); proxies.len()], rng.random_bool(0.5));
+        let service = Some(ControlService::new(0.0, ServiceConfig::default(), 1, None));
+        let (seen, with_snapshot) = (vec![PlanVersion::default(); proxies.len()], rng.random_bool(0.5));
         Stage {
             rng,
             now: 0.0,
-            core,
+            service,
             epoch: 1,
             proxies,
             servers,
@@ -222,8 +232,8 @@
             1 => {
                 // A proxy's connection breaks, or the proxy starts anew.
                 let proxy = &mut self.proxies[which];
-                if let Some(core) = &mut self.core {
-                    core.close(proxy.id);
+                if let Some(service) = &mut self.service {
+                    service.close_stream(proxy.id);
                 }
                 proxy.up = false;
                 if rng.random_bool(0.3) {
@@ -232,10 +242,11 @@
             }
             2 => self.servers[server].silent = now + span,
             3 => self.servers.iter_mut().for_each(|s| s.silent = now + span),
-            4 => self.servers[server].report.leaving = Some(3.0),
+            4 => self.servers[server].report.terminates_in = Some(3.0),
             5 => {
                 let server = &mut self.servers[server].report;
-                (server.incarnation, server.leaving, server.sequence) = (server.incarnation + 1, None, 0);
+                (server.incarnation, server.terminates_in, server.sequence) =
+                    (server.incarnation + 1, None, 0);
             }
             6 => self.cut_pushes = now + span,
             7 => self.cut_reports = now + span,
@@ -244,7 +255,7 @@
                 self.down = now + span;
                 self.proxies.iter_mut().for_each(|proxy| proxy.up = false);
             }
-            _ => self.servers.iter_mut().for_each(|s| s.report.takes = rng.random_range(0.005..0.05)),
+            _ => self.servers.iter_mut().for_each(|s| s.report.service_time = rng.random_range(0.005..0.05)),
         }
     }
 
@@ -252,16 +263,16 @@
         self.now += STEP;
         let now = self.now;
         if now < self.down {
-            if let Some(core) = self.core.take() {
+            if let Some(service) = self.service.take() {
                 self.epoch += 1;
-                self.saved = core.snapshot(now, now).filter(|_| self.with_snapshot);
+                self.saved = service.stored_snapshot(now, now).filter(|_| self.with_snapshot);
             }
-        } else if self.core.is_none() {
-            let snapshot = self.saved.take().map(|saved| {
-                let age = now - saved.made_unix;
-                (saved, age)
+        } else if self.service.is_none() {
+            let snapshot = self.saved.take().map(|snapshot| {
+                let age = now - snapshot.decided_at_unix;
+                RestoredSnapshot { snapshot, age }
             });
-            self.core = Some(Core::new(now, Told::default(), self.epoch, snapshot));
+            self.service = Some(ControlService::new(now, ServiceConfig::default(), self.epoch, snapshot));
         }
         self.reports(flips);
         self.streams();
@@ -280,22 +291,22 @@
             if (now / 0.25).floor() > ((now - STEP) / 0.25).floor() && now >= server.silent {
                 server.report.sequence += 1;
                 if flips {
-                    server.report.takes = self.rng.random_range(0.005..0.05);
+                    server.report.service_time = self.rng.random_range(0.005..0.05);
                 }
                 let made = now + 100.0 + server.offset;
-                let report = Report { made, ..server.report.clone() };
+                let report = LoadReport { created_at: made, ..server.report.clone() };
                 // Late, lost, doubled, out of order.
                 let copies = if self.quiet { 1 } else { [1, 1, 1, 2, 0][self.rng.random_range(0..5)] };
                 for _ in 0..copies {
                     server.on_the_way.push((now + self.rng.random_range(0.0..0.4), report.clone()));
                 }
             }
-            let due: Vec<Report> =
+            let due: Vec<LoadReport> =
                 server.on_the_way.iter().filter(|(at, _)| *at <= now).map(|(_, r)| r.clone()).collect();
             server.on_the_way.retain(|(at, _)| *at > now);
-            if let (Some(core), true) = (&mut self.core, now >= self.cut_reports) {
+            if let (Some(service), true) = (&mut self.service, now >= self.cut_reports) {
                 for report in due {
-                    core.report(now, report);
+                    service.handle_report(now, report);
                 }
             }
         }
@@ -303,75 +314,79 @@
 
     fn streams(&mut self) {
         let now = self.now;
-        let Some(core) = &mut self.core else { return };
-        let mut sent: Vec<(u64, Push)> = Vec::new();
+        let Some(service) = &mut self.service else { return };
+        let mut sent: Vec<(u64, Update)> = Vec::new();
         for proxy in &mut self.proxies {
             if now < proxy.dark {
                 continue;
             }
             if !proxy.up {
-                proxy.connect(now, self.next_id, core);
+                proxy.connect(now, self.next_id, service);
                 self.next_id += 1;
             }
             while proxy.out.front().is_some_and(|(at, _)| *at <= now) {
                 let (_, request) = proxy.out.pop_front().unwrap();
-                match core.request(now, proxy.id, &request) {
-                    Ok(pushes) => sent.extend(pushes.into_iter().map(|push| (proxy.id, push))),
+                match service.handle_request(now, proxy.id, &request) {
+                    Ok(pushes) => sent.extend(pushes.into_iter().map(|update| (proxy.id, update))),
                     Err(_) => proxy.up = false,
                 }
             }
         }
-        for (id, push) in core.tick(now) {
-            match push {
-                Ok(push) => sent.push((id, push)),
+        for event in service.tick(now) {
+            let id = event.stream;
+            match event.result {
+                Ok(update) => sent.push((id, update)),
                 Err(_) => self.proxies.iter_mut().filter(|p| p.id == id).for_each(|p| p.up = false),
             }
         }
-        let made = core.plan().map_or(0.0, |plan| plan.made);
-        for (id, push) in sent {
+        let made = service.plan().map_or(0.0, |plan| plan.decided_at);
+        for (id, update) in sent {
             let Some(proxy) = self.proxies.iter_mut().find(|p| p.id == id && p.up) else { continue };
-            // A push that is cut off stands on the way until the cut is over: bytes are not lost, they are late.
+            // A update that is cut off stands on the way until the cut is over: bytes are not lost, they are late.
             let at = (now + self.rng.random_range(0.0..0.1)).max(self.cut_pushes);
             let at = proxy.in_.back().map_or(at, |last| last.0.max(at));
-            proxy.in_.push_back((at, push, made));
+            proxy.in_.push_back((at, update, made));
         }
         for (proxy, seen) in self.proxies.iter_mut().zip(&mut self.seen) {
             while now >= proxy.dark && proxy.up && proxy.in_.front().is_some_and(|(at, ..)| *at <= now) {
-                let (_, push, made) = proxy.in_.pop_front().unwrap();
+                let (_, update, made) = proxy.in_.pop_front().unwrap();
                 // Never an older plan after a newer one, restarts of the service included.
-                assert!(push.serial >= *seen, "{} got {:?} after {seen:?}", proxy.node, push.serial);
-                *seen = push.serial;
-                proxy.take(now, &push, made, &mut self.rng);
+                assert!(update.version >= *seen, "{} got {:?} after {seen:?}", proxy.node, update.version);
+                *seen = update.version;
+                proxy.take(now, &update, made, &mut self.rng);
             }
         }
-        if let Some(plan) = core.plan() {
+        if let Some(plan) = service.plan() {
             let sum: f64 = plan.shares.iter().map(|share| share.weight).sum();
             assert!((sum - 1.0).abs() < 1e-6, "shares sum to {sum}");
-            assert!(plan.shares.iter().all(|s| s.weight == 0.0 || s.why.held != "leaves"));
+            assert!(plan
+                .shares
+                .iter()
+                .all(|s| s.weight == 0.0 || s.explanation.limited_by.as_str() != "leaves"));
         }
     }
 
     /// Ten quiet seconds: all that behave hold the latest.
     fn settle(&mut self) {
         for server in &mut self.servers {
-            (server.silent, server.report.leaving) = (0.0, None);
+            (server.silent, server.report.terminates_in) = (0.0, None);
             server.report.incarnation += 1;
-            (server.report.sequence, server.report.takes) = (0, 0.01);
+            (server.report.sequence, server.report.service_time) = (0, 0.01);
         }
         (self.cut_pushes, self.cut_reports, self.down, self.quiet) = (0.0, 0.0, 0.0, true);
         self.proxies.iter_mut().for_each(|p| p.dark = 0.0);
         for _ in 0..800 {
             self.step(false);
         }
-        let core = self.core.as_ref().unwrap();
+        let service = self.service.as_ref().unwrap();
         for proxy in self.proxies.iter().filter(|p| matches!(p.habit, Habit::Well | Habit::Slow(_))) {
             if proxy.habit == Habit::Slow(3.0) {
                 continue;
             }
             let held = proxy.routes(self.now).unwrap_or_else(|| panic!("{} routes by nothing", proxy.node));
-            let wanted = core.world("a", &proxy.node).unwrap();
-            let (wanted, node) = (wanted.set(Kind::Endpoints)[CLUSTER].version, &proxy.node);
-            assert_eq!(held.version, wanted, "{node} ({:?}), {:?}", proxy.habit, core.plan());
+            let wanted = service.resources_for("a", &proxy.node).unwrap();
+            let (wanted, node) = (wanted.set(ResourceType::Endpoints)[CLUSTER].version, &proxy.node);
+            assert_eq!(held.version, wanted, "{node} ({:?}), {:?}", proxy.habit, service.plan());
         }
     }
 }
--- a/crates/control/tests/sockets.rs
+++ b/crates/control/tests/sockets.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{pick, report, routes, service, until, Servers, BOUND};
-use puffinladder_control::serve::Running;
-use puffinladder_control::view::Class;
+use puffinladder_control::report::ClassLoad;
+use puffinladder_control::serve::RunningService;
 use puffinladder_proxy::{Habit, Pick, Proxy};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,7 +22,7 @@
     all
 }
 
-async fn world(servers: u16) -> (Running, Servers, Vec<Proxy>) {
+async fn world(servers: u16) -> (RunningService, Servers, Vec<Proxy>) {
     let running = service(None, None).await;
     let servers = Servers::start(vec![running.reports], (0..servers).map(report).collect());
     let proxies: Vec<Proxy> =
@@ -37,16 +37,16 @@
     for proxy in &proxies {
         until("all three", || ports(proxy) == [4000, 4001, 4002]).await;
     }
-    servers.with(|(_, all)| all[1].leaving = Some(2.0));
+    servers.with(|(_, all)| all[1].terminates_in = Some(2.0));
     for proxy in &proxies {
         until("the drain", || ports(proxy) == [4000, 4002]).await;
     }
-    let class = |product: &str| Class {
+    let class = |product: &str| ClassLoad {
         product: product.into(),
         customer: "k".into(),
-        worth: 1.0,
-        asked: 100.0,
-        declined: if product == "p" { 60.0 } else { 0.0 },
+        priority_weight: 1.0,
+        offered: 100.0,
+        rejected: if product == "p" { 60.0 } else { 0.0 },
     };
     // As if proxies dropped nothing yet: the share rises while servers decline so much.
     servers.change(|server| server.classes = vec![class("p")]);
@@ -107,19 +107,19 @@
     while begun.elapsed() < Duration::from_secs(3) {
         flip += 1;
         servers.change(|server| {
-            server.takes =
+            server.service_time =
                 if (flip + u32::from(server.address.port())).is_multiple_of(2) { 0.01 } else { 0.03 }
         });
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    servers.change(|server| server.takes = 0.01);
+    servers.change(|server| server.service_time = 0.01);
     for proxy in &proxies {
         // No older plan after a newer one.
         let plans = proxy.plans();
         let numbers: Vec<u64> = plans.iter().map(|p| p.split_once('.').unwrap().1.parse().unwrap()).collect();
         assert!(numbers.is_sorted(), "{numbers:?}");
     }
-    let settled = || async { running.desk.ask(|core, _| core.settled()).await.unwrap() };
+    let settled = || async { running.handle.query(|core, _| core.in_sync_count()).await.unwrap() };
     let end = Instant::now() + Duration::from_secs(20);
     while settled().await < 4 {
         assert!(Instant::now() < end);
@@ -141,8 +141,8 @@
     let end = Instant::now() + Duration::from_secs(20);
     while refused == 0 || unknown == 0 {
         assert!(Instant::now() < end, "{refused} refused, {unknown} unknown");
-        let counts = running.desk.ask(|core, _| core.counts()).await.unwrap();
-        (refused, unknown) = (counts.refused, counts.unknown);
+        let counts = running.handle.query(|core, _| core.stream_counters()).await.unwrap();
+        (refused, unknown) = (counts.rejected, counts.unknown_nonces);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // By the bound none of them routes by what it held before.
--- a/crates/control/tests/two.rs
+++ b/crates/control/tests/two.rs
@@ -12,13 +12,13 @@
     let _servers = Servers::start(vec![one.reports, two.reports], vec![report(1)]);
     let proxy = Proxy::start_among(vec![one.xds, two.xds], "p1", "a", true);
     until("the first service", || routes(&proxy)).await;
-    assert_eq!(one.desk.ask(|core, _| core.peers()).await, Some(1));
+    assert_eq!(one.handle.query(|core, _| core.proxy_count()).await, Some(1));
     one.kill();
     let died = Instant::now();
     // Nothing that the first decided lasts past the bound: what it routes by then is the second's.
     tokio::time::sleep_until((died + Duration::from_secs(1)).into()).await;
     until("the second service", || routes(&proxy)).await;
-    assert_eq!(two.desk.ask(|core, _| core.peers()).await, Some(1));
+    assert_eq!(two.handle.query(|core, _| core.proxy_count()).await, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -31,8 +31,8 @@
     // The reports are suspected first: it stays as it was, decided anew each time, and no longer than that may last.
     tokio::time::sleep(Duration::from_secs(2)).await;
     until("both to go on", || routes(&heard) && routes(&cut)).await;
-    assert_eq!(two.desk.ask(|core, _| core.plan().map(|plan| plan.panic)).await, Some(Some(true)));
-    assert_eq!(one.desk.ask(|core, _| core.plan().map(|plan| plan.panic)).await, Some(Some(false)));
+    assert_eq!(two.handle.query(|core, _| core.plan().map(|plan| plan.panic)).await, Some(Some(true)));
+    assert_eq!(one.handle.query(|core, _| core.plan().map(|plan| plan.panic)).await, Some(Some(false)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/hollow/tests/common/mod.rs
+++ b/crates/hollow/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A control service and what is played round it, as the stories need them.
 #![allow(dead_code)]
 
-use puffinladder_control::core::Told as Core;
-use puffinladder_control::serve::{start, Running, Setup};
-use puffinladder_control::stream::Lease;
+use puffinladder_control::serve::{start, RunningService, ServeConfig};
+use puffinladder_control::service::ServiceConfig;
+use puffinladder_control::stream::LeaseConfig;
 use puffinladder_hollow::draw::Load;
 use puffinladder_hollow::{callers, servers};
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-pub async fn service() -> Running {
-    let lease = Lease { heartbeat: 0.2, ..Lease::default() };
-    let mut told = Core { lease, ..Core::default() };
-    (told.times.plan, told.times.settle) = (0.1, 0.2);
+pub async fn service() -> RunningService {
+    let lease = LeaseConfig { heartbeat_interval: 0.2, ..LeaseConfig::default() };
+    let mut config = ServiceConfig { lease, ..ServiceConfig::default() };
+    (config.schedule.interval, config.schedule.min_settle_time) = (0.1, 0.2);
     // So that the memory of those that fell silent is seen to be given back.
-    told.bounds.forget = 3.0;
-    let setup = Setup {
-        told,
+    config.fleet.forget_after = 3.0;
+    let setup = ServeConfig {
+        service: config,
         xds: any(),
         reports: any(),
         debug: None,
         snapshot: None,
-        most_proxies: 1000,
+        max_proxies: 1000,
         tls: None,
     };
     start(setup).await.unwrap()
--- a/crates/hollow/tests/death.rs
+++ b/crates/hollow/tests/death.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{service, some_callers, some_servers, until};
-use puffinladder_control::serve::Running;
+use puffinladder_control::serve::RunningService;
 use puffinladder_hollow::callers::Callers;
 use puffinladder_hollow::figures;
 use puffinladder_hollow::servers::Servers;
@@ -13,7 +13,8 @@
     let (one, two) = (service().await, service().await);
     let servers = Servers::start(&some_servers(20, &[one.reports, two.reports]));
     let callers = Callers::start(&some_callers(40, &[one.xds, two.xds], true));
-    let peers = async |of: &Running| of.desk.ask(|core, _| core.peers()).await.unwrap_or_default();
+    let peers =
+        async |of: &RunningService| of.handle.query(|core, _| core.proxy_count()).await.unwrap_or_default();
     until("callers at both", async || {
         let (here, there) = (peers(&one).await, peers(&two).await);
         here > 0 && there > 0 && here + there == 40
--- a/crates/hollow/tests/many.rs
+++ b/crates/hollow/tests/many.rs
@@ -16,9 +16,9 @@
     let servers = Servers::start(&some_servers(200, &[running.reports]));
     let callers = [false, true].map(|mode| Callers::start(&some_callers(100, &[running.xds], mode)));
     let known = async || {
-        let found = running.desk.ask(|core, now| {
-            core.views()
-                .believed(now)
+        let found = running.handle.query(|core, now| {
+            core.fleet()
+                .servers(now)
                 .iter()
                 .map(|b| (b.report.instance.clone(), b.report.zone.clone()))
                 .collect::<BTreeSet<_>>()
@@ -28,7 +28,7 @@
     let wanted: BTreeSet<(String, String)> = (40..240).map(|at| (server(at).0, zone(at, 3))).collect();
     until("every server to be known", async || known().await == wanted).await;
     until("every caller to have acked all of it", async || {
-        let peers = running.desk.ask(|core, _| core.peers()).await.unwrap_or_default();
+        let peers = running.handle.query(|core, _| core.proxy_count()).await.unwrap_or_default();
         peers == 200 && callers.iter().all(|c| c.standing().acked == 100 && c.standing().holding == 100)
     })
     .await;
@@ -40,7 +40,11 @@
         assert!(said >= 400 && heard >= 400 && said - 400 <= heard, "{said} {heard}");
         assert!(callers.lags().highest().is_some());
     }
-    let refused = running.desk.ask(|core, _| (core.views().refused, core.counts().refused)).await.unwrap();
+    let refused = running
+        .handle
+        .query(|core, _| (core.fleet().rejected, core.stream_counters().rejected))
+        .await
+        .unwrap();
     assert_eq!(refused, (0, 0), "reports, responses");
     // Both ends stand in this process: two descriptors a connection, and a few of the process.
     let open = figures::descriptors() - before;
@@ -50,7 +54,7 @@
     servers.leave().await;
     drop(callers);
     until("the service to have forgotten them", async || {
-        let found = running.desk.ask(|core, _| (core.peers(), core.views().len())).await;
+        let found = running.handle.query(|core, _| (core.proxy_count(), core.fleet().len())).await;
         found == Some((0, 0)) && figures::descriptors() <= before + 40
     })
     .await;
--- a/crates/hollow/tests/peers.rs
+++ b/crates/hollow/tests/peers.rs
@@ -46,7 +46,7 @@
     let servers = Servers::start(&servers::Told { stewards: bads.to_vec(), ..some_servers(30, &all) });
     let xds = [&[running.xds][..], &bads].concat();
     let callers = [false, true].map(|mode| Callers::start(&some_callers(16, &xds, mode)));
-    let known = async || running.desk.ask(|core, now| core.views().fresh(now)).await;
+    let known = async || running.handle.query(|core, now| core.fleet().fresh_count(now)).await;
     until("every server to be fresh", async || known().await == Some(30)).await;
     // Also those that began with a bad one: one that hangs is left once it does not say that it lives.
     until("all callers to hold", async || callers.iter().all(|c| c.standing().holding == 16)).await;
@@ -67,10 +67,10 @@
         (Callers::start(&callers::Told { zones: 1, ..some_callers(1, &[running.xds], mode) }), real)
     });
     until("all four to hold the same of the plan", async || {
-        let seen = running.desk.ask(|core, now| (core.seen(now), core.serial())).await;
+        let seen = running.handle.query(|core, now| (core.proxy_statuses(now), core.plan_version())).await;
         let Some((seen, serial)) = seen else { return false };
         seen.len() == 4
-            && seen.iter().all(|s| s.settled && s.zone == "zone-1" && s.refused == 0 && s.complaint.is_none())
+            && seen.iter().all(|s| s.in_sync && s.zone == "zone-1" && s.rejected == 0 && s.last_rejection.is_none())
             && seen.iter().all(|s| s.acked == seen[0].acked)
             && all.iter().all(|(hollow, real)| {
                 let latest = Some((serial.epoch, serial.number));
@@ -81,8 +81,8 @@
     .await;
     // By the service's own count both are sent content and renewals, and have refused nothing.
     until("renewals to all four", async || {
-        let seen = running.desk.ask(|core, now| core.seen(now)).await.unwrap_or_default();
-        seen.len() == 4 && seen.iter().all(|s| s.sent >= 4 && s.heartbeats >= 5 && s.refused == 0)
+        let seen = running.handle.query(|core, now| core.proxy_statuses(now)).await.unwrap_or_default();
+        seen.len() == 4 && seen.iter().all(|s| s.content_updates >= 4 && s.heartbeats >= 5 && s.rejected == 0)
     })
     .await;
     for (hollow, real) in &all {
--- a/crates/server/tests/publish.rs
+++ b/crates/server/tests/publish.rs
@@ -1,6 +1,6 @@
 //! Stories of a server that tells a control service what it decided.
 
-use puffinladder_control::view::Report;
+use puffinladder_control::report::LoadReport;
 use puffinladder_toy::gateway::now;
 use puffinladder_toy::town::Town;
 use std::io::{BufRead, BufReader};
@@ -19,13 +19,13 @@
 struct Heard(BufReader<TcpStream>);
 
 impl Heard {
-    fn next(&mut self) -> Report {
+    fn next(&mut self) -> LoadReport {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"))
     }
     /// The first report that is as wanted.
-    fn until(&mut self, what: &str, wanted: impl Fn(&Report) -> bool) -> Report {
+    fn until(&mut self, what: &str, wanted: impl Fn(&LoadReport) -> bool) -> LoadReport {
         let end = Instant::now() + Duration::from_secs(20);
         loop {
             let report = self.next();
@@ -46,32 +46,32 @@
     let first = heard.next();
     assert_eq!((first.instance.as_str(), first.zone.as_str(), first.cores), ("toy-1", "east", 4.0));
     assert_eq!(first.address, town.server);
-    assert!(first.healthy && first.leaving.is_none());
+    assert!(first.healthy && first.terminates_in.is_none());
     let mut gateway = town.gateway();
     for _ in 0..20 {
         gateway.call("quote", "", b"quick");
         assert_eq!(gateway.answer().unwrap().word, "200");
     }
-    let report = heard.until("runs", |r| r.settled > 0.0);
+    let report = heard.until("runs", |r| r.goodput > 0.0);
     assert!(
-        report.takes > 0.0
-            && report.takes < 1.0
+        report.service_time > 0.0
+            && report.service_time < 1.0
             && report.sequence > first.sequence
-            && report.made > first.made
+            && report.created_at > first.made
     );
     assert_eq!((report.classes[0].product.as_str(), report.classes[0].customer.as_str()), ("quote", "acme"));
-    assert!(report.classes[0].asked > 0.0 && report.limit >= 1.0);
+    assert!(report.classes[0].offered > 0.0 && report.concurrency_limit >= 1.0);
     gateway.call("order", &format!(",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,s={}", now() - 5000), b"too old");
     assert_eq!(gateway.answer().unwrap().word, "503");
-    let report = heard.until("a decline", |r| r.classes.iter().any(|c| c.declined > 0.0));
-    assert_eq!(report.classes.iter().find(|c| c.declined > 0.0).unwrap().product, "order");
+    let report = heard.until("a decline", |r| r.classes.iter().any(|c| c.rejected > 0.0));
+    assert_eq!(report.classes.iter().find(|c| c.rejected > 0.0).unwrap().product, "order");
     assert!(report.retry_after > 0.0);
     let (_, held) = gateway.call("quote", "", b"hold");
     town.agent.hears("launch", &held);
-    heard.until("an open run", |r| r.running == 1.0);
+    heard.until("an open run", |r| r.in_flight == 1.0);
     town.term();
-    let report = heard.until("the drain", |r| r.leaving.is_some());
-    assert!(report.leaving.unwrap() <= 1.5 && !report.healthy);
+    let report = heard.until("the drain", |r| r.terminates_in.is_some());
+    assert!(report.terminates_in.unwrap() <= 1.5 && !report.healthy);
 }
 
 #[test]
