--- a/crates/charter/src/lib.rs
+++ b/crates/charter/src/lib.rs
@@ -9,7 +9,9 @@
 pub mod settings;
 pub mod sexpr;
 
-use puffinladder::{Below, Charter, Customer, Effect, Gauges, Halt, Product, Signal};
+use puffinladder::{
+    Downstream, Gauges, Idempotency, LoadSignal, PolicySettings, Preemption, RequestClass, Tenant,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -39,7 +41,7 @@
 /// What a brain works by, and the names and meters by which its host translates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
-    pub charter: Charter,
+    pub charter: PolicySettings,
     /// In the order in which the values come.
     pub meters: Vec<Meter>,
     /// Names of the products, in the order of the charter.
@@ -220,67 +222,77 @@
     let (mut products, mut product_names) = (Vec::new(), Vec::new());
     for (at, lane) in top.parts("Lanes")?.iter().enumerate() {
         product_names.push(lane.name()?);
-        products.push(Product {
-            sla: lane.positive("Promise")? / 1e3,
-            sla_stretch: lane.number_or_none("AimStretch")?,
-            expiry: lane.positive("GiveUp")? / 1e3,
-            value: lane.number("Importance")?,
-            late_share: lane.number_or_none("LateShare")?,
-            effect: lane.choice(
+        products.push(RequestClass {
+            latency_objective: lane.positive("Promise")? / 1e3,
+            objective_stretch: lane.number_or_none("AimStretch")?,
+            timeout: lane.positive("GiveUp")? / 1e3,
+            priority_weight: lane.number("Importance")?,
+            late_weight_fraction: lane.number_or_none("LateShare")?,
+            idempotency: lane.choice(
                 "Effect",
-                &[("safe", Effect::Inquiry), ("keyed", Effect::Referenced), ("unsafe", Effect::OnceOnly)],
+                &[
+                    ("safe", Idempotency::Idempotent),
+                    ("keyed", Idempotency::Keyed),
+                    ("unsafe", Idempotency::NonIdempotent),
+                ],
             )?,
-            window: lane.span_or_none("DedupWindow")?,
-            calls: lists("ClassCalls", at).and_then(Value::as_bool).unwrap_or(false),
-            skip_share: lists("ClassSkipWorth", at).and_then(Value::as_f64).unwrap_or(0.0),
+            dedup_window: lane.span_or_none("DedupWindow")?,
+            makes_calls: lists("ClassCalls", at).and_then(Value::as_bool).unwrap_or(false),
+            degraded_weight_fraction: lists("ClassSkipWorth", at).and_then(Value::as_f64).unwrap_or(0.0),
         });
     }
     let (mut customers, mut customer_names) = (Vec::new(), Vec::new());
     for tenant in top.parts("Tenants")? {
         customer_names.push(tenant.name()?);
-        customers.push(Customer { quota: tenant.number("QuotaRps")? });
+        customers.push(Tenant { quota: tenant.number("QuotaRps")? });
     }
     let retry_after = if limits.flag("RetryAfter")? { limits.span_or_none("MaxRetryAfter")? } else { 0.0 };
-    let charter = Charter {
+    let charter = PolicySettings {
         servers: top.positive("Servers")?,
         callers: info.number_or_none("Upstreams")?,
         cores: info.positive("Cpus")?,
-        ram: info.positive("RamKb")?,
-        run_factor: info.positive("RunFactor")?,
+        memory: info.positive("RamKb")?,
+        running_memory_factor: info.positive("RunFactor")?,
         key_memory: info.number_or_none("KeyKb")?,
-        products,
-        customers,
-        over_quota: top.number_or_none("OverShareWorth")?,
-        by_work: top.word("WorthBy")? == "work",
-        below: info.choice(
+        classes: products,
+        tenants: customers,
+        over_quota_fraction: top.number_or_none("OverShareWorth")?,
+        weight_per_work: top.word("WorthBy")? == "work",
+        downstream: info.choice(
             "Below",
-            &[("silent", Below::Nothing), ("common", Below::Common), ("next_hop", Below::NextTier)],
+            &[
+                ("silent", Downstream::None),
+                ("common", Downstream::SharedDependency),
+                ("next_hop", Downstream::NextTier),
+            ],
+        )?,
+        call_concurrency_share: info.number_or_none("CallsOut")?,
+        call_averaging_window: info.span_or_none("DepWindow")?,
+        abandoned_call_linger: info.span_or_none("Lingers")?,
+        preemption: info.choice(
+            "Halt",
+            &[("silent", Preemption::Never), ("drop", Preemption::Discard), ("pause", Preemption::Suspend)],
         )?,
-        calls_share: info.number_or_none("CallsOut")?,
-        calls_span: info.span_or_none("DepWindow")?,
-        lingers: info.span_or_none("Lingers")?,
-        halt: info
-            .choice("Halt", &[("silent", Halt::Never), ("drop", Halt::Drop), ("pause", Halt::Pause)])?,
-        signal: info.choice(
+        load_signal: info.choice(
             "Signal",
             &[
-                ("silent", Signal::Silent),
-                ("min_rank", Signal::Level),
-                ("tokens", Signal::Tokens),
-                ("bias", Signal::Bias),
+                ("silent", LoadSignal::None),
+                ("min_rank", LoadSignal::MinimumRank),
+                ("tokens", LoadSignal::Tokens),
+                ("bias", LoadSignal::SelectionBias),
             ],
         )?,
-        list_follows: info.flag("ListFollows")?,
-        cold: info.flag("Cold")?,
-        cold_share: rules.number_or_none("ColdShare")?,
-        cold_span: rules.span_or_none("Cold")?,
-        fall_multiple: rules.positive("FallMultiple")?,
-        fall_span: rules.span_or_none("Fall")?,
-        grace: rules.span_or_none("StopSendingWithin")?,
-        retry_after,
-        idle: info.span_or_none("Idle")?,
+        endpoints_follow_health: info.flag("ListFollows")?,
+        starts_cold: info.flag("Cold")?,
+        cold_capacity_fraction: rules.number_or_none("ColdShare")?,
+        warm_up_duration: rules.span_or_none("Cold")?,
+        overload_multiple: rules.positive("FallMultiple")?,
+        overload_window: rules.span_or_none("Fall")?,
+        drain_grace: rules.span_or_none("StopSendingWithin")?,
+        max_retry_after: retry_after,
+        idle_timeout: info.span_or_none("Idle")?,
     };
-    charter.check()?;
+    charter.validate().map_err(|e| e.to_string())?;
 
     let meter = |name: &Value| match name.as_str() {
         Some("cpu_busy") => Meter::Busy,
--- a/crates/config-rollout/src/check/tests.rs
+++ b/crates/config-rollout/src/check/tests.rs
@@ -28,9 +28,9 @@
     start().check(&content).unwrap();
     let terms = puffinladder_charter::read_terms(&start().under(&content).unwrap()).unwrap();
     assert_eq!(terms.customers, ["acme", "new"]);
-    assert_eq!((terms.charter.customers[0].quota, terms.charter.customers[1].quota), (25.0, 7.0));
-    assert_eq!((terms.charter.products[0].sla, terms.charter.products[0].expiry), (0.3, 0.9));
-    assert_eq!((terms.charter.servers, terms.charter.retry_after), (9.0, 5.0));
+    assert_eq!((terms.charter.tenants[0].quota, terms.charter.tenants[1].quota), (25.0, 7.0));
+    assert_eq!((terms.charter.classes[0].latency_objective, terms.charter.classes[0].timeout), (0.3, 0.9));
+    assert_eq!((terms.charter.servers, terms.charter.max_retry_after), (9.0, 5.0));
     // The empty content is the start text.
     let terms = puffinladder_charter::read_terms(&start().under(&Content::default()).unwrap()).unwrap();
     assert_eq!(terms, puffinladder_charter::read_terms(START.as_bytes()).unwrap());
--- a/crates/gauging/src/module.rs
+++ b/crates/gauging/src/module.rs
@@ -1,4 +1,4 @@
-//! The decision module alone: [`Brain::round`] over customers, products and requests, in this process, with a host that draws requests on a clock of its
+//! The decision module alone: [`AdmissionPolicy::decide`] over customers, products and requests, in this process, with a host that draws requests on a clock of its
 //! own. What counts is the processor time inside the rounds, by the thread's own clock, so that neither the host's work nor what runs beside is in it.
 //!
 //! `cpu` is s of it for each s of the drawn clock, at `requests` a second; `round_p99` is of single rounds. A request takes three rounds or so (it
@@ -6,8 +6,8 @@
 
 use crate::{count, size, Gauge, Sizes, Taken};
 use puffinladder::{
-    Below, Brain, Charter, Customer, Effect, End, Gauges, Halt, Outcome, Product, Reason, Round, Signal, Txn,
-    Writer,
+    AdmissionPolicy, Completion, Decisions, Downstream, Gauges, Idempotency, LoadSignal, Outcome,
+    PolicySettings, Preemption, Reason, Request, RequestClass, Round, Tenant,
 };
 use puffinladder_proving::measure::quantile;
 use rand::{Rng, SeedableRng};
@@ -41,64 +41,64 @@
     wake: Option<f64>,
 }
 
-impl Writer for Said {
+impl Decisions for Said {
     fn run(&mut self, id: u32) {
         self.runs.push(id);
     }
-    fn decline(&mut self, id: u32, _: f64, _: bool, _: Reason) {
+    fn reject(&mut self, id: u32, _: f64, _: bool, _: Reason) {
         self.over.push(id);
     }
-    fn void(&mut self, id: u32, _: Reason) {
+    fn fail(&mut self, id: u32, _: Reason) {
         self.over.push(id);
     }
-    fn pause(&mut self, _: u32) {}
-    fn call(&mut self, _: u32, _: f64) {}
+    fn preempt(&mut self, _: u32) {}
+    fn allow_call(&mut self, _: u32, _: f64) {}
     fn skip_call(&mut self, _: u32) {}
-    fn remember(&mut self, _: u32, _: f64) {}
-    fn forget(&mut self, _: u32) {}
-    fn replay(&mut self, _: u32) {}
-    fn health(&mut self, _: bool, _: bool) {}
-    fn signal(&mut self, _: f64) {}
-    fn keepalive(&mut self, _: f64) {}
-    fn wake(&mut self, after: f64) {
+    fn remember_key(&mut self, _: u32, _: f64) {}
+    fn forget_key(&mut self, _: u32) {}
+    fn replay_result(&mut self, _: u32) {}
+    fn set_health(&mut self, _: bool, _: bool) {}
+    fn set_load_signal(&mut self, _: f64) {}
+    fn set_keepalive(&mut self, _: f64) {}
+    fn schedule_tick(&mut self, after: f64) {
         self.wake = Some(after);
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 /// So many products and customers, none of which asks for more than it may.
-fn charter(products: usize, customers: usize) -> Charter {
-    let product = |at: usize| Product {
-        sla: 4.0,
-        expiry: 8.0,
-        value: 1.0 + (at % 3) as f64,
-        effect: if at % 4 == 3 { Effect::Referenced } else { Effect::Inquiry },
-        window: 20.0,
-        ..Product::default()
+fn charter(products: usize, customers: usize) -> PolicySettings {
+    let product = |at: usize| RequestClass {
+        latency_objective: 4.0,
+        timeout: 8.0,
+        priority_weight: 1.0 + (at % 3) as f64,
+        idempotency: if at % 4 == 3 { Idempotency::Keyed } else { Idempotency::Idempotent },
+        dedup_window: 20.0,
+        ..RequestClass::default()
     };
-    Charter {
+    PolicySettings {
         servers: 1.0,
         callers: 16.0,
         cores: CORES,
-        ram: 1e6,
-        run_factor: 4.0,
+        memory: 1e6,
+        running_memory_factor: 4.0,
         key_memory: 1.0,
-        products: (0..products).map(product).collect(),
-        customers: vec![Customer { quota: 1e6 }; customers],
-        over_quota: 0.1,
-        by_work: true,
-        below: Below::Nothing,
-        calls_span: 5.0,
-        halt: Halt::Never,
-        signal: Signal::Level,
-        cold_share: 1.0,
-        cold_span: 1.0,
-        fall_multiple: 5.0,
-        fall_span: 1.5,
-        grace: 1.0,
-        retry_after: 1.0,
-        idle: 30.0,
-        ..Charter::default()
+        classes: (0..products).map(product).collect(),
+        tenants: vec![Tenant { quota: 1e6 }; customers],
+        over_quota_fraction: 0.1,
+        weight_per_work: true,
+        downstream: Downstream::None,
+        call_averaging_window: 5.0,
+        preemption: Preemption::Never,
+        load_signal: LoadSignal::MinimumRank,
+        cold_capacity_fraction: 1.0,
+        warm_up_duration: 1.0,
+        overload_multiple: 5.0,
+        overload_window: 1.5,
+        drain_grace: 1.0,
+        max_retry_after: 1.0,
+        idle_timeout: 30.0,
+        ..PolicySettings::default()
     }
 }
 
@@ -121,8 +121,8 @@
         return Err("customers, routes and requests should be above 0".into());
     }
     let charter = charter(products, customers);
-    charter.check()?;
-    let mut brain = Brain::new(&charter, seed);
+    charter.validate().map_err(|e| e.to_string())?;
+    let mut brain = AdmissionPolicy::new(&charter, seed);
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let exp = |mean: f64| Exp::new(1.0 / mean).map_err(|e| e.to_string());
     let (between, run) = (exp(1.0 / rate)?, exp(RUN)?);
@@ -142,13 +142,13 @@
             What::Arrives => {
                 let (product, customer) =
                     (chance.random_range(0..products), chance.random_range(0..customers));
-                arrived = Some(Txn {
+                arrived = Some(Request {
                     id: next,
-                    product,
-                    customer,
+                    class: product,
+                    tenant: customer,
                     memory: 10.0,
                     caller: next % 16,
-                    ..Txn::default()
+                    ..Request::default()
                 });
                 next = next.wrapping_add(1).max(1);
                 due.push(Reverse((at + ns(between.sample(&mut chance)), What::Arrives)));
@@ -156,17 +156,22 @@
             What::Ends(id) => {
                 open = open.saturating_sub(1);
                 settled += 1;
-                ended = Some(End { id, outcome: Outcome::Done, took: 0.0 });
+                ended = Some(Completion { id, outcome: Outcome::Completed, duration: 0.0 });
             }
             What::Beat => {
                 let busy = Some((f64::from(open) / CORES).min(1.0));
                 wake = Some(Gauges { busy, runnable: Some(f64::from(open)), ..Gauges::default() });
             }
         }
-        let round =
-            Round { now, arrived: arrived.as_slice(), ended: ended.as_slice(), wake, ..Round::default() };
+        let round = Round {
+            now,
+            arrivals: arrived.as_slice(),
+            finished_runs: ended.as_slice(),
+            tick: wake,
+            ..Round::default()
+        };
         let before = spent();
-        brain.round(&round, &mut said);
+        brain.decide(&round, &mut said);
         let took = spent() - before;
         if now >= WARM {
             begun.get_or_insert((now, settled));
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/desk.rs
@@ -8,7 +8,7 @@
 use crate::memory::keys::{Holder, Key, Keys, Print};
 use crate::txn::Read;
 use may::coroutine::{self, Coroutine};
-use puffinladder::{Brain, End, Gauges, News, Outcome, Reason, Txn, Writer};
+use puffinladder::{AdmissionPolicy, Completion, Decisions, Gauges, Outcome, Reason, Request, RoundInput};
 use puffinladder_trace::row::Topic;
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -40,10 +40,10 @@
 
 /// What is decided with, and on.
 struct Plan {
-    brain: Brain,
+    brain: AdmissionPolicy,
     hands: Hands,
     keys: Keys,
-    news: News,
+    news: RoundInput,
     /// When each arrival among the news came to the machine, by the Unix clock; whether there is any news.
     stamps: Vec<f64>,
     any: bool,
@@ -57,12 +57,12 @@
 }
 
 impl Desk {
-    pub fn new(brain: Brain, keys: Keys, idle: f64, book: Book) -> Desk {
+    pub fn new(brain: AdmissionPolicy, keys: Keys, idle: f64, book: Book) -> Desk {
         let plan = Plan {
             brain,
             hands: Hands::default(),
             keys,
-            news: News::default(),
+            news: RoundInput::default(),
             stamps: Vec::new(),
             any: false,
             wake_at: f64::MAX,
@@ -125,7 +125,7 @@
                 return offer;
             }
         };
-        plan.news.arrived.push(Txn { id, forerunner, ..read.news });
+        plan.news.arrivals.push(Request { id, earlier_attempt: forerunner, ..read.news });
         plan.stamps.push(read.stamp);
         plan.any = true;
         drop(plan);
@@ -133,26 +133,26 @@
         Offer::Taken(id)
     }
     pub fn at_call(&self, id: u32) {
-        self.tell(|plan| plan.news.at_call.push(id));
+        self.tell(|plan| plan.news.awaiting_call.push(id));
     }
     pub fn returned(&self, id: u32, outcome: Outcome, took: f64) {
-        self.tell(|plan| plan.news.returned.push(End { id, outcome, took }));
+        self.tell(|plan| plan.news.finished_calls.push(Completion { id, outcome, duration: took }));
     }
     pub fn ended(&self, id: u32, outcome: Outcome, took: f64) {
         self.tell(|plan| {
             // Its name is free from now on, whenever the module gets to hear of it.
             plan.hands.drop(id);
-            plan.news.ended.push(End { id, outcome, took });
+            plan.news.finished_runs.push(Completion { id, outcome, duration: took });
         });
     }
     pub fn gone(&self, id: u32) {
-        self.tell(|plan| plan.news.gone.push(id));
+        self.tell(|plan| plan.news.abandoned.push(id));
     }
     /// The notice to leave: the kill comes at that time.
     pub fn leave(&self, kill: f64, now: f64) {
         self.kill.get_or_init(|| kill);
         self.book.leave(now, kill);
-        self.tell(|plan| plan.news.leave = Some(kill));
+        self.tell(|plan| plan.news.drain_deadline = Some(kill));
     }
     /// When the kill comes, after a notice to leave.
     pub fn kill(&self) -> Option<f64> {
@@ -258,13 +258,13 @@
 
     fn round(&self, plan: &mut Plan, now: f64, wake: Option<Gauges>) {
         let Plan { brain, hands, keys, news, stamps, wake_at, keep, .. } = plan;
-        for (txn, stamp) in news.arrived.iter_mut().zip(stamps.drain(..)) {
-            txn.unread = clock::age(stamp);
+        for (txn, stamp) in news.arrivals.iter_mut().zip(stamps.drain(..)) {
+            txn.time_unread = clock::age(stamp);
         }
-        news.wake = wake;
+        news.tick = wake;
         let mut pen = Pen { desk: self, hands, keys, now, wake_at, keep };
-        brain.round(&news.round(now), &mut pen);
-        for &id in &news.gone {
+        brain.decide(&news.round(now), &mut pen);
+        for &id in &news.abandoned {
             if hands.get_mut(id).is_some_and(|hand| !hand.running) {
                 over(hands, keys, id, Word::Over);
             }
@@ -302,65 +302,65 @@
     }
 }
 
-impl Writer for Pen<'_> {
+impl Decisions for Pen<'_> {
     fn run(&mut self, id: u32) {
         if let Some(hand) = self.hands.get_mut(id) {
             hand.running = true;
             hand.slip.say(Word::Run);
         }
     }
-    fn decline(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
+    fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
         over(self.hands, self.keys, id, Word::Decline { retry_after, last, reason });
     }
-    fn void(&mut self, id: u32, reason: Reason) {
+    fn fail(&mut self, id: u32, reason: Reason) {
         self.say(id, Word::Void(reason));
         // What was held or waited for a result is over with its answer.
         if self.hands.get_mut(id).is_some_and(|hand| !hand.running) {
             over(self.hands, self.keys, id, Word::Over);
         }
     }
-    fn pause(&mut self, id: u32) {
+    fn preempt(&mut self, id: u32) {
         self.say(id, Word::Pause);
     }
-    fn call(&mut self, id: u32, limit: f64) {
+    fn allow_call(&mut self, id: u32, limit: f64) {
         self.say(id, Word::Call { limit });
     }
     fn skip_call(&mut self, id: u32) {
         self.say(id, Word::SkipCall);
     }
-    fn remember(&mut self, id: u32, span: f64) {
+    fn remember_key(&mut self, id: u32, span: f64) {
         if let Some(key) = self.hands.get_mut(id).and_then(|hand| hand.key) {
             self.keys.remember(&key, id, self.now + span);
         }
     }
-    fn forget(&mut self, id: u32) {
+    fn forget_key(&mut self, id: u32) {
         if let Some(key) = self.hands.get_mut(id).filter(|hand| !hand.running).and_then(|hand| hand.key) {
             self.keys.never_ran(&key, id);
         }
     }
-    fn replay(&mut self, id: u32) {
+    fn replay_result(&mut self, id: u32) {
         self.say(id, Word::Replay);
     }
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.desk.good.store(good, Ordering::Relaxed);
         self.desk.book.health(self.now, good);
     }
-    fn signal(&mut self, amount: f64) {
+    fn set_load_signal(&mut self, amount: f64) {
         let mut signal = lock(&self.desk.signal);
         signal.clear();
         let _ = write!(signal, "v={amount:.4}");
         self.desk.book.change(self.now, Topic::SIGNAL, amount);
     }
-    fn keepalive(&mut self, span: f64) {
+    fn set_keepalive(&mut self, span: f64) {
         *self.keep = span;
     }
-    fn wake(&mut self, after: f64) {
+    fn schedule_tick(&mut self, after: f64) {
         *self.wake_at = self.now + after;
     }
-    fn limits(&mut self, runs: f64, calls: f64, pressure: f64) {
+    fn record_limits(&mut self, runs: f64, calls: f64, pressure: f64) {
         self.desk.book.limits(self.now, runs, calls, pressure);
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!("module: {text}");
     }
 }
--- a/crates/server/src/life/mod.rs
+++ b/crates/server/src/life/mod.rs
@@ -25,7 +25,7 @@
 use may::coroutine::Builder;
 use may::net::TcpListener;
 use papers::{Directory, Options, Papers};
-use puffinladder::{Brain, Charter};
+use puffinladder::{AdmissionPolicy, PolicySettings};
 use puffinladder_charter::Warrant;
 use puffinladder_trace::row::Topic;
 use signals::{Notice, Signals};
@@ -72,11 +72,11 @@
         let keys = Keys::new(limits.keys, limits.results, limits.key_grain, limits.key_over);
         // Keys lie in this process, within `limits.keys`: the machine's memory, which the module guards, books
         // nothing for them.
-        let charter = &Charter { key_memory: 0.0, ..warrant.terms.charter.clone() };
+        let charter = &PolicySettings { key_memory: 0.0, ..warrant.terms.charter.clone() };
         Arc::new(House {
             directory: Directory::new(warrant.peers),
             clock: Clock::default(),
-            desk: Desk::new(Brain::new(charter, warrant.seed), keys, charter.idle, book),
+            desk: Desk::new(AdmissionPolicy::new(charter, warrant.seed), keys, charter.idle_timeout, book),
             agent: Agent::new(limits.buffer, limits.unsent_agent),
             store: Store::default(),
             gateways: Gateways::default(),
--- a/crates/server/src/life/publish.rs
+++ b/crates/server/src/life/publish.rs
@@ -15,16 +15,16 @@
 pub fn begin(told: &Publish, house: &Arc<House>, listens: SocketAddr) -> Result<(), String> {
     let Some(counts) = house.desk.book.counts().cloned() else { return Ok(()) };
     let (warrant, charter) = (&house.warrant, &house.warrant.terms.charter);
-    let worth = |product: &puffinladder::Product| product.value;
+    let worth = |product: &puffinladder::RequestClass| product.priority_weight;
     let who = Who {
         instance: warrant.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: told.zone.clone(),
         address: told.address.unwrap_or(listens),
         cores: charter.cores,
-        cold: charter.cold.then_some(charter.cold_span).filter(|span| *span > 0.0),
-        cold_share: charter.cold_share,
-        products: warrant.terms.products.iter().cloned().zip(charter.products.iter().map(worth)).collect(),
+        cold: charter.starts_cold.then_some(charter.warm_up_duration).filter(|span| *span > 0.0),
+        cold_share: charter.cold_capacity_fraction,
+        products: warrant.terms.products.iter().cloned().zip(charter.classes.iter().map(worth)).collect(),
         customers: warrant.terms.customers.as_slice().into(),
     };
     let (control, every) = (told.control.clone(), Duration::from_secs_f64(told.every));
--- a/crates/server/src/life/recording.rs
+++ b/crates/server/src/life/recording.rs
@@ -36,12 +36,12 @@
 ) -> Result<(Book, Option<Running>), String> {
     let Some(trace) = trace else { return Ok((Book::new(None, counts), None)) };
     let terms = &warrant.terms;
-    let product = |(name, product): (&String, &puffinladder::Product)| Product {
+    let product = |(name, product): (&String, &puffinladder::RequestClass)| Product {
         name: name.clone(),
-        value: product.value,
-        sla: product.sla,
-        expiry: product.expiry,
-        by_work: terms.charter.by_work,
+        value: product.priority_weight,
+        sla: product.latency_objective,
+        expiry: product.timeout,
+        by_work: terms.charter.weight_per_work,
     };
     let told = Told {
         node: warrant.name.clone(),
@@ -53,7 +53,7 @@
             most_bytes: trace.most_bytes,
             most_files: trace.most_files,
         },
-        products: terms.products.iter().zip(&terms.charter.products).map(product).collect(),
+        products: terms.products.iter().zip(&terms.charter.classes).map(product).collect(),
         customers: terms.customers.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(chance()), key)?,
         sample: trace.sample,
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -1,7 +1,7 @@
 //! Every size, count and time of the process in one place. These are properties of the program; what is
 //! taken, run and turned away is the module's business.
 
-use puffinladder::Effect;
+use puffinladder::Idempotency;
 use puffinladder_charter::Warrant;
 use std::time::Duration;
 
@@ -106,8 +106,8 @@
 
 /// The longest that a txn with a key may lie unread and yet be run: until its expiry.
 fn longest_unread(warrant: &Warrant) -> f64 {
-    let products = warrant.terms.charter.products.iter();
-    products.filter(|p| p.effect == Effect::Referenced).map(|p| p.expiry).fold(0.0, f64::max)
+    let products = warrant.terms.charter.classes.iter();
+    products.filter(|p| p.idempotency == Idempotency::Keyed).map(|p| p.timeout).fold(0.0, f64::max)
 }
 
 impl Limits {
--- a/crates/server/src/memory/book.rs
+++ b/crates/server/src/memory/book.rs
@@ -40,16 +40,16 @@
             return Page::default();
         }
         let (news, now, unread) = (&read.news, unix(), age(read.stamp));
-        let product = &terms.charter.products[news.product];
-        let due = now - unread + product.sla + product.sla_stretch * news.hint;
-        let counts = self.1.as_deref().map(|counts| (counts, counts.asked(news.product, news.customer)));
+        let product = &terms.charter.classes[news.class];
+        let due = now - unread + product.latency_objective + product.objective_stretch * news.cost_hint;
+        let counts = self.1.as_deref().map(|counts| (counts, counts.asked(news.class, news.tenant)));
         let Some(inner) = &self.0 else { return Page { entry: None, counts, due } };
         let mut entry = Entry::new(now, read.name);
         entry.unread = unread;
-        entry.product = news.product as u16;
-        entry.customer = news.customer as u32;
-        (entry.caller, entry.rank, entry.hint) = (news.caller, news.rank, news.hint);
-        (entry.memory, entry.repeat, entry.key) = (news.memory, news.repeat, read.key);
+        entry.product = news.class as u16;
+        entry.customer = news.tenant as u32;
+        (entry.caller, entry.rank, entry.hint) = (news.caller, news.rank, news.cost_hint);
+        (entry.memory, entry.repeat, entry.key) = (news.memory, news.is_retry, read.key);
         Page { entry: Some((&inner.recorder, entry)), counts, due }
     }
 
--- a/crates/server/src/memory/keys.rs
+++ b/crates/server/src/memory/keys.rs
@@ -158,7 +158,7 @@
     pub fn expire(&mut self, now: f64) {
         while self.doubtful.front().is_some_and(|(until, _)| *until < now) {
             let Some((_, slip)) = self.doubtful.pop_front() else { return };
-            slip.say(Word::Decline { retry_after: 0.0, last: false, reason: Reason::KeyTaken });
+            slip.say(Word::Decline { retry_after: 0.0, last: false, reason: Reason::KeyConflict });
         }
         // Ends stand in the order in which runs ended, so a long run may hold up a few others for a while.
         while self.ends.front().is_some_and(|(end, _)| end + self.over < now) {
--- a/crates/server/src/txn.rs
+++ b/crates/server/src/txn.rs
@@ -9,7 +9,7 @@
 use crate::wire::gateway::Connection;
 use crate::wire::resp::{self, Array};
 use crate::wire::store::Call;
-use puffinladder::{Effect, Outcome, Reason, Txn};
+use puffinladder::{Idempotency, Outcome, Reason, Request};
 use puffinladder_charter::Terms;
 use puffinladder_trace::row::Step;
 use std::hash::{BuildHasher, RandomState};
@@ -29,7 +29,7 @@
     pub print: Print,
     /// When it came to the machine, by the Unix clock.
     pub stamp: f64,
-    pub news: Txn,
+    pub news: Request,
     pub body: Vec<u8>,
 }
 
@@ -47,8 +47,8 @@
             _ => resp::fraction(text).ok_or(fault),
         };
         let name: Name = name.try_into().ok().filter(|n: &Name| hex(n)).ok_or("a wrong field i")?;
-        let key = match terms.charter.products[product].effect {
-            Effect::Referenced => {
+        let key = match terms.charter.classes[product].idempotency {
+            Idempotency::Keyed => {
                 Some(key.try_into().ok().filter(|k: &Key| hex(k)).ok_or("a wrong field k")?)
             }
             _ => None,
@@ -65,11 +65,19 @@
         let caller = if caller.is_empty() { Some(0) } else { resp::decimal(caller) };
         let caller = caller.and_then(|caller| u32::try_from(caller).ok()).ok_or("a wrong field f")?;
         // The module adds these up: one absurd figure would turn all others away.
-        if memory >= MEMORY || rank >= 1.0 || hint > HINT * terms.charter.products[product].expiry {
+        if memory >= MEMORY || rank >= 1.0 || hint > HINT * terms.charter.classes[product].timeout {
             return Err("a field h, m or p out of range");
         }
-        let news =
-            Txn { product, customer, hint, memory, rank, caller, repeat: repeat == b"1", ..Txn::default() };
+        let news = Request {
+            class: product,
+            tenant: customer,
+            cost_hint: hint,
+            memory,
+            rank,
+            caller,
+            is_retry: repeat == b"1",
+            ..Request::default()
+        };
         let stamp = resp::decimal(stamp).ok_or("a wrong field s")? as f64 / 1e3;
         let body = array.at(4).to_vec();
         let print = key.map_or(0, |_| prints.hash_one((product, &body)));
@@ -123,7 +131,7 @@
 
 impl Drop for Answer<'_> {
     fn drop(&mut self) {
-        self.void(Reason::Lost);
+        self.void(Reason::HandlerLost);
     }
 }
 
@@ -187,7 +195,7 @@
         Answer { house, connection: &connection, tag, owed: true, page }.decline(
             0.0,
             false,
-            Reason::ProcessFull,
+            Reason::ProcessAtCapacity,
         );
         return;
     };
@@ -219,7 +227,7 @@
     match told {
         Told::Nothing => 0,
         Told::Launch => {
-            house.agent.launch(&read.name, &house.warrant.terms.products[read.news.product], &read.body)
+            house.agent.launch(&read.name, &house.warrant.terms.products[read.news.class], &read.body)
         }
         Told::Freeze => house.agent.freeze(&read.name),
         Told::Thaw => house.agent.thaw(&read.name),
@@ -242,13 +250,13 @@
                 house
                     .tally
                     .complain(house, format_args!("txn: tag {tag} voided: its name is in hand already"));
-                return answer.void(Reason::NameTaken);
+                return answer.void(Reason::DuplicateName);
             }
             Offer::Other => {
                 house.tally.complain(house, format_args!("txn: tag {tag} voided: its key is another's"));
-                return answer.void(Reason::KeyTaken);
+                return answer.void(Reason::KeyConflict);
             }
-            Offer::Full => return answer.decline(0.0, false, Reason::NoKeyRoom),
+            Offer::Full => return answer.decline(0.0, false, Reason::KeyMemoryFull),
             Offer::Doubtful => {
                 tracing::trace!("txn at tag {tag}: waits for its key");
                 match (slip.wait(), connection.renew(tag)) {
@@ -297,7 +305,7 @@
                 }
                 // That one never ran after all: this is the first now, and hears its words on a slip of its own.
                 Word::Free => {
-                    place.leave(Outcome::Moot, 0.0);
+                    place.leave(Outcome::NotNeeded, 0.0);
                     match connection.renew(tag) {
                         Some(new) => slip = new,
                         None => return,
@@ -306,11 +314,11 @@
                 }
                 Word::Result(Some(result)) => {
                     answer.settle(&result);
-                    place.leave(Outcome::Done, 0.0);
+                    place.leave(Outcome::Completed, 0.0);
                     return;
                 }
                 Word::Result(None) => {
-                    answer.void(Reason::Forerunner);
+                    answer.void(Reason::EarlierAttemptFailed);
                     place.leave(Outcome::Failed, 0.0);
                     return;
                 }
@@ -329,7 +337,7 @@
                 Word::Returned { outcome, took, body } => {
                     call = None;
                     answer.page.step(Step::returned(outcome));
-                    if outcome == Outcome::Done {
+                    if outcome == Outcome::Completed {
                         (told, asked.reply) = (Told::Deliver, body);
                         stamp = tell(house, told, &read, &asked);
                     }
@@ -358,13 +366,13 @@
                     }
                     answer.page.step(Step::ended(outcome));
                     match outcome {
-                        Outcome::Done => {
+                        Outcome::Completed => {
                             answer.page.ran(took);
                             let result = Arc::new(body);
                             house.desk.ran(key, id, Some(&result));
                             answer.settle(&result);
                         }
-                        Outcome::Moot => house.desk.never_ran(key, id),
+                        Outcome::NotNeeded => house.desk.never_ran(key, id),
                         _ => house.desk.ran(key, id, None),
                     }
                     answer.void(Reason::RunFailed);
--- a/crates/server/src/txn/tests.rs
+++ b/crates/server/src/txn/tests.rs
@@ -14,7 +14,7 @@
     let connection = Connection::new(&house, &TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let (slip, waits, key) = (Arc::new(Slip::default()), Arc::new(Slip::default()), [b'a'; 32]);
     connection.open(7, &slip);
-    let news = Txn { product: 1, ..Txn::default() };
+    let news = Request { class: 1, ..Request::default() };
     let read = Read { name: [b'1'; 16], key: Some(key), print: 5, stamp: 0.0, news, body: Vec::new() };
     let Offer::Taken(id) = house.desk.offer(&read, 0.0, &slip, 0.0) else { panic!("not taken") };
     house.desk.replay(&key, 5, &waits);
--- a/crates/server/src/wire/agent.rs
+++ b/crates/server/src/wire/agent.rs
@@ -299,9 +299,9 @@
         }
         "outcome" => {
             let outcome = match word("end") {
-                "fine" => Outcome::Done,
+                "fine" => Outcome::Completed,
                 "broken_off" => Outcome::Cancelled,
-                "late" => Outcome::Moot,
+                "late" => Outcome::NotNeeded,
                 _ => Outcome::Failed,
             };
             let took = line.get("ms").and_then(Value::as_f64).unwrap_or_default() / 1e3;
@@ -311,7 +311,7 @@
             let (end, id) = (word("end"), word("id"));
             house.tally.complain(house, format_args!("agent: {end} refused for {id}"));
             if word("end") == "launch" {
-                to(Word::Ended { outcome: Outcome::Moot, took: 0.0, body: Vec::new() });
+                to(Word::Ended { outcome: Outcome::NotNeeded, took: 0.0, body: Vec::new() });
             }
         }
         _ => tracing::debug!("agent: passed over: {line}"),
--- a/crates/server/src/wire/gateway.rs
+++ b/crates/server/src/wire/gateway.rs
@@ -86,7 +86,7 @@
             more => house.limits.usual_spans * (self.used - self.since) / f64::from(more),
         };
         let least = if self.checks { house.limits.checks_idle } else { 0.0 };
-        keep.max(usual.min(house.warrant.terms.charter.idle)).max(least)
+        keep.max(usual.min(house.warrant.terms.charter.idle_timeout)).max(least)
     }
 
     /// Whether it may be closed without harm: nothing on it is owed an answer, has yet to be written or is half read.
--- a/crates/server/src/wire/roster.rs
+++ b/crates/server/src/wire/roster.rs
@@ -14,7 +14,7 @@
         let now = house.clock.now();
         let roster = house.directory.peers().roster;
         // Where the list does not follow the state, a server leaves it by reporting no more.
-        let leaves = house.desk.kill().is_some() && !house.warrant.terms.charter.list_follows;
+        let leaves = house.desk.kill().is_some() && !house.warrant.terms.charter.endpoints_follow_health;
         // A roster that moved hears at once: it may not know this server yet.
         if (now >= next || at != Some(roster)) && house.agent.greeted() && !leaves {
             (next, at) = (now + house.limits.report.as_secs_f64(), Some(roster));
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -134,10 +134,10 @@
         let wait = (limit * 1e3).ceil();
         let more = format!("X-For-Request: {name}\r\nX-Wait-Ms: {wait}\r\n");
         if out.put(&http::request("POST /query", "store", &more, body)).is_err() {
-            return Err(Stop::Ended(Outcome::Moot));
+            return Err(Stop::Ended(Outcome::NotNeeded));
         }
         // Once a byte may have gone, a break proves nothing.
-        let broken = Stop::Ended(Outcome::BrokenOff);
+        let broken = Stop::Ended(Outcome::ConnectionLost);
         let mut begun = None;
         loop {
             if out.drain_to(stream.inner()).is_err() {
@@ -185,7 +185,7 @@
                 }
                 places.waiting.push_back(coroutine::current());
             }
-            self.check(house, Outcome::Full)?;
+            self.check(house, Outcome::Rejected)?;
             coroutine::park();
         }
     }
@@ -194,9 +194,9 @@
 /// What a reply proves, and never more.
 fn outcome(status: u16, not_run: bool) -> Outcome {
     match (status, not_run) {
-        (200, _) => Outcome::Done,
-        (503, true) => Outcome::Full,
-        (409, true) => Outcome::Moot,
+        (200, _) => Outcome::Completed,
+        (503, true) => Outcome::Rejected,
+        (409, true) => Outcome::NotNeeded,
         (504, _) => Outcome::TimedOut,
         _ => Outcome::Failed,
     }
--- a/crates/drill/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output and hosts one `Brain` for each instance.
+//! Speaks the bench's wire on standard input and output and hosts one `AdmissionPolicy` for each instance.
 //! It frames, decodes and encodes; it decides nothing.
 
 mod wire;
--- a/crates/drill/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames and records of the wire: batches in, replies out.
 
-use puffinladder::{Brain, End, Gauges, News, Outcome, Reason, Txn, Writer};
+use puffinladder::{AdmissionPolicy, Completion, Decisions, Gauges, Outcome, Reason, Request, RoundInput};
 use puffinladder_charter::Meter;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
@@ -106,14 +106,14 @@
     }
     fn outcome(&mut self) -> Result<Outcome, String> {
         Ok(match self.u8()? {
-            10 => Outcome::Done,
+            10 => Outcome::Completed,
             20 => Outcome::Failed,
-            30 => Outcome::Full,
+            30 => Outcome::Rejected,
             40 => Outcome::TimedOut,
             50 => Outcome::Unreachable,
-            60 => Outcome::BrokenOff,
+            60 => Outcome::ConnectionLost,
             70 => Outcome::Cancelled,
-            80 => Outcome::Moot,
+            80 => Outcome::NotNeeded,
             other => return Err(format!("unknown outcome {other}")),
         })
     }
@@ -121,11 +121,11 @@
 
 /// One instance: its brain and the news of the round at hand.
 struct Instance {
-    brain: Brain,
+    brain: AdmissionPolicy,
     meters: Vec<Meter>,
     /// How many products its charter names.
     products: usize,
-    news: News,
+    news: RoundInput,
     /// It has news in this batch.
     touched: bool,
 }
@@ -167,7 +167,7 @@
                 continue;
             }
             self.reply.context = Some(*id);
-            instance.brain.round(&instance.news.round(header.now), &mut self.reply);
+            instance.brain.decide(&instance.news.round(header.now), &mut self.reply);
             instance.news.clear();
         }
         Ok(())
@@ -187,9 +187,9 @@
             let seed = fields.u64()?;
             let len = fields.u32()? as usize;
             let terms = puffinladder_charter::read_terms(fields.take(len)?)?;
-            let brain = Brain::new(&terms.charter, seed);
-            let products = terms.charter.products.len();
-            let news = News::default();
+            let brain = AdmissionPolicy::new(&terms.charter, seed);
+            let products = terms.charter.classes.len();
+            let news = RoundInput::default();
             self.instances
                 .insert(id, Instance { brain, meters: terms.meters, products, news, touched: true });
             self.order.push(id);
@@ -209,46 +209,49 @@
         match code {
             20 => {
                 let txn = submit(fields)?;
-                if txn.product >= instance.products {
+                if txn.class >= instance.products {
                     return Err(format!(
                         "txn {} names product {}, which the start text lacks",
-                        txn.id, txn.product
+                        txn.id, txn.class
                     ));
                 }
-                news.arrived.push(txn);
+                news.arrivals.push(txn);
             }
-            30 => {
-                news.ended.push(End { id: fields.u32()?, outcome: fields.outcome()?, took: fields.span()? })
-            }
-            40 => news.at_call.push(fields.u32()?),
-            50 => news.returned.push(End {
+            30 => news.finished_runs.push(Completion {
+                id: fields.u32()?,
+                outcome: fields.outcome()?,
+                duration: fields.span()?,
+            }),
+            40 => news.awaiting_call.push(fields.u32()?),
+            50 => news.finished_calls.push(Completion {
                 id: fields.u32()?,
                 outcome: fields.outcome()?,
-                took: fields.span()?,
+                duration: fields.span()?,
             }),
-            60 => news.leave = Some(fields.span()?),
-            70 => news.gone.push(fields.u32()?),
-            _ => news.wake = Some(wake(fields, &instance.meters)?),
+            60 => news.drain_deadline = Some(fields.span()?),
+            70 => news.abandoned.push(fields.u32()?),
+            _ => news.tick = Some(wake(fields, &instance.meters)?),
         }
         Ok(())
     }
 }
 
-fn submit(fields: &mut Fields) -> Result<Txn, String> {
+fn submit(fields: &mut Fields) -> Result<Request, String> {
     let (id, product, customer) = (fields.u32()?, fields.u16()?.into(), fields.u16()?.into());
     let _subject = fields.u64()?;
-    let mut txn = Txn { id, product, customer, not_after: fields.span()?, ..Txn::default() };
-    txn.hint = fields.span()?;
+    let mut txn =
+        Request { id, class: product, tenant: customer, deadline: fields.span()?, ..Request::default() };
+    txn.cost_hint = fields.span()?;
     txn.memory = fields.f32()?;
     txn.rank = fields.f32()?;
     let options = fields.u8()?;
-    txn.repeat = options & 2 != 0;
+    txn.is_retry = options & 2 != 0;
     if options & 1 == 0 {
-        txn.hint = 0.0;
+        txn.cost_hint = 0.0;
     }
     txn.caller = fields.u32()?;
-    txn.unread = fields.span()?;
-    txn.forerunner = fields.u32()?;
+    txn.time_unread = fields.span()?;
+    txn.earlier_attempt = fields.u32()?;
     Ok(txn)
 }
 
@@ -308,51 +311,51 @@
     (span * 1e3).to_le_bytes()
 }
 
-impl Writer for Reply {
+impl Decisions for Reply {
     fn run(&mut self, id: u32) {
         self.put_id(10, id);
     }
-    fn decline(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
+    fn reject(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
         let bytes = self.put_id(20, id);
         bytes.extend(ms(retry_after));
         bytes.push(last.into());
     }
-    fn void(&mut self, id: u32, _reason: Reason) {
+    fn fail(&mut self, id: u32, _reason: Reason) {
         self.put_id(30, id);
     }
-    fn pause(&mut self, id: u32) {
+    fn preempt(&mut self, id: u32) {
         self.put_id(40, id);
     }
-    fn call(&mut self, id: u32, limit: f64) {
+    fn allow_call(&mut self, id: u32, limit: f64) {
         self.put_id(50, id).extend(ms(limit));
     }
     fn skip_call(&mut self, id: u32) {
         self.put_id(60, id);
     }
-    fn remember(&mut self, id: u32, span: f64) {
+    fn remember_key(&mut self, id: u32, span: f64) {
         self.put_id(70, id).extend(ms(span));
     }
-    fn forget(&mut self, id: u32) {
+    fn forget_key(&mut self, id: u32) {
         self.put_id(80, id);
     }
-    fn replay(&mut self, id: u32) {
+    fn replay_result(&mut self, id: u32) {
         self.put_id(90, id);
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.put(100).extend([u8::from(good), u8::from(stored)]);
     }
-    fn signal(&mut self, amount: f64) {
+    fn set_load_signal(&mut self, amount: f64) {
         self.put(110).extend((amount as f32).to_le_bytes());
     }
-    fn keepalive(&mut self, span: f64) {
+    fn set_keepalive(&mut self, span: f64) {
         self.put(120).extend(ms(span));
     }
-    fn wake(&mut self, after: f64) {
+    fn schedule_tick(&mut self, after: f64) {
         let bytes = self.put(130);
         bytes.extend(ms(after));
         bytes.extend(0u32.to_le_bytes());
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         let mut end = text.len().min(u16::MAX.into());
         while !text.is_char_boundary(end) {
             end -= 1;
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -97,17 +97,17 @@
 }
 
 /// For whoever has no other reason to know the module's types.
-pub const DONE: Outcome = Outcome::Done;
+pub const DONE: Outcome = Outcome::Completed;
 
 const OUTCOMES: [(Outcome, &str); 8] = [
-    (Outcome::Done, "done"),
+    (Outcome::Completed, "done"),
     (Outcome::Failed, "failed"),
-    (Outcome::Full, "full"),
+    (Outcome::Rejected, "full"),
     (Outcome::TimedOut, "timed out"),
     (Outcome::Unreachable, "unreachable"),
-    (Outcome::BrokenOff, "broken off"),
+    (Outcome::ConnectionLost, "broken off"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "moot"),
+    (Outcome::NotNeeded, "moot"),
 ];
 
 fn outcome_code(outcome: Outcome) -> u8 {
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -174,15 +174,15 @@
         let threshold = expiry * if row.repeat() { 0.04 } else { 0.12 };
         let chance = self.rng.random::<f64>();
         if rush && f64::from(wait) / 1e6 > threshold {
-            let reason = if chance < 0.8 { Reason::Waited } else { Reason::NoTime };
+            let reason = if chance < 0.8 { Reason::WaitedTooLong } else { Reason::InsufficientTime };
             let over = self.draw(0.008, 0.7);
             step(row, Step::declined(reason), (threshold * 1e6) as u32 + over);
             row.keep_off = self.rng.random_range(1..500);
             row.flags |= if self.rng.random_bool(0.4) { LAST } else { 0 };
         } else if chance < 0.0006 {
-            step(row, Step::declined(Reason::Memory), wait);
+            step(row, Step::declined(Reason::MemoryPressure), wait);
         } else if chance < 0.0012 {
-            step(row, Step::voided(Reason::NameTaken), 20);
+            step(row, Step::voided(Reason::DuplicateName), 20);
         } else if row.key != 0 && row.repeat() {
             step(row, Step::REPLAYED, 40);
             let till = self.draw(0.004, 1.0);
@@ -203,17 +203,17 @@
                     step(row, Step::returned(Outcome::TimedOut), away * 4);
                     step(row, Step::CALL_SKIPPED, 15);
                 } else {
-                    step(row, Step::returned(Outcome::Done), away);
+                    step(row, Step::returned(Outcome::Completed), away);
                 }
             }
             if chance > 0.9985 {
                 step(row, Step::ended(Outcome::Failed), run);
                 step(row, Step::voided(Reason::RunFailed), 10);
             } else if chance > 0.998 {
-                step(row, Step::voided(Reason::Due), (expiry * 1e6) as u32);
-                step(row, Step::ended(Outcome::Done), run);
+                step(row, Step::voided(Reason::DeadlineReached), (expiry * 1e6) as u32);
+                step(row, Step::ended(Outcome::Completed), run);
             } else {
-                step(row, Step::ended(Outcome::Done), run);
+                step(row, Step::ended(Outcome::Completed), run);
                 let late = row.spans.iter().map(|s| f64::from(*s) / 1e6).sum::<f64>() > sla;
                 let told = self.draw(0.00002, 0.4);
                 step(row, if late { Step::SETTLED_LATE } else { Step::SETTLED }, told);
--- a/crates/trace/tests/ways.rs
+++ b/crates/trace/tests/ways.rs
@@ -38,12 +38,12 @@
     let quote =
         names.product(&Product { name: "quote".into(), value: 1.0, sla: 4.0, expiry: 8.0, by_work: true });
     let (node, acme, cafe) = (names.word("n1"), names.word("acme"), names.word("café"));
-    let settled = names.path(&[Step::RUN, Step::ended(Outcome::Done), Step::SETTLED].map(|s| s.0));
-    let declined = names.path(&[Step::declined(Reason::Waited).0]);
+    let settled = names.path(&[Step::RUN, Step::ended(Outcome::Completed), Step::SETTLED].map(|s| s.0));
+    let declined = names.path(&[Step::declined(Reason::WaitedTooLong).0]);
     let called =
         [Step::RUN, Step::AT_CALL, Step::CALL, Step::returned(Outcome::TimedOut), Step::CALL_SKIPPED];
     let called: Vec<u8> =
-        called.iter().chain(&[Step::voided(Reason::Due), Step::GONE]).map(|s| s.0).collect();
+        called.iter().chain(&[Step::voided(Reason::DeadlineReached), Step::GONE]).map(|s| s.0).collect();
     let called = names.path(&called);
     let first = Row {
         read: 1_767_225_600_000_000,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,12 +1,12 @@
 //! All decisions of one server: what it takes, runs and turns away, and what it tells its callers.
 //!
-//! The host makes a `Brain::new(&charter, seed)` when the process comes up and calls
+//! The host makes a `AdmissionPolicy::new(&charter, seed)` when the process comes up and calls
 //! `brain.round(&round, &mut writer)` once a round with all that came in; the decisions go straight into the
 //! writer. The types are in `interface.rs`; `docs/design.md` tells where the mechanism comes from.
 //! A txn is stamped with its arrival (unread time counted) and held until a run slot frees. Then its wait is
 //! judged against its product's threshold, and it runs or is declined. The rest guards the rules.
 
-use crate::interface::*;
+use crate::*;
 use slab::Slab;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -70,7 +70,7 @@
 /// Terms of a product, and what its runs have taught.
 #[derive(Default)]
 struct Terms {
-    told: Product,
+    told: RequestClass,
     wait: f64,
     /// s that a run of mean size takes outside its calls, of late, and at its best; s at its calls.
     takes: f64,
@@ -112,7 +112,7 @@
 
 #[derive(Default)]
 struct Hand {
-    news: Txn, // as it was read
+    news: Request, // as it was read
     arrived: f64,
     sla: f64,
     due: f64,
@@ -129,8 +129,8 @@
 }
 
 #[derive(Default)]
-pub struct Brain {
-    told: Charter,
+pub struct AdmissionPolicy {
+    told: PolicySettings,
     products: Vec<Terms>,
     accounts: Vec<Account>,
     callers: f64,
@@ -185,126 +185,127 @@
     used: f64,
 }
 
-impl Brain {
+impl AdmissionPolicy {
     /// A brain for a process that has just come up.
-    pub fn new(charter: &Charter, seed: u64) -> Brain {
-        let mut bands: Vec<f64> = charter.products.iter().map(|p| p.value).collect();
+    pub fn new(charter: &PolicySettings, seed: u64) -> AdmissionPolicy {
+        let mut bands: Vec<f64> = charter.classes.iter().map(|p| p.priority_weight).collect();
         bands.sort_by(f64::total_cmp);
         bands.dedup();
         let dearest = bands[bands.len() - 1];
-        let terms = |p: &Product| {
-            let share = if p.value <= LOW * dearest { WAIT_LOW } else { WAIT };
-            Terms { told: p.clone(), wait: share * p.expiry, ..Terms::default() }
+        let terms = |p: &RequestClass| {
+            let share = if p.priority_weight <= LOW * dearest { WAIT_LOW } else { WAIT };
+            Terms { told: p.clone(), wait: share * p.timeout, ..Terms::default() }
         };
-        let account = |c: &Customer| Account { quota: c.quota / charter.servers, bucket: 0.0, filled: 0.0 };
-        let common = charter.below == Below::Common;
-        let calls_top = if common { CALLS_TOP * charter.calls_share } else { CALLS_CORE * charter.cores };
-        let window = if common { CALLS_FROM * charter.calls_share } else { calls_top };
+        let account = |c: &Tenant| Account { quota: c.quota / charter.servers, bucket: 0.0, filled: 0.0 };
+        let common = charter.downstream == Downstream::SharedDependency;
+        let calls_top =
+            if common { CALLS_TOP * charter.call_concurrency_share } else { CALLS_CORE * charter.cores };
+        let window = if common { CALLS_FROM * charter.call_concurrency_share } else { calls_top };
         let least = if calls_top < 1.0 { window } else { 1.0 };
-        let longest = charter.retry_after.min(RETRY_AFTER);
-        Brain {
+        let longest = charter.max_retry_after.min(RETRY_AFTER);
+        AdmissionPolicy {
             told: charter.clone(),
-            products: charter.products.iter().map(terms).collect(),
-            accounts: charter.customers.iter().map(account).collect(),
+            products: charter.classes.iter().map(terms).collect(),
+            accounts: charter.tenants.iter().map(account).collect(),
             callers: charter.callers.max(1.0),
-            run_factor: charter.run_factor.max(1.0),
-            crowd: (charter.fall_multiple - 1.0).max(0.0),
-            cold_share: if charter.cold { charter.cold_share.min(1.0) } else { 1.0 },
-            cold_span: charter.cold_span.max(1e-3),
-            fall_span: charter.fall_span,
-            calls_span: (CALLS_MEAN * charter.calls_span).max(0.1),
+            run_factor: charter.running_memory_factor.max(1.0),
+            crowd: (charter.overload_multiple - 1.0).max(0.0),
+            cold_share: if charter.starts_cold { charter.cold_capacity_fraction.min(1.0) } else { 1.0 },
+            cold_span: charter.warm_up_duration.max(1e-3),
+            fall_span: charter.overload_window,
+            calls_span: (CALLS_MEAN * charter.call_averaging_window).max(0.1),
             calls_top,
             calls_least: if common { least } else { CALLS_LEAST * calls_top },
-            halts: charter.halt != Halt::Never,
+            halts: charter.preemption != Preemption::Never,
             level_top: 1.0 - 1.0 / bands.len() as f64,
-            retry_after: charter.products.iter().map(|p| p.sla).fold(longest, f64::min),
-            sockets: SOCKETS * charter.cores * charter.fall_multiple,
-            keep: charter.idle,
+            retry_after: charter.classes.iter().map(|p| p.latency_objective).fold(longest, f64::min),
+            sockets: SOCKETS * charter.cores * charter.overload_multiple,
+            keep: charter.idle_timeout,
             chill: 1.0,
             limit: charter.cores,
             stretch: 1.0,
             window,
             chance: seed >> 1 | 1,
-            ..Brain::default()
+            ..AdmissionPolicy::default()
         }
     }
 
     /// Takes in all that came since the last round and writes what is decided.
-    pub fn round(&mut self, round: &Round, out: &mut impl Writer) {
+    pub fn decide(&mut self, round: &Round, out: &mut impl Decisions) {
         let now = round.now;
         if self.started.is_none() {
             self.started = Some(now);
             (self.noted, self.last_round, self.last_step) = (now, now, now);
-            out.health(true, true);
-            out.wake(BEAT);
+            out.set_health(true, true);
+            out.schedule_tick(BEAT);
             if self.cold_share < 1.0 {
                 self.step_signal(now, 0.0, out); // the first answer tells it: callers come unprompted
             }
         }
-        round.returned.iter().for_each(|end| self.returned(now, end, out));
-        for at in round.at_call.iter().filter_map(|id| self.places.get(id)) {
+        round.finished_calls.iter().for_each(|end| self.returned(now, end, out));
+        for at in round.awaiting_call.iter().filter_map(|id| self.places.get(id)) {
             let txn = &mut self.txns[*at];
             txn.stage = Stage::AtCall;
             (txn.at_call, txn.tries, txn.ask_at) = (now, 0, now);
         }
-        round.ended.iter().for_each(|end| self.ended(now, end, out));
-        round.gone.iter().for_each(|id| self.gone(now, *id, round.gone.len() == 1, out));
-        if let Some(kill) = round.leave {
-            self.leave = Some((now + self.told.grace, kill - MARGIN));
-            out.health(false, true);
+        round.finished_runs.iter().for_each(|end| self.ended(now, end, out));
+        round.abandoned.iter().for_each(|id| self.gone(now, *id, round.abandoned.len() == 1, out));
+        if let Some(kill) = round.drain_deadline {
+            self.leave = Some((now + self.told.drain_grace, kill - MARGIN));
+            out.set_health(false, true);
             self.txns.iter_mut().for_each(|(_, txn)| txn.due = txn.due.min(kill - MARGIN));
         }
         self.census(now);
-        round.arrived.iter().for_each(|txn| self.arrived(now, txn, out));
-        if let Some(gauges) = round.wake {
+        round.arrivals.iter().for_each(|txn| self.arrived(now, txn, out));
+        if let Some(gauges) = round.tick {
             self.beat(now, &gauges, out);
         }
         self.open_calls(now, out);
         self.start(now, out);
     }
 
-    fn arrived(&mut self, now: f64, news: &Txn, out: &mut impl Writer) {
-        let product = news.product.min(self.products.len() - 1);
+    fn arrived(&mut self, now: f64, news: &Request, out: &mut impl Decisions) {
+        let product = news.class.min(self.products.len() - 1);
         let tp = &mut self.products[product];
-        let arrived = now - news.unread;
-        let due = if news.not_after > 0.0 { news.not_after } else { arrived + tp.told.expiry };
+        let arrived = now - news.time_unread;
+        let due = if news.deadline > 0.0 { news.deadline } else { arrived + tp.told.timeout };
         let due = self.leave.map_or(due, |(_, kill)| due.min(kill));
-        let sla = tp.told.sla + tp.told.sla_stretch * news.hint;
-        let size = if news.hint > 0.0 && tp.hint > 0.0 { news.hint / tp.hint } else { 1.0 };
-        let referenced = tp.told.effect == Effect::Referenced;
-        self.repeats += NEW * (f64::from(u8::from(news.repeat)) - self.repeats);
-        let over = self.accounts.get_mut(news.customer).is_some_and(|a| a.over(now, !news.repeat));
-        self.longest = self.longest.max(if now < due && !over { news.unread / tp.wait } else { 0.0 });
-        let news = Txn { product, ..*news };
+        let sla = tp.told.latency_objective + tp.told.objective_stretch * news.cost_hint;
+        let size = if news.cost_hint > 0.0 && tp.hint > 0.0 { news.cost_hint / tp.hint } else { 1.0 };
+        let referenced = tp.told.idempotency == Idempotency::Keyed;
+        self.repeats += NEW * (f64::from(u8::from(news.is_retry)) - self.repeats);
+        let over = self.accounts.get_mut(news.tenant).is_some_and(|a| a.over(now, !news.is_retry));
+        self.longest = self.longest.max(if now < due && !over { news.time_unread / tp.wait } else { 0.0 });
+        let news = Request { class: product, ..*news };
         let hand = Hand { news, over, arrived, sla, due, size, ..Hand::default() };
         let at = self.txns.insert(hand);
         self.places.insert(news.id, at);
         self.used += news.memory;
         // A repeat of a txn that is in hand or has run gets that one's result, never a run of its own.
-        if news.forerunner != 0 && referenced {
+        if news.earlier_attempt != 0 && referenced {
             self.txns[at].stage = Stage::Replaying;
-            out.replay(news.id);
+            out.replay_result(news.id);
             return;
         }
         self.hold.push(at);
         if self.leave.is_some_and(|(last, _)| arrived > last - MARGIN) {
-            return self.decline(at, Reason::Leaving, out);
+            return self.decline(at, Reason::Draining, out);
         }
         let keys = (self.keys.len() + 1) as f64 * self.told.key_memory;
-        let room =
-            self.used + self.told.key_memory <= RAM_HOLD * self.told.ram && keys <= RAM_KEYS * self.told.ram;
+        let room = self.used + self.told.key_memory <= RAM_HOLD * self.told.memory
+            && keys <= RAM_KEYS * self.told.memory;
         if referenced && room {
-            let span = (self.products[product].told.window - news.unread).max(MARGIN) + MARGIN;
-            out.remember(news.id, span);
+            let span = (self.products[product].told.dedup_window - news.time_unread).max(MARGIN) + MARGIN;
+            out.remember_key(news.id, span);
             self.txns[at].kept = Some(now + span);
             self.used += self.told.key_memory;
         } else if referenced {
             // Without the memory of its key a repeat could run: it must not run here at all.
-            self.decline(at, Reason::NoKeyRoom, out);
+            self.decline(at, Reason::KeyMemoryFull, out);
         }
     }
 
-    fn ended(&mut self, now: f64, end: &End, out: &mut impl Writer) {
+    fn ended(&mut self, now: f64, end: &Completion, out: &mut impl Decisions) {
         let Some(&at) = self.places.get(&end.id).filter(|a| self.txns[**a].stage != Stage::Held) else {
             return;
         };
@@ -313,11 +314,12 @@
         if !txn.answered && now - txn.arrived > self.patience {
             self.going -= GOING_NEW * self.going;
         }
-        if end.outcome == Outcome::Done && txn.stage == Stage::Running && !txn.skipped {
+        if end.outcome == Outcome::Completed && txn.stage == Stage::Running && !txn.skipped {
             let (hint, span) = (txn.size - 1.0, now - txn.begun);
             let on_cores = span / self.weight(txn);
-            let tp = &mut self.products[txn.news.product];
-            tp.hint = if txn.news.hint > 0.0 { learn(tp.hint, txn.news.hint, NEW) } else { tp.hint };
+            let tp = &mut self.products[txn.news.class];
+            tp.hint =
+                if txn.news.cost_hint > 0.0 { learn(tp.hint, txn.news.cost_hint, NEW) } else { tp.hint };
             let told = (span / tp.takes).min(3.0 * txn.size) - 1.0;
             self.hints_told += NEW * (hint * told - self.hints_told);
             self.hints_seen += NEW * (hint * hint - self.hints_seen);
@@ -325,81 +327,83 @@
             tp.runs += 1.0;
             let most = if tp.runs < NEW_RUNS { f64::MAX } else { RISE * tp.base };
             tp.base = learn(tp.base, on_cores.min(most), 1.0 / tp.runs.min(BASE_RUNS));
-            self.stretch = learn(self.stretch, on_cores / tp.base.min(USUAL * tp.told.sla), STRETCH_NEW);
+            self.stretch =
+                learn(self.stretch, on_cores / tp.base.min(USUAL * tp.told.latency_objective), STRETCH_NEW);
         }
-        self.lingering.extend((txn.stage == Stage::Calling).then_some(now + self.told.lingers));
+        self.lingering.extend((txn.stage == Stage::Calling).then_some(now + self.told.abandoned_call_linger));
         self.drop_hand(at, out);
     }
 
     /// Those who go together went with their connection or gateway; who goes `alone` has lost patience.
-    fn gone(&mut self, now: f64, id: u32, alone: bool, out: &mut impl Writer) {
+    fn gone(&mut self, now: f64, id: u32, alone: bool, out: &mut impl Decisions) {
         let Some(&at) = self.places.get(&id) else { return };
         let txn = &mut self.txns[at];
         txn.answered = true;
         // Who goes before any run could have ended is not waiting for one.
-        if alone && now - txn.arrived > self.products[txn.news.product].base {
+        if alone && now - txn.arrived > self.products[txn.news.class].base {
             self.patience = learn(self.patience, now - txn.arrived, STRETCH_NEW);
             self.going += GOING_NEW * (1.0 - self.going);
         }
-        let inquiry = self.products[txn.news.product].told.effect == Effect::Inquiry;
+        let inquiry = self.products[txn.news.class].told.idempotency == Idempotency::Idempotent;
         match txn.stage {
             Stage::Held | Stage::Replaying => drop(self.drop_hand(at, out)),
             // Nobody waits: free the core. A referenced run goes on, since a repeat may want its result.
-            Stage::Running if self.halts && inquiry => out.pause(id),
+            Stage::Running if self.halts && inquiry => out.preempt(id),
             _ => {}
         }
     }
 
     /// The end of a call. What can't have run may be asked again; an inquiry may always be.
-    fn returned(&mut self, now: f64, end: &End, out: &mut impl Writer) {
+    fn returned(&mut self, now: f64, end: &Completion, out: &mut impl Decisions) {
         let Some(&at) = self.places.get(&end.id).filter(|a| self.txns[**a].stage == Stage::Calling) else {
             return;
         };
         let txn = &mut self.txns[at];
-        let done = end.outcome == Outcome::Done;
+        let done = end.outcome == Outcome::Completed;
         if done {
-            let weight = if end.took < self.call_base { NEW } else { 1.0 / BASE_RUNS };
-            self.call_base = learn(self.call_base, end.took, weight);
-            self.call_takes = learn(self.call_takes, end.took, NEW);
-            let tp = &mut self.products[txn.news.product];
+            let weight = if end.duration < self.call_base { NEW } else { 1.0 / BASE_RUNS };
+            self.call_base = learn(self.call_base, end.duration, weight);
+            self.call_takes = learn(self.call_takes, end.duration, NEW);
+            let tp = &mut self.products[txn.news.class];
             tp.away = learn(tp.away, now - txn.at_call, NEW);
             (txn.begun, txn.stage) = (txn.begun + now - txn.at_call, Stage::Running);
         } else {
-            self.lingering
-                .push_back(now + if end.outcome == Outcome::TimedOut { self.told.lingers } else { 0.0 });
+            self.lingering.push_back(
+                now + if end.outcome == Outcome::TimedOut { self.told.abandoned_call_linger } else { 0.0 },
+            );
             (txn.stage, txn.tries) = (Stage::AtCall, (txn.tries + 1).min(6));
             txn.ask_at = now + CALL_AGAIN * f64::from(1 << txn.tries);
         }
         if done && self.call_takes <= CALLS_RISE * self.call_base {
             self.window += (1.0 / self.window).min(self.window);
-        } else if !matches!(end.outcome, Outcome::Failed | Outcome::BrokenOff)
+        } else if !matches!(end.outcome, Outcome::Failed | Outcome::ConnectionLost)
             && now - self.window_cut > self.call_takes
         {
             (self.window, self.window_cut) = (CALLS_CUT * self.window, now); // once for each turn of calls
         }
-        let tp = &self.products[txn.news.product];
-        let again = end.outcome.never_ran() || tp.told.effect == Effect::Inquiry;
+        let tp = &self.products[txn.news.class];
+        let again = end.outcome.never_ran() || tp.told.idempotency == Idempotency::Idempotent;
         // A broken connection says nothing of the next one: once more before a poorer answer.
-        let broken = matches!(end.outcome, Outcome::BrokenOff | Outcome::Unreachable) && txn.tries == 1;
-        if !done && !txn.answered && (tp.told.skip_share > 0.0 && !broken || !again) {
+        let broken = matches!(end.outcome, Outcome::ConnectionLost | Outcome::Unreachable) && txn.tries == 1;
+        if !done && !txn.answered && (tp.told.degraded_weight_fraction > 0.0 && !broken || !again) {
             self.give_up_call(now, at, out);
         }
     }
 
     /// A txn whose call can't be had: a poorer answer where one is worth something, else an error.
-    fn give_up_call(&mut self, now: f64, at: usize, out: &mut impl Writer) {
+    fn give_up_call(&mut self, now: f64, at: usize, out: &mut impl Decisions) {
         let txn = &mut self.txns[at];
-        if self.products[txn.news.product].told.skip_share > 0.0 {
+        if self.products[txn.news.class].told.degraded_weight_fraction > 0.0 {
             out.skip_call(txn.news.id);
             txn.stage = Stage::Running;
             (txn.begun, txn.skipped) = (txn.begun + now - txn.at_call, true);
         } else {
-            out.void(txn.news.id, Reason::NoCall);
+            out.fail(txn.news.id, Reason::DownstreamUnavailable);
             txn.answered = true;
         }
     }
 
-    fn open_calls(&mut self, now: f64, out: &mut impl Writer) {
+    fn open_calls(&mut self, now: f64, out: &mut impl Decisions) {
         while self.lingering.front().is_some_and(|&end| end <= now) {
             self.lingering.pop_front();
         }
@@ -414,13 +418,16 @@
             let waiting = self.txns.iter().filter(|(_, t)| ready(t)).map(|(at, _)| (at, self.rank(at)));
             let Some((at, _)) = waiting.max_by(|a, b| order(a.1, b.1)) else { return };
             let txn = &mut self.txns[at];
-            let tp = &self.products[txn.news.product];
+            let tp = &self.products[txn.news.class];
             // A hung call must hold neither its txn till the end nor its place in the window: it is left out
             // in good time, where it may, else given up with its SLA time.
             let left = txn.arrived + txn.sla - now;
-            let limit =
-                if tp.told.skip_share > 0.0 { CALL_LEFT * left } else { left.max(CALL_LEFT * txn.sla) };
-            out.call(txn.news.id, limit.min(txn.due - now - MARGIN).max(MARGIN));
+            let limit = if tp.told.degraded_weight_fraction > 0.0 {
+                CALL_LEFT * left
+            } else {
+                left.max(CALL_LEFT * txn.sla)
+            };
+            out.allow_call(txn.news.id, limit.min(txn.due - now - MARGIN).max(MARGIN));
             txn.stage = Stage::Calling;
             (self.calling, room) = (self.calling + 1, room - 1.0);
         }
@@ -435,11 +442,12 @@
 
     /// Value of a held txn for each unit of work, which orders the hold.
     fn worth(&self, txn: &Hand) -> f64 {
-        let tp = &self.products[txn.news.product];
-        let account = if txn.over { self.told.over_quota } else { 1.0 };
-        let work = if self.told.by_work || tp.takes == 0.0 { 1.0 } else { tp.takes * self.weight(txn) };
-        let first = if txn.news.repeat { REPEAT } else { 1.0 };
-        tp.told.value * account * first / work
+        let tp = &self.products[txn.news.class];
+        let account = if txn.over { self.told.over_quota_fraction } else { 1.0 };
+        let work =
+            if self.told.weight_per_work || tp.takes == 0.0 { 1.0 } else { tp.takes * self.weight(txn) };
+        let first = if txn.news.is_retry { REPEAT } else { 1.0 };
+        tp.told.priority_weight * account * first / work
     }
 
     /// Place in the hold, and among those who stand at a call: higher worth first, then the older.
@@ -450,7 +458,7 @@
 
     /// The mechanism: why a held txn is not to run, judged by how long it waited.
     fn judge(&self, now: f64, txn: &Hand, wanted: bool) -> Option<Reason> {
-        let tp = &self.products[txn.news.product];
+        let tp = &self.products[txn.news.class];
         let due = txn.due - MARGIN;
         // A late answer is worth something to its caller while no one else wants the slot.
         let limit = if !wanted { due } else { due.min(txn.arrived + txn.sla) };
@@ -458,14 +466,14 @@
         let limit = if self.going > GOING { limit.min(txn.arrived + self.patience) } else { limit };
         let takes = tp.takes.max(tp.base * self.drag) * self.weight(txn) + tp.away;
         if now + takes > limit {
-            return Some(Reason::NoTime);
+            return Some(Reason::InsufficientTime);
         }
-        let threshold = if txn.news.repeat { WAIT_REPEAT * tp.told.expiry } else { tp.wait };
-        (now - txn.arrived > threshold).then_some(Reason::Waited)
+        let threshold = if txn.news.is_retry { WAIT_REPEAT * tp.told.timeout } else { tp.wait };
+        (now - txn.arrived > threshold).then_some(Reason::WaitedTooLong)
     }
 
     /// Gives freed slots to the best of those who have not waited too long.
-    fn start(&mut self, now: f64, out: &mut impl Writer) {
+    fn start(&mut self, now: f64, out: &mut impl Decisions) {
         let limit = self.limit.min(CEILING * self.crowd_now(now)).max(1.0).floor() as usize;
         while self.running < limit && self.room(now) > 0.0 {
             let ranks = self.hold.iter().map(|at| self.rank(*at)).enumerate();
@@ -477,7 +485,7 @@
                 continue;
             }
             let more = txn.news.memory * (self.run_factor - 1.0);
-            if self.used + more > RAM_RUN * self.told.ram && self.running + self.calling > 0 {
+            if self.used + more > RAM_RUN * self.told.memory && self.running + self.calling > 0 {
                 return;
             }
             self.hold.swap_remove(place);
@@ -513,14 +521,14 @@
         most - (self.hold.len() + self.running + self.calling) as f64
     }
 
-    fn beat(&mut self, now: f64, gauges: &Gauges, out: &mut impl Writer) {
-        out.wake(BEAT);
+    fn beat(&mut self, now: f64, gauges: &Gauges, out: &mut impl Decisions) {
+        out.schedule_tick(BEAT);
         self.answer_due(now, out);
         for place in (0..self.hold.len()).rev() {
             let at = self.hold[place];
             let txn = &self.txns[at];
-            let waited = if txn.news.repeat || txn.over { 0.0 } else { now - txn.arrived };
-            self.longest = self.longest.max(waited / self.products[txn.news.product].wait);
+            let waited = if txn.news.is_retry || txn.over { 0.0 } else { now - txn.arrived };
+            self.longest = self.longest.max(waited / self.products[txn.news.class].wait);
             if let Some(reason) = self.judge(now, txn, true) {
                 self.decline(at, reason, out);
             }
@@ -541,15 +549,16 @@
         self.step_health(now, out);
         // Guards against a table full of idle connections: it taxes the cores and turns callers back unseen.
         let step = if gauges.sockets.unwrap_or(0.0) > self.sockets { -KEEP_STEP } else { KEEP_STEP };
-        self.keep = (self.keep * (1.0 + step)).clamp(STEP.min(self.told.idle), self.told.idle);
-        out.keepalive(self.keep);
-        out.limits(self.limit, self.window, self.pressure);
+        self.keep =
+            (self.keep * (1.0 + step)).clamp(STEP.min(self.told.idle_timeout), self.told.idle_timeout);
+        out.set_keepalive(self.keep);
+        out.record_limits(self.limit, self.window, self.pressure);
         self.longest = 0.0;
         if now - self.noted > NOTE && !self.sheds.is_empty() {
             self.noted = now;
             let sheds = std::mem::take(&mut self.sheds).into_iter();
             let text: String = sheds.map(|((p, r), n)| format!(" product {p} {} {n},", r.text())).collect();
-            out.note(&format!("declined:{text} limit {:.1}, calls {:.1}", self.limit, self.window));
+            out.log(&format!("declined:{text} limit {:.1}, calls {:.1}", self.limit, self.window));
         }
     }
 
@@ -567,7 +576,7 @@
             self.limit.clamp(self.told.cores, CEILING * self.told.cores * (1.0 + self.crowd)).max(1.0);
     }
 
-    fn step_signal(&mut self, now: f64, busy: f64, out: &mut impl Writer) {
+    fn step_signal(&mut self, now: f64, busy: f64, out: &mut impl Decisions) {
         if self.longest > TIGHT {
             self.pressure = (self.pressure + PRESS).min(1.0);
         } else if self.longest < TIGHT / 2.0 {
@@ -578,7 +587,7 @@
         self.say(now, busy, out);
     }
 
-    fn say(&mut self, now: f64, busy: f64, out: &mut impl Writer) {
+    fn say(&mut self, now: f64, busy: f64, out: &mut impl Decisions) {
         // Guards against a full share for a cold server: it asks for no more than the share of its speed,
         // until work that leaves cores free shows that it has more than the settings promise.
         self.chill = self.chill.min(1.0 - self.warmth(now));
@@ -588,12 +597,12 @@
         let pressure = self.pressure.max(self.chill);
         let bias = 1.0 - BIAS_CUT * pressure;
         let left = self.ramp_left(now);
-        let amount = match self.told.signal {
-            Signal::Silent => return,
-            Signal::Level => self.level_top * pressure,
-            Signal::Bias => bias,
+        let amount = match self.told.load_signal {
+            LoadSignal::None => return,
+            LoadSignal::MinimumRank => self.level_top * pressure,
+            LoadSignal::SelectionBias => bias,
             // What can be finished within the shortest wait, beside what runs; far more while nothing waits.
-            Signal::Tokens => {
+            LoadSignal::Tokens => {
                 let wait = self.products.iter().map(|p| p.wait).fold(f64::MAX, f64::min);
                 let seen = 1.0 - (-(now - self.started.unwrap_or(now)) / RATE_SPAN).exp();
                 let room = self.limit + TOKEN_WAIT * self.finished / seen.max(STEP) * wait;
@@ -605,27 +614,27 @@
         };
         if (amount - self.said).abs() > 1e-3 {
             self.said = amount;
-            out.signal(amount);
+            out.set_load_signal(amount);
         }
     }
 
     /// Nothing in hand passes its due time unanswered, whatever it is doing.
-    fn answer_due(&mut self, now: f64, out: &mut impl Writer) {
+    fn answer_due(&mut self, now: f64, out: &mut impl Decisions) {
         for at in 0..self.txns.capacity() {
             let Some(txn) = self.txns.get_mut(at).filter(|t| !t.answered && t.stage != Stage::Held) else {
                 continue;
             };
             if now >= txn.due - MARGIN {
-                out.void(txn.news.id, Reason::Due);
+                out.fail(txn.news.id, Reason::DeadlineReached);
                 txn.answered = true;
                 if txn.stage == Stage::Running && self.halts {
-                    out.pause(txn.news.id);
+                    out.preempt(txn.news.id);
                 } else if txn.stage == Stage::Replaying {
                     self.drop_hand(at, out);
                 }
             } else if txn.stage == Stage::AtCall
                 && now - txn.at_call > CALL_WAIT * txn.sla
-                && self.products[txn.news.product].told.skip_share > 0.0
+                && self.products[txn.news.class].told.degraded_weight_fraction > 0.0
                 && self.room(now) > 0.0
             {
                 // The same judgement at the second queue: who waited too long for a call leaves it out.
@@ -637,13 +646,13 @@
 
     /// Keeps held memory under the machine's, and what a cold server has in hand within its ramp, lowest
     /// worth first.
-    fn cut_hold(&mut self, now: f64, out: &mut impl Writer) {
+    fn cut_hold(&mut self, now: f64, out: &mut impl Decisions) {
         let mut cold = false;
-        while self.used > RAM_HOLD * self.told.ram || self.ramp_left(now) < 0.0 {
-            let full = self.used > RAM_HOLD * self.told.ram;
+        while self.used > RAM_HOLD * self.told.memory || self.ramp_left(now) < 0.0 {
+            let full = self.used > RAM_HOLD * self.told.memory;
             let ranks = self.hold.iter().map(|&at| (at, self.rank(at)));
             let Some((at, _)) = ranks.min_by(|a, b| order(a.1, b.1)) else { break };
-            self.decline(at, if full { Reason::Memory } else { Reason::Cold }, out);
+            self.decline(at, if full { Reason::MemoryPressure } else { Reason::WarmingUp }, out);
             cold |= !full;
         }
         if cold {
@@ -652,10 +661,10 @@
     }
 
     /// Turns a held txn away, which never ran here, with advice to keep off.
-    fn decline(&mut self, at: usize, reason: Reason, out: &mut impl Writer) {
+    fn decline(&mut self, at: usize, reason: Reason, out: &mut impl Decisions) {
         let txn = self.drop_hand(at, out);
         // Where further tries are frequent the others are full too: walking on would only cost reading.
-        let last = reason != Reason::Leaving && (txn.news.repeat || self.repeats > WALKING);
+        let last = reason != Reason::Draining && (txn.news.is_retry || self.repeats > WALKING);
         let sound = self.stretch.max(self.drag) < SOUND && self.leave.is_none();
         let keep_off = self.retry_after * if sound { 2.0 * RETRY_SOUND * self.draw() } else { 1.0 };
         // Where callers are few each brings much: kept off for long they would leave the cores idle in turns.
@@ -665,8 +674,8 @@
         let turn = self.callers * self.fall_span / self.crowd_now(self.last_round);
         let full = self.ramp_left(self.last_round) < 1.0;
         let keep_off = if full { keep_off.max(turn.min(self.retry_after)) } else { keep_off };
-        out.decline(txn.news.id, keep_off, last, reason);
-        *self.sheds.entry((txn.news.product, reason)).or_default() += 1;
+        out.reject(txn.news.id, keep_off, last, reason);
+        *self.sheds.entry((txn.news.class, reason)).or_default() += 1;
     }
 
     /// Chance from 0 to under 1: multiply with carry, from the wire's seed.
@@ -676,14 +685,14 @@
     }
 
     /// One that never ran leaves no key behind.
-    fn drop_hand(&mut self, at: usize, out: &mut impl Writer) -> Hand {
+    fn drop_hand(&mut self, at: usize, out: &mut impl Decisions) -> Hand {
         let txn = self.txns.remove(at);
         self.places.remove(&txn.news.id);
         if txn.stage == Stage::Held {
             self.used -= self.held_ram(&txn);
             self.hold.retain(|&held| held != at);
             if txn.kept.is_some() {
-                out.forget(txn.news.id);
+                out.forget_key(txn.news.id);
             }
         }
         txn
@@ -714,11 +723,11 @@
             self.calling += usize::from(txn.stage == Stage::Calling);
             if txn.stage == Stage::Running {
                 self.running += 1;
-                self.products[txn.news.product].seen = now;
-                let tp = &self.products[txn.news.product];
+                self.products[txn.news.class].seen = now;
+                let tp = &self.products[txn.news.class];
                 // A machine slow from its first run has no base to tell by: runs that outlast SLA times tell.
                 let known = if tp.runs < NEW_RUNS { f64::MAX } else { tp.base };
-                let takes = known.min(USUAL * tp.told.sla) * self.weight(txn);
+                let takes = known.min(USUAL * tp.told.latency_objective) * self.weight(txn);
                 (age, usual) = (age + now - txn.begun, usual + takes);
                 old += usize::from(now - txn.begun > SLOW * takes);
             }
@@ -732,19 +741,19 @@
     /// Guards against a slow machine where the list follows health: what is sent here moves on too late, so
     /// the server leaves the list for a while, then tries again. Judged by its runs against their base, never
     /// by load, or a crowded fleet would list itself out.
-    fn step_health(&mut self, now: f64, out: &mut impl Writer) {
+    fn step_health(&mut self, now: f64, out: &mut impl Decisions) {
         let rise = self.stretch.max(self.drag);
         self.sound_at = if rise < SLOW || self.longest < TIGHT / 2.0 { now } else { self.sound_at };
         match self.off_since {
-            _ if !self.told.list_follows || self.leave.is_some() => {}
+            _ if !self.told.endpoints_follow_health || self.leave.is_some() => {}
             None if now - self.sound_at > SLOW_FOR => {
                 self.off_since = Some(now);
-                out.health(false, true);
-                out.note(&format!("off the list: runs take {rise:.1} times their base"));
+                out.set_health(false, true);
+                out.log(&format!("off the list: runs take {rise:.1} times their base"));
             }
             Some(since) if now - since > OFF => {
                 self.off_since = None;
-                out.health(true, true);
+                out.set_health(true, true);
             }
             _ => {}
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,22 @@
-//! puffinladder decides, inside each server of a fleet, what the server takes, runs and turns away.
+//! Admission policy of one server: which requests it admits, runs and rejects, and what it tells its callers.
 //!
-//! [`Brain`] holds every decision; [`interface`] holds the types it is fed and the [`Writer`] it answers
-//! through. Nothing here knows a protocol: whoever hosts a brain turns its own messages into a [`Round`]
-//! and carries out what the brain writes.
+//! [`AdmissionPolicy`] makes every decision. A host feeds it one [`Round`] at a time, with everything that
+//! happened since the round before, and the policy answers through the host's [`Decisions`]. The package knows
+//! no protocol, no clock and no thread: the host translates its own messages and carries out what is decided.
 #![forbid(unsafe_code)]
 
-pub mod brain;
-pub mod interface;
+mod brain;
+mod decisions;
+mod outcome;
+mod request;
+mod round;
+mod settings;
 
-pub use brain::Brain;
-pub use interface::*;
+pub use brain::AdmissionPolicy;
+pub use decisions::Decisions;
+pub use outcome::{Outcome, Reason};
+pub use request::Request;
+pub use round::{Completion, Gauges, Round, RoundInput};
+pub use settings::{
+    Downstream, Idempotency, LoadSignal, PolicySettings, Preemption, RequestClass, SettingsError, Tenant,
+};
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -74,18 +74,18 @@
     }
 }
 
-impl Writer for Recorder {
+impl Decisions for Recorder {
     fn run(&mut self, id: u32) {
         self.put(0, id, &[], &[]);
         let (until, calls) = (self.now + self.work(), self.numbers.one_in(3));
         self.open.insert(id, State::Running { until, calls });
     }
-    fn decline(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
+    fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
         self.reasons.insert(reason.text());
         self.put(1, id, &[retry_after], &[last.into(), reason.code()]);
         self.open.remove(&id);
     }
-    fn void(&mut self, id: u32, reason: Reason) {
+    fn fail(&mut self, id: u32, reason: Reason) {
         self.reasons.insert(reason.text());
         self.put(2, id, &[], &[reason.code()]);
         if let Some(State::AtCall { .. } | State::Running { .. }) = self.open.get(&id) {
@@ -95,11 +95,11 @@
             self.open.remove(&id);
         }
     }
-    fn pause(&mut self, id: u32) {
+    fn preempt(&mut self, id: u32) {
         self.put(3, id, &[], &[]);
         self.open.insert(id, State::Running { until: self.now, calls: false });
     }
-    fn call(&mut self, id: u32, limit: f64) {
+    fn allow_call(&mut self, id: u32, limit: f64) {
         self.put(4, id, &[limit], &[]);
         let span = self.slow * (0.01 + 0.03 * self.numbers.fraction());
         let Some(State::AtCall { work_left }) = self.open.get(&id).copied() else {
@@ -111,92 +111,92 @@
         self.put(5, id, &[], &[]);
         self.open.insert(id, State::Running { until: self.now + 0.002, calls: false });
     }
-    fn remember(&mut self, id: u32, span: f64) {
+    fn remember_key(&mut self, id: u32, span: f64) {
         self.put(6, id, &[span], &[]);
         self.keys.push(id);
     }
-    fn forget(&mut self, id: u32) {
+    fn forget_key(&mut self, id: u32) {
         self.put(7, id, &[], &[]);
         self.keys.retain(|key| *key != id);
     }
-    fn replay(&mut self, id: u32) {
+    fn replay_result(&mut self, id: u32) {
         self.put(8, id, &[], &[]);
         self.open.insert(id, State::Replaying { until: self.now + 0.02 });
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.put(9, 0, &[], &[good.into(), stored.into()]);
     }
-    fn signal(&mut self, amount: f64) {
+    fn set_load_signal(&mut self, amount: f64) {
         self.put(10, 0, &[amount], &[]);
     }
-    fn keepalive(&mut self, span: f64) {
+    fn set_keepalive(&mut self, span: f64) {
         self.put(11, 0, &[span], &[]);
     }
-    fn wake(&mut self, after: f64) {
+    fn schedule_tick(&mut self, after: f64) {
         self.put(12, 0, &[after], &[]);
         self.wake_at = self.now + after;
     }
-    fn limits(&mut self, runs: f64, calls: f64, pressure: f64) {
+    fn record_limits(&mut self, runs: f64, calls: f64, pressure: f64) {
         self.put(13, 0, &[runs, calls, pressure], &[]);
     }
-    fn note(&mut self, _text: &str) {
+    fn log(&mut self, _text: &str) {
         self.put(14, 0, &[], &[]); // the wording is the log's
     }
 }
 
-fn product(value: f64, effect: Effect, skip_share: f64) -> Product {
-    Product {
-        sla: 0.25,
-        sla_stretch: 0.5,
-        expiry: 1.0,
-        value,
-        late_share: 0.3,
-        effect,
-        window: 3.0,
-        calls: true,
-        skip_share,
+fn product(value: f64, effect: Idempotency, skip_share: f64) -> RequestClass {
+    RequestClass {
+        latency_objective: 0.25,
+        objective_stretch: 0.5,
+        timeout: 1.0,
+        priority_weight: value,
+        late_weight_fraction: 0.3,
+        idempotency: effect,
+        dedup_window: 3.0,
+        makes_calls: true,
+        degraded_weight_fraction: skip_share,
     }
 }
 
-fn base() -> Charter {
-    Charter {
+fn base() -> PolicySettings {
+    PolicySettings {
         servers: 3.0,
         callers: 12.0,
         cores: 4.0,
-        ram: 6_000.0,
-        run_factor: 3.0,
+        memory: 6_000.0,
+        running_memory_factor: 3.0,
         key_memory: 2.0,
-        products: vec![
-            product(4.0, Effect::Inquiry, 0.5),
-            product(1.0, Effect::Inquiry, 0.0),
-            product(3.0, Effect::Referenced, 0.0),
-            product(2.5, Effect::OnceOnly, 0.25),
+        classes: vec![
+            product(4.0, Idempotency::Idempotent, 0.5),
+            product(1.0, Idempotency::Idempotent, 0.0),
+            product(3.0, Idempotency::Keyed, 0.0),
+            product(2.5, Idempotency::NonIdempotent, 0.25),
         ],
-        customers: vec![Customer { quota: 120.0 }, Customer { quota: 400.0 }, Customer { quota: 30.0 }],
-        over_quota: 0.1,
-        by_work: true,
-        below: Below::Common,
-        calls_share: 6.0,
-        calls_span: 2.0,
-        lingers: 0.2,
-        halt: Halt::Never,
-        signal: Signal::Level,
-        list_follows: true,
-        cold: false,
-        cold_share: 0.2,
-        cold_span: 6.0,
-        fall_multiple: 4.0,
-        fall_span: 1.0,
-        grace: 0.5,
-        retry_after: 2.0,
-        idle: 20.0,
+        tenants: vec![Tenant { quota: 120.0 }, Tenant { quota: 400.0 }, Tenant { quota: 30.0 }],
+        over_quota_fraction: 0.1,
+        weight_per_work: true,
+        downstream: Downstream::SharedDependency,
+        call_concurrency_share: 6.0,
+        call_averaging_window: 2.0,
+        abandoned_call_linger: 0.2,
+        preemption: Preemption::Never,
+        load_signal: LoadSignal::MinimumRank,
+        endpoints_follow_health: true,
+        starts_cold: false,
+        cold_capacity_fraction: 0.2,
+        warm_up_duration: 6.0,
+        overload_multiple: 4.0,
+        overload_window: 1.0,
+        drain_grace: 0.5,
+        max_retry_after: 2.0,
+        idle_timeout: 20.0,
     }
 }
 
 /// Plays [`STEPS`] steps and returns what was recorded.
-fn play(charter: &Charter, seed: u64) -> Recorder {
-    charter.check().expect("the charter is sound");
-    let mut brain = Brain::new(charter, seed);
+fn play(charter: &PolicySettings, seed: u64) -> Recorder {
+    charter.validate().expect("the charter is sound");
+    let mut brain = AdmissionPolicy::new(charter, seed);
     let mut host = Recorder {
         hash: 0xcbf2_9ce4_8422_2325,
         counts: [0; 15],
@@ -208,7 +208,7 @@
         wake_at: START,
         reasons: BTreeSet::new(),
     };
-    let mut news = News::default();
+    let mut news = RoundInput::default();
     let (mut next, mut busy) = (1u32, 0.0);
     for step in 0..STEPS {
         host.now = START + f64::from(step) * STEP;
@@ -219,58 +219,58 @@
         for _ in 0..host.numbers.below(if flood { 4 } else { 2 }) {
             let txn = arrival(&mut host, next, flood);
             host.open.insert(next, State::Held);
-            news.arrived.push(txn);
+            news.arrivals.push(txn);
             next += 1;
         }
         leave_early(&mut host, &mut news);
         if step == STEPS - 500 {
-            news.leave = Some(now + 1.2);
+            news.drain_deadline = Some(now + 1.2);
         }
         let running =
             host.open.values().filter(|state| matches!(state, State::Running { .. })).count() as f64;
         busy += 0.1 * ((running / charter.cores).min(1.0) - busy);
         if now >= host.wake_at {
             let sockets = Some(if flood { 60.0 } else { 5.0 });
-            news.wake = Some(Gauges { busy: Some(busy), runnable: Some(running), memory: None, sockets });
+            news.tick = Some(Gauges { busy: Some(busy), runnable: Some(running), memory: None, sockets });
         }
-        brain.round(&news.round(now), &mut host);
+        brain.decide(&news.round(now), &mut host);
         news.clear();
     }
     host
 }
 
 /// Enters what ends, reaches its call or comes back from it now.
-fn due(host: &mut Recorder, news: &mut News) {
+fn due(host: &mut Recorder, news: &mut RoundInput) {
     let now = host.now;
     let open: Vec<(u32, State)> = host.open.iter().map(|(id, state)| (*id, *state)).collect();
     for (id, state) in open {
         match state {
             State::Running { until, calls: true } if until <= now => {
-                news.at_call.push(id);
+                news.awaiting_call.push(id);
                 let work_left = host.work();
                 host.open.insert(id, State::AtCall { work_left });
             }
             State::Running { until, calls: false } if until <= now => {
-                let outcome = if host.numbers.one_in(40) { Outcome::Failed } else { Outcome::Done };
-                news.ended.push(End { id, outcome, took: 0.01 });
+                let outcome = if host.numbers.one_in(40) { Outcome::Failed } else { Outcome::Completed };
+                news.finished_runs.push(Completion { id, outcome, duration: 0.01 });
                 host.open.remove(&id);
             }
             State::Replaying { until } if until <= now => {
-                news.ended.push(End { id, outcome: Outcome::Done, took: 0.02 });
+                news.finished_runs.push(Completion { id, outcome: Outcome::Completed, duration: 0.02 });
                 host.open.remove(&id);
             }
             State::Calling { until, work_left } if until <= now => {
                 let outcome = match host.numbers.below(24) {
                     0 => Outcome::Failed,
-                    1 => Outcome::Full,
+                    1 => Outcome::Rejected,
                     2 => Outcome::TimedOut,
                     3 => Outcome::Unreachable,
-                    4 => Outcome::BrokenOff,
-                    _ => Outcome::Done,
+                    4 => Outcome::ConnectionLost,
+                    _ => Outcome::Completed,
                 };
                 let took = 0.01 + 0.03 * host.numbers.fraction();
-                news.returned.push(End { id, outcome, took });
-                let state = if outcome == Outcome::Done {
+                news.finished_calls.push(Completion { id, outcome, duration: took });
+                let state = if outcome == Outcome::Completed {
                     State::Running { until: now + work_left, calls: false }
                 } else {
                     State::AtCall { work_left }
@@ -282,7 +282,7 @@
     }
 }
 
-fn arrival(host: &mut Recorder, id: u32, flood: bool) -> Txn {
+fn arrival(host: &mut Recorder, id: u32, flood: bool) -> Request {
     let numbers = &mut host.numbers;
     let product = numbers.below(4) as usize;
     let repeat = numbers.one_in(if flood { 4 } else { 20 });
@@ -290,30 +290,30 @@
         Some(key) if repeat && product == 2 => *key,
         _ => 0,
     };
-    Txn {
+    Request {
         id,
-        product,
-        customer: numbers.below(3) as usize,
-        not_after: if numbers.one_in(5) { host.now + 0.1 + 0.5 * numbers.fraction() } else { 0.0 },
-        hint: if numbers.one_in(2) { 0.004 + 0.06 * numbers.fraction() } else { 0.0 },
+        class: product,
+        tenant: numbers.below(3) as usize,
+        deadline: if numbers.one_in(5) { host.now + 0.1 + 0.5 * numbers.fraction() } else { 0.0 },
+        cost_hint: if numbers.one_in(2) { 0.004 + 0.06 * numbers.fraction() } else { 0.0 },
         memory: if flood { 40.0 } else { 10.0 } + 30.0 * numbers.fraction(),
         rank: numbers.fraction(),
         caller: numbers.below(12) as u32,
-        repeat,
-        unread: 0.05 * numbers.fraction(),
-        forerunner,
+        is_retry: repeat,
+        time_unread: 0.05 * numbers.fraction(),
+        earlier_attempt: forerunner,
     }
 }
 
 /// Now and then a caller gives up, or several at once lose their connection.
-fn leave_early(host: &mut Recorder, news: &mut News) {
+fn leave_early(host: &mut Recorder, news: &mut RoundInput) {
     if !host.numbers.one_in(10) {
         return;
     }
     let alone = host.numbers.one_in(2);
     let ids: Vec<u32> = host.open.keys().copied().take(if alone { 1 } else { 3 }).collect();
     for id in ids {
-        news.gone.push(id);
+        news.abandoned.push(id);
         if let Some(State::Held | State::Replaying { .. }) = host.open.get(&id) {
             host.open.remove(&id);
         }
@@ -327,7 +327,7 @@
     reasons: BTreeSet<&'static str>,
 }
 
-fn check(name: &str, charter: &Charter, golden: &[u64; 3], seen: &mut Seen) {
+fn check(name: &str, charter: &PolicySettings, golden: &[u64; 3], seen: &mut Seen) {
     let hash = |seed| {
         let host = play(charter, seed);
         seen.counts.iter_mut().zip(host.counts).for_each(|(sum, count)| *sum += count);
@@ -340,7 +340,7 @@
 
 #[test]
 fn the_decisions_are_those_of_the_recorded_rounds() {
-    let cases: [(&str, Charter, [u64; 3]); 8] = [
+    let cases: [(&str, PolicySettings, [u64; 3]); 8] = [
         (
             "level, shared dependency",
             base(),
@@ -348,32 +348,53 @@
         ),
         (
             "tokens, cold, pauses",
-            Charter { signal: Signal::Tokens, cold: true, halt: Halt::Pause, ..base() },
+            PolicySettings {
+                load_signal: LoadSignal::Tokens,
+                starts_cold: true,
+                preemption: Preemption::Suspend,
+                ..base()
+            },
             [0x40ab_aa43_d3fa_8ef9, 0xb832_7402_f613_1268, 0xc0f0_8828_c929_6db1],
         ),
         (
             "bias, cold, drops, next tier",
-            Charter { signal: Signal::Bias, cold: true, halt: Halt::Drop, below: Below::NextTier, ..base() },
+            PolicySettings {
+                load_signal: LoadSignal::SelectionBias,
+                starts_cold: true,
+                preemption: Preemption::Discard,
+                downstream: Downstream::NextTier,
+                ..base()
+            },
             [0xb7ee_f027_19ce_19fa, 0xe9ec_fe3b_c5a3_c3cf, 0x24fe_8941_376f_68ed],
         ),
         (
             "silent, value by request, list does not follow",
-            Charter { signal: Signal::Silent, by_work: false, list_follows: false, ..base() },
+            PolicySettings {
+                load_signal: LoadSignal::None,
+                weight_per_work: false,
+                endpoints_follow_health: false,
+                ..base()
+            },
             [0xb505_fdbe_3afc_79e7, 0x5831_1ec5_39a5_a8b3, 0xe8ff_e2c5_aba8_b615],
         ),
         (
             "a share of calls under one",
-            Charter { calls_share: 0.4, customers: vec![], ..base() },
+            PolicySettings { call_concurrency_share: 0.4, tenants: vec![], ..base() },
             [0x624d_cb81_93aa_c90f, 0x3083_3a28_78d7_fc04, 0x763c_1960_8819_2e38],
         ),
         (
             "little memory",
-            Charter { ram: 700.0, key_memory: 25.0, ..base() },
+            PolicySettings { memory: 700.0, key_memory: 25.0, ..base() },
             [0x0e66_9f67_4410_12b1, 0x562f_1166_5d99_d09a, 0xb8ef_93bc_3abd_0b36],
         ),
         (
             "no calls, tokens, one core",
-            Charter { below: Below::Nothing, cores: 1.0, signal: Signal::Tokens, ..base() },
+            PolicySettings {
+                downstream: Downstream::None,
+                cores: 1.0,
+                load_signal: LoadSignal::Tokens,
+                ..base()
+            },
             [0x2cca_87a2_0f99_82ed, 0x890c_90c4_dad2_72e7, 0xa27e_7dd3_27f7_062f],
         ),
         ("short SLA times", short(), [0xa2a8_7e7c_ba95_2ec7, 0x2e66_aa18_9d7e_fbfa, 0x19a9_3c0f_902e_5e89]),
@@ -388,10 +409,10 @@
     assert!(seen.reasons.iter().eq(&reasons), "{:?}", seen.reasons);
 }
 
-fn short() -> Charter {
+fn short() -> PolicySettings {
     let mut charter = base();
-    for product in &mut charter.products {
-        (product.sla, product.expiry) = (0.08, 0.3);
+    for product in &mut charter.classes {
+        (product.latency_objective, product.timeout) = (0.08, 0.3);
     }
     charter
 }
