--- /dev/null
+++ b/crates/lease-store/tests/golden.rs
@@ -0,0 +1,269 @@
+//! Compatibility with what earlier versions wrote: the store's file as it lies on disk (`tests/data/keeper.redb`), the log entries and snapshot
+//! inside it, and every line on the TCP connections. The literals here never change; a failing test means that data of a running
+//! installation can no longer be read.
+
+use puffinladder_lease_store::core::{Core, Terms};
+use puffinladder_lease_store::log::{Disk, Kept, Shot, Vote};
+use puffinladder_lease_store::members::{Change, Members};
+use puffinladder_lease_store::serve::{start, Setup};
+use puffinladder_lease_store::store::Store;
+use puffinladder_leases::table::Declared;
+use puffinladder_leases::words::{Answer, Ask, Event, Events};
+use puffinladder_transport::{dial, Clock};
+use serde::{de::DeserializeOwned, Serialize};
+use std::path::PathBuf;
+use std::time::Duration;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+
+/// The snapshot's contents: the table and the members.
+const SNAPSHOT: &str = "00000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440\
+    000000000000004040000000000000fb3f030402066761746865720667617468657202000002010273310101000000000000f33f0000000000010273310102\
+    000000000000f33f00000000000571756f74610571756f74610101027a310001010273310103000000000000f33f00000000000102733101027a3101000000\
+    000000004052b81e85ebd1094002066761746865720571756f7461000403066761746865720006676174686572010571756f74610001027331010000000000\
+    0000000000000000000000f33f00000000000000f33f00000000000000000001020f3132372e302e302e323a313832303100";
+
+/// Index, term, kind, data and context of each entry behind the snapshot: time, an instance's line, a pause, a move, the removal of replica 2.
+const ENTRIES: [(u64, u64, i32, &str, &str); 9] = [
+    (21, 2, 0, "000000000000fd3f00", ""),
+    (22, 2, 0, "000000000000ff3f00", ""),
+    (23, 2, 0, "000000000080004000", ""),
+    (24, 2, 0, "000000000080014000", ""),
+    (
+        25,
+        2,
+        0,
+        "0000000000800140020102733201027a320102066761746865720571756f7461000106676174686572000105010106676174686572010900",
+        "",
+    ),
+    (26, 2, 0, "0000000000800140030571756f746101", "4700000000000000"),
+    (27, 2, 0, "0000000000800140040667617468657200027332", "4800000000000000"),
+    (28, 2, 0, "000000000080024000", ""),
+    (29, 2, 1, "100118022203490202", "490202"),
+];
+
+/// The table once all of these entries are applied.
+const ROWS: &str = concat!(
+    r#"[{"duty":{"name":"gather","part":0},"owner":{"instance":"s1","incarnation":1},"epoch":1,"since":1.1875,"back":true,"paused":false},"#,
+    r#"{"duty":{"name":"gather","part":1},"owner":{"instance":"s1","incarnation":1},"epoch":2,"since":1.1875,"back":false,"paused":false},"#,
+    r#"{"duty":{"name":"quota","part":0},"owner":{"instance":"s1","incarnation":1},"epoch":3,"since":1.1875,"back":true,"paused":true}]"#
+);
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// A copy of the stored file, since opening a file writes to it.
+fn copy(folder: &tempfile::TempDir) -> PathBuf {
+    let path = folder.path().join("keeper.redb");
+    std::fs::copy(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/keeper.redb"), &path).unwrap();
+    path
+}
+
+fn terms() -> Terms {
+    let duties = vec![
+        Declared { name: "gather".into(), parts: 2, zone: None },
+        Declared { name: "quota".into(), parts: 1, zone: Some("z1".into()) },
+    ];
+    Terms { duties, compact: 1000, ..Terms::default() }
+}
+
+fn stored() -> Disk {
+    let shot = Shot { index: 20, term: 2, voters: vec![1, 2], learners: vec![], table: bytes(SNAPSHOT) };
+    let kept = |(index, term, kind, data, context): (u64, u64, i32, &str, &str)| Kept {
+        index,
+        term,
+        kind,
+        data: bytes(data),
+        context: bytes(context),
+    };
+    let entries = ENTRIES.into_iter().map(kept).collect();
+    Disk { vote: Vote { term: 2, vote: 1, commit: 29 }, shot, entries }
+}
+
+#[test]
+fn a_stored_file_reads_back_to_the_state_it_was_written_with() {
+    let folder = tempfile::tempdir().unwrap();
+    let (store, disk) = Store::open(&copy(&folder)).unwrap();
+    assert_eq!(store.id(), 1);
+    assert_eq!(disk, stored());
+}
+
+#[test]
+fn snapshot_and_entries_give_the_table_and_the_members() {
+    let mut core = Core::new(1, terms(), &stored()).unwrap();
+    assert_eq!((core.applied(), core.term(), core.voters()), (20, 2, vec![1, 2]));
+    assert_eq!(
+        serde_json::to_string(core.members()).unwrap(),
+        r#"{"joined":{"2":"127.0.0.2:18201"},"retired":[]}"#
+    );
+    let written = postcard::to_allocvec(&(core.table(), core.members())).unwrap();
+    assert_eq!(hex(&written), hex(&bytes(SNAPSHOT)));
+    core.pump(100.0).unwrap();
+    assert_eq!((core.applied(), core.term(), core.voters()), (29, 2, vec![1]));
+    assert_eq!(serde_json::to_string(&core.table().rows()).unwrap(), ROWS);
+    assert_eq!(core.table().last_epoch(), 3);
+    assert_eq!(serde_json::to_string(core.members()).unwrap(), r#"{"joined":{},"retired":[2]}"#);
+}
+
+#[test]
+fn changes_of_the_members_are_stored_as_they_were() {
+    let add = Change::Add { number: 2, address: "127.0.0.2:18201".into() };
+    let all = [
+        (70_u64, add, "4600020f3132372e302e302e323a3138323031"),
+        (0, Change::Promote(2), "000102"),
+        (73, Change::Remove(2), "490202"),
+    ];
+    for (token, change, stored) in all {
+        assert_eq!(hex(&postcard::to_allocvec(&(token, change.clone())).unwrap()), stored);
+        assert_eq!(postcard::from_bytes::<(u64, Change)>(&bytes(stored)).unwrap(), (token, change));
+    }
+    let members = Members { joined: [(4, "a:1".into())].into(), retired: [2, 3].into() };
+    assert_eq!(hex(&postcard::to_allocvec(&members).unwrap()), "010403613a31020203");
+}
+
+#[test]
+fn votes_entries_and_snapshots_are_stored_as_they_were() {
+    let vote = Vote { term: 300, vote: 2, commit: 7 };
+    assert_eq!(hex(&postcard::to_allocvec(&vote).unwrap()), "ac020207");
+    let entry = Kept { index: 7, term: 3, kind: 2, data: vec![1, 2], context: vec![9] };
+    assert_eq!(hex(&postcard::to_allocvec(&entry).unwrap()), "070304020102010".to_owned() + "9");
+    let shot = Shot { index: 6, term: 3, voters: vec![1, 2], learners: vec![4], table: vec![5] };
+    assert_eq!(hex(&postcard::to_allocvec(&shot).unwrap()), "060302010201040105");
+}
+
+/// Each line reads as a message of this type, and is written the same again.
+fn lines<T: Serialize + DeserializeOwned>(all: &[&str]) {
+    for line in all {
+        let read: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
+        assert_eq!(serde_json::to_string(&read).unwrap(), *line);
+    }
+}
+
+#[test]
+fn every_line_to_a_replica_reads_as_it_did() {
+    lines::<Ask>(&[
+        concat!(
+            r#"{"say":{"owner":{"instance":"s1","incarnation":2},"zone":"z1","serial":3,"wants":["gather"],"leaving":true,"#,
+            r#""marks":[{"duty":{"name":"gather","part":1},"epoch":4,"done":5,"work":true}],"#,
+            r#""given":[[{"name":"gather","part":0},6]],"knows":7}}"#
+        ),
+        r#"{"peer":"AQID"}"#,
+        r#""status""#,
+        r#""duties""#,
+        r#"{"command":"Time"}"#,
+        concat!(
+            r#"{"command":{"Declare":{"rules":{"term":2.0,"drift":0.02,"stall":10.0,"barred":60.0,"flaps":3,"flap_span":60.0,"#,
+            r#""flap_rest":30.0,"panic":5.0,"calm":2.0,"moves":64},"duties":[{"name":"gather","parts":2,"zone":"z1"}]}}}"#
+        ),
+        r#"{"command":{"Say":[]}}"#,
+        r#"{"command":{"Pause":{"duty":"gather","paused":true}}}"#,
+        r#"{"command":{"Move":{"duty":{"name":"gather","part":3},"to":"s2"}}}"#,
+        r#"{"add":{"number":4,"address":"127.0.0.4:18201"}}"#,
+        r#"{"remove":{"number":2}}"#,
+    ]);
+}
+
+#[test]
+fn every_line_from_a_replica_reads_as_it_did() {
+    lines::<Answer>(&[
+        concat!(
+            r#"{"told":{"owner":{"instance":"s1","incarnation":1},"serial":3,"term":2.0,"version":4,"#,
+            r#""grants":[{"duty":{"name":"gather","part":0},"epoch":1,"back":false}],"refused":null}}"#
+        ),
+        r#"{"told":{"owner":{"instance":"s1","incarnation":1},"serial":3,"term":2.0,"version":4,"grants":null,"refused":"Superseded"}}"#,
+        r#"{"elsewhere":{"leader":2,"address":"127.0.0.2:18201"}}"#,
+        r#"{"elsewhere":{"leader":null,"address":null}}"#,
+        concat!(
+            r#"{"status":{"number":1,"leader":1,"leads":true,"term":2,"applied":29,"log_entries":9,"voters":[1,3],"learners":[4],"#,
+            r#""retired":[2],"last_epoch":3,"instances":1,"slow":false,"up":1.5,"counts":{"lines":2,"syncs":7}}}"#
+        ),
+        concat!(
+            r#"{"duties":{"rows":[{"duty":{"name":"gather","part":0},"owner":null,"epoch":0,"since":0.0,"back":false,"paused":true}],"#,
+            r#""seats":[{"owner":{"instance":"s1","incarnation":1},"zone":"z1","has":2,"leaving":false,"left":1.5,"rests":0.0}],"at":2.5}}"#
+        ),
+        r#""done""#,
+        r#"{"failed":"too much waits"}"#,
+    ]);
+}
+
+#[test]
+fn every_event_of_a_replica_reads_as_it_did() {
+    lines::<Event>(&[
+        r#"{"ready":{"listen":"127.0.0.1:18201"}}"#,
+        concat!(
+            r#"{"change":{"at":1.5,"duty":{"name":"gather","part":0},"owner":{"instance":"s1","incarnation":1},"#,
+            r#""epoch":1,"what":"Given","cause":"Vacant"}}"#
+        ),
+        r#"{"leads":{"keeper":1,"term":2}}"#,
+    ]);
+}
+
+/// A connection to a replica that was started from the stored file.
+struct Session {
+    stream: BufReader<tokio::net::TcpStream>,
+}
+
+impl Session {
+    async fn ask(&mut self, line: &str) -> String {
+        self.stream.get_mut().write_all(format!("{line}\n").as_bytes()).await.unwrap();
+        let mut answer = String::new();
+        self.stream.read_line(&mut answer).await.unwrap();
+        answer.trim_end().to_string()
+    }
+}
+
+#[tokio::test]
+async fn a_replica_started_from_a_stored_file_answers_as_it_did() {
+    let folder = tempfile::tempdir().unwrap();
+    let (store, disk) = Store::open(&copy(&folder)).unwrap();
+    let setup = Setup {
+        terms: terms(),
+        listen: "127.0.0.1:0".parse().unwrap(),
+        peers: Default::default(),
+        tick: 0.01,
+        most_connections: 4,
+        clock: Clock::system(),
+        events: Events(false),
+        sync_pause: Default::default(),
+    };
+    let running = start(setup, store, &disk).await.unwrap();
+    let stream = dial(running.listen).await.unwrap();
+    let mut session = Session { stream: BufReader::new(stream) };
+    // Nobody leads at first: then it says who may.
+    let mut duties = session.ask(r#""duties""#).await;
+    while duties.starts_with(r#"{"elsewhere""#) {
+        assert_eq!(duties, r#"{"elsewhere":{"leader":null,"address":null}}"#);
+        tokio::time::sleep(Duration::from_millis(10)).await;
+        duties = session.ask(r#""duties""#).await;
+    }
+    assert!(duties.starts_with(&format!(r#"{{"duties":{{"rows":{ROWS},"seats":[{{"#)), "{duties}");
+    let seat = r#""owner":{"instance":"s1","incarnation":1},"zone":"z1","has":3,"leaving":false,"#;
+    assert!(duties.contains(seat), "{duties}");
+    let pause = r#"{"command":{"Pause":{"duty":"gather","paused":true}}}"#;
+    assert_eq!(session.ask(pause).await, r#""done""#);
+    // Why something is rejected is text for people; that it is, and how that is written, is not.
+    for rejected in [
+        r#"{"command":{"Pause":{"duty":"none","paused":true}}}"#,
+        r#"{"remove":{"number":1}}"#,
+        r#"{"remove":{"number":9}}"#,
+        r#"{"add":{"number":2,"address":"127.0.0.2:1"}}"#,
+    ] {
+        let answer = session.ask(rejected).await;
+        assert!(answer.starts_with(r#"{"failed":""#), "{rejected}: {answer}");
+    }
+    let status = session.ask(r#""status""#).await;
+    let start = r#"{"status":{"number":1,"leader":1,"leads":true,"term":3,"applied":"#;
+    assert!(status.starts_with(start), "{status}");
+    for part in [
+        r#""voters":[1],"learners":[],"retired":[2],"last_epoch":3,"instances":2,"slow":false,"up":"#,
+        r#""led":1"#,
+        r#""syncs":"#,
+    ] {
+        assert!(status.contains(part), "{part}: {status}");
+    }
+    running.stop().await.unwrap();
+}
