--- /dev/null
+++ b/src/policy/memory.rs
@@ -0,0 +1,92 @@
+//! Memory: what may start, queue and be remembered within the machine's.
+
+use super::in_flight::{InFlight, Stage};
+use crate::PolicySettings;
+use std::collections::VecDeque;
+
+/// Share of the memory up to which runs start: leaves room for what arrives.
+const RUN_SHARE: f64 = 0.85;
+/// Share of the memory over which the queue is cut: a batch still fits above.
+const QUEUE_SHARE: f64 = 0.92;
+/// Share that idempotency keys may fill: a few runs still fit beside them.
+const KEY_SHARE: f64 = 0.7;
+
+/// The machine's memory as the policy books it, in kilobytes.
+pub(super) struct MemoryBudget {
+    capacity: f64,
+    key: f64,
+    run_factor: f64,
+    used: f64,
+    /// When the keys of requests that have run are forgotten.
+    key_expiries: VecDeque<f64>,
+}
+
+impl MemoryBudget {
+    pub fn new(settings: &PolicySettings) -> MemoryBudget {
+        MemoryBudget {
+            capacity: settings.memory,
+            key: settings.key_memory,
+            run_factor: settings.running_memory_factor.max(1.0),
+            used: 0.0,
+            key_expiries: VecDeque::new(),
+        }
+    }
+
+    /// Starts to count anew, from the keys that are still remembered.
+    pub fn begin_count(&mut self, now: f64) {
+        while self.key_expiries.front().is_some_and(|&end| end < now) {
+            self.key_expiries.pop_front();
+        }
+        self.used = self.key_expiries.len() as f64 * self.key;
+    }
+
+    pub fn count(&mut self, request: &InFlight) {
+        self.used += match request.stage {
+            Stage::Queued => self.queued(request),
+            Stage::Replaying => request.told.memory,
+            Stage::Running | Stage::AwaitingCall | Stage::Calling => request.told.memory * self.run_factor,
+        };
+    }
+
+    fn queued(&self, request: &InFlight) -> f64 {
+        request.told.memory + if request.key_until.is_some() { self.key } else { 0.0 }
+    }
+
+    pub fn add(&mut self, memory: f64) {
+        self.used += memory;
+    }
+
+    pub fn add_key(&mut self) {
+        self.used += self.key;
+    }
+
+    pub fn release_queued(&mut self, request: &InFlight) {
+        self.used -= self.queued(request);
+    }
+
+    pub fn has_room_for_key(&self) -> bool {
+        let keys = (self.key_expiries.len() + 1) as f64 * self.key;
+        self.used + self.key <= QUEUE_SHARE * self.capacity && keys <= KEY_SHARE * self.capacity
+    }
+
+    /// Whether the queue has to be cut.
+    pub fn is_over(&self) -> bool {
+        self.used > QUEUE_SHARE * self.capacity
+    }
+
+    /// Whether a queued request would take too much once it runs.
+    pub fn is_too_full_to_run(&self, request: &InFlight) -> bool {
+        self.used + self.growth(request) > RUN_SHARE * self.capacity
+    }
+
+    /// What a queued request takes more once it runs.
+    fn growth(&self, request: &InFlight) -> f64 {
+        request.told.memory * (self.run_factor - 1.0)
+    }
+
+    /// From now on its key outlasts the request.
+    pub fn start_run(&mut self, request: &InFlight) {
+        self.key_expiries.extend(request.key_until);
+        self.used += self.growth(request);
+    }
+}
--- /dev/null
+++ b/src/policy/quota.rs
@@ -0,0 +1,32 @@
+//! Quotas: a token bucket for each tenant decides which of its requests are beyond its share of this server.
+
+use crate::Tenant;
+
+/// Seconds of a quota that a bucket holds, beside what chance puts on it: bursts are over by then.
+const BURST: f64 = 1.0;
+
+/// This server's part of a tenant's quota, as a bucket that fills at that rate.
+pub(super) struct QuotaBucket {
+    /// Tokens a second.
+    rate: f64,
+    tokens: f64,
+    filled_at: f64,
+}
+
+impl QuotaBucket {
+    pub fn new(tenant: &Tenant, servers: f64) -> QuotaBucket {
+        QuotaBucket { rate: tenant.quota / servers, tokens: 0.0, filled_at: 0.0 }
+    }
+
+    /// Whether a request that comes now is beyond the quota. Only a first attempt within it takes a token.
+    pub fn is_over(&mut self, now: f64, is_first_attempt: bool) -> bool {
+        let most = BURST * self.rate + self.rate.sqrt();
+        self.tokens = (self.tokens + (now - self.filled_at) * self.rate).min(most);
+        self.filled_at = now;
+        let is_over = self.tokens < 1.0;
+        if is_first_attempt && !is_over {
+            self.tokens -= 1.0;
+        }
+        is_over
+    }
+}
