--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -2,28 +2,29 @@
 
 use super::in_flight::{InFlight, Stage};
 use super::run_times::NEW_SAMPLE;
-use super::{AdmissionPolicy, MARGIN};
+use super::state::AdmissionPolicy;
+use super::timing::MARGIN;
 use crate::{Decisions, Idempotency, Reason, Request};
 
 impl AdmissionPolicy {
     pub(super) fn arrived(&mut self, now: f64, request: &Request, out: &mut impl Decisions) {
         let request = self.stamp(now, request);
-        let told = request.told;
-        let class = &self.classes[told.class];
+        let input = request.input;
+        let class = &self.classes[input.class];
         let is_keyed = class.settings.idempotency == Idempotency::Keyed;
         let dedup_window = class.settings.dedup_window;
-        self.retry_advice.learn_arrival(told.is_retry, NEW_SAMPLE);
+        self.retry_advice.learn_arrival(input.is_retry, NEW_SAMPLE);
         if now < request.deadline && !request.over_quota {
-            self.signal.learn_wait(told.time_unread / class.wait_threshold);
+            self.pressure.learn_wait(input.time_unread / class.wait_threshold);
         }
         let arrived = request.arrived;
         let at = self.requests.insert(request);
-        self.places.insert(told.id, at);
-        self.memory.add(told.memory);
+        self.places.insert(input.id, at);
+        self.memory.add(input.memory);
         // A retry of a request that is in flight or has run gets that one's result, never a run of its own.
-        if told.earlier_attempt != 0 && is_keyed {
+        if input.earlier_attempt != 0 && is_keyed {
             self.requests[at].stage = Stage::Replaying;
-            out.replay_result(told.id);
+            out.replay_result(input.id);
             return;
         }
         self.queue.push(at);
@@ -34,8 +35,8 @@
             return;
         }
         if self.memory.has_room_for_key() {
-            let span = (dedup_window - told.time_unread).max(MARGIN) + MARGIN;
-            out.remember_key(told.id, span);
+            let span = (dedup_window - input.time_unread).max(MARGIN) + MARGIN;
+            out.remember_key(input.id, span);
             self.requests[at].key_until = Some(now + span);
             self.memory.add_key();
         } else {
@@ -46,16 +47,16 @@
 
     /// What holds for a request for as long as it is in flight.
     fn stamp(&mut self, now: f64, request: &Request) -> InFlight {
-        let told = Request { class: request.class.min(self.classes.len() - 1), ..*request };
-        let class = &self.classes[told.class];
-        let arrived = now - told.time_unread;
-        let given_up = if told.deadline > 0.0 { told.deadline } else { arrived + class.settings.timeout };
+        let input = Request { class: request.class.min(self.classes.len() - 1), ..*request };
+        let class = &self.classes[input.class];
+        let arrived = now - input.time_unread;
+        let given_up = if input.deadline > 0.0 { input.deadline } else { arrived + class.settings.timeout };
         let deadline = self.drain.map_or(given_up, |drain| given_up.min(drain.last_answer));
-        let objective = class.settings.latency_objective + class.settings.objective_stretch * told.cost_hint;
-        let is_hinted = told.cost_hint > 0.0 && class.mean_hint > 0.0;
-        let relative_hint = if is_hinted { told.cost_hint / class.mean_hint } else { 1.0 };
-        let quota = self.quotas.get_mut(told.tenant);
-        let over_quota = quota.is_some_and(|quota| quota.is_over(now, !told.is_retry));
-        InFlight { told, arrived, objective, deadline, relative_hint, over_quota, ..InFlight::default() }
+        let objective = class.settings.latency_objective + class.settings.objective_stretch * input.cost_hint;
+        let is_hinted = input.cost_hint > 0.0 && class.mean_hint > 0.0;
+        let relative_hint = if is_hinted { input.cost_hint / class.mean_hint } else { 1.0 };
+        let quota = self.quotas.get_mut(input.tenant);
+        let over_quota = quota.is_some_and(|quota| quota.is_over(now, !input.is_retry));
+        InFlight { input, arrived, objective, deadline, relative_hint, over_quota, ..InFlight::default() }
     }
 }
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,7 +1,6 @@
 //! The concurrency limit: how many requests run at once, by the gradient of run time over its base.
 
 use super::run_times::RUN_TIME_RISE;
-use super::AdmissionPolicy;
 use crate::{Gauges, PolicySettings};
 
 /// Share of the cores busy from which they count as full: the gauge lags and rounds.
@@ -15,6 +14,11 @@
 /// The same for all that runs or may return from a call at any time.
 const CEILING_WITH_CALLS: f64 = 0.8;
 
+/// How many more may run or call: what returns goes on at once, so the crowd must bear all calls ending.
+pub(super) fn room_with_calls(crowd: f64, running_or_calling: usize) -> f64 {
+    CEILING_WITH_CALLS * crowd - running_or_calling as f64
+}
+
 /// How many requests may run.
 pub(super) struct ConcurrencyLimit {
     runs: f64,
@@ -39,7 +43,7 @@
     }
 
     /// Free cores with work queued win over latency.
-    fn step(&mut self, gauges: &Gauges, running: usize, is_queue_empty: bool, run_time_rise: f64) {
+    pub fn step(&mut self, gauges: &Gauges, running: usize, is_queue_empty: bool, run_time_rise: f64) {
         let busy = gauges.busy.unwrap_or(running as f64 / self.runs);
         // A slot freed just now is no reason: it is given away in this round.
         let is_used_up = running >= self.runs as usize && !is_queue_empty;
@@ -51,14 +55,3 @@
         self.runs = self.runs.clamp(self.cores, self.most).max(1.0);
     }
 }
-
-impl AdmissionPolicy {
-    pub(super) fn step_limit(&mut self, gauges: &Gauges) {
-        self.limit.step(gauges, self.running, self.queue.is_empty(), self.slowdown.by_finished_runs());
-    }
-
-    /// How many more may run or call: what returns goes on at once, so the crowd must bear all calls ending.
-    pub(super) fn crowd_room(&self, now: f64) -> f64 {
-        CEILING_WITH_CALLS * self.warm_up.crowd(now) - (self.running + self.calling) as f64
-    }
-}
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,7 +1,8 @@
 //! Deadlines: nothing in flight passes its own unanswered, whatever it is doing.
 
 use super::in_flight::Stage;
-use super::{AdmissionPolicy, MARGIN};
+use super::state::AdmissionPolicy;
+use super::timing::MARGIN;
 use crate::{Decisions, Reason};
 
 impl AdmissionPolicy {
@@ -24,10 +25,10 @@
     fn fail_due(&mut self, at: usize, out: &mut impl Decisions) {
         let is_preemptible = self.is_preemptible();
         let request = &mut self.requests[at];
-        out.fail(request.told.id, Reason::DeadlineReached);
+        out.fail(request.input.id, Reason::DeadlineReached);
         request.answered = true;
         if request.stage == Stage::Running && is_preemptible {
-            out.preempt(request.told.id);
+            out.preempt(request.input.id);
         } else if request.stage == Stage::Replaying {
             self.remove(at, out);
         }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,7 +1,7 @@
 //! Health: whether this machine has slowed down, and the health checks and keepalive that follow.
 
 use super::run_times::{moving_average, NEW_SAMPLE_QUICK};
-use super::{AdmissionPolicy, STEP};
+use super::timing::STEP;
 use crate::{Decisions, PolicySettings};
 
 /// Rise of run time from which the machine is slow: crowding alone stays under it.
@@ -79,6 +79,33 @@
     sound_at: f64,
 }
 
+impl Health {
+    /// The machine was seen: `is_sound` says that no work suffers, whatever its runs take.
+    pub fn observe(&mut self, now: f64, run_time_rise: f64, is_sound: bool) {
+        if run_time_rise < SLOW || is_sound {
+            self.sound_at = now;
+        }
+    }
+
+    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded too
+    /// late, so the server leaves the list for a while, then tries again. Judged by its runs against their base,
+    /// never by load, or a crowded fleet would list itself out.
+    pub fn step(&mut self, now: f64, run_time_rise: f64, out: &mut impl Decisions) {
+        match self.off_since {
+            None if now - self.sound_at > SLOW_FOR => {
+                self.off_since = Some(now);
+                out.set_health(false, true);
+                out.log(&format!("unhealthy: runs take {run_time_rise:.1} times their base"));
+            }
+            Some(since) if now - since > OFF_THE_LIST => {
+                self.off_since = None;
+                out.set_health(true, true);
+            }
+            _ => {}
+        }
+    }
+}
+
 /// How long callers may keep an unused connection open.
 pub(super) struct Keepalive {
     span: f64,
@@ -103,30 +130,3 @@
         self.span = (self.span * (1.0 + step)).clamp(STEP.min(self.most), self.most);
     }
 }
-
-impl AdmissionPolicy {
-    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded too
-    /// late, so the server leaves the list for a while, then tries again. Judged by its runs against their base,
-    /// never by load, or a crowded fleet would list itself out.
-    pub(super) fn step_health(&mut self, now: f64, out: &mut impl Decisions) {
-        let rise = self.slowdown.rise();
-        if rise < SLOW || self.signal.are_waits_short() {
-            self.health.sound_at = now;
-        }
-        if !self.settings.endpoints_follow_health || self.drain.is_some() {
-            return;
-        }
-        match self.health.off_since {
-            None if now - self.health.sound_at > SLOW_FOR => {
-                self.health.off_since = Some(now);
-                out.set_health(false, true);
-                out.log(&format!("unhealthy: runs take {rise:.1} times their base"));
-            }
-            Some(since) if now - since > OFF_THE_LIST => {
-                self.health.off_since = None;
-                out.set_health(true, true);
-            }
-            _ => {}
-        }
-    }
-}
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct InFlight {
     /// As the host handed it in.
-    pub told: Request,
+    pub input: Request,
     pub arrived: f64,
     /// Seconds from arrival within which an answer is on time.
     pub objective: f64,
--- a/src/policy/memory.rs
+++ b/src/policy/memory.rs
@@ -43,13 +43,13 @@
     pub fn count(&mut self, request: &InFlight) {
         self.used += match request.stage {
             Stage::Queued => self.queued(request),
-            Stage::Replaying => request.told.memory,
-            Stage::Running | Stage::AwaitingCall | Stage::Calling => request.told.memory * self.run_factor,
+            Stage::Replaying => request.input.memory,
+            Stage::Running | Stage::AwaitingCall | Stage::Calling => request.input.memory * self.run_factor,
         };
     }
 
     fn queued(&self, request: &InFlight) -> f64 {
-        request.told.memory + if request.key_until.is_some() { self.key } else { 0.0 }
+        request.input.memory + if request.key_until.is_some() { self.key } else { 0.0 }
     }
 
     pub fn add(&mut self, memory: f64) {
@@ -81,7 +81,7 @@
 
     /// What a queued request takes more once it runs.
     fn growth(&self, request: &InFlight) -> f64 {
-        request.told.memory * (self.run_factor - 1.0)
+        request.input.memory * (self.run_factor - 1.0)
     }
 
     /// From now on its key outlasts the request.
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,7 +1,8 @@
 //! The queue: its order, the wait thresholds, and which request takes a freed slot.
 
 use super::in_flight::{InFlight, Stage};
-use super::{AdmissionPolicy, MARGIN};
+use super::state::AdmissionPolicy;
+use super::timing::MARGIN;
 use crate::{Decisions, Reason};
 use std::cmp::Ordering;
 
@@ -32,21 +33,21 @@
 
     /// Priority weight of a queued request for each unit of work.
     fn weight_per_work(&self, request: &InFlight) -> f64 {
-        let class = &self.classes[request.told.class];
+        let class = &self.classes[request.input.class];
         let quota = if request.over_quota { self.settings.over_quota_fraction } else { 1.0 };
         let work = if self.settings.weight_per_work || class.run_time == 0.0 {
             1.0
         } else {
             class.run_time * self.hints.relative_work(request.relative_hint)
         };
-        let attempt = if request.told.is_retry { RETRY_WEIGHT } else { 1.0 };
+        let attempt = if request.input.is_retry { RETRY_WEIGHT } else { 1.0 };
         class.settings.priority_weight * quota * attempt / work
     }
 
     /// The mechanism: why a queued request is not to run, judged by how long it waited. `contended` says that
     /// another request wants the slot.
     fn judge(&self, now: f64, request: &InFlight, contended: bool) -> Option<Reason> {
-        let class = &self.classes[request.told.class];
+        let class = &self.classes[request.input.class];
         let last = request.deadline - MARGIN;
         // A late answer is worth something to its caller while no one else wants the slot.
         let limit = if !contended { last } else { last.min(request.arrived + request.objective) };
@@ -57,7 +58,7 @@
         if now + needed > limit {
             return Some(Reason::InsufficientTime);
         }
-        let threshold = if request.told.is_retry {
+        let threshold = if request.input.is_retry {
             WAIT_SHARE_RETRY * class.settings.timeout
         } else {
             class.wait_threshold
@@ -91,7 +92,7 @@
         request.run_began = now;
         self.memory.start_run(request);
         self.running += 1;
-        out.run(request.told.id);
+        out.run(request.input.id);
     }
 
     /// Judges the queue between slots too, so that what is given up is answered at once.
@@ -99,9 +100,9 @@
         for place in (0..self.queue.len()).rev() {
             let at = self.queue[place];
             let request = &self.requests[at];
-            let counts = !request.told.is_retry && !request.over_quota;
+            let counts = !request.input.is_retry && !request.over_quota;
             let waited = if counts { now - request.arrived } else { 0.0 };
-            self.signal.learn_wait(waited / self.classes[request.told.class].wait_threshold);
+            self.pressure.learn_wait(waited / self.classes[request.input.class].wait_threshold);
             if let Some(reason) = self.judge(now, request, true) {
                 self.reject(at, reason, out);
             }
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -1,6 +1,6 @@
 //! Estimates that the other modules judge by: what runs take, how much cost hints tell, when callers give up.
 
-use super::{AdmissionPolicy, RATE_SPAN};
+use super::timing::RATE_SPAN;
 use crate::{Idempotency, RequestClass};
 
 /// Weight of a new sample in a learned mean: about the last twenty count.
@@ -78,7 +78,7 @@
     }
 
     /// Takes in a run's time on the cores, over its relative work.
-    fn learn(&mut self, run_time: f64) {
+    pub fn learn(&mut self, run_time: f64) {
         self.run_time = moving_average(self.run_time, run_time, NEW_SAMPLE);
         self.runs += 1.0;
         let most = if self.runs < FIRST_RUNS { f64::MAX } else { RUN_TIME_RISE * self.base_run_time };
@@ -86,7 +86,12 @@
         self.base_run_time = moving_average(self.base_run_time, run_time.min(most), weight);
     }
 
-    /// What a run of mean size takes on a sound machine. One that was slow from its first run has no base to tell
+    /// What a run of mean size takes at most on a sound machine, by what ran so far.
+    pub fn sound_run_time(&self) -> f64 {
+        self.base_run_time.min(USUAL_SHARE * self.settings.latency_objective)
+    }
+
+    /// The same where nothing may have run yet. One that was slow from its first run has no base to tell
     /// by: runs that outlast their latency objective tell.
     pub fn usual_run_time(&self) -> f64 {
         let known = if self.runs < FIRST_RUNS { f64::MAX } else { self.base_run_time };
@@ -117,7 +122,7 @@
     }
 
     /// Takes in a run whose time was so many times the class's mean.
-    fn learn(&mut self, relative_hint: f64, relative_time: f64) {
+    pub fn learn(&mut self, relative_hint: f64, relative_time: f64) {
         let hint = relative_hint - 1.0;
         let time = relative_time.min(LONGEST_COUNTED * relative_hint) - 1.0;
         self.covariance += NEW_SAMPLE * (hint * time - self.covariance);
@@ -151,20 +156,3 @@
         (self.share > MOST_GIVE_UP).then_some(self.age)
     }
 }
-
-impl AdmissionPolicy {
-    /// Takes in the time of a run that completed with all its calls.
-    pub(super) fn learn_run_time(&mut self, now: f64, at: usize) {
-        let request = &self.requests[at];
-        let span = now - request.run_began;
-        let on_cores = span / self.hints.relative_work(request.relative_hint);
-        let class = &mut self.classes[request.told.class];
-        if request.told.cost_hint > 0.0 {
-            class.mean_hint = moving_average(class.mean_hint, request.told.cost_hint, NEW_SAMPLE);
-        }
-        self.hints.learn(request.relative_hint, span / class.run_time);
-        class.learn(on_cores);
-        let usual = class.base_run_time.min(USUAL_SHARE * class.settings.latency_objective);
-        self.slowdown.learn_run(on_cores / usual);
-    }
-}
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,6 +1,5 @@
 //! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in flight.
 
-use super::AdmissionPolicy;
 use crate::PolicySettings;
 
 /// Standard deviations, and whole requests, over the crowd borne while cold: the operators' ramp.
@@ -72,7 +71,7 @@
     }
 
     /// Requests in flight that its ramp bears; no bound once it is warm.
-    fn ramp(&self, now: f64) -> f64 {
+    pub fn ramp(&self, now: f64) -> f64 {
         let crowd = self.crowd(now);
         if self.warmth(now) < 1.0 {
             crowd + RAMP * crowd.sqrt() + RAMP
@@ -81,11 +80,3 @@
         }
     }
 }
-
-impl AdmissionPolicy {
-    /// How many more a cold server may have in flight, queued and run. Guards against all callers finding it at
-    /// once, each of which knows only what it sends itself.
-    pub(super) fn ramp_left(&self, now: f64) -> f64 {
-        self.warm_up.ramp(now) - (self.queue.len() + self.running + self.calling) as f64
-    }
-}
