--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -107,7 +107,7 @@
                 Format::Json => LogFormat::Json,
             });
             let options = puffinladder_server::Options { config, settings, log_format, log_filter: log };
-            puffinladder_server::run(&options).map_err(Wrong::Failed)
+            puffinladder_server::run(&options).map_err(|e| Wrong::Failed(e.to_string()))
         }
         Command::Check { file } => check::check(&file),
         Command::Control(line) => control::run(line),
--- /dev/null
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -0,0 +1,117 @@
+//! Carries out what the policy decides.
+
+use super::Dispatcher;
+use crate::runtime::lock::lock;
+use crate::state::idempotency::IdempotencyKeys;
+use crate::state::in_flight::InFlightRequests;
+use crate::state::mailbox::Event;
+use puffinladder::{Decisions, Reason};
+use puffinladder_trace::row::Topic;
+use std::io::Write;
+use std::sync::atomic::Ordering;
+
+/// Ends a request that never ran: its key is released, and its coroutine hears of it.
+pub(super) fn end_unrun(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, event: Event) {
+    if let Some(request) = in_flight.remove(id) {
+        if let Some(key) = &request.key {
+            keys.release(key, id);
+        }
+        request.mailbox.send(event);
+    }
+}
+
+/// Turns the decisions of one round into events for the requests that they concern.
+pub(super) struct DecisionWriter<'a> {
+    pub dispatcher: &'a Dispatcher,
+    pub in_flight: &'a mut InFlightRequests,
+    pub keys: &'a mut IdempotencyKeys,
+    pub now: f64,
+    pub tick_at: &'a mut f64,
+    pub keepalive: &'a mut f64,
+}
+
+impl DecisionWriter<'_> {
+    fn send(&mut self, id: u32, event: Event) {
+        if let Some(request) = self.in_flight.get_mut(id) {
+            request.mailbox.send(event);
+        }
+    }
+}
+
+impl Decisions for DecisionWriter<'_> {
+    fn run(&mut self, id: u32) {
+        if let Some(request) = self.in_flight.get_mut(id) {
+            request.running = true;
+            request.mailbox.send(Event::Run);
+        }
+    }
+
+    fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
+        end_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
+    }
+
+    fn fail(&mut self, id: u32, reason: Reason) {
+        self.send(id, Event::Fail(reason));
+        // What was held or waited for a result is over with its answer.
+        if self.in_flight.get_mut(id).is_some_and(|request| !request.running) {
+            end_unrun(self.in_flight, self.keys, id, Event::Forgotten);
+        }
+    }
+
+    fn preempt(&mut self, id: u32) {
+        self.send(id, Event::Pause);
+    }
+
+    fn allow_call(&mut self, id: u32, limit: f64) {
+        self.send(id, Event::Call { limit });
+    }
+
+    fn skip_call(&mut self, id: u32) {
+        self.send(id, Event::SkipCall);
+    }
+
+    fn remember_key(&mut self, id: u32, span: f64) {
+        if let Some(key) = self.in_flight.get_mut(id).and_then(|request| request.key) {
+            self.keys.extend(&key, id, self.now + span);
+        }
+    }
+
+    fn forget_key(&mut self, id: u32) {
+        let unrun = self.in_flight.get_mut(id).filter(|request| !request.running);
+        if let Some(key) = unrun.and_then(|request| request.key) {
+            self.keys.release(&key, id);
+        }
+    }
+
+    fn replay_result(&mut self, id: u32) {
+        self.send(id, Event::Replay);
+    }
+
+    fn set_health(&mut self, healthy: bool, _stored: bool) {
+        self.dispatcher.healthy.store(healthy, Ordering::Relaxed);
+        self.dispatcher.log.record_health(self.now, healthy);
+    }
+
+    fn set_load_signal(&mut self, amount: f64) {
+        let mut signal = lock(&self.dispatcher.load_signal);
+        signal.clear();
+        let _ = write!(signal, "v={amount:.4}");
+        self.dispatcher.log.note_change(self.now, Topic::SIGNAL, amount);
+    }
+
+    fn set_keepalive(&mut self, span: f64) {
+        *self.keepalive = span;
+    }
+
+    fn schedule_tick(&mut self, after: f64) {
+        *self.tick_at = self.now + after;
+    }
+
+    fn record_limits(&mut self, runs: f64, calls: f64, pressure: f64) {
+        self.dispatcher.log.record_limits(self.now, runs, calls, pressure);
+    }
+
+    fn log(&mut self, text: &str) {
+        tracing::info!("policy: {text}");
+    }
+}
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,14 +1,15 @@
-//! puffinladder's decisions on real sockets. `docs/server.md` tells what owns what.
+//! The serving process: the admission policy on real sockets. `docs/server.md` says which module owns what.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-mod clock;
-mod desk;
-mod life;
+mod dispatcher;
+mod lifecycle;
 mod limits;
-mod lock;
-mod memory;
-mod txn;
+mod request;
+mod runtime;
+mod state;
 mod wire;
 
-pub use life::papers::Options;
-pub use life::run;
+pub use lifecycle::configuration::{ConfigurationError, Options};
+pub use lifecycle::error::StartError;
+pub use lifecycle::startup::run;
--- /dev/null
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -0,0 +1,102 @@
+//! Where the configuration and the settings are read from.
+
+use puffinladder_charter::settings::{read_settings, LogFormat, Settings};
+use puffinladder_charter::{read_warrant, Warrant};
+use std::io;
+use thiserror::Error;
+
+/// Why the configuration or the settings can't be used.
+#[derive(Debug, Error)]
+pub enum ConfigurationError {
+    /// Nothing says where the configuration is.
+    #[error("BALANCER_CONFIG should name the configuration file")]
+    NotNamed,
+    /// The configuration can't be read.
+    #[error("BALANCER_CONFIG: {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The configuration is wrong.
+    #[error("{0}")]
+    Invalid(String),
+    /// The settings can't be read.
+    #[error("{path}: {source}")]
+    SettingsUnreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The settings are wrong; a line for each fault.
+    #[error("{0}")]
+    SettingsInvalid(String),
+}
+
+/// What the command line says; the environment stands in for what it leaves open.
+#[derive(Clone, Debug, Default)]
+pub struct Options {
+    /// The platform's JSON, else `BALANCER_CONFIG`.
+    pub config: Option<String>,
+    /// Our own settings, else `PUFFINLADDER_SETTINGS`; without either they have their default values.
+    pub settings: Option<String>,
+    /// Wins over the settings' log format.
+    pub log_format: Option<LogFormat>,
+    /// Wins over the settings' log filter.
+    pub log_filter: Option<String>,
+}
+
+/// Reads our own settings.
+pub fn load_settings(options: &Options) -> Result<Settings, ConfigurationError> {
+    let path = options.settings.clone().or_else(|| environment("PUFFINLADDER_SETTINGS"));
+    let mut settings = match path {
+        None => Settings::default(),
+        Some(path) => load_settings_file(path)?,
+    };
+    settings.log.format = options.log_format.unwrap_or(settings.log.format);
+    settings.log.filter = options.log_filter.clone().or(settings.log.filter);
+    Ok(settings)
+}
+
+fn load_settings_file(path: String) -> Result<Settings, ConfigurationError> {
+    match std::fs::read_to_string(&path) {
+        Err(source) => Err(ConfigurationError::SettingsUnreadable { path, source }),
+        Ok(text) => read_settings(&path, &text).map_err(|faults| {
+            let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+            ConfigurationError::SettingsInvalid(lines.join("\n"))
+        }),
+    }
+}
+
+/// Where the configuration is read from, at start and at each reload.
+pub struct ConfigurationSource {
+    path: String,
+    name: Option<String>,
+    listen: Option<String>,
+}
+
+impl ConfigurationSource {
+    /// The source that command line and environment name.
+    pub fn locate(options: &Options) -> Result<ConfigurationSource, ConfigurationError> {
+        let path = options.config.clone().or_else(|| environment("BALANCER_CONFIG"));
+        let path = path.ok_or(ConfigurationError::NotNamed)?;
+        Ok(ConfigurationSource {
+            path,
+            name: environment("BALANCER_NAME"),
+            listen: environment("BALANCER_LISTEN"),
+        })
+    }
+
+    /// Reads and checks the configuration.
+    pub fn load(&self) -> Result<Warrant, ConfigurationError> {
+        let text = std::fs::read(&self.path)
+            .map_err(|source| ConfigurationError::Unreadable { path: self.path.clone(), source })?;
+        read_warrant(&text, self.name.as_deref(), self.listen.as_deref()).map_err(ConfigurationError::Invalid)
+    }
+}
+
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/mod.rs
@@ -0,0 +1,16 @@
+//! Start, reload, drain and end of the process.
+
+pub mod configuration;
+pub mod error;
+mod logging;
+mod publish;
+mod recording;
+mod server;
+mod shutdown;
+mod signals;
+pub mod startup;
+
+#[cfg(test)]
+mod tests;
+#[cfg(test)]
+pub use server::Server;
--- /dev/null
+++ b/crates/server/src/lifecycle/publish.rs
@@ -0,0 +1,129 @@
+//! Reports to control services what this server decided of late, if the settings ask for it: a line of JSON a few times a
+//! second, over TCP, from a thread of its own. Nobody waits for it, and nothing comes back.
+
+use super::error::StartError;
+use crate::dispatcher::Dispatcher;
+use crate::limits::Limits;
+use crate::runtime::clock::Clock;
+use crate::state::counters::{ClassRates, Counters};
+use puffinladder::RequestClass;
+use puffinladder_charter::settings::Publish;
+use puffinladder_charter::Warrant;
+use puffinladder_reports::{Class, State, Who, WAIT};
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Sends the reports.
+struct Publisher {
+    identity: Who,
+    control: Vec<SocketAddr>,
+    interval: Duration,
+    counters: Arc<Counters>,
+    dispatcher: Arc<Dispatcher>,
+    clock: Arc<Clock>,
+}
+
+/// Starts to publish, where anything is counted; the process ends without waiting for it.
+pub fn start(
+    settings: &Publish,
+    config: &Warrant,
+    limits: &Limits,
+    dispatcher: &Arc<Dispatcher>,
+    clock: &Arc<Clock>,
+    listen: SocketAddr,
+) -> Result<(), StartError> {
+    let Some(counters) = dispatcher.log.counters().cloned() else { return Ok(()) };
+    let publisher = Publisher {
+        identity: identity(settings, config, listen),
+        control: settings.control.clone(),
+        interval: Duration::from_secs_f64(settings.every),
+        counters,
+        dispatcher: dispatcher.clone(),
+        clock: clock.clone(),
+    };
+    let builder = thread::Builder::new().name("publish".into()).stack_size(limits.recorder_stack_bytes);
+    builder.spawn(move || publisher.run()).map(drop).map_err(StartError::Thread)
+}
+
+/// What does not change while the process lives.
+fn identity(settings: &Publish, config: &Warrant, listen: SocketAddr) -> Who {
+    let (terms, charter) = (&config.terms, &config.terms.charter);
+    let weight = |class: &RequestClass| class.priority_weight;
+    let warm_up = charter.starts_cold.then_some(charter.warm_up_duration).filter(|span| *span > 0.0);
+    Who {
+        instance: config.name.clone(),
+        incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
+        zone: settings.zone.clone(),
+        address: settings.address.unwrap_or(listen),
+        cores: charter.cores,
+        cold: warm_up,
+        cold_share: charter.cold_capacity_fraction,
+        products: terms.products.iter().cloned().zip(charter.classes.iter().map(weight)).collect(),
+        customers: terms.customers.as_slice().into(),
+    }
+}
+
+impl Publisher {
+    fn run(&self) {
+        let started = Instant::now();
+        let mut streams: Vec<Option<TcpStream>> = self.control.iter().map(|_| None).collect();
+        let mut was_reached = true;
+        for sequence in 1u64.. {
+            thread::sleep(self.interval);
+            let made = started.elapsed().as_secs_f64();
+            let line = self.identity.line(&self.state(), sequence, made);
+            let reached = self.send(&line, &mut streams);
+            if reached != was_reached {
+                was_reached = reached;
+                let change =
+                    if reached { "is heard again" } else { "finds no control service, goes on without" };
+                tracing::info!("publish: {change}");
+            }
+        }
+    }
+
+    /// Sends a line to each service: they agree on nothing among themselves. Returns whether any took it.
+    fn send(&self, line: &str, streams: &mut [Option<TcpStream>]) -> bool {
+        let mut reached = false;
+        for (address, stream) in self.control.iter().zip(streams) {
+            if stream.is_none() {
+                *stream = connect(address);
+            }
+            // A line that left in part can't be taken back: that connection is over.
+            let sent = stream.as_mut().is_some_and(|open| open.write_all(line.as_bytes()).is_ok());
+            *stream = stream.take().filter(|_| sent);
+            reached |= sent;
+        }
+        reached
+    }
+
+    fn state(&self) -> State {
+        let snapshot = self.counters.take(self.interval.as_secs_f64());
+        let class = |rates: &ClassRates| Class {
+            product: rates.class,
+            customer: rates.tenant,
+            asked: rates.received,
+            declined: rates.rejected,
+        };
+        State {
+            limit: snapshot.run_limit,
+            running: self.dispatcher.running(),
+            takes: snapshot.run_time,
+            pressure: snapshot.pressure,
+            retry_after: snapshot.retry_after,
+            healthy: snapshot.healthy,
+            leaving: snapshot.kill_time.map(|kill_time| (kill_time - self.clock.now()).max(0.0)),
+            settled: snapshot.completed,
+            classes: snapshot.classes.iter().map(class).collect(),
+        }
+    }
+}
+
+fn connect(address: &SocketAddr) -> Option<TcpStream> {
+    let stream = TcpStream::connect_timeout(address, WAIT).ok()?;
+    let ready = stream.set_write_timeout(Some(WAIT)).is_ok() && stream.set_nodelay(true).is_ok();
+    ready.then_some(stream)
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/recording.rs
@@ -0,0 +1,75 @@
+//! Starts the trace recorder that the settings ask for.
+
+use super::error::StartError;
+use crate::limits::Limits;
+use crate::state::counters::Counters;
+use crate::state::request_log::RequestLog;
+use puffinladder::RequestClass;
+use puffinladder_charter::settings::Trace;
+use puffinladder_charter::Warrant;
+use puffinladder_trace::recorder::keeper::Bounds;
+use puffinladder_trace::recorder::{Folder, Recorder, Running, Told};
+use puffinladder_trace::row::Product;
+use std::hash::{BuildHasher, RandomState};
+use std::sync::Arc;
+
+/// Bytes of a trace's key.
+const KEY_BYTES: usize = 32;
+
+/// A key that nobody else has: randomness from the system, by which the standard library seeds its maps.
+fn random_key() -> [u8; KEY_BYTES] {
+    let mut key = [0; KEY_BYTES];
+    for part in key.chunks_mut(8) {
+        part.copy_from_slice(&RandomState::new().hash_one(part.as_ptr() as usize).to_le_bytes());
+    }
+    key
+}
+
+/// A key of 64 hex digits.
+fn load_key(file: &str) -> Result<[u8; KEY_BYTES], StartError> {
+    let text = std::fs::read_to_string(file)
+        .map_err(|source| StartError::TraceKeyUnreadable { file: file.into(), source })?;
+    puffinladder_trace::anonymise::parse_key(&text)
+        .ok_or_else(|| StartError::TraceKeyMalformed { file: file.into() })
+}
+
+/// The log that requests are written into, and the recorder behind it.
+pub fn start(
+    trace: Option<&Trace>,
+    config: &Warrant,
+    limits: &Limits,
+    counters: Option<Arc<Counters>>,
+) -> Result<(RequestLog, Option<Running>), StartError> {
+    let Some(trace) = trace else { return Ok((RequestLog::new(None, counters), None)) };
+    let terms = &config.terms;
+    let product = |(name, class): (&String, &RequestClass)| Product {
+        name: name.clone(),
+        value: class.priority_weight,
+        sla: class.latency_objective,
+        expiry: class.timeout,
+        by_work: terms.charter.weight_per_work,
+    };
+    let told = Told {
+        node: config.name.clone(),
+        bounds: Bounds {
+            block_rows: trace.block_rows,
+            block_span: trace.block_span,
+            file_bytes: trace.file_bytes,
+            file_span: trace.file_span,
+            most_bytes: trace.most_bytes,
+            most_files: trace.most_files,
+        },
+        products: terms.products.iter().zip(&terms.charter.classes).map(product).collect(),
+        customers: terms.customers.clone(),
+        key: trace.key_file.as_deref().map_or_else(|| Ok(random_key()), load_key)?,
+        sample: trace.sample,
+    };
+    let folder = Folder { path: trace.folder.clone().into(), prefix: format!("{}-", config.name) };
+    std::fs::create_dir_all(&folder.path)
+        .map_err(|source| StartError::TraceFolder { folder: trace.folder.clone(), source })?;
+    let warn = |line: &str| tracing::warn!("{line}");
+    let started = Recorder::start(told, folder, limits.recorder_stack_bytes, warn);
+    let (recorder, running) = started.map_err(StartError::TraceThread)?;
+    tracing::info!("a trace is written to {}", trace.folder);
+    Ok((RequestLog::new(Some(recorder), counters), Some(running)))
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/server.rs
@@ -0,0 +1,173 @@
+//! Builds the parts of a server and connects them.
+
+use crate::dispatcher::cycle::DispatchLoop;
+use crate::dispatcher::Dispatcher;
+use crate::limits::Limits;
+use crate::request::slots::RequestSlots;
+use crate::request::RequestContext;
+use crate::runtime::addresses::PeerAddresses;
+use crate::runtime::alarm::Alarm;
+use crate::runtime::clock::Clock;
+use crate::runtime::fault_log::FaultLog;
+use crate::runtime::summary::AnswerSummary;
+use crate::runtime::wait_queue::WaitQueue;
+use crate::state::idempotency::{IdempotencyKeys, KeyBounds};
+use crate::state::request_log::RequestLog;
+use crate::wire::agent::link::AgentLink;
+use crate::wire::agent::reader::AgentReader;
+use crate::wire::gateway::connection::ConnectionContext;
+use crate::wire::gateway::connections::Connections;
+use crate::wire::gateway::decode::RequestDecoder;
+use crate::wire::gateway::listener::GatewayListener;
+use crate::wire::gateway::session::SessionContext;
+use crate::wire::registry::RegistryReporter;
+use crate::wire::store::StoreClient;
+use puffinladder::{AdmissionPolicy, PolicySettings};
+use puffinladder_charter::Warrant;
+use std::sync::atomic::AtomicUsize;
+use std::sync::Arc;
+
+/// The parts of one server.
+pub struct Server {
+    /// As read at start; of its peers those in `addresses` are in force.
+    pub config: Arc<Warrant>,
+    /// The peers' addresses.
+    pub addresses: Arc<PeerAddresses>,
+    /// Sizes, counts and times.
+    pub limits: Arc<Limits>,
+    /// The process's clock.
+    pub clock: Arc<Clock>,
+    /// The admission policy.
+    pub dispatcher: Arc<Dispatcher>,
+    /// The sending side of the agent's link.
+    pub agent: Arc<AgentLink>,
+    /// The connections of gateways.
+    pub connections: Arc<Connections>,
+    /// What requests share.
+    pub requests: Arc<RequestContext>,
+    /// What conversations with gateways share.
+    pub sessions: Arc<SessionContext>,
+    /// Woken ten times a second.
+    pub housekeeping: Arc<WaitQueue>,
+    /// Wakes the main thread.
+    pub alarm: Arc<Alarm>,
+    summary: Arc<AnswerSummary>,
+    faults: Arc<FaultLog>,
+}
+
+impl Server {
+    /// Builds a server; nothing of it runs yet.
+    pub fn new(config: Warrant, limits: Limits, log: RequestLog) -> Server {
+        let (config, limits, clock) = (Arc::new(config), Arc::new(limits), Arc::<Clock>::default());
+        let addresses = Arc::new(PeerAddresses::new(config.peers));
+        let faults = Arc::new(FaultLog::new(clock.clone(), limits.clone()));
+        let summary = Arc::<AnswerSummary>::default();
+        let dispatcher = Arc::new(new_dispatcher(&config, &limits, log));
+        let agent = Arc::new(AgentLink::new(limits.min_buffer_bytes, limits.max_agent_unsent_bytes));
+        let store = Arc::new(StoreClient::new(addresses.clone(), clock.clone(), limits.clone()));
+        let connections = Arc::new(Connections::new(Arc::new(ConnectionContext {
+            clock: clock.clone(),
+            limits: limits.clone(),
+            faults: faults.clone(),
+            max_idle: config.terms.charter.idle_timeout,
+            unsent: AtomicUsize::new(0),
+        })));
+        let requests = Arc::new(RequestContext {
+            dispatcher: dispatcher.clone(),
+            agent: agent.clone(),
+            store,
+            slots: Arc::new(RequestSlots::new(limits.max_requests)),
+            summary: summary.clone(),
+            faults: faults.clone(),
+            config: config.clone(),
+            clock: clock.clone(),
+            limits: limits.clone(),
+        });
+        let sessions = Arc::new(SessionContext {
+            connections: connections.clone(),
+            dispatcher: dispatcher.clone(),
+            decoder: RequestDecoder::new(config.clone()),
+            requests: requests.clone(),
+            faults: faults.clone(),
+            clock: clock.clone(),
+            limits: limits.clone(),
+        });
+        Server {
+            config,
+            addresses,
+            limits,
+            clock,
+            dispatcher,
+            agent,
+            connections,
+            requests,
+            sessions,
+            housekeeping: Arc::default(),
+            alarm: Arc::default(),
+            summary,
+            faults,
+        }
+    }
+
+    /// The loop that runs the policy.
+    pub fn dispatch_loop(&self) -> DispatchLoop {
+        DispatchLoop {
+            dispatcher: self.dispatcher.clone(),
+            agent: self.agent.clone(),
+            store: self.requests.store.clone(),
+            connections: self.connections.clone(),
+            slots: self.requests.slots.clone(),
+            summary: self.summary.clone(),
+            housekeeping: self.housekeeping.clone(),
+            alarm: self.alarm.clone(),
+            clock: self.clock.clone(),
+            limits: self.limits.clone(),
+        }
+    }
+
+    /// The reading side of the agent's link.
+    pub fn agent_reader(&self) -> AgentReader {
+        AgentReader {
+            link: self.agent.clone(),
+            dispatcher: self.dispatcher.clone(),
+            addresses: self.addresses.clone(),
+            config: self.config.clone(),
+            faults: self.faults.clone(),
+            housekeeping: self.housekeeping.clone(),
+            clock: self.clock.clone(),
+            limits: self.limits.clone(),
+        }
+    }
+
+    /// What reports to the registry.
+    pub fn registry_reporter(&self) -> RegistryReporter {
+        RegistryReporter {
+            dispatcher: self.dispatcher.clone(),
+            agent: self.agent.clone(),
+            addresses: self.addresses.clone(),
+            config: self.config.clone(),
+            housekeeping: self.housekeeping.clone(),
+            clock: self.clock.clone(),
+            limits: self.limits.clone(),
+        }
+    }
+
+    /// What accepts gateways.
+    pub fn gateway_listener(&self) -> GatewayListener {
+        GatewayListener { context: self.sessions.clone(), housekeeping: self.housekeeping.clone() }
+    }
+}
+
+fn new_dispatcher(config: &Warrant, limits: &Limits, log: RequestLog) -> Dispatcher {
+    let keys = IdempotencyKeys::new(KeyBounds {
+        max_keys: limits.max_keys,
+        max_result_bytes: limits.max_result_bytes,
+        clock_tolerance: limits.key_clock_tolerance,
+        retention: limits.key_retention,
+    });
+    // Keys lie in this process, within `limits.max_keys`: the machine's memory, which the policy guards, is charged
+    // nothing for them.
+    let settings = PolicySettings { key_memory: 0.0, ..config.terms.charter.clone() };
+    let policy = AdmissionPolicy::new(&settings, config.seed);
+    Dispatcher::new(policy, keys, settings.idle_timeout, log)
+}
--- /dev/null
+++ b/crates/server/src/lifecycle/startup.rs
@@ -0,0 +1,169 @@
+//! Starts the server, handles signals and waits for the end.
+
+use super::configuration::{self, ConfigurationSource, Options};
+use super::error::StartError;
+use super::server::Server;
+use super::shutdown::Shutdown;
+use super::signals::{SignalAction, SignalListener};
+use super::{logging, publish, recording};
+use crate::limits::Limits;
+use crate::state::counters::Counters;
+use may::coroutine::Builder;
+use may::net::TcpListener;
+use puffinladder_charter::settings::Settings;
+use puffinladder_charter::Warrant;
+use puffinladder_trace::row::Topic;
+use std::sync::Arc;
+use std::thread;
+
+/// Files that a recorder has open at once: the one it writes, the next one, a look at its folder.
+const TRACE_FILES: usize = 3;
+/// Exit status where a part that the process can't live without has ended.
+const VITAL_PART_ENDED: i32 = 70;
+
+/// What the process cannot live without: if its coroutine or thread ever ends, the process does, and is started anew.
+struct VitalPart(&'static str);
+
+impl Drop for VitalPart {
+    fn drop(&mut self) {
+        tracing::error!("{} has ended", self.0);
+        logging::flush();
+        std::process::exit(VITAL_PART_ENDED);
+    }
+}
+
+/// Serves until the time of the kill.
+///
+/// # Errors
+///
+/// Where the configuration can't be used, or the system refuses what the process needs before it listens.
+pub fn run(options: &Options) -> Result<(), StartError> {
+    // Received from the first: a signal that comes early waits until there is something to handle it.
+    let signals = SignalListener::register().map_err(StartError::Signals)?;
+    let source = ConfigurationSource::locate(options)?;
+    let settings = configuration::load_settings(options)?;
+    let config = source.load()?;
+    let limits = Limits::new(&config, reserved_descriptors(&settings));
+    logging::start(&limits, &settings.log)?;
+    let counters = settings.publish.as_ref().map(|_| new_counters(&config));
+    let (log, recording) = recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
+    let server = Arc::new(Server::new(config, limits, log));
+    configure_coroutines(&server.limits);
+    start_parts(&server, &settings)?;
+    start_signal_thread(&server, source, signals)?;
+    wait_for_end(&server, Shutdown::new(recording));
+    tracing::info!("{} ends", server.config.name);
+    logging::flush();
+    Ok(())
+}
+
+/// Descriptors for a trace's files and for connections to control services.
+fn reserved_descriptors(settings: &Settings) -> usize {
+    let trace_files = settings.trace.as_ref().map_or(0, |_| TRACE_FILES);
+    trace_files + settings.publish.as_ref().map_or(0, |publish| publish.control.len())
+}
+
+fn new_counters(config: &Warrant) -> Arc<Counters> {
+    Arc::new(Counters::new(config.terms.products.len(), config.terms.customers.len()))
+}
+
+/// One core, one worker; it must not be tied to a core that other servers are tied to as well.
+fn configure_coroutines(limits: &Limits) {
+    let may = may::config();
+    may.set_worker_pin(false);
+    may.set_timeout_ns(limits.idle_poll_timeout.as_nanos() as u64);
+    may.set_workers(1).set_stack_size(limits.stack_words).set_pool_capacity(limits.coroutine_pool_size);
+}
+
+/// Listens, and starts all that works for the life of the process.
+fn start_parts(server: &Server, settings: &Settings) -> Result<(), StartError> {
+    let address = server.config.listen;
+    let failed = |source| StartError::Listen { address, source };
+    let listener = TcpListener::bind(address).map_err(failed)?;
+    let listen = listener.inner().local_addr().map_err(failed)?;
+    tracing::info!("{} listens on {listen}", server.config.name);
+    if let Some(settings) = &settings.publish {
+        let (config, limits) = (&server.config, &server.limits);
+        publish::start(settings, config, limits, &server.dispatcher, &server.clock, listen)?;
+    }
+    let (dispatch, agent) = (server.dispatch_loop(), server.agent_reader());
+    let (registry, gateways) = (server.registry_reporter(), server.gateway_listener());
+    start_vital(&server.limits, "dispatcher", move || dispatch.run())?;
+    start_vital(&server.limits, "agent", move || agent.run())?;
+    start_vital(&server.limits, "registry", move || registry.run())?;
+    start_vital(&server.limits, "listener", move || gateways.run(&listener))
+}
+
+/// A coroutine for the life of the process, with a stack that bears JSON and log lines.
+fn start_vital(
+    limits: &Limits,
+    name: &'static str,
+    work: impl FnOnce() + Send + 'static,
+) -> Result<(), StartError> {
+    let builder = Builder::new().name(name.into()).stack_size(limits.deep_stack_words);
+    may::go!(builder, move || {
+        let _vital = VitalPart(name);
+        work();
+    })
+    .map(drop)
+    .map_err(StartError::Coroutine)
+}
+
+fn start_signal_thread(
+    server: &Arc<Server>,
+    source: ConfigurationSource,
+    signals: SignalListener,
+) -> Result<(), StartError> {
+    let builder = thread::Builder::new().name("signals".into()).stack_size(server.limits.thread_stack_bytes);
+    let server = server.clone();
+    let handle = move || handle_signals(&server, &source, signals);
+    builder.spawn(handle).map(drop).map_err(StartError::Thread)
+}
+
+/// Wakes the dispatcher in time until the process is to end.
+fn wait_for_end(server: &Server, mut shutdown: Shutdown) {
+    loop {
+        server.alarm.wait(server.limits.housekeeping_interval);
+        server.dispatcher.wake();
+        let Some(kill_time) = server.dispatcher.kill_time() else { continue };
+        if shutdown.advance(server, kill_time) {
+            return;
+        }
+    }
+}
+
+/// Passes the first notice to drain on to the policy, which has until the kill, and reloads as often as asked.
+fn handle_signals(server: &Server, source: &ConfigurationSource, signals: SignalListener) {
+    // Deaf to its notice to drain a server would break its promises at the kill.
+    let _vital = VitalPart("signals");
+    let error = signals.listen(|action| match action {
+        SignalAction::Reload => reload(server, source),
+        SignalAction::Drain if server.dispatcher.kill_time().is_some() => {}
+        SignalAction::Drain => {
+            tracing::info!("{} was told to leave", server.config.name);
+            let now = server.clock.now();
+            server.dispatcher.start_drain(now + server.config.stop, now);
+        }
+    });
+    tracing::error!("signals: {error}");
+}
+
+/// Reads the configuration anew. Where it can't be read, the old addresses stay in force.
+fn reload(server: &Server, source: &ConfigurationSource) {
+    let config = match source.load() {
+        Ok(config) => config,
+        Err(error) => return tracing::error!("reload: nothing changed: {error}"),
+    };
+    let unchangeable = server.config.fixed(&config);
+    if !unchangeable.is_empty() {
+        tracing::warn!("reload: {} hold until the next start", unchangeable.join(", "));
+    }
+    let peers = config.peers;
+    let changed = server.addresses.replace(peers);
+    let store = peers.store.map_or("nowhere".into(), |store| store.to_string());
+    let found = if changed { "now" } else { "still" };
+    tracing::info!("reload: agent {found} at {}, registry {}, store {store}", peers.agent, peers.roster);
+    server.dispatcher.log.note(server.clock.now(), Topic::RELOAD, f64::from(u8::from(changed)));
+    server.agent.recheck_address();
+    server.housekeeping.wake_all();
+}
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -1,177 +1,226 @@
-//! Every size, count and time of the process in one place. These are properties of the program; what is
-//! taken, run and turned away is the module's business.
+//! Every size, count and time of the process in one place. These are properties of the program; what is admitted, run
+//! and rejected is the policy's business.
 
 use puffinladder::Idempotency;
 use puffinladder_charter::Warrant;
 use std::time::Duration;
 
-/// Descriptors that the process holds for itself: 10 beside its links (`tests/process.rs` counts them), two links to the
-/// agent while one replaces the other, a report and a connection that is being accepted, and two to spare.
+/// Descriptors that the process keeps for itself, however many connect: 10 beside its links (`tests/process.rs` counts
+/// them: standard streams, pipe, listener, event loop), two links to the agent while one replaces the other, a report
+/// and a connection that is being accepted, and two to spare.
 const OWN_DESCRIPTORS: usize = 16;
+/// Of the other descriptors one in so many is the store's.
+const STORE_DESCRIPTOR_DIVISOR: usize = 4;
+/// Gateways may take five eighths of all descriptors: the half that is theirs, and an eighth for those of others.
+const GATEWAY_DESCRIPTOR_EIGHTHS: usize = 5;
+/// One descriptor in so many is for connections that are being closed.
+const CLOSING_DESCRIPTOR_DIVISOR: usize = 32;
 
+const BYTES_PER_MEGABYTE: f64 = 1_048_576.0;
+/// Share of the memory, in percent, that requests may take when each touches its whole stack and holds a body.
+const REQUEST_MEMORY_PERCENT: usize = 45;
+/// Bytes of a request's stack and of its body.
+const REQUEST_BYTES: usize = 32768 + 4096;
+/// Fewest requests in flight that are allowed, however small the memory.
+const MIN_REQUESTS: usize = 64;
+/// Requests that may be open on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Bytes of a message of a gateway.
+const MAX_MESSAGE_BYTES: usize = 4096;
+/// Bytes that an answer has beside its body.
+const ANSWER_OVERHEAD_BYTES: usize = 256;
+/// Bytes of a key with all that belongs to it.
+const KEY_BYTES: usize = 256;
+
+/// Every size, count and time of the process. Times are seconds where they are no [`Duration`].
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of gateways with a seat: the half of the descriptors that they may take, and an eighth for
-    /// those of others. One more makes the idlest go, and so many that were to go may have got work meanwhile.
-    pub gateways: usize,
-    pub outgoing: usize,
-    /// Descriptors of all connections of gateways, those on their way out among them: at no moment more, also in a
-    /// drain, when all of them part.
-    pub connections: usize,
+    /// Connections of gateways that are served. One more makes the idlest close, and as many as are being closed may
+    /// have got work meanwhile.
+    pub max_gateways: usize,
+    /// Connections over that which may be on their way out.
+    pub closing_allowance: usize,
+    /// Descriptors of all connections of gateways, those being closed among them: at no moment more, also in a drain,
+    /// when all of them close.
+    pub max_gateway_descriptors: usize,
     /// Connections to the store.
-    pub store: usize,
-    /// Txns in hand; one more is declined at once, since each takes a coroutine.
-    pub txns: usize,
-    /// Txns open on one connection.
-    pub open: usize,
+    pub max_store_connections: usize,
+    /// Requests in flight; one more is rejected at once, since each takes a coroutine.
+    pub max_requests: usize,
+    /// Requests open on one connection.
+    pub max_open_requests: usize,
     /// Used tags above an unused one that a connection remembers: far more than may be open.
-    pub tags: usize,
-    /// Bytes of a body, or of any other element, that a gateway sends, and of an unfinished message.
-    pub body: usize,
-    pub message: usize,
+    pub max_remembered_tags: usize,
+    /// Bytes of a body, or of any other element, that a gateway sends.
+    pub max_element_bytes: usize,
+    /// Bytes of an unfinished message.
+    pub max_message_bytes: usize,
     /// Bytes read from one connection before others have their turn.
-    pub turn: usize,
-    /// Bytes that wait for one slow gateway, and for all of them.
-    pub unsent: usize,
-    pub unsent_all: usize,
-    /// What each may leave unread though all together leave too much.
-    pub unsent_fair: usize,
-    /// Bytes of a line of the agent, and bytes that wait for it.
-    pub line: usize,
-    pub unsent_agent: usize,
-    /// Bytes of a reply's head and of its body, from store and roster.
-    pub head: usize,
-    pub reply: usize,
-    /// Keys known, of 256 bytes each with all that belongs to them, and bytes of results kept for replays.
-    pub keys: usize,
-    pub results: usize,
-    /// By how much two stamps, which are whole milliseconds, may lie nearer than their txns: a key holds that
+    pub read_turn_bytes: usize,
+    /// Bytes that wait for one slow gateway.
+    pub max_unsent_bytes: usize,
+    /// Bytes that wait for all gateways together.
+    pub max_total_unsent_bytes: usize,
+    /// Bytes that each gateway may leave unread though all together leave too much.
+    pub fair_unsent_bytes: usize,
+    /// Bytes of a line of the agent.
+    pub max_line_bytes: usize,
+    /// Bytes that wait for the agent.
+    pub max_agent_unsent_bytes: usize,
+    /// Bytes of a reply's head, from store and registry.
+    pub max_head_bytes: usize,
+    /// Bytes of a reply's body, from store and registry.
+    pub max_reply_bytes: usize,
+    /// Idempotency keys known.
+    pub max_keys: usize,
+    /// Bytes of results stored for replays.
+    pub max_result_bytes: usize,
+    /// By how much two timestamps, which are whole milliseconds, may lie nearer than their requests: a key is valid that
     /// much past its window.
-    pub key_grain: f64,
-    /// How long past that a key stays known: a try that came within the window may lie unread until it is due, and
+    pub key_clock_tolerance: f64,
+    /// How long past that a key stays known: an attempt that came within the window may lie unread until it is due, and
     /// would run as a new one if its key were forgotten by then.
-    pub key_over: f64,
-    /// How long one waits for a key that another of other content holds.
-    pub doubt: f64,
-    /// A connection's buffer shrinks back to this when it runs empty.
-    pub buffer: usize,
-    /// Stack of a coroutine that lives with a txn or a connection, in words of eight bytes.
-    pub stack: usize,
-    /// The same where JSON is read and lines are logged.
-    pub stack_deep: usize,
+    pub key_retention: f64,
+    /// How long a request waits for a key that one of other content holds.
+    pub key_contention_timeout: f64,
+    /// Bytes to which a connection's buffer shrinks back when it runs empty.
+    pub min_buffer_bytes: usize,
+    /// Stack of a coroutine that lives with a request or a connection, in words of eight bytes.
+    pub stack_words: usize,
+    /// Stack of a coroutine that reads JSON and logs lines, in words of eight bytes.
+    pub deep_stack_words: usize,
     /// Stack of the threads for signals and for the log, in bytes.
-    pub stack_thread: usize,
-    /// The same for the one that packs a trace.
-    pub stack_recorder: usize,
-    /// Lines of the log that wait for a slow reader; more are left out.
-    pub log_lines: usize,
-    /// Coroutines kept for the next txn.
-    pub spare_stacks: usize,
-    /// Lines about what others did wrong between two summaries; more are only counted.
-    pub complaints: u32,
+    pub thread_stack_bytes: usize,
+    /// Stack of the thread that packs a trace, in bytes.
+    pub recorder_stack_bytes: usize,
+    /// Lines of the log that wait for a slow reader; more are lost.
+    pub max_queued_log_lines: usize,
+    /// Coroutines kept for the next request.
+    pub coroutine_pool_size: usize,
+    /// Lines about faults of peers between two summaries; more are only counted.
+    pub fault_lines: u32,
     /// How long the worker sleeps while nothing happens.
-    pub idle_poll: Duration,
+    pub idle_poll_timeout: Duration,
     /// Between lines that sum up what was done.
-    pub summary: f64,
-    /// Between looks at what is idle, stuck or late to be tried again.
-    pub chores: Duration,
-    /// How long a beat waits for its gauges, and a new link for the end of old notices.
-    pub gauges: Duration,
-    pub mark_wait: f64,
-    /// Between reports to the roster, and how long one may take.
-    pub report: Duration,
-    pub report_wait: Duration,
+    pub summary_interval: f64,
+    /// Between looks at what is idle, stuck or due to be tried again.
+    pub housekeeping_interval: Duration,
+    /// How long a tick waits for its gauges.
+    pub gauge_timeout: Duration,
+    /// How long a new link to the agent waits for the end of replayed notices.
+    pub replay_timeout: f64,
+    /// Between reports to the registry.
+    pub report_interval: Duration,
+    /// How long a report may take.
+    pub report_timeout: Duration,
     /// How long a connection may take to open.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long a reply of the store may stand still once a part of it has come.
-    pub stall: f64,
+    pub reply_stall_timeout: f64,
     /// How long a message may take from its first byte to its last, and a connection to its first message.
-    pub message_wait: f64,
-    /// Times its usual span between messages that a connection which came again may lie unused.
-    pub usual_spans: f64,
+    pub message_timeout: f64,
+    /// Times its usual interval between messages that a connection which came again may lie unused.
+    pub idle_interval_factor: f64,
     /// How long a connection that is only asked for health may lie unused.
-    pub checks_idle: f64,
+    pub health_check_idle_timeout: f64,
     /// How long a gateway may take to close what it was asked to leave.
-    pub goodbye: f64,
-    /// How long, and for how many bytes, a connection that was ended from here is read to its end.
-    pub parting: f64,
-    pub parting_bytes: usize,
-    /// How long before the kill gateways are asked to leave, and when all answers are out, connections are ended.
-    pub farewell: f64,
-    pub last_close: f64,
-    /// How long before the kill, when all answers are out, books are closed; how long a trace may take to seal.
-    pub closing: f64,
-    pub seal: Duration,
+    pub goaway_timeout: f64,
+    /// How long a connection that was ended from here is read to its end.
+    pub closing_timeout: f64,
+    /// For how many bytes a connection that was ended from here is read to its end.
+    pub max_closing_bytes: usize,
+    /// How long before the kill gateways are asked to leave.
+    pub goaway_lead: f64,
+    /// How long before the kill, when all answers are out, connections are ended.
+    pub close_lead: f64,
+    /// How long before the kill, when all answers are out, log entries are closed.
+    pub log_close_lead: f64,
+    /// How long a trace may take to seal.
+    pub trace_seal_timeout: Duration,
+}
+
+/// The longest, s, that a request with a key may lie unread and yet be run: until its timeout.
+fn longest_unread(config: &Warrant) -> f64 {
+    let classes = config.terms.charter.classes.iter();
+    classes
+        .filter(|class| class.idempotency == Idempotency::Keyed)
+        .map(|class| class.timeout)
+        .fold(0.0, f64::max)
 }
 
-/// The longest that a txn with a key may lie unread and yet be run: until its expiry.
-fn longest_unread(warrant: &Warrant) -> f64 {
-    let products = warrant.terms.charter.classes.iter();
-    products.filter(|p| p.idempotency == Idempotency::Keyed).map(|p| p.timeout).fold(0.0, f64::max)
+/// How the descriptors are shared out.
+struct DescriptorShares {
+    gateways: usize,
+    closing: usize,
+    store: usize,
+}
+
+impl DescriptorShares {
+    fn new(descriptors: usize) -> DescriptorShares {
+        let store = descriptors.saturating_sub(OWN_DESCRIPTORS) / STORE_DESCRIPTOR_DIVISOR;
+        let closing = (descriptors / CLOSING_DESCRIPTOR_DIVISOR).max(1);
+        let rest = descriptors.saturating_sub(OWN_DESCRIPTORS + store + 2 * closing);
+        let gateways = (descriptors * GATEWAY_DESCRIPTOR_EIGHTHS / 8).min(rest).max(1);
+        DescriptorShares { gateways, closing, store: store.max(1) }
+    }
 }
 
 impl Limits {
-    /// `files`: descriptors that the settings ask for beside all that, a trace's files and control services.
-    pub fn new(warrant: &Warrant, files: usize) -> Limits {
-        let sockets = warrant.sockets.saturating_sub(files);
-        let memory = (warrant.memory_mb * 1048576.0) as usize;
-        // Descriptors: those that the process can't do without are nobody else's, however many connect: standard
-        // streams, pipe, listener, event loop, the agent's link and the one that replaces it, a report, the one that is
-        // being accepted. Of the others a quarter is the store's and five eighths are the gateways'.
-        let store = sockets.saturating_sub(OWN_DESCRIPTORS) / 4;
-        let outgoing = (sockets / 32).max(1);
-        let rest = sockets.saturating_sub(OWN_DESCRIPTORS + store + 2 * outgoing);
+    /// The limits of a process of this configuration. `reserved_descriptors` are those that the settings ask for beside
+    /// all that: a trace's files and connections to control services.
+    pub fn new(config: &Warrant, reserved_descriptors: usize) -> Limits {
+        let shares = DescriptorShares::new(config.sockets.saturating_sub(reserved_descriptors));
+        let memory = (config.memory_mb * BYTES_PER_MEGABYTE) as usize;
         Limits {
-            gateways: (sockets * 5 / 8).min(rest).max(1),
-            outgoing,
-            connections: (sockets * 5 / 8).min(rest).max(1) + 2 * outgoing,
-            store: store.max(1),
-            // Each may touch its whole stack and hold a body: at most 45% of the memory.
-            txns: (memory * 45 / 100 / (32768 + 4096)).max(64),
-            open: 32,
-            tags: 256,
-            body: 2048,
-            message: 4096,
-            turn: 65536,
-            unsent: 32 * (4096 + 256),
-            unsent_all: memory / 8,
-            unsent_fair: 2 * 4096,
-            line: 65536,
-            unsent_agent: memory / 16,
-            head: 4096,
-            reply: 32768,
-            keys: memory / 12 / 256,
-            results: memory / 8,
-            key_grain: 0.002,
-            key_over: longest_unread(warrant),
-            doubt: 1.0,
-            buffer: 4096,
-            stack: 4096,
-            stack_deep: 32768,
-            stack_thread: 131_072,
-            stack_recorder: 1 << 20,
-            log_lines: 1024,
-            spare_stacks: 64,
-            complaints: 20,
-            idle_poll: Duration::from_secs(1),
-            summary: 10.0,
-            chores: Duration::from_millis(100),
-            gauges: Duration::from_millis(10),
-            mark_wait: 2.0,
-            report: Duration::from_millis(1000),
-            report_wait: Duration::from_millis(500),
-            connect: Duration::from_millis(1000),
-            stall: 0.3,
-            message_wait: 2.0,
-            usual_spans: 4.0,
-            checks_idle: 30.0,
-            goodbye: 2.0,
-            parting: 1.0,
-            parting_bytes: 1 << 18,
-            farewell: 0.25,
-            last_close: 0.05,
-            closing: 0.04,
-            seal: Duration::from_millis(200),
+            max_gateways: shares.gateways,
+            closing_allowance: shares.closing,
+            max_gateway_descriptors: shares.gateways + 2 * shares.closing,
+            max_store_connections: shares.store,
+            max_requests: (memory * REQUEST_MEMORY_PERCENT / 100 / REQUEST_BYTES).max(MIN_REQUESTS),
+            max_open_requests: MAX_OPEN_REQUESTS,
+            max_remembered_tags: 256,
+            max_element_bytes: 2048,
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            read_turn_bytes: 65536,
+            max_unsent_bytes: MAX_OPEN_REQUESTS * (MAX_MESSAGE_BYTES + ANSWER_OVERHEAD_BYTES),
+            max_total_unsent_bytes: memory / 8,
+            fair_unsent_bytes: 2 * MAX_MESSAGE_BYTES,
+            max_line_bytes: 65536,
+            max_agent_unsent_bytes: memory / 16,
+            max_head_bytes: 4096,
+            max_reply_bytes: 32768,
+            max_keys: memory / 12 / KEY_BYTES,
+            max_result_bytes: memory / 8,
+            key_clock_tolerance: 0.002,
+            key_retention: longest_unread(config),
+            key_contention_timeout: 1.0,
+            min_buffer_bytes: 4096,
+            stack_words: 4096,
+            deep_stack_words: 32768,
+            thread_stack_bytes: 131_072,
+            recorder_stack_bytes: 1 << 20,
+            max_queued_log_lines: 1024,
+            coroutine_pool_size: 64,
+            fault_lines: 20,
+            idle_poll_timeout: Duration::from_secs(1),
+            summary_interval: 10.0,
+            housekeeping_interval: Duration::from_millis(100),
+            gauge_timeout: Duration::from_millis(10),
+            replay_timeout: 2.0,
+            report_interval: Duration::from_millis(1000),
+            report_timeout: Duration::from_millis(500),
+            connect_timeout: Duration::from_millis(1000),
+            reply_stall_timeout: 0.3,
+            message_timeout: 2.0,
+            idle_interval_factor: 4.0,
+            health_check_idle_timeout: 30.0,
+            goaway_timeout: 2.0,
+            closing_timeout: 1.0,
+            max_closing_bytes: 1 << 18,
+            goaway_lead: 0.25,
+            close_lead: 0.05,
+            log_close_lead: 0.04,
+            trace_seal_timeout: Duration::from_millis(200),
         }
     }
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,5 +1,5 @@
-//! puffinladder's decisions on real sockets: one server of the fleet, as the platform starts it. The same with a
-//! command line is `puffinladder serve`.
+//! One server of the fleet, as the platform starts it: the admission policy on real sockets. The same with a command line
+//! is `puffinladder serve`.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
@@ -15,27 +15,33 @@
 
 With flags: puffinladder serve --help";
 
+/// Exit status where the command line is wrong.
+const USAGE_ERROR: u8 = 2;
+
 fn main() -> ExitCode {
     let mut arguments = std::env::args().skip(1);
     match (arguments.next().as_deref(), arguments.next()) {
-        (None, _) => {}
+        (None, _) => serve(),
         (Some("--help" | "-h"), None) => {
             println!("{USAGE}");
-            return ExitCode::SUCCESS;
+            ExitCode::SUCCESS
         }
         (Some("--version" | "-V"), None) => {
             println!("puffinladder-server {}", env!("CARGO_PKG_VERSION"));
-            return ExitCode::SUCCESS;
+            ExitCode::SUCCESS
         }
         (Some(other), _) => {
             eprintln!("puffinladder-server: {other} is not known; see --help");
-            return ExitCode::from(2);
+            ExitCode::from(USAGE_ERROR)
         }
     }
+}
+
+fn serve() -> ExitCode {
     match puffinladder_server::run(&puffinladder_server::Options::default()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("puffinladder-server: {what}");
+        Err(error) => {
+            eprintln!("puffinladder-server: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/server/src/runtime/summary.rs
@@ -0,0 +1,60 @@
+//! Counts answers for the summary line of the log.
+
+use super::lock::lock;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Mutex;
+
+/// Answers by their status, and when they were last summed up in the log.
+#[derive(Default)]
+pub struct AnswerSummary {
+    completed: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
+    last_line: Mutex<LastLine>,
+}
+
+#[derive(Default)]
+struct LastLine {
+    written_at: f64,
+    /// Answers that it summed up.
+    answers: u64,
+}
+
+/// What the process has in hand at the moment of a summary.
+pub struct Activity {
+    /// Requests with a coroutine.
+    pub in_flight: usize,
+    /// Connections of gateways.
+    pub gateways: usize,
+    /// Connections to the store.
+    pub store_calls: usize,
+}
+
+impl AnswerSummary {
+    /// Counts an answer by its status.
+    pub fn count(&self, status: &str) {
+        let counter = match status {
+            "200" => &self.completed,
+            "503" => &self.rejected,
+            _ => &self.failed,
+        };
+        counter.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Writes the summary line if `interval` seconds have passed since the last one and there were answers meanwhile.
+    pub fn report(&self, now: f64, interval: f64, activity: impl FnOnce() -> Activity) {
+        let mut last = lock(&self.last_line);
+        let [completed, rejected, failed] =
+            [&self.completed, &self.rejected, &self.failed].map(|counter| counter.load(Ordering::Relaxed));
+        let answers = completed + rejected + failed;
+        if now - last.written_at < interval || answers == last.answers {
+            return;
+        }
+        *last = LastLine { written_at: now, answers };
+        let Activity { in_flight, gateways, store_calls } = activity();
+        tracing::info!(
+            "so far completed {completed}, rejected {rejected}, failed {failed}; \
+             in flight {in_flight}, connections {gateways} of gateways and {store_calls} to the store"
+        );
+    }
+}
--- a/crates/server/src/life/chores.rs
+++ b/crates/server/src/runtime/wait_queue.rs
@@ -1,21 +1,24 @@
-//! A place to wait for the next look at idle things, about ten times a second.
+//! A place where coroutines wait for the next housekeeping cycle, about ten times a second.
 
-use crate::lock::lock;
+use super::lock::lock;
 use may::coroutine::{self, Coroutine};
 use std::sync::Mutex;
 
+/// Coroutines that wait to be woken together.
 #[derive(Default)]
-pub struct Chores {
+pub struct WaitQueue {
     waiting: Mutex<Vec<Coroutine>>,
 }
 
-impl Chores {
+impl WaitQueue {
+    /// Parks the calling coroutine until the next [`WaitQueue::wake_all`].
     pub fn wait(&self) {
         lock(&self.waiting).push(coroutine::current());
         coroutine::park();
     }
 
-    pub fn ring(&self) {
+    /// Wakes all that wait.
+    pub fn wake_all(&self) {
         let waiting = std::mem::take(&mut *lock(&self.waiting));
         waiting.iter().for_each(Coroutine::unpark);
     }
--- /dev/null
+++ b/crates/server/src/state/request_log.rs
@@ -0,0 +1,194 @@
+//! What is recorded of each request and of the server's state, where the settings ask for a trace or for reports.
+
+use super::counters::Counters;
+use super::received_request::ReceivedRequest;
+use crate::runtime::clock::{seconds_since, unix_now};
+use crate::runtime::lock::lock;
+use puffinladder::Gauges;
+use puffinladder_charter::Terms;
+use puffinladder_trace::recorder::keeper::Changes;
+use puffinladder_trace::recorder::{Entry, Recorder};
+use puffinladder_trace::row::{Step, Topic};
+use std::sync::{Arc, Mutex};
+
+/// Least change of a decision's value that is noted: decisions move in steps of a tenth.
+const MIN_DECISION_CHANGE: f64 = 0.1;
+/// Least change of a gauge's value that is noted: gauges jump about.
+const MIN_GAUGE_CHANGE: f64 = 1.0;
+
+/// Records requests for the trace and counts them for the control service; without either it does nothing.
+#[derive(Default)]
+pub struct RequestLog {
+    trace: Option<TraceLog>,
+    counters: Option<Arc<Counters>>,
+}
+
+struct TraceLog {
+    recorder: Recorder,
+    changes: Mutex<Changes>,
+}
+
+impl RequestLog {
+    /// A log that writes to this recorder and these counters, where there are any.
+    pub fn new(recorder: Option<Recorder>, counters: Option<Arc<Counters>>) -> RequestLog {
+        let trace = recorder.map(|recorder| TraceLog { recorder, changes: Mutex::default() });
+        RequestLog { trace, counters }
+    }
+
+    /// The counters for the control service, if there is one.
+    pub fn counters(&self) -> Option<&Arc<Counters>> {
+        self.counters.as_ref()
+    }
+
+    /// Opens the entry of a request that was just read.
+    pub fn open<'a>(&'a self, received: &ReceivedRequest, terms: &Terms) -> RequestEntry<'a> {
+        if self.trace.is_none() && self.counters.is_none() {
+            return RequestEntry::default();
+        }
+        let (request, now, time_unread) = (&received.request, unix_now(), seconds_since(received.timestamp));
+        let class = &terms.charter.classes[request.class];
+        let due = now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
+        let counted = self.counters.as_deref().map(|counters| {
+            let cell = counters.count_received(request.class, request.tenant);
+            CountedRequest { counters, cell }
+        });
+        let Some(trace) = &self.trace else { return RequestEntry { recorded: None, counted, due } };
+        let mut entry = Entry::new(now, received.attempt);
+        entry.unread = time_unread;
+        entry.product = request.class as u16;
+        entry.customer = request.tenant as u32;
+        (entry.caller, entry.rank, entry.hint) = (request.caller, request.rank, request.cost_hint);
+        (entry.memory, entry.repeat, entry.key) = (request.memory, request.is_retry, received.key);
+        let recorded = Some(RecordedRequest { recorder: &trace.recorder, entry });
+        RequestEntry { recorded, counted, due }
+    }
+
+    /// Notes a value in the trace.
+    pub fn note(&self, now: f64, topic: Topic, value: f64) {
+        if let Some(trace) = &self.trace {
+            trace.recorder.note(now, topic, value);
+        }
+    }
+
+    /// Records the notice to drain: the process is killed at `kill_time`.
+    pub fn record_drain(&self, now: f64, kill_time: f64) {
+        self.note(now, Topic::LEAVE, kill_time - now);
+        if let Some(counters) = &self.counters {
+            counters.set_kill_time(kill_time);
+        }
+    }
+
+    /// Records what the policy says of this server's health.
+    pub fn record_health(&self, now: f64, healthy: bool) {
+        self.note_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
+        if let Some(counters) = &self.counters {
+            counters.set_health(healthy);
+        }
+    }
+
+    /// Records the policy's limits on runs and calls, and its pressure.
+    pub fn record_limits(&self, now: f64, runs: f64, calls: f64, pressure: f64) {
+        self.note_change(now, Topic::LIMIT, runs);
+        self.note_change(now, Topic::CALLS, calls);
+        if let Some(counters) = &self.counters {
+            counters.set_limits(runs, pressure);
+        }
+    }
+
+    /// Notes the value of a decision if it has changed.
+    pub fn note_change(&self, now: f64, topic: Topic, value: f64) {
+        self.note_change_of(now, topic, value, MIN_DECISION_CHANGE);
+    }
+
+    fn note_change_of(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
+        if let Some(trace) = &self.trace {
+            if lock(&trace.changes).news(now, topic.0, value, min_change) {
+                trace.recorder.note(now, topic, value);
+            }
+        }
+    }
+
+    /// Notes the gauges that have changed.
+    pub fn record_gauges(&self, gauges: &Gauges) {
+        if self.trace.is_none() {
+            return;
+        }
+        let shown = [
+            (Topic::BUSY, gauges.busy),
+            (Topic::RUNNABLE, gauges.runnable),
+            (Topic::MEMORY, gauges.memory),
+            (Topic::SOCKETS, gauges.sockets),
+        ];
+        for (topic, value) in shown {
+            if let Some(value) = value {
+                self.note_change_of(unix_now(), topic, value, MIN_GAUGE_CHANGE);
+            }
+        }
+    }
+}
+
+/// The log entry of one request. It goes to the recorder when it is dropped, however the request ends.
+#[derive(Default)]
+pub struct RequestEntry<'a> {
+    recorded: Option<RecordedRequest<'a>>,
+    counted: Option<CountedRequest<'a>>,
+    /// When its latency objective ends, s of the recorder's clock.
+    due: f64,
+}
+
+struct RecordedRequest<'a> {
+    recorder: &'a Recorder,
+    entry: Entry,
+}
+
+struct CountedRequest<'a> {
+    counters: &'a Counters,
+    cell: usize,
+}
+
+impl RequestEntry<'_> {
+    /// Records a step of the request's life.
+    pub fn record(&mut self, step: Step) {
+        if let Some(recorded) = &mut self.recorded {
+            recorded.entry.step(unix_now(), step);
+        }
+        if let Some(counted) = &self.counted {
+            counted.counters.count_step(counted.cell, step);
+        }
+    }
+
+    /// The step that a completion at this moment counts as.
+    pub fn completion_step(&self) -> Step {
+        let watched = self.recorded.is_some() || self.counted.is_some();
+        if watched && unix_now() > self.due {
+            Step::SETTLED_LATE
+        } else {
+            Step::SETTLED
+        }
+    }
+
+    /// Records the Retry-After, s, that goes out with a rejection, and whether it should not be tried elsewhere.
+    pub fn record_retry_after(&mut self, retry_after: f64, last: bool) {
+        if let Some(recorded) = &mut self.recorded {
+            (recorded.entry.keep_off, recorded.entry.last) = (retry_after, last);
+        }
+        if let (Some(counted), true) = (&self.counted, retry_after > 0.0) {
+            counted.counters.set_retry_after(retry_after);
+        }
+    }
+
+    /// Records that its run ended after so many seconds.
+    pub fn record_run(&self, took: f64) {
+        if let Some(counted) = &self.counted {
+            counted.counters.count_run(took);
+        }
+    }
+}
+
+impl Drop for RequestEntry<'_> {
+    fn drop(&mut self) {
+        if let Some(recorded) = &self.recorded {
+            recorded.recorder.txn(&recorded.entry);
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/wire/agent/notice.rs
@@ -0,0 +1,83 @@
+//! What the agent says: one JSON object a line.
+
+use super::link::REPLAY_MARK;
+use base64::prelude::{Engine, BASE64_STANDARD};
+use puffinladder::Outcome;
+use serde_json::Value;
+use thiserror::Error;
+
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+
+/// A body that is not base64.
+#[derive(Debug, Error)]
+#[error("a body that is not base64")]
+pub struct MalformedBody;
+
+/// One line of the agent.
+pub enum Notice<'a> {
+    /// The agent is there, and in this state.
+    Greeting { state: &'a str },
+    /// All notices from before the link have been replayed.
+    ReplayEnd,
+    /// The answer to a poll of the gauges, in the order of the settings' meters.
+    Gauges { tag: &'a str, values: &'a [Value] },
+    /// A run waits at a downstream call.
+    AtCall { sequence: u64, body: Vec<u8> },
+    /// A run has ended.
+    Ended { outcome: Outcome, took: f64, body: Vec<u8> },
+    /// The agent refuses a command.
+    Refusal { command: &'a str },
+    /// Anything else.
+    Unknown,
+}
+
+/// The text under a key; what is absent is empty.
+pub fn text<'a>(line: &'a Value, key: &str) -> &'a str {
+    line.get(key).and_then(Value::as_str).unwrap_or_default()
+}
+
+/// The notice's number, if it has one.
+pub fn sequence(line: &Value) -> Option<u64> {
+    line.get("seq").and_then(Value::as_u64)
+}
+
+impl Notice<'_> {
+    /// Reads a line.
+    pub fn parse(line: &Value) -> Result<Notice<'_>, MalformedBody> {
+        let notice = match text(line, "op") {
+            "greeting" => Notice::Greeting { state: text(line, "end") },
+            "sampled" if text(line, "tag") == REPLAY_MARK => Notice::ReplayEnd,
+            "sampled" => {
+                let values = line.get("values").and_then(Value::as_array);
+                Notice::Gauges {
+                    tag: text(line, "tag"),
+                    values: values.map(Vec::as_slice).unwrap_or_default(),
+                }
+            }
+            "request" => {
+                Notice::AtCall { sequence: sequence(line).unwrap_or_default(), body: parse_body(line)? }
+            }
+            "outcome" => {
+                let milliseconds = line.get("ms").and_then(Value::as_f64).unwrap_or_default();
+                let took = milliseconds / MILLISECONDS_PER_SECOND;
+                Notice::Ended { outcome: parse_outcome(text(line, "end")), took, body: parse_body(line)? }
+            }
+            "refusal" => Notice::Refusal { command: text(line, "end") },
+            _ => Notice::Unknown,
+        };
+        Ok(notice)
+    }
+}
+
+fn parse_outcome(end: &str) -> Outcome {
+    match end {
+        "fine" => Outcome::Completed,
+        "broken_off" => Outcome::Cancelled,
+        "late" => Outcome::NotNeeded,
+        _ => Outcome::Failed,
+    }
+}
+
+fn parse_body(line: &Value) -> Result<Vec<u8>, MalformedBody> {
+    BASE64_STANDARD.decode(text(line, "body")).map_err(|_| MalformedBody)
+}
--- a/crates/server/src/wire/gateway/tests.rs
+++ b/crates/server/src/wire/gateway/tests.rs
@@ -1,75 +1,86 @@
-use super::*;
-use std::io::Write;
+use super::connection::Connection;
+use super::listener::{run_session, Socket};
+use super::session::Session;
+use super::tags::UsedTags;
+use crate::lifecycle::Server;
+use crate::runtime::lock::lock;
+use may::net::TcpStream;
+use std::io::{Read, Write};
+use std::net::Shutdown;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
 
-/// The example's house, and a connection to a listener of its own.
-fn house() -> (Arc<House>, std::net::TcpListener, TcpStream) {
+/// The example's server, and a connection to a listener of its own.
+fn server() -> (Server, std::net::TcpListener, TcpStream) {
     let example = puffinladder_toy::town::EXAMPLE.as_bytes();
-    let warrant = puffinladder_charter::read_warrant(example, None, None).unwrap();
-    let limits = crate::limits::Limits::new(&warrant, 0);
-    let house = House::new(warrant, limits, Default::default());
+    let config = puffinladder_charter::read_warrant(example, None, None).unwrap();
+    let limits = crate::limits::Limits::new(&config, 0);
+    let server = Server::new(config, limits, Default::default());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (house, listener, stream)
+    (server, listener, stream)
 }
 
 #[test]
 fn where_all_together_leave_too_much_unread_only_those_close_that_leave_much() {
-    let (house, _listener, stream) = house();
-    let [hog, other] = [(); 2].map(|()| Connection::new(&house, &stream));
+    let (server, _listener, stream) = server();
+    let context = server.connections.context();
+    let [hog, other] = [(); 2].map(|()| Connection::new(context, &stream));
     for connection in [&hog, &other] {
         (1..=3).for_each(|tag| connection.open(tag, &Arc::default()));
     }
-    let much = vec![0; house.limits.unsent_fair];
-    hog.answer(&house, 1, "200", &[], &much);
-    house.gateways.unsent.fetch_add(house.limits.unsent_all, Ordering::Relaxed);
-    hog.answer(&house, 2, "200", &[], b"more");
-    other.answer(&house, 1, "200", &[], b"little");
-    assert!(hog.lock().closed && !other.lock().closed);
+    let much = vec![0; server.limits.fair_unsent_bytes];
+    hog.answer(1, "200", &[], &much);
+    context.unsent.fetch_add(server.limits.max_total_unsent_bytes, Ordering::Relaxed);
+    hog.answer(2, "200", &[], b"more");
+    other.answer(1, "200", &[], b"little");
+    assert!(hog.state().closed && !other.state().closed);
     assert!(other.unsent().ends_with(b"little\r\n"));
     // Even the fairest share ends at what one connection may leave.
-    house.gateways.unsent.store(0, Ordering::Relaxed);
-    other.answer(&house, 2, "200", &[], &vec![0; house.limits.unsent]);
-    assert!(other.lock().closed);
+    context.unsent.store(0, Ordering::Relaxed);
+    other.answer(2, "200", &[], &vec![0; server.limits.max_unsent_bytes]);
+    assert!(other.state().closed);
 }
 
 #[test]
 fn who_came_again_and_again_may_lie_unused_for_longer_than_who_came_once() {
-    let (house, _listener, stream) = house();
-    let connection = Connection::new(&house, &stream);
+    let (server, _listener, stream) = server();
+    let context = server.connections.context();
+    let connection = Connection::new(context, &stream);
     let patience = |messages, span| {
-        let mut state = connection.lock();
-        (state.messages, state.used) = (messages, state.since + span);
-        state.patience(0.1, &house)
+        let mut state = connection.state();
+        (state.messages, state.last_used) = (messages, state.accepted_at + span);
+        state.idle_timeout(0.1, context)
     };
     assert_eq!(patience(1, 10.0), 0.1);
     assert!((patience(5, 10.0) - 8.0).abs() < 1e-6);
     assert_eq!(patience(5, 1000.0), 30.0, "and never for longer than the settings say");
-    connection.lock().checks = true;
-    assert_eq!(patience(1, 0.0), house.limits.checks_idle);
+    connection.state().asked_for_health = true;
+    assert_eq!(patience(1, 0.0), server.limits.health_check_idle_timeout);
 }
 
 #[test]
 fn tags_come_in_any_order_but_each_only_once() {
-    let mut tags = Tags::default();
+    let mut tags = UsedTags::default();
     for tag in [3, 1, 2, 9, 4] {
-        assert!(tags.take(tag, 8) && !tags.take(tag, 8), "{tag}");
+        assert!(tags.insert(tag, 8) && !tags.insert(tag, 8), "{tag}");
     }
-    assert_eq!((tags.all_to, tags.above.len()), (4, 1));
+    assert_eq!((tags.all_up_to, tags.above.len()), (4, 1));
     for tag in (100..10_000).rev().step_by(2) {
-        assert!(tags.take(tag, 8), "{tag}");
+        assert!(tags.insert(tag, 8), "{tag}");
     }
-    assert!(tags.take(5, 8) && !tags.take(1, 8) && tags.above.len() <= 8);
+    assert!(tags.insert(5, 8) && !tags.insert(1, 8) && tags.above.len() <= 8);
 }
 
-/// A connection with a seat, as the listener would have made it, and the gateway's end of it.
-fn seated() -> (Arc<House>, Seat, TcpStream, std::net::TcpStream) {
-    let (house, listener, stream) = house();
+/// A connection that is served, as the listener would have made it, and the gateway's end of it.
+fn served() -> (Server, Session, TcpStream, std::net::TcpStream) {
+    let (server, listener, stream) = server();
     let gateway = listener.accept().unwrap().0;
     gateway.set_read_timeout(Some(puffinladder_toy::PATIENCE)).unwrap();
-    let connection = Arc::new(Connection::new(&house, &stream));
-    house.gateways.lock().insert(1, connection.clone());
-    let seat = Seat { house: house.clone(), connection, serial: 1 };
-    (house, seat, stream, gateway)
+    let connection = Arc::new(Connection::new(server.connections.context(), &stream));
+    server.connections.insert(1, connection.clone());
+    let session = Session { context: server.sessions.clone(), connection, serial: 1 };
+    (server, session, stream, gateway)
 }
 
 fn request() -> Vec<u8> {
@@ -79,17 +90,17 @@
 
 #[test]
 fn a_request_that_crosses_the_wish_to_close_its_connection_is_taken_and_answered() {
-    let (house, seat, stream, mut gateway) = seated();
-    let connection = seat.connection.clone();
+    let (server, session, stream, mut gateway) = served();
+    let connection = session.connection.clone();
     // The wish, then the request, then the first look: a request that is read and then closed on would be lost, and
     // one that must not run twice would run here and where its gateway sends it once more.
-    assert!(house.gateways.make_room());
+    assert!(server.connections.close_idlest());
     gateway.write_all(&request()).unwrap();
-    let serving = may::go!(move || serve(&seat, &stream));
-    while connection.lock().open.is_empty() && house.gateways.count() > 0 {
+    let serving = may::go!(move || session.serve(&stream));
+    while connection.state().open_requests.is_empty() && server.connections.count() > 0 {
         std::thread::yield_now();
     }
-    connection.answer(&house, 7, "200", b"", b"result");
+    connection.answer(7, "200", b"", b"result");
     let wanted = b"*4\r\n$1\r\n7\r\n$3\r\n200\r\n$0\r\n\r\n$6\r\nresult\r\n";
     let mut got = vec![0; wanted.len()];
     gateway.read_exact(&mut got).unwrap();
@@ -100,9 +111,9 @@
 
 #[test]
 fn what_comes_behind_the_end_of_a_connection_is_never_taken_and_resets_nothing() {
-    let (house, seat, stream, mut gateway) = seated();
-    assert!(house.gateways.make_room());
-    let serving = may::go!(move || serve(&seat, &stream));
+    let (server, session, stream, mut gateway) = served();
+    assert!(server.connections.close_idlest());
+    let serving = may::go!(move || session.serve(&stream));
     let mut bytes = [0; 16];
     assert_eq!(gateway.read(&mut bytes).unwrap(), 0, "its end is said first");
     for _ in 0..3 {
@@ -111,42 +122,48 @@
     gateway.shutdown(Shutdown::Write).unwrap();
     serving.join().unwrap();
     assert_eq!(gateway.read(&mut bytes).unwrap(), 0, "no reset");
-    assert_eq!((house.living.count(), house.gateways.count()), (0, 0));
+    assert_eq!((server.requests.slots.in_use(), server.connections.count()), (0, 0));
 }
 
 #[test]
-fn with_all_descriptors_held_the_connection_that_parts_longest_makes_way_and_then_an_idle_one() {
-    let (house, seat, ..) = seated();
-    let (_, other, ..) = seated();
-    let (gateways, most) = (&house.gateways, house.limits.connections);
-    lock(&gateways.parting).extend([seat.connection.clone(), other.connection.clone()]);
-    gateways.held.store(most - 1, Ordering::Relaxed);
-    assert!(gateways.free(most) && gateways.parting(&seat.connection), "nobody ends while there is room");
-    gateways.held.store(most, Ordering::Relaxed);
-    assert!(!gateways.free(most));
-    assert!(!gateways.parting(&seat.connection) && gateways.parting(&other.connection));
-    assert!(!gateways.free(most) && !gateways.parting(&other.connection));
-    // Nobody parts any more: the idle one is to. One at work is not, and the new one is turned away.
-    assert!(!gateways.free(most) && std::mem::take(&mut seat.connection.lock().parting));
-    seat.connection.open(1, &Arc::default());
-    assert!(gateways.free(most) && !seat.connection.lock().parting);
+fn with_all_descriptors_held_the_connection_that_closes_longest_makes_way_and_then_an_idle_one() {
+    let (server, session, ..) = served();
+    let (_, other, ..) = served();
+    let (connections, most) = (&server.connections, server.limits.max_gateway_descriptors);
+    lock(&connections.closing).extend([session.connection.clone(), other.connection.clone()]);
+    connections.descriptors.store(most - 1, Ordering::Relaxed);
+    assert!(
+        connections.reserve_descriptor() && connections.is_closing(&session.connection),
+        "nobody ends while there is room"
+    );
+    connections.descriptors.store(most, Ordering::Relaxed);
+    assert!(!connections.reserve_descriptor());
+    assert!(!connections.is_closing(&session.connection) && connections.is_closing(&other.connection));
+    assert!(!connections.reserve_descriptor() && !connections.is_closing(&other.connection));
+    // Nobody is closing any more: the idle one is to. One at work is not, and the new one is rejected.
+    assert!(
+        !connections.reserve_descriptor() && std::mem::take(&mut session.connection.state().close_requested)
+    );
+    session.connection.open(1, &Arc::default());
+    assert!(connections.reserve_descriptor() && !session.connection.state().close_requested);
 }
 
 #[test]
 fn a_socket_counts_until_it_is_closed_whatever_ends_it() {
-    let (house, seat, stream, gateway) = seated();
-    let socket = Socket::new(&house, stream);
-    assert_eq!(house.gateways.held.load(Ordering::Relaxed), 1);
+    let (server, session, stream, gateway) = served();
+    let connections = server.connections.clone();
+    let socket = Socket::new(&connections, stream);
+    assert_eq!(connections.descriptors.load(Ordering::Relaxed), 1);
     drop(gateway);
-    may::go!(move || attend(&seat, socket)).join().unwrap();
-    assert_eq!(house.gateways.held.load(Ordering::Relaxed), 0);
+    may::go!(move || run_session(&session, socket)).join().unwrap();
+    assert_eq!(connections.descriptors.load(Ordering::Relaxed), 0);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let socket = Socket::new(&house, stream);
+    let socket = Socket::new(&connections, stream);
     let died = may::go!(move || {
         let _socket = socket;
         panic!("as a connection might");
     });
     assert!(died.join().is_err());
-    assert_eq!(house.gateways.held.load(Ordering::Relaxed), 0);
+    assert_eq!(connections.descriptors.load(Ordering::Relaxed), 0);
 }
--- a/crates/server/src/wire/http/tests.rs
+++ b/crates/server/src/wire/http/tests.rs
@@ -4,15 +4,15 @@
 fn a_reply_is_read_once_it_is_whole_and_no_size_is_trusted() {
     let whole = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 3\r\n\r\nabc";
     for cut in 0..whole.len() {
-        assert_eq!(reply(&whole[..cut], 4096, 64), Ok(None), "{cut}");
+        assert_eq!(read_reply(&whole[..cut], 4096, 64), Ok(None), "{cut}");
     }
-    let read = reply(whole, 4096, 64).unwrap();
+    let read = read_reply(whole, 4096, 64).unwrap();
     assert_eq!(read, Some(Reply { status: 503, not_run: true, body: b"abc" }));
     // Interim replies stand before it, noise or a second copy behind it.
     let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nContent-Length: 9\r\n\r\n";
     let more = [&interim[..], whole, b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise"].concat();
-    assert_eq!(reply(&more, 4096, 64).unwrap(), read);
-    assert_eq!(reply(interim, 4096, 64), Ok(None));
+    assert_eq!(read_reply(&more, 4096, 64).unwrap(), read);
+    assert_eq!(read_reply(interim, 4096, 64), Ok(None));
     let bad: [&[u8]; 7] = [
         b"HTTP/1.1 101 Away\r\n\r\n",
         b"RESP/1.1 200 OK\r\n\r\n",
@@ -23,7 +23,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
     ];
     for bad in bad {
-        assert!(reply(bad, 4096, 64).is_err(), "{}", String::from_utf8_lossy(bad));
+        assert!(read_reply(bad, 4096, 64).is_err(), "{}", String::from_utf8_lossy(bad));
     }
-    assert!(reply(&[b"HTTP/1.1 200 OK\r\nA: ".to_vec(), vec![b'a'; 99]].concat(), 64, 64).is_err());
+    assert!(read_reply(&[b"HTTP/1.1 200 OK\r\nA: ".to_vec(), vec![b'a'; 99]].concat(), 64, 64).is_err());
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -1,9 +1,9 @@
-//! What is spoken with gateways, agent, store and roster.
+//! The connections to gateways, agent, store and registry, and what is spoken on them.
 
 pub mod agent;
 pub mod gateway;
 pub mod http;
+pub mod registry;
 pub mod resp;
 pub mod ring;
-pub mod roster;
 pub mod store;
--- /dev/null
+++ b/crates/server/src/wire/registry.rs
@@ -0,0 +1,104 @@
+//! Reports to the registry. Faults here touch nothing else.
+
+use super::http::{self, ReplyError};
+use super::ring::{ReadOutcome, RingBuffer};
+use crate::dispatcher::Dispatcher;
+use crate::limits::Limits;
+use crate::runtime::addresses::PeerAddresses;
+use crate::runtime::clock::Clock;
+use crate::runtime::wait_queue::WaitQueue;
+use crate::wire::agent::link::AgentLink;
+use may::net::TcpStream;
+use puffinladder_charter::Warrant;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use thiserror::Error;
+
+/// Why a report was not taken.
+#[derive(Debug, Error)]
+enum ReportError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Reply(#[from] ReplyError),
+    #[error("status {0}")]
+    Status(u16),
+}
+
+/// Reports this server to the registry.
+pub struct RegistryReporter {
+    /// What it says of itself, and whether it drains.
+    pub dispatcher: Arc<Dispatcher>,
+    /// Nothing is reported before the agent is up.
+    pub agent: Arc<AgentLink>,
+    /// Where the registry is found.
+    pub addresses: Arc<PeerAddresses>,
+    /// The server's name.
+    pub config: Arc<Warrant>,
+    /// The pace of looking whether a report is due.
+    pub housekeeping: Arc<WaitQueue>,
+    /// The process's clock.
+    pub clock: Arc<Clock>,
+    /// Sizes and times.
+    pub limits: Arc<Limits>,
+}
+
+impl RegistryReporter {
+    /// Reports for as long as the process lives.
+    pub fn run(&self) {
+        let (mut next, mut succeeded, mut reported_to) = (0.0, true, None);
+        loop {
+            let now = self.clock.now();
+            let registry = self.addresses.get().roster;
+            // A registry that moved hears at once: it may not know this server yet.
+            let due = now >= next || reported_to != Some(registry);
+            if due && self.agent.is_greeted() && !self.is_leaving() {
+                next = now + self.limits.report_interval.as_secs_f64();
+                reported_to = Some(registry);
+                let result = self.report(registry);
+                if let Err(error) = &result {
+                    if succeeded {
+                        tracing::warn!("registry: no report: {error}");
+                    }
+                }
+                succeeded = result.is_ok();
+            }
+            self.housekeeping.wait();
+        }
+    }
+
+    /// Where the endpoint list does not follow the health, a draining server leaves it by reporting no more.
+    fn is_leaving(&self) -> bool {
+        let draining = self.dispatcher.kill_time().is_some();
+        draining && !self.config.terms.charter.endpoints_follow_health
+    }
+
+    /// One report on a connection of its own: what became of the last one, or of its answer, can't touch it.
+    fn report(&self, registry: SocketAddr) -> Result<(), ReportError> {
+        let limits = &self.limits;
+        let mut stream = TcpStream::connect_timeout(&registry, limits.report_timeout)?;
+        stream.set_read_timeout(Some(limits.report_timeout))?;
+        stream.set_write_timeout(Some(limits.report_timeout))?;
+        let deadline = self.clock.now() + limits.report_timeout.as_secs_f64();
+        let duty = if self.dispatcher.healthy() { "on" } else { "off" };
+        let body = format!("{{\"duty\":\"{duty}\"}}");
+        let target = format!("PUT /roster/{}", self.config.name);
+        stream.write_all(&http::write_request(&target, "roster", "", body.as_bytes()))?;
+        let mut input =
+            RingBuffer::new(limits.min_buffer_bytes, limits.max_head_bytes + limits.max_reply_bytes);
+        while self.clock.now() < deadline {
+            if !matches!(input.fill_from(&mut stream)?, ReadOutcome::Bytes(_)) {
+                return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
+            }
+            let reply = http::read_reply(input.contiguous(), limits.max_head_bytes, limits.max_reply_bytes)?;
+            if let Some(reply) = reply {
+                return match reply.status {
+                    200..=299 => Ok(()),
+                    status => Err(ReportError::Status(status)),
+                };
+            }
+        }
+        Err(io::Error::from(io::ErrorKind::TimedOut).into())
+    }
+}
--- a/crates/server/src/wire/resp/tests.rs
+++ b/crates/server/src/wire/resp/tests.rs
@@ -2,7 +2,7 @@
 
 fn encoded(elements: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::new();
-    write(&mut out, elements);
+    write_array(&mut out, elements);
     out
 }
 
@@ -13,14 +13,14 @@
     let size = bytes.len();
     bytes.extend(encoded(&[b"CHECK", b"8", b""]));
     for cut in 0..size {
-        assert_eq!(array(&bytes[..cut], 2048), Ok(None), "{cut}");
+        assert_eq!(read_array(&bytes[..cut], 2048), Ok(None), "{cut}");
     }
-    let read = array(&bytes, 2048).unwrap().unwrap();
+    let read = read_array(&bytes, 2048).unwrap().unwrap();
     assert_eq!((read.size, read.count), (size, 5));
     for (place, element) in call.iter().enumerate() {
         assert_eq!(read.at(place), *element);
     }
-    let next = array(&bytes[size..], 2048).unwrap().unwrap();
+    let next = read_array(&bytes[size..], 2048).unwrap().unwrap();
     assert_eq!(
         (next.at(0), next.at(1), next.at(2), next.at(3)),
         (&b"CHECK"[..], &b"8"[..], &b""[..], &b""[..])
@@ -46,22 +46,25 @@
         "*1\r\n$1\r\na\rb",
     ];
     for case in cases {
-        assert!(array(case.as_bytes(), 2048).is_err(), "{case:?}");
+        assert!(read_array(case.as_bytes(), 2048).is_err(), "{case:?}");
     }
 }
 
 #[test]
 fn fields_come_in_any_order_and_unknown_ones_are_passed_over() {
-    let [i, s, k] = fields(b"s=17,zz=1,i=9b,q=,k=a=b", b"isk").unwrap();
+    let [i, s, k] = parse_fields(b"s=17,zz=1,i=9b,q=,k=a=b", b"isk").unwrap();
     assert_eq!((i, s, k), (&b"9b"[..], &b"17"[..], &b"a=b"[..]));
-    assert_eq!(fields(b"", b"i"), Some([&b""[..]]));
-    assert_eq!(fields(b"i", b"i"), None);
-    assert_eq!((decimal(b"18"), decimal(b""), decimal(b"+1"), decimal(b"1e3")), (Some(18), None, None, None));
+    assert_eq!(parse_fields(b"", b"i"), Some([&b""[..]]));
+    assert_eq!(parse_fields(b"i", b"i"), None);
     assert_eq!(
-        (fraction(b"0.625"), fraction(b"nan"), fraction(b"-1"), fraction(b"inf")),
+        (parse_decimal(b"18"), parse_decimal(b""), parse_decimal(b"+1"), parse_decimal(b"1e3")),
+        (Some(18), None, None, None)
+    );
+    assert_eq!(
+        (parse_fraction(b"0.625"), parse_fraction(b"nan"), parse_fraction(b"-1"), parse_fraction(b"inf")),
         (Some(0.625), None, None, None)
     );
     let mut out = Vec::new();
-    [0, 7, 1764576000123].iter().for_each(|&n| put_decimal(&mut out, n));
+    [0, 7, 1764576000123].iter().for_each(|&n| write_decimal(&mut out, n));
     assert_eq!(out, b"071764576000123");
 }
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -2,119 +2,134 @@
 
 use std::io::{self, Read, Write};
 
-pub struct Ring {
+/// A queue of bytes that grows to a bound and gives its memory back when it runs empty.
+pub struct RingBuffer {
     bytes: Box<[u8]>,
     head: usize,
-    len: usize,
-    /// Size to which it shrinks back when it runs empty, and the most it may hold.
-    least: usize,
-    most: usize,
+    length: usize,
+    /// Size to which it shrinks back when it runs empty.
+    min_size: usize,
+    /// The most it may hold.
+    max_size: usize,
 }
 
 /// There is no room for that many bytes.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct BufferFull;
 
 /// What one read brought.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Filled {
+pub enum ReadOutcome {
+    /// So many bytes.
     Bytes(usize),
     /// Nothing now; the connection tells when there is more.
-    NotYet,
-    Ended,
+    WouldBlock,
+    /// The other side has ended the stream.
+    Closed,
 }
 
-impl Ring {
-    pub fn new(least: usize, most: usize) -> Ring {
-        Ring { bytes: Box::default(), head: 0, len: 0, least: least.clamp(1, most), most }
+impl RingBuffer {
+    /// An empty buffer of these sizes in bytes.
+    pub fn new(min_size: usize, max_size: usize) -> RingBuffer {
+        RingBuffer {
+            bytes: Box::default(),
+            head: 0,
+            length: 0,
+            min_size: min_size.clamp(1, max_size),
+            max_size,
+        }
     }
 
+    /// How many bytes it holds.
     pub fn len(&self) -> usize {
-        self.len
+        self.length
     }
 
+    /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
-        self.len == 0
+        self.length == 0
     }
 
+    /// Whether it holds as much as it may.
     pub fn is_full(&self) -> bool {
-        self.len == self.most
+        self.length == self.max_size
     }
 
     /// Makes room for `more` bytes, or leaves all as it was.
-    fn grow(&mut self, more: usize) -> Result<(), Full> {
-        let wanted = self.len.checked_add(more).filter(|&size| size <= self.most).ok_or(Full)?;
+    fn grow(&mut self, more: usize) -> Result<(), BufferFull> {
+        let wanted = self.length.checked_add(more).filter(|&size| size <= self.max_size).ok_or(BufferFull)?;
         if wanted > self.bytes.len() {
-            let size = wanted.next_power_of_two().max(self.least).min(self.most);
+            let size = wanted.next_power_of_two().max(self.min_size).min(self.max_size);
             let mut bytes = vec![0; size].into_boxed_slice();
-            let (first, second) = self.parts();
+            let (first, second) = self.slices();
             bytes[..first.len()].copy_from_slice(first);
-            bytes[first.len()..self.len].copy_from_slice(second);
+            bytes[first.len()..self.length].copy_from_slice(second);
             (self.bytes, self.head) = (bytes, 0);
         }
         Ok(())
     }
 
     /// What it holds, oldest first, in the two pieces in which it lies.
-    fn parts(&self) -> (&[u8], &[u8]) {
-        let first = self.len.min(self.bytes.len() - self.head);
-        (&self.bytes[self.head..self.head + first], &self.bytes[..self.len - first])
+    fn slices(&self) -> (&[u8], &[u8]) {
+        let first = self.length.min(self.bytes.len() - self.head);
+        (&self.bytes[self.head..self.head + first], &self.bytes[..self.length - first])
     }
 
-    /// What it holds, in one piece.
-    pub fn whole(&mut self) -> &[u8] {
-        if self.head + self.len > self.bytes.len() {
+    /// What it holds, oldest first, moved into one piece.
+    pub fn contiguous(&mut self) -> &[u8] {
+        if self.head + self.length > self.bytes.len() {
             self.bytes.rotate_left(self.head);
             self.head = 0;
         }
-        &self.bytes[self.head..self.head + self.len]
+        &self.bytes[self.head..self.head + self.length]
     }
 
-    pub fn put(&mut self, bytes: &[u8]) -> Result<(), Full> {
+    /// Appends all of these bytes, or none of them.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), BufferFull> {
         self.grow(bytes.len())?;
         if bytes.is_empty() {
             return Ok(());
         }
         let size = self.bytes.len();
-        let tail = (self.head + self.len) % size;
+        let tail = (self.head + self.length) % size;
         let first = bytes.len().min(size - tail);
         self.bytes[tail..tail + first].copy_from_slice(&bytes[..first]);
         self.bytes[..bytes.len() - first].copy_from_slice(&bytes[first..]);
-        self.len += bytes.len();
+        self.length += bytes.len();
         Ok(())
     }
 
     /// Drops the oldest bytes.
     pub fn consume(&mut self, count: usize) {
-        let count = count.min(self.len);
-        self.len -= count;
-        if self.len > 0 {
+        let count = count.min(self.length);
+        self.length -= count;
+        if self.length > 0 {
             self.head = (self.head + count) % self.bytes.len();
         } else {
             self.head = 0;
-            if self.bytes.len() > self.least {
+            if self.bytes.len() > self.min_size {
                 self.bytes = Box::default();
             }
         }
     }
 
     /// One read into the free room, of which there must be some.
-    pub fn fill_from(&mut self, mut source: impl Read) -> io::Result<Filled> {
-        if self.bytes.len() == self.len {
-            let more = (self.most - self.len).clamp(1, self.least);
-            self.grow(more).map_err(|Full| io::Error::from(io::ErrorKind::OutOfMemory))?;
+    pub fn fill_from(&mut self, mut source: impl Read) -> io::Result<ReadOutcome> {
+        if self.bytes.len() == self.length {
+            let more = (self.max_size - self.length).clamp(1, self.min_size);
+            self.grow(more).map_err(|BufferFull| io::Error::from(io::ErrorKind::OutOfMemory))?;
         }
         let size = self.bytes.len();
-        let tail = (self.head + self.len) % size;
+        let tail = (self.head + self.length) % size;
         let end = if tail < self.head { self.head } else { size };
         loop {
             match source.read(&mut self.bytes[tail..end]) {
-                Ok(0) => return Ok(Filled::Ended),
+                Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(count) => {
-                    self.len += count;
-                    return Ok(Filled::Bytes(count));
+                    self.length += count;
+                    return Ok(ReadOutcome::Bytes(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Filled::NotYet),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -123,8 +138,8 @@
 
     /// Writes as much as the other side takes without waiting; whether all of it went.
     pub fn drain_to(&mut self, mut sink: impl Write) -> io::Result<bool> {
-        while self.len > 0 {
-            match sink.write(self.parts().0) {
+        while self.length > 0 {
+            match sink.write(self.slices().0) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.consume(count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
--- a/crates/server/src/wire/ring/tests.rs
+++ b/crates/server/src/wire/ring/tests.rs
@@ -3,14 +3,14 @@
 #[test]
 fn what_went_in_comes_out_whole_at_every_place_of_the_ring() {
     for start in 0..16 {
-        let mut ring = Ring::new(8, 16);
-        ring.put(&[0; 16][..start]).unwrap();
+        let mut ring = RingBuffer::new(8, 16);
+        ring.push(&[0; 16][..start]).unwrap();
         ring.consume(start);
         let mut wanted = Vec::new();
         for byte in 0..64u8 {
-            ring.put(&[byte, !byte]).unwrap();
+            ring.push(&[byte, !byte]).unwrap();
             wanted.extend([byte, !byte]);
-            assert_eq!(ring.whole(), wanted);
+            assert_eq!(ring.contiguous(), wanted);
             if ring.len() > 9 {
                 ring.consume(7);
                 wanted.drain(..7);
@@ -21,11 +21,11 @@
 
 #[test]
 fn it_takes_no_byte_over_its_bound_and_none_of_what_does_not_fit() {
-    let mut ring = Ring::new(4, 8);
-    ring.put(b"abcdef").unwrap();
-    assert_eq!(ring.put(b"ghi"), Err(Full));
-    assert_eq!(ring.whole(), b"abcdef");
-    assert_eq!(ring.fill_from(&b"ghijk"[..]).unwrap(), Filled::Bytes(2));
+    let mut ring = RingBuffer::new(4, 8);
+    ring.push(b"abcdef").unwrap();
+    assert_eq!(ring.push(b"ghi"), Err(BufferFull));
+    assert_eq!(ring.contiguous(), b"abcdef");
+    assert_eq!(ring.fill_from(&b"ghijk"[..]).unwrap(), ReadOutcome::Bytes(2));
     assert!(ring.is_full() && ring.fill_from(&b"k"[..]).is_err());
     let mut out = Vec::new();
     assert!(ring.drain_to(&mut out).unwrap() && ring.is_empty());
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -1,13 +1,16 @@
 //! Calls to the store, each in a coroutine and on a connection of its own.
 //!
-//! Connections are not used twice: what came too much behind a reply could be taken for the next one's, and a
-//! break on a connection that lay unused can't be told from a call that ran.
+//! Connections are not used twice: what came too much behind a reply could be taken for the next one's, and a break on a
+//! connection that lay unused can't be told from a call that ran.
 
 use super::http;
-use super::ring::{Filled, Ring};
-use crate::life::House;
-use crate::lock::lock;
-use crate::memory::hands::{Name, Slip, Word};
+use super::ring::{ReadOutcome, RingBuffer};
+use crate::limits::Limits;
+use crate::runtime::addresses::PeerAddresses;
+use crate::runtime::clock::Clock;
+use crate::runtime::lock::lock;
+use crate::state::identifiers::AttemptId;
+use crate::state::mailbox::{Event, Mailbox};
 use may::coroutine::{self, Coroutine};
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
@@ -17,182 +20,263 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-#[derive(Default)]
-pub struct Store {
-    places: Mutex<Places>,
+/// The shortest time, s, for which a connection is tried.
+const MIN_CONNECT_TIMEOUT: f64 = 0.001;
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+
+/// Makes calls to the store.
+pub struct StoreClient {
+    slots: Mutex<ConnectionSlots>,
     /// The calls that are out.
-    calls: Mutex<Vec<Arc<Call>>>,
+    calls: Mutex<Vec<Arc<StoreCall>>>,
+    addresses: Arc<PeerAddresses>,
+    clock: Arc<Clock>,
+    limits: Arc<Limits>,
 }
 
 /// The store's share of descriptors.
 #[derive(Default)]
-struct Places {
+struct ConnectionSlots {
     taken: usize,
     /// Who waits for one, longest first.
     waiting: VecDeque<Coroutine>,
 }
 
 /// A call that is out.
-pub struct Call {
+pub struct StoreCall {
     deadline: f64,
-    given_up: AtomicBool,
-    over: AtomicBool,
+    abandoned: AtomicBool,
+    finished: AtomicBool,
     /// A part of the reply has come.
     replying: AtomicBool,
-    /// How to wake it: while it waits for a place, then while it speaks.
-    waits: Mutex<Option<Coroutine>>,
+    /// How to wake it while it waits for a slot.
+    coroutine: Mutex<Option<Coroutine>>,
+    /// How to wake it while it has a connection.
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
-/// How a call that came to no readable reply ended.
-enum Stop {
-    GivenUp,
+/// A reply that was read.
+struct CallReply {
+    outcome: Outcome,
+    body: Vec<u8>,
+}
+
+/// How a call without a readable reply ended.
+enum CallError {
+    Abandoned,
     Ended(Outcome),
 }
 
-impl Call {
-    /// Asks the store on behalf of a txn, which hears `Word::Returned` unless it gives the call up.
-    pub fn begin(house: &Arc<House>, name: Name, body: Vec<u8>, limit: f64, slip: &Arc<Slip>) -> Arc<Call> {
-        let begun = house.clock.now();
-        let call = Arc::new(Call {
+impl StoreClient {
+    /// A client without calls.
+    pub fn new(addresses: Arc<PeerAddresses>, clock: Arc<Clock>, limits: Arc<Limits>) -> StoreClient {
+        StoreClient { slots: Mutex::default(), calls: Mutex::default(), addresses, clock, limits }
+    }
+
+    /// Makes a call on behalf of a request, whose mailbox gets `Event::Returned` unless it abandons the call. `limit` is
+    /// the longest that the call may take, s.
+    pub fn call(
+        self: &Arc<Self>,
+        attempt: AttemptId,
+        body: Vec<u8>,
+        limit: f64,
+        mailbox: &Arc<Mailbox>,
+    ) -> Arc<StoreCall> {
+        let begun = self.clock.now();
+        let call = Arc::new(StoreCall {
             deadline: begun + limit,
-            given_up: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            abandoned: AtomicBool::new(false),
+            finished: AtomicBool::new(false),
             replying: AtomicBool::new(false),
-            waits: Mutex::default(),
+            coroutine: Mutex::default(),
             waker: Mutex::default(),
         });
-        lock(&house.store.calls).push(call.clone());
-        let (house, slip, this) = (house.clone(), slip.clone(), call.clone());
+        lock(&self.calls).push(call.clone());
+        let (client, mailbox, this) = (self.clone(), mailbox.clone(), call.clone());
         may::go!(move || {
-            let end = this.make(&house, &name, &body, limit);
-            this.over.store(true, Ordering::Relaxed);
-            let (outcome, body) = match end {
-                Ok(end) => end,
-                Err(Stop::Ended(outcome)) => (outcome, Vec::new()),
-                Err(Stop::GivenUp) => return,
+            let end = client.make(&this, &attempt, &body, limit);
+            this.finished.store(true, Ordering::Relaxed);
+            let CallReply { outcome, body } = match end {
+                Ok(reply) => reply,
+                Err(CallError::Ended(outcome)) => CallReply { outcome, body: Vec::new() },
+                Err(CallError::Abandoned) => return,
             };
-            slip.say(Word::Returned { outcome, took: house.clock.now() - begun, body });
+            mailbox.send(Event::Returned { outcome, took: client.clock.now() - begun, body });
         });
         call
     }
 
-    /// The run has ended, so nobody wants the reply: the connection closes.
-    pub fn give_up(&self) {
-        self.given_up.store(true, Ordering::Relaxed);
-        self.wake();
+    /// Connections to the store.
+    pub fn open_connections(&self) -> usize {
+        lock(&self.slots).taken
     }
 
-    fn wake(&self) {
-        if let Some(waker) = &*lock(&self.waker) {
-            waker.wakeup();
-        } else if let Some(waits) = &*lock(&self.waits) {
-            waits.unpark();
-        }
-    }
-
-    /// Whether to go on waiting.
-    fn check(&self, house: &House, late: Outcome) -> Result<(), Stop> {
-        if self.given_up.load(Ordering::Relaxed) {
-            return Err(Stop::GivenUp);
-        }
-        if house.clock.now() >= self.deadline {
-            return Err(Stop::Ended(late));
-        }
-        Ok(())
+    /// Wakes calls whose time is up, those whose reply may have stopped half way, and those for whom there is a slot that
+    /// was offered to one that no longer wants it.
+    pub fn wake_overdue(&self, now: f64) {
+        let mut slots = lock(&self.slots);
+        let free = self.limits.max_store_connections.saturating_sub(slots.taken);
+        let woken = free.min(slots.waiting.len());
+        slots.waiting.drain(..woken).for_each(|waiting| waiting.unpark());
+        drop(slots);
+        let mut calls = lock(&self.calls);
+        calls.retain(|call| !call.finished.load(Ordering::Relaxed));
+        let due = |call: &&Arc<StoreCall>| now >= call.deadline || call.replying.load(Ordering::Relaxed);
+        calls.iter().filter(due).for_each(|call| call.wake());
     }
 
+    /// Makes a call, from its slot to its reply.
     fn make(
         &self,
-        house: &Arc<House>,
-        name: &Name,
+        call: &StoreCall,
+        attempt: &AttemptId,
         body: &[u8],
         limit: f64,
-    ) -> Result<(Outcome, Vec<u8>), Stop> {
-        let _place = self.place(house)?;
-        let limits = &house.limits;
-        // A connection that never came up proves that no call ran.
-        let unreachable = Stop::Ended(Outcome::Unreachable);
-        let stream = loop {
-            let Some(address) = house.directory.peers().store else { return Err(unreachable) };
-            // Bounded before it becomes a duration, which has no room for a customer's endless expiry.
-            let left = (self.deadline - house.clock.now()).clamp(0.001, limits.connect.as_secs_f64());
+    ) -> Result<CallReply, CallError> {
+        let _slot = self.take_slot(call)?;
+        let stream = self.connect(call)?;
+        let _ = stream.set_nodelay(true);
+        *lock(&call.waker) = Some(stream.waker());
+        // A slow connection may outlast the call's time, or its run: not a byte has gone, so nothing need run.
+        self.check(call, Outcome::Unreachable)?;
+        let mut out = RingBuffer::new(
+            self.limits.min_buffer_bytes,
+            self.limits.max_head_bytes + self.limits.max_line_bytes,
+        );
+        let attempt = String::from_utf8_lossy(attempt);
+        let wait = (limit * MILLISECONDS_PER_SECOND).ceil();
+        let headers = format!("X-For-Request: {attempt}\r\nX-Wait-Ms: {wait}\r\n");
+        if out.push(&http::write_request("POST /query", "store", &headers, body)).is_err() {
+            return Err(CallError::Ended(Outcome::NotNeeded));
+        }
+        self.exchange(call, &stream, out)
+    }
+
+    /// A slot in the store's share of descriptors; waiting for one counts in the call's limit.
+    fn take_slot<'a>(&'a self, call: &StoreCall) -> Result<Slot<'a>, CallError> {
+        *lock(&call.coroutine) = Some(coroutine::current());
+        loop {
+            {
+                let mut slots = lock(&self.slots);
+                if slots.taken < self.limits.max_store_connections {
+                    slots.taken += 1;
+                    return Ok(Slot(self));
+                }
+                slots.waiting.push_back(coroutine::current());
+            }
+            self.check(call, Outcome::Rejected)?;
+            coroutine::park();
+        }
+    }
+
+    /// A connection that never came up proves that no call ran.
+    fn connect(&self, call: &StoreCall) -> Result<TcpStream, CallError> {
+        let unreachable = CallError::Ended(Outcome::Unreachable);
+        loop {
+            let Some(address) = self.addresses.get().store else { return Err(unreachable) };
+            // Bounded before it becomes a duration, which has no room for a customer's endless timeout.
+            let left = call.deadline - self.clock.now();
+            let left = left.clamp(MIN_CONNECT_TIMEOUT, self.limits.connect_timeout.as_secs_f64());
             match TcpStream::connect_timeout(&address, Duration::from_secs_f64(left)) {
-                Ok(stream) => break stream,
+                Ok(stream) => return Ok(stream),
                 // It moved meanwhile.
-                Err(_) if house.directory.peers().store != Some(address) => {}
+                Err(_) if self.addresses.get().store != Some(address) => {}
                 Err(_) => return Err(unreachable),
             }
-        };
-        let _ = stream.set_nodelay(true);
-        *lock(&self.waker) = Some(stream.waker());
-        // A slow dial may outlast the call's time, or its run: not a byte has gone, so nothing need run.
-        self.check(house, Outcome::Unreachable)?;
-        let mut input = Ring::new(limits.buffer, limits.head + limits.reply);
-        let mut out = Ring::new(limits.buffer, limits.head + limits.line);
-        let name = String::from_utf8_lossy(name);
-        let wait = (limit * 1e3).ceil();
-        let more = format!("X-For-Request: {name}\r\nX-Wait-Ms: {wait}\r\n");
-        if out.put(&http::request("POST /query", "store", &more, body)).is_err() {
-            return Err(Stop::Ended(Outcome::NotNeeded));
         }
-        // Once a byte may have gone, a break proves nothing.
-        let broken = Stop::Ended(Outcome::ConnectionLost);
-        let mut begun = None;
+    }
+
+    /// Sends the request and reads the reply. Once a byte may have gone, a broken connection proves nothing.
+    fn exchange(
+        &self,
+        call: &StoreCall,
+        stream: &TcpStream,
+        mut out: RingBuffer,
+    ) -> Result<CallReply, CallError> {
+        let limits = &self.limits;
+        let mut input =
+            RingBuffer::new(limits.min_buffer_bytes, limits.max_head_bytes + limits.max_reply_bytes);
+        let mut reply_began = None;
         loop {
             if out.drain_to(stream.inner()).is_err() {
-                return Err(broken);
+                return Err(CallError::Ended(Outcome::ConnectionLost));
             }
-            loop {
-                match input.fill_from(stream.inner()) {
-                    Ok(Filled::Bytes(_)) => {}
-                    Ok(Filled::NotYet) => break,
-                    Ok(Filled::Ended) | Err(_) => return Err(broken),
-                }
-                match http::reply(input.whole(), limits.head, limits.reply) {
-                    Ok(None) => {}
-                    Ok(Some(reply)) => {
-                        return Ok((outcome(reply.status, reply.not_run), reply.body.to_vec()))
-                    }
-                    Err(what) => {
-                        tracing::debug!("store: a call broke off: {what}");
-                        return Err(broken);
-                    }
-                }
+            if let Some(reply) = self.read_available(&mut input, stream)? {
+                return Ok(reply);
             }
-            self.check(house, Outcome::TimedOut)?;
+            self.check(call, Outcome::TimedOut)?;
             // A reply that stops half way does not go on: what it lacks was never meant to come.
             if !input.is_empty() {
-                let now = house.clock.now();
-                self.replying.store(true, Ordering::Relaxed);
-                if now - *begun.get_or_insert(now) > limits.stall {
-                    return Err(broken);
+                let now = self.clock.now();
+                call.replying.store(true, Ordering::Relaxed);
+                if now - *reply_began.get_or_insert(now) > limits.reply_stall_timeout {
+                    return Err(CallError::Ended(Outcome::ConnectionLost));
                 }
             }
             stream.wait_io();
         }
     }
 
-    /// A place in the store's share of descriptors; waiting for one counts in the call's limit.
-    fn place<'a>(&self, house: &'a House) -> Result<Place<'a>, Stop> {
-        *lock(&self.waits) = Some(coroutine::current());
+    /// Reads until the reply is complete, or nothing more has come.
+    fn read_available(
+        &self,
+        input: &mut RingBuffer,
+        stream: &TcpStream,
+    ) -> Result<Option<CallReply>, CallError> {
         loop {
-            {
-                let mut places = lock(&house.store.places);
-                if places.taken < house.limits.store {
-                    places.taken += 1;
-                    return Ok(Place(house));
+            match input.fill_from(stream.inner()) {
+                Ok(ReadOutcome::Bytes(_)) => {}
+                Ok(ReadOutcome::WouldBlock) => return Ok(None),
+                Ok(ReadOutcome::Closed) | Err(_) => return Err(CallError::Ended(Outcome::ConnectionLost)),
+            }
+            match http::read_reply(
+                input.contiguous(),
+                self.limits.max_head_bytes,
+                self.limits.max_reply_bytes,
+            ) {
+                Ok(None) => {}
+                Ok(Some(reply)) => {
+                    let outcome = outcome_of(reply.status, reply.not_run);
+                    return Ok(Some(CallReply { outcome, body: reply.body.to_vec() }));
+                }
+                Err(error) => {
+                    tracing::debug!("store: a call broke off: {error}");
+                    return Err(CallError::Ended(Outcome::ConnectionLost));
                 }
-                places.waiting.push_back(coroutine::current());
             }
-            self.check(house, Outcome::Rejected)?;
-            coroutine::park();
+        }
+    }
+
+    /// Whether to go on waiting; past its deadline the call has ended as `late`.
+    fn check(&self, call: &StoreCall, late: Outcome) -> Result<(), CallError> {
+        if call.abandoned.load(Ordering::Relaxed) {
+            return Err(CallError::Abandoned);
+        }
+        if self.clock.now() >= call.deadline {
+            return Err(CallError::Ended(late));
+        }
+        Ok(())
+    }
+}
+
+impl StoreCall {
+    /// The run has ended, so nobody wants the reply: the connection closes.
+    pub fn abandon(&self) {
+        self.abandoned.store(true, Ordering::Relaxed);
+        self.wake();
+    }
+
+    fn wake(&self) {
+        if let Some(waker) = &*lock(&self.waker) {
+            waker.wakeup();
+        } else if let Some(coroutine) = &*lock(&self.coroutine) {
+            coroutine.unpark();
         }
     }
 }
 
 /// What a reply proves, and never more.
-fn outcome(status: u16, not_run: bool) -> Outcome {
+fn outcome_of(status: u16, not_run: bool) -> Outcome {
     match (status, not_run) {
         (200, _) => Outcome::Completed,
         (503, true) => Outcome::Rejected,
@@ -202,37 +286,18 @@
     }
 }
 
-/// A place among the store's connections, given on when its call is over.
-struct Place<'a>(&'a House);
+/// A slot among the store's connections, given on when its call is over.
+struct Slot<'a>(&'a StoreClient);
 
-impl Drop for Place<'_> {
+impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        let mut places = lock(&self.0.store.places);
-        places.taken -= 1;
-        if let Some(next) = places.waiting.pop_front() {
+        let mut slots = lock(&self.0.slots);
+        slots.taken -= 1;
+        if let Some(next) = slots.waiting.pop_front() {
             next.unpark();
         }
     }
 }
 
-impl Store {
-    pub fn count(&self) -> usize {
-        lock(&self.places).taken
-    }
-
-    /// Wakes calls whose time is up, those whose reply may have stopped half way, and those for whom there is
-    /// a place that was offered to one that no longer wants it.
-    pub fn hurry(&self, now: f64, most: usize) {
-        let mut places = lock(&self.places);
-        let free = most.saturating_sub(places.taken).min(places.waiting.len());
-        places.waiting.drain(..free).for_each(|waiting| waiting.unpark());
-        drop(places);
-        let mut calls = lock(&self.calls);
-        calls.retain(|call| !call.over.load(Ordering::Relaxed));
-        let due = |call: &&Arc<Call>| now >= call.deadline || call.replying.load(Ordering::Relaxed);
-        calls.iter().filter(due).for_each(|call| call.wake());
-    }
-}
-
 #[cfg(test)]
 mod tests;
