--- a/crates/worker/src/gather.rs
+++ b/crates/worker/src/gather.rs
@@ -1,8 +1,8 @@
 //! Which piece of which file comes next, for the owner of one part of the duty to gather. Decided without I/O: from what lies in the folders, what the
 //! archive has taken, and what could not be read before.
 
-use puffinladder_trace_store::words::{Source, Taken};
 use puffinladder_leases::assign;
+use puffinladder_trace_store::words::{Source, Taken};
 use std::collections::BTreeMap;
 
 /// s until a file that could not be read is tried again, doubled each time up to the most.
--- a/crates/worker/src/haul.rs
+++ b/crates/worker/src/haul.rs
@@ -2,12 +2,12 @@
 
 use crate::gather::{over, part_of, Lying, Plan};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
-use puffinladder_transport::{dial, say, Clock, Lines};
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::{Duty, Epoch};
 use puffinladder_trace::file::{pack_notes, pack_rows, Kind};
 use puffinladder_trace::{Names, Trace};
+use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
+use puffinladder_transport::{dial, say, Clock, Lines};
 use std::fs::File;
 use std::io::BufReader;
 use std::net::SocketAddr;
--- a/crates/worker/src/link.rs
+++ b/crates/worker/src/link.rs
@@ -1,8 +1,8 @@
 //! The connection to a keeper: a task that dials, one that reads, one that writes. What happens on it comes to the steward as news, each with the
 //! number of the connection, so that what an old one still says is told from the new.
 
-use puffinladder_transport::{dial, say, Lines};
 use puffinladder_leases::words::{Answer, Ask, LINE};
+use puffinladder_transport::{dial, say, Lines};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/crates/worker/src/serve.rs
+++ b/crates/worker/src/serve.rs
@@ -3,13 +3,13 @@
 
 use crate::haul::{Came, Haul, Told};
 use crate::link::{Link, News};
-use puffinladder_transport::{bind, say, Clock, Fault, Lines};
 use puffinladder_leases::desk::{self, Desk, Reply, Report};
 use puffinladder_leases::holder::{Act, Holder, Stage, Why};
 use puffinladder_leases::route::{Next, Route};
 use puffinladder_leases::table::Refused;
 use puffinladder_leases::words::{Answer, Ask, Event, Events};
 use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_transport::{bind, say, Clock, Fault, Lines};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
