--- a/crates/cli/src/fleet/archive.rs
+++ b/crates/cli/src/fleet/archive.rs
@@ -4,11 +4,11 @@
 use crate::say::{bar, step, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
+use puffinladder_charter::fleet::Archive as Told;
 use puffinladder_trace_store::export::export;
 use puffinladder_trace_store::serve::{start, Setup};
 use puffinladder_trace_store::store::Store;
 use puffinladder_trace_store::words::{Answer, Ask};
-use puffinladder_charter::fleet::Archive as Told;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -2,12 +2,12 @@
 
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
-use puffinladder_transport::Clock;
 use puffinladder_leases::words::{Answer, Ask, Event, Events, Status};
 use puffinladder_proving::ground::{ask, ask_leader, play, Setup};
 use puffinladder_proving::measure::{gaps, quantile};
 use puffinladder_proving::process::{News, Process};
 use puffinladder_proving::schedule::{Fault, Schedule, What, Who};
+use puffinladder_transport::Clock;
 use puffinladder_worker::serve as steward;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/cli/src/prove/seat.rs
+++ b/crates/cli/src/prove/seat.rs
@@ -4,10 +4,10 @@
 use crate::fleet::Ground;
 use crate::say::Done;
 use clap::Args;
-use puffinladder_transport::{dial, say, Lines};
 use puffinladder_leases::desk::{Reply, Report, Seat};
 use puffinladder_leases::turns::Go;
 use puffinladder_leases::words::Event;
+use puffinladder_transport::{dial, say, Lines};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
--- a/crates/cli/tests/proving.rs
+++ b/crates/cli/tests/proving.rs
@@ -1,13 +1,13 @@
 //! Owners, keepers and the archive as processes of the program, with faults between them: a story for each failure. What every run has to hold is
 //! checked by the proving ground itself; each story says beside that what it was about.
 
-use puffinladder_trace_store::store::Planted;
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::table::What;
 use puffinladder_leases::words::Event;
 use puffinladder_proving::ground::{play, Run, Setup};
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::{Schedule, Who};
+use puffinladder_trace_store::store::Planted;
 use std::path::Path;
 
 fn setup(folder: &Path) -> Setup {
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -8,8 +8,8 @@
 use crate::fleet::Keepers;
 use crate::meter::Passed;
 use crate::{count, pass, Counted, Gauge, Sizes, Taken};
-use puffinladder_transport::Clock;
 use puffinladder_leases::words::{Events, Status};
+use puffinladder_transport::Clock;
 use puffinladder_worker::serve as steward;
 use std::time::{Duration, Instant};
 
--- a/crates/gauging/src/seats.rs
+++ b/crates/gauging/src/seats.rs
@@ -1,8 +1,8 @@
 //! Servers as a steward sees them: each a connection that reports four times a second and takes what comes back, all decided by the server's own side of
 //! the two duties ([`Seat`]). Tasks of this process.
 
-use puffinladder_transport::{dial, say, Lines};
 use puffinladder_leases::desk::{Reply, Seat};
+use puffinladder_transport::{dial, say, Lines};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/hollow/src/seats.rs
+++ b/crates/hollow/src/seats.rs
@@ -2,10 +2,10 @@
 //! of them owns the duty answers.
 
 use crate::counts::{Counts, Way};
-use puffinladder_transport::{dial, line, Clock, Lines};
 use puffinladder_leases::desk::{Reply, Seat};
 use puffinladder_leases::turns::Go;
 use puffinladder_leases::Shuffle;
+use puffinladder_transport::{dial, line, Clock, Lines};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/lease-store/src/serve.rs
+++ b/crates/lease-store/src/serve.rs
@@ -7,10 +7,10 @@
 use crate::members::Change as Turnover;
 use crate::store::Store;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_transport::{bind, dial, line, say, Clock, Lines, Running};
 use puffinladder_leases::table::{Told, What};
 use puffinladder_leases::words::{Answer, Ask, Event, Events, LINE};
 use puffinladder_leases::Owner;
+use puffinladder_transport::{bind, dial, line, say, Clock, Lines, Running};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -64,9 +64,10 @@
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(UNHEARD);
     let most = setup.most_connections;
-    let accept = puffinladder_transport::serve(listener, "keeper", most, stopped.clone(), move |stream, _| {
-        converse(stream, asks.clone())
-    });
+    let accept =
+        puffinladder_transport::serve(listener, "keeper", most, stopped.clone(), move |stream, _| {
+            converse(stream, asks.clone())
+        });
     tokio::spawn(accept);
     setup.events.tell(&Event::Ready { listen: listen.to_string() });
     tracing::info!("keeper {number} listens on {listen}");
--- a/crates/lease-store/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -241,7 +241,9 @@
                         continue;
                     }
                     let refused = keeper.core.as_mut().map(|core| core.say(said));
-                    if let Some(Err(puffinladder_lease_store::core::Refusal::NotLeading(Some(leader)))) = refused {
+                    if let Some(Err(puffinladder_lease_store::core::Refusal::NotLeading(Some(leader)))) =
+                        refused
+                    {
                         self.instances[from].to = leader as usize - 1;
                     }
                 }
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -5,10 +5,10 @@
 use crate::store::{Planted, Store};
 use crate::words::{Answer, Ask, Outcome, Source, LINE};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_transport::{bind, say, Fault, Lines, Running};
 use puffinladder_leases::assign::part_of;
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::words::{Event, Events};
+use puffinladder_transport::{bind, say, Fault, Lines, Running};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -43,10 +43,13 @@
     let (listener, listen) = bind("archive", setup.listen).await.map_err(|e| e.to_string())?;
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(WAITING);
-    let serve =
-        puffinladder_transport::serve(listener, "archive", setup.most_connections, stopped, move |stream, _| {
-            converse(stream, asks.clone())
-        });
+    let serve = puffinladder_transport::serve(
+        listener,
+        "archive",
+        setup.most_connections,
+        stopped,
+        move |stream, _| converse(stream, asks.clone()),
+    );
     // The desk ends once nobody can ask any more.
     tokio::spawn(serve);
     setup.events.tell(&Event::Ready { listen: listen.to_string() });
