--- a/crates/cli/src/fleet/archive.rs
+++ b/crates/cli/src/fleet/archive.rs
@@ -71,7 +71,7 @@
                 return Err(Wrong::Failed(format!("{}: there is no archive", told.folder)));
             }
             let (store, _) = Store::open(folder, told.most_bytes).map_err(|e| failed(e.to_string()))?;
-            let made = (puffinladder_transport::Clock::system().unix() * 1e6) as i64;
+            let made = (puffinladder_transport::Clock::system().unix_time() * 1e6) as i64;
             let rows = bar("rows");
             let met = export(&store, &into, made, &mut step(&rows));
             let met = met.map_err(failed)?;
@@ -95,7 +95,7 @@
     };
     let mut running = start(setup).await.map_err(failed)?;
     match serve::until_told(running.ended()).await? {
-        Some(ended) => ended.map_err(failed),
-        None => running.stop().await.map_err(failed),
+        Some(ended) => ended.map_err(|e| failed(e.to_string())),
+        None => running.stop().await.map_err(|e| failed(e.to_string())),
     }
 }
--- a/crates/cli/src/fleet/keeper.rs
+++ b/crates/cli/src/fleet/keeper.rs
@@ -160,8 +160,8 @@
     };
     let mut running = start(setup, store, &disk).await.map_err(failed)?;
     match serve::until_told(running.ended()).await? {
-        Some(ended) => ended.map_err(failed),
-        None => running.stop().await.map_err(failed),
+        Some(ended) => ended.map_err(|e| failed(e.to_string())),
+        None => running.stop().await.map_err(|e| failed(e.to_string())),
     }
 }
 
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -40,7 +40,7 @@
 /// Asks a service one thing.
 pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, ask: &A) -> Result<B, String> {
     let answer =
-        puffinladder_transport::ask(at, ask, WAIT, LONGEST).await.map_err(|e| format!("{at}: {e}"))?;
+        puffinladder_transport::request(at, ask, WAIT, LONGEST).await.map_err(|e| format!("{at}: {e}"))?;
     answer.ok_or_else(|| format!("{at}: closed without an answer"))
 }
 
--- a/crates/cli/src/fleet/steward.rs
+++ b/crates/cli/src/fleet/steward.rs
@@ -36,7 +36,7 @@
 }
 
 pub async fn serve_duties(told: &Told, ground: &Ground) -> Done {
-    let incarnation = life::next(Path::new(&told.folder), ground.clock.unix()).map_err(failed)?;
+    let incarnation = life::next(Path::new(&told.folder), ground.clock.unix_time()).map_err(failed)?;
     let gather = told.gather.as_ref().map(|gather| haul::Told {
         traces: (&gather.traces).into(),
         archive: gather.archive,
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -336,8 +336,8 @@
         let Some((what, value)) = line.split_once(' ') else { continue };
         let Ok(value) = value.parse::<f64>() else { continue };
         match what {
-            "rate" => ground.clock.pace(value),
-            "wall" => ground.clock.step(value),
+            "rate" => ground.clock.set_rate(value),
+            "wall" => ground.clock.set_wall_offset(value),
             "sync" => ground.sync_pause.store(value as u64, Ordering::Relaxed),
             _ => {}
         }
--- a/crates/cli/src/prove/seat.rs
+++ b/crates/cli/src/prove/seat.rs
@@ -7,7 +7,7 @@
 use puffinladder_leases::desk::{Reply, Report, Seat};
 use puffinladder_leases::turns::Go;
 use puffinladder_leases::words::Event;
-use puffinladder_transport::{dial, say, Lines};
+use puffinladder_transport::{connect, write_line, LineReader};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -48,9 +48,9 @@
 /// Keeps a connection to one steward: the latest report goes out, answers come in.
 async fn link(at: SocketAddr, mut reports: watch::Receiver<Report>, replies: mpsc::Sender<Reply>) {
     loop {
-        if let Ok(stream) = dial(at).await {
+        if let Ok(stream) = connect(at).await {
             let (from, mut to) = stream.into_split();
-            let mut lines = Lines::new(from, 1 << 20);
+            let mut lines = LineReader::new(from, 1 << 20);
             loop {
                 tokio::select! {
                     changed = reports.changed() => {
@@ -58,11 +58,11 @@
                             return;
                         }
                         let report = reports.borrow_and_update().clone();
-                        if say(&mut to, &report, Duration::from_millis(500)).await.is_err() {
+                        if write_line(&mut to, &report, Duration::from_millis(500)).await.is_err() {
                             break;
                         }
                     }
-                    reply = lines.next::<Reply>() => match reply {
+                    reply = lines.read::<Reply>() => match reply {
                         Ok(Some(reply)) => drop(replies.send(reply).await),
                         _ => break,
                     },
@@ -98,7 +98,7 @@
             goes = Some((rate, until));
             let at = machine();
             // By the machine's clock, however fast this process's own runs.
-            let until = until.map(|until| at + clock.sleep(until - now).as_secs_f64());
+            let until = until.map(|until| at + clock.sleep_duration(until - now).as_secs_f64());
             ground.events.tell(&Event::Goes { customer: CUSTOMER.into(), rate, equal, at, until });
         }
         if now - reported >= EVERY {
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -1,7 +1,7 @@
 //! Reports of servers: a TCP connection each, one JSON object a line, nothing back. A server that finds nobody goes on without.
 
 use super::{Desk, Word};
-use puffinladder_transport::{Fault, Lines};
+use puffinladder_transport::{LineReader, TransportError};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -23,17 +23,17 @@
             Ok(())
         }
     };
-    puffinladder_transport::serve(listener, "reports", MOST, stopped, each).await;
+    puffinladder_transport::serve_connections(listener, "reports", MOST, stopped, each).await;
 }
 
-async fn read(stream: TcpStream, desk: &Desk) -> Result<(), Fault> {
-    let mut lines = Lines::new(stream, MOST_LINE);
+async fn read(stream: TcpStream, desk: &Desk) -> Result<(), TransportError> {
+    let mut lines = LineReader::new(stream, MOST_LINE);
     // Dropped before the socket is: whoever sees the connection end sees the count without it.
     let _held = desk.meters.report_connection();
     let mut counted = 0;
-    while let Some(report) = lines.within(SILENT).await? {
-        desk.meters.report_bytes.add(lines.bytes() - counted);
-        counted = lines.bytes();
+    while let Some(report) = lines.read_within(SILENT).await? {
+        desk.meters.report_bytes.add(lines.bytes_read() - counted);
+        counted = lines.bytes_read();
         desk.tell(Word::Report(report)).await;
     }
     Ok(())
--- a/crates/gauging/src/archive.rs
+++ b/crates/gauging/src/archive.rs
@@ -65,7 +65,7 @@
 }
 
 async fn blocks(archive: SocketAddr) -> Option<u64> {
-    let asked = puffinladder_transport::ask(archive, &Ask::Status, Duration::from_secs(2), 1 << 20).await;
+    let asked = puffinladder_transport::request(archive, &Ask::Status, Duration::from_secs(2), 1 << 20).await;
     match asked {
         Ok(Some(Answer::Status { blocks, .. })) => Some(blocks),
         _ => None,
--- a/crates/gauging/src/meter.rs
+++ b/crates/gauging/src/meter.rs
@@ -1,7 +1,7 @@
 //! A relay that only counts: what passes it in each direction, bytes and lines. A role's peers dial it in the role's place, so that what it gets and
 //! sends is counted where it is on the wire.
 
-use puffinladder_transport::dial;
+use puffinladder_transport::connect;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -77,7 +77,7 @@
                 open.spawn(async move {
                     let target = *counts.target.lock().unwrap_or_else(PoisonError::into_inner);
                     let Some(target) = target else { return };
-                    let Ok(far) = dial(target).await else { return };
+                    let Ok(far) = connect(target).await else { return };
                     let _ = near.set_nodelay(true);
                     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
                     // When one direction ends so does the other.
--- a/crates/gauging/src/seats.rs
+++ b/crates/gauging/src/seats.rs
@@ -2,7 +2,7 @@
 //! the two duties ([`Seat`]). Tasks of this process.
 
 use puffinladder_leases::desk::{Reply, Seat};
-use puffinladder_transport::{dial, say, Lines};
+use puffinladder_transport::{connect, write_line, LineReader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -69,9 +69,9 @@
     let add = |counter: &AtomicU64, by: u64| {
         counter.fetch_add(by, Ordering::Relaxed);
     };
-    if let Ok(stream) = dial(steward).await {
+    if let Ok(stream) = connect(steward).await {
         let (from, mut to) = stream.into_split();
-        let mut lines = Lines::new(from, ANSWER);
+        let mut lines = LineReader::new(from, ANSWER);
         let begun = Instant::now();
         let (mut read, mut number, mut answered) = (0, 0u64, false);
         let mut due = tokio::time::interval(EVERY);
@@ -84,15 +84,15 @@
                     let turn = number + at as u64;
                     let demand = |customer: &str| ((customer.len() as u64 + turn) % 7) as f64;
                     let report = seat.report(begun.elapsed().as_secs_f64(), demand);
-                    let Ok(bytes) = say(&mut to, &report, UNREAD).await else { break };
+                    let Ok(bytes) = write_line(&mut to, &report, UNREAD).await else { break };
                     add(&counts.sent, bytes);
                     add(&counts.reports, 1);
                     add(&counts.heard, u64::from(number == 4));
                 }
-                reply = lines.next::<Reply>() => {
+                reply = lines.read::<Reply>() => {
                     let Ok(Some(reply)) = reply else { break };
-                    add(&counts.received, lines.bytes() - read);
-                    read = lines.bytes();
+                    add(&counts.received, lines.bytes_read() - read);
+                    read = lines.bytes_read();
                     add(&counts.replies, 1);
                     if seat.take(begun.elapsed().as_secs_f64(), &reply) && !answered {
                         answered = true;
--- a/crates/gauging/src/server/peers.rs
+++ b/crates/gauging/src/server/peers.rs
@@ -2,7 +2,7 @@
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use puffinladder_toy::gateway::{message, now};
-use puffinladder_transport::{dial, Lines};
+use puffinladder_transport::{connect, LineReader};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
@@ -75,10 +75,10 @@
     let (out, says) = mpsc::unbounded_channel();
     let mut work = JoinSet::new();
     work.spawn(write(to, says, runs.clone()));
-    let mut lines = Lines::new(from, LINE);
+    let mut lines = LineReader::new(from, LINE);
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let Ok(run) = Exp::new(1.0 / RUN) else { return };
-    while let Ok(Some(line)) = lines.next::<Value>().await {
+    while let Ok(Some(line)) = lines.read::<Value>().await {
         let id = line["id"].as_str().unwrap_or_default().to_owned();
         match line["op"].as_str() {
             Some("subscribe") => {
@@ -145,13 +145,13 @@
             while let Ok((link, _)) = listener.accept().await {
                 let heard = heard.clone();
                 links.spawn(async move {
-                    let mut lines = Lines::new(link, REPORT);
+                    let mut lines = LineReader::new(link, REPORT);
                     let mut read = 0;
                     // What is no JSON ends it: then reports stay out, and the point fails.
-                    while let Ok(Some(_)) = lines.next::<serde::de::IgnoredAny>().await {
-                        heard.0.fetch_add(lines.bytes() - read, Ordering::Relaxed);
+                    while let Ok(Some(_)) = lines.read::<serde::de::IgnoredAny>().await {
+                        heard.0.fetch_add(lines.bytes_read() - read, Ordering::Relaxed);
                         heard.1.fetch_add(1, Ordering::Relaxed);
-                        read = lines.bytes();
+                        read = lines.bytes_read();
                     }
                 });
             }
@@ -168,7 +168,7 @@
 /// Whether a server says that it serves.
 pub async fn serving(server: SocketAddr) -> bool {
     let check = async {
-        let mut link = dial(server).await.ok()?;
+        let mut link = connect(server).await.ok()?;
         link.write_all(&message(&[b"CHECK", b"1", b""])).await.ok()?;
         answer(&mut BufReader::new(link)).await.ok()?.get(1).map(|word| word == b"serving")
     };
@@ -227,7 +227,7 @@
         let shared = Arc::<Shared>::default();
         let mut tasks = JoinSet::new();
         for one in 0..count {
-            let link = dial(server).await.map_err(|e| format!("a caller: {e}"))?;
+            let link = connect(server).await.map_err(|e| format!("a caller: {e}"))?;
             let (from, to) = link.into_split();
             let awaited = Awaited::default();
             let chance = ChaCha8Rng::seed_from_u64(seed ^ (one as u64 + 1) << 32);
--- a/crates/hollow/src/seats.rs
+++ b/crates/hollow/src/seats.rs
@@ -5,7 +5,7 @@
 use puffinladder_leases::desk::{Reply, Seat};
 use puffinladder_leases::turns::Go;
 use puffinladder_leases::Shuffle;
-use puffinladder_transport::{dial, line, Clock, Lines};
+use puffinladder_transport::{connect, encode_line, Clock, LineReader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,10 +51,10 @@
 ) {
     let mut way = Way::default();
     loop {
-        if let Ok(stream) = dial(at).await {
+        if let Ok(stream) = connect(at).await {
             way.opened(&counts);
             let (from, mut to) = stream.into_split();
-            let mut lines = Lines::new(from, MOST_LINE);
+            let mut lines = LineReader::new(from, MOST_LINE);
             let mut before = 0;
             loop {
                 tokio::select! {
@@ -69,11 +69,11 @@
                         counts.sent.add(report.len() as u64);
                         counts.messages_sent.add(1);
                     }
-                    reply = lines.next::<Reply>() => {
+                    reply = lines.read::<Reply>() => {
                         let Ok(Some(reply)) = reply else { break };
-                        counts.received.add(lines.bytes() - before);
+                        counts.received.add(lines.bytes_read() - before);
                         counts.messages_received.add(1);
-                        before = lines.bytes();
+                        before = lines.bytes_read();
                         if replies.send(reply).await.is_err() {
                             return;
                         }
@@ -111,7 +111,7 @@
             due = now + every;
             // Most customers ask one server for little at a time.
             let demand = told.quota / told.fleet.max(1) as f64 * 1.5 * chance.unit();
-            if let Ok(report) = line(&seat.report(now, |_| demand)) {
+            if let Ok(report) = encode_line(&seat.report(now, |_| demand)) {
                 reports.send_replace(Arc::new(report));
             }
         }
@@ -125,7 +125,7 @@
                 told_to = true;
                 seat.leave(clock.now(), told.patience, f64::MAX, DRAIN);
             }
-            () = sleep(clock.sleep(until - now)) => {}
+            () = sleep(clock.sleep_duration(until - now)) => {}
         }
     }
 }
--- a/crates/hollow/tests/peers.rs
+++ b/crates/hollow/tests/peers.rs
@@ -122,8 +122,8 @@
             let (from, mut to) = stream.into_split();
             let (heard, mut answer) = (heard.clone(), answer.resubscribe());
             tokio::spawn(async move {
-                let mut lines = puffinladder_transport::Lines::new(from, 1 << 20);
-                while let Ok(Some(report)) = lines.next().await {
+                let mut lines = puffinladder_transport::LineReader::new(from, 1 << 20);
+                while let Ok(Some(report)) = lines.read().await {
                     let _ = heard.send(report).await;
                 }
             });
@@ -157,7 +157,7 @@
         for duty in [&quota, &turn] {
             for reply in desk.plan(now, duty) {
                 turns.extend(reply.turn.as_ref().map(|_| reply.server.clone()));
-                let _ = answers.send(puffinladder_transport::line(&reply).unwrap());
+                let _ = answers.send(puffinladder_transport::encode_line(&reply).unwrap());
             }
         }
         if holds.len() == 5 {
--- a/crates/lease-store/src/serve.rs
+++ b/crates/lease-store/src/serve.rs
@@ -10,7 +10,7 @@
 use puffinladder_leases::table::{Told, What};
 use puffinladder_leases::words::{Answer, Ask, Event, Events, LINE};
 use puffinladder_leases::Owner;
-use puffinladder_transport::{bind, dial, line, say, Clock, Lines, Running};
+use puffinladder_transport::{connect, encode_line, listen, write_line, Clock, LineReader, RunningService};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -57,32 +57,31 @@
 }
 
 /// Starts a keeper from its disk; it listens when this returns.
-pub async fn start(setup: Setup, store: Store, disk: &Disk) -> Result<Running, String> {
+pub async fn start(setup: Setup, store: Store, disk: &Disk) -> Result<RunningService<String>, String> {
     let number = store.id();
     let core = Core::new(number, setup.terms.clone(), disk).map_err(|e| e.to_string())?;
-    let (listener, listen) = bind("keeper", setup.listen).await.map_err(|e| e.to_string())?;
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(UNHEARD);
-    let most = setup.most_connections;
-    let accept =
-        puffinladder_transport::serve(listener, "keeper", most, stopped.clone(), move |stream, _| {
-            converse(stream, asks.clone())
-        });
-    tokio::spawn(accept);
+    let handle = move |stream, _| converse(stream, asks.clone());
+    let listening = listen("keeper", setup.listen, setup.most_connections, stopped.clone(), handle);
+    let listen = listening.await.map_err(|e| e.to_string())?;
     setup.events.tell(&Event::Ready { listen: listen.to_string() });
     tracing::info!("keeper {number} listens on {listen}");
     let desk = tokio::spawn(Desk::new(setup, core, store).work(heard, stopped));
-    Ok(Running::new(listen, stop, desk))
+    Ok(RunningService::new(listen, stop, desk))
 }
 
 /// One connection: what it asks goes to the desk, what comes back is written by a task of its own.
-async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), puffinladder_transport::Fault> {
+async fn converse(
+    stream: TcpStream,
+    asks: mpsc::Sender<Heard>,
+) -> Result<(), puffinladder_transport::TransportError> {
     let (from, to) = stream.into_split();
     let (back, answers) = mpsc::channel(ANSWERS);
     let writer = tokio::spawn(answer(to, answers));
-    let mut lines = Lines::new(from, LINE);
+    let mut lines = LineReader::new(from, LINE);
     let ended = loop {
-        match lines.within(SILENT).await {
+        match lines.read_within(SILENT).await {
             Ok(Some(ask)) => {
                 if asks.send(Heard { ask, back: back.clone() }).await.is_err() {
                     break Ok(());
@@ -99,7 +98,7 @@
 
 async fn answer(mut to: OwnedWriteHalf, mut answers: mpsc::Receiver<Answer>) {
     while let Some(answer) = answers.recv().await {
-        if say(&mut to, &answer, UNREAD).await.is_err() {
+        if write_line(&mut to, &answer, UNREAD).await.is_err() {
             return;
         }
     }
@@ -123,7 +122,7 @@
         }
         let Some(to) = *at.borrow_and_update() else { continue };
         if stream.is_none() {
-            stream = dial(to).await.ok();
+            stream = connect(to).await.ok();
             if stream.is_none() {
                 tokio::time::sleep(AGAIN).await;
                 // What waited meanwhile is old by now.
@@ -131,7 +130,7 @@
                 continue;
             }
         }
-        let Ok(bytes) = line(&Ask::Peer(BASE64_STANDARD.encode(&message))) else { continue };
+        let Ok(bytes) = encode_line(&Ask::Peer(BASE64_STANDARD.encode(&message))) else { continue };
         if let Some(open) = &mut stream {
             let written = tokio::time::timeout(UNREAD, open.write_all(&bytes)).await;
             if !matches!(written, Ok(Ok(()))) {
@@ -191,7 +190,7 @@
             .name("disk".into())
             .spawn(move || store.map_or(Ok(()), |store| keep(&store, &to_save, &saved, &pause, &syncs)))
             .map_err(|e| format!("no thread for the disk: {e}"))?;
-        let mut tick = interval(self.setup.clock.sleep(self.setup.tick));
+        let mut tick = interval(self.setup.clock.sleep_duration(self.setup.tick));
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut batch = Vec::with_capacity(512);
         loop {
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -836,7 +836,7 @@
 /// Asks one process one thing, within a bound.
 pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
     let wait = Duration::from_secs(1);
-    let asked = puffinladder_transport::ask(at, what, wait, 64 << 20);
+    let asked = puffinladder_transport::request(at, what, wait, 64 << 20);
     tokio::time::timeout(wait, asked).await.ok()?.ok().flatten()
 }
 
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -2,7 +2,6 @@
 
 use crate::pipe::{Pass, Pipe, Trouble};
 use crate::schedule::Way;
-use puffinladder_transport::dial;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -93,7 +92,7 @@
     }
     let target = *state.target.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(target) = target else { return };
-    let Ok(far) = dial(target).await else { return };
+    let Ok(far) = puffinladder_transport::connect(target).await else { return };
     let _ = near.set_nodelay(true);
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     // When one direction ends so does the other, but for bytes that are held on their way there: they arrive, if need be at the next life of whoever
@@ -169,7 +168,7 @@
 async fn deliver(state: &State, bytes: &[u8]) {
     let target = *state.target.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(target) = target else { return };
-    let Ok(mut far) = dial(target).await else { return };
+    let Ok(mut far) = puffinladder_transport::connect(target).await else { return };
     if far.write_all(bytes).await.is_ok() {
         let _ = tokio::time::timeout(Duration::from_secs(1), far.read(&mut [0; 64])).await;
     }
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -8,7 +8,7 @@
 use puffinladder_leases::assign::part_of;
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::words::{Event, Events};
-use puffinladder_transport::{bind, say, Fault, Lines, Running};
+use puffinladder_transport::{bind, write_line, LineReader, RunningService, TransportError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -37,13 +37,13 @@
     back: oneshot::Sender<Answer>,
 }
 
-pub async fn start(setup: Setup) -> Result<Running, String> {
+pub async fn start(setup: Setup) -> Result<RunningService<String>, String> {
     let (mut store, core) = Store::open(&setup.folder, setup.most_bytes).map_err(|e| e.to_string())?;
     store.plant(setup.planted);
     let (listener, listen) = bind("archive", setup.listen).await.map_err(|e| e.to_string())?;
     let (stop, stopped) = watch::channel(false);
     let (asks, heard) = mpsc::channel(WAITING);
-    let serve = puffinladder_transport::serve(
+    let serve = puffinladder_transport::serve_connections(
         listener,
         "archive",
         setup.most_connections,
@@ -55,19 +55,19 @@
     setup.events.tell(&Event::Ready { listen: listen.to_string() });
     tracing::info!("archive listens on {listen}, {} files known", core.files().count());
     let desk = tokio::task::spawn_blocking(move || work(core, store, heard, setup.events));
-    Ok(Running::new(listen, stop, desk))
+    Ok(RunningService::new(listen, stop, desk))
 }
 
-async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), Fault> {
+async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), TransportError> {
     let (from, mut to) = stream.into_split();
-    let mut lines = Lines::new(from, LINE);
-    while let Some(ask) = lines.within(SILENT).await? {
+    let mut lines = LineReader::new(from, LINE);
+    while let Some(ask) = lines.read_within(SILENT).await? {
         let (back, answer) = oneshot::channel();
         if asks.send(Heard { ask, back }).await.is_err() {
             return Ok(());
         }
         let Ok(answer) = answer.await else { return Ok(()) };
-        say(&mut to, &answer, UNREAD).await?;
+        write_line(&mut to, &answer, UNREAD).await?;
     }
     Ok(())
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,96 +1,102 @@
-//! The clock of a process, handed in where it starts. The ordinary one is the system's; the proving ground hands in one that can be made
-//! fast, slow or stepped while the process runs.
+//! The clock of a process, handed in where the process starts. Ordinarily it is the system's; fault tests hand in one that can be made fast, slow or
+//! stepped while the process runs.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The slowest rate that [`Clock::sleep_duration`] goes by, so that no sleep becomes endless.
+const MIN_RATE: f64 = 1e-3;
+/// The longest sleep, in seconds: a day.
+const MAX_SLEEP: f64 = 86_400.0;
+
+/// Monotonic time and wall-clock time of one process. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    begun: Instant,
+    started: Instant,
     skew: Option<Arc<Skew>>,
 }
 
-/// A clock's own time at a moment, and its rate from then on.
 #[derive(Debug)]
 struct Skew {
-    from: Mutex<(Instant, f64, f64)>,
-    /// s on the wall clock, as bits.
-    wall: AtomicU64,
+    monotonic: Mutex<MonotonicRate>,
+    /// Seconds that the wall clock is ahead of the system's, as the bits of an f64.
+    wall_offset: AtomicU64,
+}
+
+/// The time that a skewed clock showed at a moment, and its rate from then on.
+#[derive(Clone, Copy, Debug)]
+struct MonotonicRate {
+    since: Instant,
+    /// Seconds.
+    shown: f64,
+    /// Seconds of this clock for each second of the system's.
+    rate: f64,
+}
+
+impl Skew {
+    fn monotonic(&self) -> MonotonicRate {
+        *self.monotonic.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
 impl Clock {
+    /// The system's clock.
     pub fn system() -> Clock {
-        Clock { begun: Instant::now(), skew: None }
+        Clock { started: Instant::now(), skew: None }
     }
 
-    /// One for tests: its monotonic time runs at `rate`, its wall clock is `wall` s off.
-    pub fn skewed(rate: f64, wall: f64) -> Clock {
-        let begun = Instant::now();
-        let skew = Skew { from: Mutex::new((begun, 0.0, rate)), wall: AtomicU64::new(wall.to_bits()) };
-        Clock { begun, skew: Some(Arc::new(skew)) }
+    /// A clock for tests: its monotonic time runs at `rate`, its wall clock is `wall_offset` seconds ahead of the system's.
+    pub fn skewed(rate: f64, wall_offset: f64) -> Clock {
+        let started = Instant::now();
+        let skew = Skew {
+            monotonic: Mutex::new(MonotonicRate { since: started, shown: 0.0, rate }),
+            wall_offset: AtomicU64::new(wall_offset.to_bits()),
+        };
+        Clock { started, skew: Some(Arc::new(skew)) }
     }
 
-    /// Monotonic, s since the process began.
+    /// Monotonic time, in seconds since the clock was made.
     pub fn now(&self) -> f64 {
         match &self.skew {
-            None => self.begun.elapsed().as_secs_f64(),
+            None => self.started.elapsed().as_secs_f64(),
             Some(skew) => {
-                let (at, base, rate) = *skew.from.lock().unwrap_or_else(PoisonError::into_inner);
-                base + rate * at.elapsed().as_secs_f64()
+                let MonotonicRate { since, shown, rate } = skew.monotonic();
+                shown + rate * since.elapsed().as_secs_f64()
             }
         }
     }
 
-    /// s since 1970 by the wall clock, which may be wrong and step.
-    pub fn unix(&self) -> f64 {
-        let off = self.skew.as_ref().map_or(0.0, |skew| f64::from_bits(skew.wall.load(Ordering::Relaxed)));
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64()) + off
+    /// Seconds since 1970 by the wall clock, which may be wrong and may step.
+    pub fn unix_time(&self) -> f64 {
+        let offset =
+            self.skew.as_ref().map_or(0.0, |skew| f64::from_bits(skew.wall_offset.load(Ordering::Relaxed)));
+        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64()) + offset
     }
 
-    /// Goes on at another rate; the monotonic time never steps. The system's clock stays as it is.
-    pub fn pace(&self, rate: f64) {
-        let now = self.now();
+    /// Runs at another rate from now on; monotonic time does not step. The system's clock is left as it is.
+    pub fn set_rate(&self, rate: f64) {
+        let shown = self.now();
         if let Some(skew) = &self.skew {
-            *skew.from.lock().unwrap_or_else(PoisonError::into_inner) = (Instant::now(), now, rate);
+            *skew.monotonic.lock().unwrap_or_else(PoisonError::into_inner) =
+                MonotonicRate { since: Instant::now(), shown, rate };
         }
     }
 
-    /// Steps the wall clock.
-    pub fn step(&self, wall: f64) {
+    /// Steps the wall clock to `wall_offset` seconds ahead of the system's, whose own clock is left as it is.
+    pub fn set_wall_offset(&self, wall_offset: f64) {
         if let Some(skew) = &self.skew {
-            skew.wall.store(wall.to_bits(), Ordering::Relaxed);
+            skew.wall_offset.store(wall_offset.to_bits(), Ordering::Relaxed);
         }
     }
 
-    /// How long a span of this clock is to sleep, at its present rate.
-    pub fn sleep(&self, span: f64) -> Duration {
-        let skew = self.skew.as_ref();
-        let rate = skew.map_or(1.0, |skew| skew.from.lock().unwrap_or_else(PoisonError::into_inner).2);
-        Duration::try_from_secs_f64((span / rate.max(1e-3)).clamp(0.0, 86_400.0)).unwrap_or_default()
+    /// How long to sleep by the system's clock for `seconds` of this one, at its present rate.
+    pub fn sleep_duration(&self, seconds: f64) -> Duration {
+        let rate = self.skew.as_ref().map_or(1.0, |skew| skew.monotonic().rate);
+        let seconds = (seconds / rate.max(MIN_RATE)).clamp(0.0, MAX_SLEEP);
+        Duration::try_from_secs_f64(seconds).unwrap_or_default()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_skewed_clock_runs_at_its_rate_and_never_back_and_the_systems_stays_as_it_is() {
-        let clock = Clock::skewed(1000.0, 86_400.0);
-        let first = clock.now();
-        while clock.now() < first + 10.0 {
-            std::hint::spin_loop();
-        }
-        let before = clock.now();
-        clock.pace(0.001);
-        assert!(clock.now() >= before && clock.sleep(0.001) >= Duration::from_millis(900));
-        assert!(clock.unix() - Clock::system().unix() > 86_000.0);
-        clock.step(-5.0);
-        assert!(clock.unix() < Clock::system().unix());
-        let plain = Clock::system();
-        plain.pace(7.0);
-        plain.step(7.0);
-        assert!(plain.sleep(1.0) == Duration::from_secs(1) && plain.unix() - Clock::system().unix() < 1.0);
-    }
-}
+mod tests;
--- a/crates/worker/src/haul.rs
+++ b/crates/worker/src/haul.rs
@@ -7,7 +7,7 @@
 use puffinladder_trace::file::{pack_notes, pack_rows, Kind};
 use puffinladder_trace::{Names, Trace};
 use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
-use puffinladder_transport::{dial, say, Clock, Lines};
+use puffinladder_transport::{connect, write_line, Clock, LineReader};
 use std::fs::File;
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 }
 
 struct Line {
-    from: Lines<OwnedReadHalf>,
+    from: LineReader<OwnedReadHalf>,
     to: OwnedWriteHalf,
 }
 
@@ -74,7 +74,7 @@
     pub async fn step(&mut self, clock: &Clock, until: f64, halt: &AtomicBool) -> Came {
         let mut came = Came { work: true, ..Came::default() };
         let until = until.min(clock.now() + self.told.step);
-        let left = |now: f64| clock.sleep((until - now).max(0.0));
+        let left = |now: f64| clock.sleep_duration((until - now).max(0.0));
         match tokio::time::timeout(left(clock.now()), self.pieces(clock, until, halt, &mut came)).await {
             Ok(Ok(())) => {
                 if std::mem::take(&mut self.troubled) {
@@ -156,9 +156,9 @@
     /// Shows the epoch and learns where to go on. Whether it may.
     async fn begin(&mut self, came: &mut Came) -> Result<bool, String> {
         let at = self.told.archive;
-        let stream = dial(at).await.map_err(|e| format!("the archive at {at}: {e}"))?;
+        let stream = connect(at).await.map_err(|e| format!("the archive at {at}: {e}"))?;
         let (from, to) = stream.into_split();
-        let mut line = Line { from: Lines::new(from, 64 << 20), to };
+        let mut line = Line { from: LineReader::new(from, 64 << 20), to };
         let ask = Ask::Announce { duty: self.duty.clone(), epoch: self.epoch, parts: self.told.parts };
         match converse(&mut line, &ask).await? {
             Answer::Begun { verdict, number, taken } if verdict.stands() => {
@@ -211,8 +211,8 @@
 }
 
 async fn converse(line: &mut Line, ask: &Ask) -> Result<Answer, String> {
-    say(&mut line.to, ask, Duration::from_secs(60)).await.map_err(|e| format!("the archive: {e}"))?;
-    let answer = line.from.next().await.map_err(|e| format!("the archive: {e}"))?;
+    write_line(&mut line.to, ask, Duration::from_secs(60)).await.map_err(|e| format!("the archive: {e}"))?;
+    let answer = line.from.read().await.map_err(|e| format!("the archive: {e}"))?;
     answer.ok_or_else(|| "the archive closed the connection".into())
 }
 
--- a/crates/worker/src/link.rs
+++ b/crates/worker/src/link.rs
@@ -2,7 +2,7 @@
 //! number of the connection, so that what an old one still says is told from the new.
 
 use puffinladder_leases::words::{Answer, Ask, LINE};
-use puffinladder_transport::{dial, say, Lines};
+use puffinladder_transport::{connect, write_line, LineReader};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -55,7 +55,7 @@
     mut queue: mpsc::Receiver<Ask>,
     news: &mpsc::Sender<(u64, News)>,
 ) -> String {
-    let stream = match dial(to).await {
+    let stream = match connect(to).await {
         Ok(stream) => stream,
         Err(e) => return e.to_string(),
     };
@@ -63,10 +63,10 @@
         return String::new();
     }
     let (from, mut out) = stream.into_split();
-    let mut lines = Lines::new(from, LINE);
+    let mut lines = LineReader::new(from, LINE);
     loop {
         tokio::select! {
-            read = lines.next() => match read {
+            read = lines.read() => match read {
                 Ok(Some(answer)) => if news.send((number, News::Answer(answer))).await.is_err() {
                     return String::new();
                 },
@@ -74,7 +74,7 @@
                 Err(fault) => return fault.to_string(),
             },
             ask = queue.recv() => match ask {
-                Some(ask) => if let Err(fault) = say(&mut out, &ask, UNREAD).await {
+                Some(ask) => if let Err(fault) = write_line(&mut out, &ask, UNREAD).await {
                     return fault.to_string();
                 },
                 None => return String::new(),
--- a/crates/worker/src/serve.rs
+++ b/crates/worker/src/serve.rs
@@ -9,7 +9,7 @@
 use puffinladder_leases::table::Refused;
 use puffinladder_leases::words::{Answer, Ask, Event, Events};
 use puffinladder_leases::{Duty, Epoch, Owner};
-use puffinladder_transport::{bind, say, Clock, Fault, Lines};
+use puffinladder_transport::{bind, write_line, Clock, LineReader, TransportError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -118,7 +118,7 @@
         let (listener, at) = bind("reports", desk.listen).await.map_err(|e| e.to_string())?;
         listen = Some(at);
         let each = move |stream, _| converse(stream, reports.clone());
-        tokio::spawn(puffinladder_transport::serve(
+        tokio::spawn(puffinladder_transport::serve_connections(
             listener,
             "reports",
             desk.most_connections,
@@ -134,19 +134,19 @@
 type Heard = (Report, mpsc::Sender<Reply>);
 
 /// One server's connection: reports come in, answers go out as they are made.
-async fn converse(stream: TcpStream, reports: mpsc::Sender<Heard>) -> Result<(), Fault> {
+async fn converse(stream: TcpStream, reports: mpsc::Sender<Heard>) -> Result<(), TransportError> {
     let (from, mut to) = stream.into_split();
     let (back, mut replies) = mpsc::channel::<Reply>(REPLIES);
-    let mut lines = Lines::new(from, REPORT);
+    let mut lines = LineReader::new(from, REPORT);
     loop {
         tokio::select! {
-            report = lines.within(SILENCE) => match report? {
+            report = lines.read_within(SILENCE) => match report? {
                 Some(report) => if reports.send((report, back.clone())).await.is_err() {
                     return Ok(());
                 },
                 None => return Ok(()),
             },
-            Some(reply) = replies.recv() => drop(say(&mut to, &reply, UNREAD).await?),
+            Some(reply) = replies.recv() => drop(write_line(&mut to, &reply, UNREAD).await?),
         }
     }
 }
@@ -254,7 +254,7 @@
             next = next.min(self.plan_at);
         }
         let works = self.works.values().filter(|work| work.haul.is_some()).map(|work| work.due);
-        self.setup.clock.sleep(works.fold(next, f64::min).max(now + 0.001) - now)
+        self.setup.clock.sleep_duration(works.fold(next, f64::min).max(now + 0.001) - now)
     }
 
     /// Sends the line that is due, and turns to another keeper where this one is silent.
