--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -9,7 +9,7 @@
 use puffinladder_lease_store::store::Store;
 use puffinladder_leases::table::Declared;
 use puffinladder_leases::words::{Answer, Ask, Event, Events};
-use puffinladder_transport::{dial, Clock};
+use puffinladder_transport::{connect, Clock};
 use serde::{de::DeserializeOwned, Serialize};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -231,7 +231,7 @@
         sync_pause: Default::default(),
     };
     let running = start(setup, store, &disk).await.unwrap();
-    let stream = dial(running.listen).await.unwrap();
+    let stream = connect(running.listen).await.unwrap();
     let mut session = Session { stream: BufReader::new(stream) };
     // Nobody leads at first: then it says who may.
     let mut duties = session.ask(r#""duties""#).await;
