--- /dev/null
+++ b/crates/sim-adapter/src/batch.rs
@@ -0,0 +1,109 @@
+//! One batch: its records go to the instances that this process hosts, and those that got any decide.
+
+use crate::error::{BatchError, RecordError};
+use crate::events::{read_event, Code, Schema};
+use crate::fields::Fields;
+use crate::frame::Header;
+use crate::reply::Reply;
+use puffinladder::{AdmissionPolicy, RoundInput};
+use std::collections::HashMap;
+
+/// One instance and the round that gathers for it.
+struct Instance {
+    policy: AdmissionPolicy,
+    schema: Schema,
+    input: RoundInput,
+    /// Whether this batch holds anything for it.
+    has_input: bool,
+}
+
+impl Instance {
+    /// Reads the seed and the start text of an instance.
+    fn read(fields: &mut Fields) -> Result<Instance, RecordError> {
+        let seed = fields.u64()?;
+        let length = fields.u32()? as usize;
+        let text = fields.take(length)?;
+        let terms =
+            puffinladder_charter::read_terms(text).map_err(|e| RecordError::Settings(e.to_string()))?;
+        let schema = Schema { meters: terms.meters, classes: terms.charter.classes.len() };
+        Ok(Instance {
+            policy: AdmissionPolicy::new(&terms.charter, seed),
+            schema,
+            input: RoundInput::default(),
+            has_input: true,
+        })
+    }
+}
+
+/// All instances of this process.
+#[derive(Default)]
+pub struct Instances {
+    by_id: HashMap<u32, Instance>,
+    /// Instances with input in this batch, in the order in which it came.
+    order: Vec<u32>,
+    reply: Reply,
+}
+
+impl Instances {
+    /// The reply to the last batch.
+    pub fn reply(&mut self) -> &[u8] {
+        self.reply.finish()
+    }
+
+    /// Decodes one batch, lets each instance that it holds anything for decide, and leaves the reply ready.
+    pub fn run_batch(&mut self, header: &Header, body: &[u8]) -> Result<(), BatchError> {
+        self.reply.clear();
+        self.order.clear();
+        let mut fields = Fields::new(body);
+        let mut instance = None;
+        for record in 1..=header.records {
+            let at = fields.at();
+            let read = self.read_record(&mut fields, &mut instance);
+            read.map_err(|source| BatchError::Record { record, at, source })?;
+        }
+        if fields.left() > 0 {
+            return Err(BatchError::LeftOver { left: fields.left(), records: header.records });
+        }
+        self.decide(header.now);
+        Ok(())
+    }
+
+    /// Each instance with input decides, in the order in which the input came.
+    fn decide(&mut self, now: f64) {
+        for id in &self.order {
+            // It may have stopped since, or have decided already after a restart.
+            let Some(instance) = self.by_id.get_mut(id) else { continue };
+            if !std::mem::take(&mut instance.has_input) {
+                continue;
+            }
+            self.reply.begin_instance(*id);
+            instance.policy.decide(&instance.input.round(now), &mut self.reply);
+            instance.input.clear();
+        }
+    }
+
+    /// Reads one record; `to` is the instance that the records are for.
+    fn read_record(&mut self, fields: &mut Fields, to: &mut Option<u32>) -> Result<(), RecordError> {
+        let code = Code::read(fields)?;
+        if code == Code::To {
+            *to = Some(fields.u32()?);
+            return Ok(());
+        }
+        let id = to.ok_or(RecordError::NoInstance)?;
+        if code == Code::Start {
+            self.by_id.insert(id, Instance::read(fields)?);
+            self.order.push(id);
+            return Ok(());
+        }
+        let unknown = RecordError::UnknownInstance { code: code as u8, instance: id };
+        let instance = self.by_id.get_mut(&id).ok_or(unknown)?;
+        if code == Code::Stop {
+            self.by_id.remove(&id);
+            return Ok(());
+        }
+        if !std::mem::replace(&mut instance.has_input, true) {
+            self.order.push(id);
+        }
+        read_event(code, fields, &instance.schema, &mut instance.input)
+    }
+}
--- /dev/null
+++ b/crates/sim-adapter/src/events.rs
@@ -0,0 +1,125 @@
+//! Records of the input: what each code means, and how its fields read.
+
+use crate::error::RecordError;
+use crate::fields::Fields;
+use puffinladder::{Gauges, Request, RoundInput};
+use puffinladder_charter::Meter;
+
+/// What a record is.
+#[derive(Clone, Copy, PartialEq, Eq)]
+#[repr(u8)]
+pub enum Code {
+    /// An instance starts, with a seed and its start text.
+    Start = 10,
+    /// A request was read.
+    Submit = 20,
+    /// A run ended.
+    RunFinished = 30,
+    /// A run reached its downstream call.
+    CallReached = 40,
+    /// A downstream call ended.
+    CallFinished = 50,
+    /// Notice to drain.
+    Drain = 60,
+    /// A caller gave its request up.
+    Abandoned = 70,
+    /// A scheduled tick is due.
+    Tick = 80,
+    /// An instance is gone.
+    Stop = 90,
+    /// The records that follow are for this instance.
+    To = 100,
+}
+
+impl Code {
+    /// Reads a record's code.
+    pub fn read(fields: &mut Fields) -> Result<Code, RecordError> {
+        Ok(match fields.u8()? {
+            10 => Code::Start,
+            20 => Code::Submit,
+            30 => Code::RunFinished,
+            40 => Code::CallReached,
+            50 => Code::CallFinished,
+            60 => Code::Drain,
+            70 => Code::Abandoned,
+            80 => Code::Tick,
+            90 => Code::Stop,
+            100 => Code::To,
+            other => return Err(RecordError::UnknownCode(other)),
+        })
+    }
+}
+
+/// What an instance's start text says of the records that follow.
+pub struct Schema {
+    /// The gauges of a tick, in the order in which their values come.
+    pub meters: Vec<Meter>,
+    /// Request classes.
+    pub classes: usize,
+}
+
+/// Reads the rest of an event for an instance that runs, and enters it into its next round.
+pub fn read_event(
+    code: Code,
+    fields: &mut Fields,
+    schema: &Schema,
+    input: &mut RoundInput,
+) -> Result<(), RecordError> {
+    match code {
+        Code::Submit => input.arrivals.push(read_request(fields, schema)?),
+        Code::RunFinished => input.finished_runs.push(fields.completion()?),
+        Code::CallReached => input.awaiting_call.push(fields.u32()?),
+        Code::CallFinished => input.finished_calls.push(fields.completion()?),
+        Code::Drain => input.drain_deadline = Some(fields.seconds()?),
+        Code::Abandoned => input.abandoned.push(fields.u32()?),
+        Code::Tick => input.tick = Some(read_gauges(fields, schema)?),
+        Code::Start | Code::Stop | Code::To => {} // about instances, not for them
+    }
+    Ok(())
+}
+
+/// Bit of a request's options: its cost hint is given.
+const HAS_HINT: u8 = 1;
+/// Bit of a request's options: it is a retry or a hedged request.
+const IS_RETRY: u8 = 2;
+
+fn read_request(fields: &mut Fields, schema: &Schema) -> Result<Request, RecordError> {
+    let id = fields.u32()?;
+    let class = fields.u16()?.into();
+    let tenant = fields.u16()?.into();
+    let _subject = fields.u64()?;
+    let deadline = fields.seconds()?;
+    let cost_hint = fields.seconds()?;
+    let memory = fields.f32()?;
+    let rank = fields.f32()?;
+    let options = fields.u8()?;
+    let request = Request {
+        id,
+        class,
+        tenant,
+        deadline,
+        cost_hint: if options & HAS_HINT == 0 { 0.0 } else { cost_hint },
+        memory,
+        rank,
+        is_retry: options & IS_RETRY != 0,
+        caller: fields.u32()?,
+        time_unread: fields.seconds()?,
+        earlier_attempt: fields.u32()?,
+    };
+    if class >= schema.classes {
+        return Err(RecordError::UnknownClass { request: id, class });
+    }
+    Ok(request)
+}
+
+fn read_gauges(fields: &mut Fields, schema: &Schema) -> Result<Gauges, RecordError> {
+    let _label = fields.u32()?;
+    let mut gauges = Gauges::default();
+    for at in 0..fields.u8()?.into() {
+        let value = fields.f32()?;
+        if let Some(meter) = schema.meters.get(at) {
+            meter.show(value, &mut gauges);
+        }
+    }
+    Ok(gauges)
+}
--- /dev/null
+++ b/crates/sim-adapter/src/fields.rs
@@ -0,0 +1,99 @@
+//! Fields of a frame: little-endian numbers, one behind another.
+
+use crate::error::RecordError;
+use puffinladder::{Completion, Outcome};
+
+/// Milliseconds of the wire to a second of the policy.
+pub const MILLISECONDS: f64 = 1e3;
+
+/// Takes fields off a frame, one after another.
+pub struct Fields<'a> {
+    bytes: &'a [u8],
+    at: usize,
+}
+
+impl<'a> Fields<'a> {
+    /// The fields of a whole frame.
+    pub fn new(bytes: &'a [u8]) -> Fields<'a> {
+        Fields { bytes, at: 0 }
+    }
+
+    /// Where the next field begins.
+    pub fn at(&self) -> usize {
+        self.at
+    }
+
+    /// Bytes that are left.
+    pub fn left(&self) -> usize {
+        self.bytes.len() - self.at
+    }
+
+    /// The next `size` bytes.
+    pub fn take(&mut self, size: usize) -> Result<&'a [u8], RecordError> {
+        let end = self.at.checked_add(size).filter(|&end| end <= self.bytes.len());
+        let end = end.ok_or(RecordError::FieldCutOff { size, at: self.at })?;
+        let field = &self.bytes[self.at..end];
+        self.at = end;
+        Ok(field)
+    }
+
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], RecordError> {
+        let mut out = [0; N];
+        out.copy_from_slice(self.take(N)?);
+        Ok(out)
+    }
+
+    /// A byte.
+    pub fn u8(&mut self) -> Result<u8, RecordError> {
+        Ok(self.array::<1>()?[0])
+    }
+
+    /// A number of two bytes.
+    pub fn u16(&mut self) -> Result<u16, RecordError> {
+        Ok(u16::from_le_bytes(self.array()?))
+    }
+
+    /// A number of four bytes.
+    pub fn u32(&mut self) -> Result<u32, RecordError> {
+        Ok(u32::from_le_bytes(self.array()?))
+    }
+
+    /// A number of eight bytes.
+    pub fn u64(&mut self) -> Result<u64, RecordError> {
+        Ok(u64::from_le_bytes(self.array()?))
+    }
+
+    /// A fraction of four bytes.
+    pub fn f32(&mut self) -> Result<f64, RecordError> {
+        Ok(f32::from_le_bytes(self.array()?).into())
+    }
+
+    /// A fraction of eight bytes.
+    pub fn f64(&mut self) -> Result<f64, RecordError> {
+        Ok(f64::from_le_bytes(self.array()?))
+    }
+
+    /// A time or duration, which the wire gives in milliseconds, in seconds.
+    pub fn seconds(&mut self) -> Result<f64, RecordError> {
+        Ok(self.f64()? / MILLISECONDS)
+    }
+
+    fn outcome(&mut self) -> Result<Outcome, RecordError> {
+        Ok(match self.u8()? {
+            10 => Outcome::Completed,
+            20 => Outcome::Failed,
+            30 => Outcome::Rejected,
+            40 => Outcome::TimedOut,
+            50 => Outcome::Unreachable,
+            60 => Outcome::ConnectionLost,
+            70 => Outcome::Cancelled,
+            80 => Outcome::NotNeeded,
+            other => return Err(RecordError::UnknownOutcome(other)),
+        })
+    }
+
+    /// The end of a run or a call.
+    pub fn completion(&mut self) -> Result<Completion, RecordError> {
+        Ok(Completion { id: self.u32()?, outcome: self.outcome()?, duration: self.seconds()? })
+    }
+}
--- /dev/null
+++ b/crates/sim-adapter/src/reply.rs
@@ -0,0 +1,159 @@
+//! The reply to a batch: what the policies decide, encoded as it is written.
+
+use crate::fields::MILLISECONDS;
+use puffinladder::{Decisions, Reason};
+
+/// Codes of the actions in a reply.
+mod code {
+    pub const RUN: u8 = 10;
+    pub const REJECT: u8 = 20;
+    pub const FAIL: u8 = 30;
+    pub const PREEMPT: u8 = 40;
+    pub const ALLOW_CALL: u8 = 50;
+    pub const SKIP_CALL: u8 = 60;
+    pub const REMEMBER_KEY: u8 = 70;
+    pub const FORGET_KEY: u8 = 80;
+    pub const REPLAY_RESULT: u8 = 90;
+    pub const HEALTH: u8 = 100;
+    pub const LOAD_SIGNAL: u8 = 110;
+    pub const KEEPALIVE: u8 = 120;
+    pub const TICK: u8 = 130;
+    pub const LOG: u8 = 140;
+    /// The actions that follow are this instance's.
+    pub const INSTANCE: u8 = 160;
+}
+
+/// Bytes of the length at the start, which does not count itself.
+const LENGTH: usize = 4;
+/// Bytes before the first action: the length and the number of records.
+const HEADER: usize = 8;
+
+/// The reply as it grows: actions of one instance stand behind its instance record.
+#[derive(Default)]
+pub struct Reply {
+    bytes: Vec<u8>,
+    records: u32,
+    /// The instance that decides now, until its first action is written.
+    instance: Option<u32>,
+}
+
+impl Reply {
+    /// Begins the reply to the next batch and keeps the allocation.
+    pub fn clear(&mut self) {
+        self.bytes.clear();
+        self.bytes.extend([0; HEADER]);
+        self.records = 0;
+        self.instance = None;
+    }
+
+    /// What is written from now on is this instance's.
+    pub fn begin_instance(&mut self, id: u32) {
+        self.instance = Some(id);
+    }
+
+    /// The whole reply, with its header filled in.
+    pub fn finish(&mut self) -> &[u8] {
+        let length = (self.bytes.len() - LENGTH) as u32;
+        self.bytes[..LENGTH].copy_from_slice(&length.to_le_bytes());
+        self.bytes[LENGTH..HEADER].copy_from_slice(&self.records.to_le_bytes());
+        &self.bytes
+    }
+
+    /// Begins an action; its fields follow.
+    fn put(&mut self, code: u8) -> &mut Vec<u8> {
+        if let Some(instance) = self.instance.take() {
+            self.bytes.push(code::INSTANCE);
+            self.bytes.extend(instance.to_le_bytes());
+            self.records += 1;
+        }
+        self.records += 1;
+        self.bytes.push(code);
+        &mut self.bytes
+    }
+
+    fn put_request(&mut self, code: u8, id: u32) -> &mut Vec<u8> {
+        let bytes = self.put(code);
+        bytes.extend(id.to_le_bytes());
+        bytes
+    }
+}
+
+/// Seconds as the wire's milliseconds.
+fn milliseconds(seconds: f64) -> [u8; 8] {
+    (seconds * MILLISECONDS).to_le_bytes()
+}
+
+/// As much of a text as its length of two bytes can tell, cut between two characters.
+fn cut_to_u16(text: &str) -> &str {
+    let mut end = text.len().min(u16::MAX.into());
+    while !text.is_char_boundary(end) {
+        end -= 1;
+    }
+    &text[..end]
+}
+
+impl Decisions for Reply {
+    fn run(&mut self, id: u32) {
+        self.put_request(code::RUN, id);
+    }
+
+    fn reject(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
+        let bytes = self.put_request(code::REJECT, id);
+        bytes.extend(milliseconds(retry_after));
+        bytes.push(last.into());
+    }
+
+    fn fail(&mut self, id: u32, _reason: Reason) {
+        self.put_request(code::FAIL, id);
+    }
+
+    fn preempt(&mut self, id: u32) {
+        self.put_request(code::PREEMPT, id);
+    }
+
+    fn allow_call(&mut self, id: u32, limit: f64) {
+        self.put_request(code::ALLOW_CALL, id).extend(milliseconds(limit));
+    }
+
+    fn skip_call(&mut self, id: u32) {
+        self.put_request(code::SKIP_CALL, id);
+    }
+
+    fn remember_key(&mut self, id: u32, span: f64) {
+        self.put_request(code::REMEMBER_KEY, id).extend(milliseconds(span));
+    }
+
+    fn forget_key(&mut self, id: u32) {
+        self.put_request(code::FORGET_KEY, id);
+    }
+
+    fn replay_result(&mut self, id: u32) {
+        self.put_request(code::REPLAY_RESULT, id);
+    }
+
+    fn set_health(&mut self, good: bool, stored: bool) {
+        self.put(code::HEALTH).extend([u8::from(good), u8::from(stored)]);
+    }
+
+    fn set_load_signal(&mut self, amount: f64) {
+        self.put(code::LOAD_SIGNAL).extend((amount as f32).to_le_bytes());
+    }
+
+    fn set_keepalive(&mut self, span: f64) {
+        self.put(code::KEEPALIVE).extend(milliseconds(span));
+    }
+
+    fn schedule_tick(&mut self, after: f64) {
+        let label = 0u32; // one timer is all that the policy needs
+        let bytes = self.put(code::TICK);
+        bytes.extend(milliseconds(after));
+        bytes.extend(label.to_le_bytes());
+    }
+
+    fn log(&mut self, text: &str) {
+        let text = cut_to_u16(text);
+        let bytes = self.put(code::LOG);
+        bytes.extend((text.len() as u16).to_le_bytes());
+        bytes.extend(text.as_bytes());
+    }
+}
