--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,75 +1,76 @@
-//! A tiny host: it tells the brain what a story needs and writes down what the brain says.
+//! A small host for tests: it plays rounds to a policy, one event at a time, and logs what the policy decides.
 
 use puffinladder::*;
 
 pub struct Host {
-    pub brain: AdmissionPolicy,
+    pub policy: AdmissionPolicy,
     pub now: f64,
-    /// Gauges shown at each beat.
+    /// What the machine measures at each tick.
     pub gauges: Gauges,
-    /// All that was said, as "verb id" with figures behind.
-    pub said: Said,
-    heard: usize,
+    /// All that was decided, as "verb id" with figures behind.
+    pub log: DecisionLog,
 }
 
 #[derive(Default)]
-pub struct Said(pub Vec<String>);
+pub struct DecisionLog {
+    pub lines: Vec<String>,
+}
 
-impl Decisions for Said {
+impl Decisions for DecisionLog {
     fn run(&mut self, id: u32) {
-        self.0.push(format!("run {id}"));
+        self.lines.push(format!("run {id}"));
     }
     fn reject(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
-        self.0.push(format!("decline {id} {retry_after} {last}"));
+        self.lines.push(format!("reject {id} {retry_after} {last}"));
     }
     fn fail(&mut self, id: u32, _reason: Reason) {
-        self.0.push(format!("void {id}"));
+        self.lines.push(format!("fail {id}"));
     }
     fn preempt(&mut self, id: u32) {
-        self.0.push(format!("pause {id}"));
+        self.lines.push(format!("preempt {id}"));
     }
     fn allow_call(&mut self, id: u32, limit: f64) {
-        self.0.push(format!("call {id} {limit:.3}"));
+        self.lines.push(format!("call {id} {limit:.3}"));
     }
     fn skip_call(&mut self, id: u32) {
-        self.0.push(format!("skip {id}"));
+        self.lines.push(format!("skip {id}"));
     }
     fn remember_key(&mut self, id: u32, span: f64) {
-        self.0.push(format!("remember {id} {span:.3}"));
+        self.lines.push(format!("remember {id} {span:.3}"));
     }
     fn forget_key(&mut self, id: u32) {
-        self.0.push(format!("forget {id}"));
+        self.lines.push(format!("forget {id}"));
     }
     fn replay_result(&mut self, id: u32) {
-        self.0.push(format!("replay {id}"));
+        self.lines.push(format!("replay {id}"));
     }
     fn set_health(&mut self, good: bool, _stored: bool) {
-        self.0.push(format!("health {good}"));
+        self.lines.push(format!("health {good}"));
     }
     fn set_load_signal(&mut self, amount: f64) {
-        self.0.push(format!("signal {amount:.2}"));
+        self.lines.push(format!("signal {amount:.2}"));
     }
     fn set_keepalive(&mut self, span: f64) {
-        self.0.push(format!("keepalive {span:.1}"));
+        self.lines.push(format!("keepalive {span:.1}"));
     }
     fn schedule_tick(&mut self, _after: f64) {}
     fn log(&mut self, text: &str) {
-        self.0.push(format!("note {text}"));
+        self.lines.push(format!("log {text}"));
     }
 }
 
-/// A server of two cores: product 0 is dear and inquiry-like, 1 cheap, 2 referenced, 3 once-only.
-pub fn charter() -> PolicySettings {
-    let product = |value, effect, skip_share| RequestClass {
+/// A server of two cores: class 0 weighs much and is idempotent, 1 weighs little, 2 is keyed, 3 not idempotent.
+pub fn settings() -> PolicySettings {
+    let class = |priority_weight, idempotency, degraded_weight_fraction| RequestClass {
         latency_objective: 4.0,
         objective_stretch: 0.0,
         timeout: 10.0,
-        priority_weight: value,
+        priority_weight,
         late_weight_fraction: 0.0,
-        idempotency: effect,
+        idempotency,
         dedup_window: 30.0,
         makes_calls: true,
-        degraded_weight_fraction: skip_share,
+        degraded_weight_fraction,
     };
     PolicySettings {
         servers: 4.0,
@@ -79,10 +80,10 @@
         running_memory_factor: 4.0,
         key_memory: 10.0,
         classes: vec![
-            product(4.0, Idempotency::Idempotent, 0.5),
-            product(1.0, Idempotency::Idempotent, 0.5),
-            product(4.0, Idempotency::Keyed, 0.0),
-            product(4.0, Idempotency::NonIdempotent, 0.0),
+            class(4.0, Idempotency::Idempotent, 0.5),
+            class(1.0, Idempotency::Idempotent, 0.5),
+            class(4.0, Idempotency::Keyed, 0.0),
+            class(4.0, Idempotency::NonIdempotent, 0.0),
         ],
         tenants: vec![],
         over_quota_fraction: 0.1,
@@ -105,55 +106,55 @@
     }
 }
 
-pub fn txn(id: u32, product: usize) -> Request {
-    Request { id, class: product, memory: 10.0, ..Request::default() }
+pub fn request(id: u32, class: usize) -> Request {
+    Request { id, class, memory: 10.0, ..Request::default() }
 }
 
-pub fn end(id: u32, outcome: Outcome, took: f64) -> Completion {
-    Completion { id, outcome, duration: took }
+pub fn completion(id: u32, outcome: Outcome, duration: f64) -> Completion {
+    Completion { id, outcome, duration }
 }
 
 impl Host {
-    pub fn new(charter: &PolicySettings) -> Host {
+    pub fn new(settings: &PolicySettings) -> Host {
         let gauges = Gauges { busy: Some(1.0), runnable: Some(9.0), ..Gauges::default() };
-        let (brain, said) = (AdmissionPolicy::new(charter, 1), Said::default());
-        let mut host = Host { brain, now: 100.0, gauges, said, heard: 0 };
-        host.tell(Round::default());
+        let (policy, log) = (AdmissionPolicy::new(settings, 1), DecisionLog::default());
+        let mut host = Host { policy, now: 100.0, gauges, log };
+        host.play(Round::default());
         host
     }
-    /// One round now; returns what it brought.
-    pub fn tell(&mut self, round: Round) -> Vec<String> {
-        self.heard = self.said.0.len();
-        self.brain.decide(&Round { now: self.now, ..round }, &mut self.said);
-        self.said.0[self.heard..].to_vec()
+    /// One round now; returns what was decided.
+    pub fn play(&mut self, round: Round) -> Vec<String> {
+        let from = self.log.lines.len();
+        self.policy.decide(&Round { now: self.now, ..round }, &mut self.log);
+        self.log.lines[from..].to_vec()
     }
-    pub fn arrive(&mut self, txns: &[Request]) -> Vec<String> {
-        self.tell(Round { arrivals: txns, ..Round::default() })
+    pub fn arrive(&mut self, requests: &[Request]) -> Vec<String> {
+        self.play(Round { arrivals: requests, ..Round::default() })
     }
-    pub fn done(&mut self, id: u32) -> Vec<String> {
-        self.tell(Round { finished_runs: &[end(id, Outcome::Completed, 1.0)], ..Round::default() })
+    pub fn finish(&mut self, id: u32) -> Vec<String> {
+        self.play(Round { finished_runs: &[completion(id, Outcome::Completed, 1.0)], ..Round::default() })
     }
-    pub fn at_call(&mut self, id: u32) -> Vec<String> {
-        self.tell(Round { awaiting_call: &[id], ..Round::default() })
+    pub fn reach_call(&mut self, id: u32) -> Vec<String> {
+        self.play(Round { awaiting_call: &[id], ..Round::default() })
     }
-    pub fn returned(&mut self, id: u32, outcome: Outcome, took: f64) -> Vec<String> {
-        self.tell(Round { finished_calls: &[end(id, outcome, took)], ..Round::default() })
+    pub fn end_call(&mut self, id: u32, outcome: Outcome, duration: f64) -> Vec<String> {
+        self.play(Round { finished_calls: &[completion(id, outcome, duration)], ..Round::default() })
     }
-    /// Lets time pass in beats and returns all that was said meanwhile.
-    pub fn pass(&mut self, span: f64) -> Vec<String> {
-        let from = self.said.0.len();
+    /// Lets time pass in ticks and returns all that was decided meanwhile.
+    pub fn advance(&mut self, span: f64) -> Vec<String> {
+        let from = self.log.lines.len();
         for _ in 0..(span / 0.02).round() as u32 {
             self.now += 0.02;
-            self.tell(Round { tick: Some(self.gauges), ..Round::default() });
+            self.play(Round { tick: Some(self.gauges), ..Round::default() });
         }
-        self.said.0[from..].to_vec()
+        self.log.lines[from..].to_vec()
     }
-    /// How often a line that begins like this was said.
+    /// How many decisions begin like this.
     pub fn count(&self, start: &str) -> usize {
-        count(&self.said.0, start)
+        count(&self.log.lines, start)
     }
 }
 
-pub fn count(said: &[String], start: &str) -> usize {
-    said.iter().filter(|line| line.starts_with(start)).count()
+pub fn count(lines: &[String], start: &str) -> usize {
+    lines.iter().filter(|line| line.starts_with(start)).count()
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -36,9 +36,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    Held,
+    Queued,
     Running { until: f64, calls: bool },
-    AtCall { work_left: f64 },
+    AwaitingCall { work_left: f64 },
     Calling { until: f64, work_left: f64 },
     Replaying { until: f64 },
 }
@@ -88,7 +88,7 @@
     fn fail(&mut self, id: u32, reason: Reason) {
         self.reasons.insert(reason.text());
         self.put(2, id, &[], &[reason.code()]);
-        if let Some(State::AtCall { .. } | State::Running { .. }) = self.open.get(&id) {
+        if let Some(State::AwaitingCall { .. } | State::Running { .. }) = self.open.get(&id) {
             let until = self.now + 0.05;
             self.open.insert(id, State::Running { until, calls: false });
         } else if let Some(State::Replaying { .. }) = self.open.get(&id) {
@@ -102,7 +102,7 @@
     fn allow_call(&mut self, id: u32, limit: f64) {
         self.put(4, id, &[limit], &[]);
         let span = self.slow * (0.01 + 0.03 * self.numbers.fraction());
-        let Some(State::AtCall { work_left }) = self.open.get(&id).copied() else {
+        let Some(State::AwaitingCall { work_left }) = self.open.get(&id).copied() else {
             panic!("{id} is at no call")
         };
         self.open.insert(id, State::Calling { until: self.now + span.min(limit), work_left });
@@ -144,17 +144,17 @@
     }
 }
 
-fn product(value: f64, effect: Idempotency, skip_share: f64) -> RequestClass {
+fn class(priority_weight: f64, idempotency: Idempotency, degraded_weight_fraction: f64) -> RequestClass {
     RequestClass {
         latency_objective: 0.25,
         objective_stretch: 0.5,
         timeout: 1.0,
-        priority_weight: value,
+        priority_weight,
         late_weight_fraction: 0.3,
-        idempotency: effect,
+        idempotency,
         dedup_window: 3.0,
         makes_calls: true,
-        degraded_weight_fraction: skip_share,
+        degraded_weight_fraction,
     }
 }
 
@@ -167,10 +167,10 @@
         running_memory_factor: 3.0,
         key_memory: 2.0,
         classes: vec![
-            product(4.0, Idempotency::Idempotent, 0.5),
-            product(1.0, Idempotency::Idempotent, 0.0),
-            product(3.0, Idempotency::Keyed, 0.0),
-            product(2.5, Idempotency::NonIdempotent, 0.25),
+            class(4.0, Idempotency::Idempotent, 0.5),
+            class(1.0, Idempotency::Idempotent, 0.0),
+            class(3.0, Idempotency::Keyed, 0.0),
+            class(2.5, Idempotency::NonIdempotent, 0.25),
         ],
         tenants: vec![Tenant { quota: 120.0 }, Tenant { quota: 400.0 }, Tenant { quota: 30.0 }],
         over_quota_fraction: 0.1,
@@ -194,9 +194,9 @@
 }
 
 /// Plays [`STEPS`] steps and returns what was recorded.
-fn play(charter: &PolicySettings, seed: u64) -> Recorder {
-    charter.validate().expect("the charter is sound");
-    let mut brain = AdmissionPolicy::new(charter, seed);
+fn play(settings: &PolicySettings, seed: u64) -> Recorder {
+    settings.validate().expect("the settings is sound");
+    let mut policy = AdmissionPolicy::new(settings, seed);
     let mut host = Recorder {
         hash: 0xcbf2_9ce4_8422_2325,
         counts: [0; 15],
@@ -208,55 +208,55 @@
         wake_at: START,
         reasons: BTreeSet::new(),
     };
-    let mut news = RoundInput::default();
+    let mut input = RoundInput::default();
     let (mut next, mut busy) = (1u32, 0.0);
     for step in 0..STEPS {
         host.now = START + f64::from(step) * STEP;
         let now = host.now;
         host.slow = if (2_500..2_900).contains(&step) { 12.0 } else { 1.0 };
         let flood = (1_000..1_800).contains(&step);
-        due(&mut host, &mut news);
+        due(&mut host, &mut input);
         for _ in 0..host.numbers.below(if flood { 4 } else { 2 }) {
-            let txn = arrival(&mut host, next, flood);
-            host.open.insert(next, State::Held);
-            news.arrivals.push(txn);
+            let request = arrival(&mut host, next, flood);
+            host.open.insert(next, State::Queued);
+            input.arrivals.push(request);
             next += 1;
         }
-        leave_early(&mut host, &mut news);
+        give_up_early(&mut host, &mut input);
         if step == STEPS - 500 {
-            news.drain_deadline = Some(now + 1.2);
+            input.drain_deadline = Some(now + 1.2);
         }
         let running =
             host.open.values().filter(|state| matches!(state, State::Running { .. })).count() as f64;
-        busy += 0.1 * ((running / charter.cores).min(1.0) - busy);
+        busy += 0.1 * ((running / settings.cores).min(1.0) - busy);
         if now >= host.wake_at {
             let sockets = Some(if flood { 60.0 } else { 5.0 });
-            news.tick = Some(Gauges { busy: Some(busy), runnable: Some(running), memory: None, sockets });
+            input.tick = Some(Gauges { busy: Some(busy), runnable: Some(running), memory: None, sockets });
         }
-        brain.decide(&news.round(now), &mut host);
-        news.clear();
+        policy.decide(&input.round(now), &mut host);
+        input.clear();
     }
     host
 }
 
 /// Enters what ends, reaches its call or comes back from it now.
-fn due(host: &mut Recorder, news: &mut RoundInput) {
+fn due(host: &mut Recorder, input: &mut RoundInput) {
     let now = host.now;
     let open: Vec<(u32, State)> = host.open.iter().map(|(id, state)| (*id, *state)).collect();
     for (id, state) in open {
         match state {
             State::Running { until, calls: true } if until <= now => {
-                news.awaiting_call.push(id);
+                input.awaiting_call.push(id);
                 let work_left = host.work();
-                host.open.insert(id, State::AtCall { work_left });
+                host.open.insert(id, State::AwaitingCall { work_left });
             }
             State::Running { until, calls: false } if until <= now => {
                 let outcome = if host.numbers.one_in(40) { Outcome::Failed } else { Outcome::Completed };
-                news.finished_runs.push(Completion { id, outcome, duration: 0.01 });
+                input.finished_runs.push(Completion { id, outcome, duration: 0.01 });
                 host.open.remove(&id);
             }
             State::Replaying { until } if until <= now => {
-                news.finished_runs.push(Completion { id, outcome: Outcome::Completed, duration: 0.02 });
+                input.finished_runs.push(Completion { id, outcome: Outcome::Completed, duration: 0.02 });
                 host.open.remove(&id);
             }
             State::Calling { until, work_left } if until <= now => {
@@ -269,11 +269,11 @@
                     _ => Outcome::Completed,
                 };
                 let took = 0.01 + 0.03 * host.numbers.fraction();
-                news.finished_calls.push(Completion { id, outcome, duration: took });
+                input.finished_calls.push(Completion { id, outcome, duration: took });
                 let state = if outcome == Outcome::Completed {
                     State::Running { until: now + work_left, calls: false }
                 } else {
-                    State::AtCall { work_left }
+                    State::AwaitingCall { work_left }
                 };
                 host.open.insert(id, state);
             }
@@ -284,37 +284,37 @@
 
 fn arrival(host: &mut Recorder, id: u32, flood: bool) -> Request {
     let numbers = &mut host.numbers;
-    let product = numbers.below(4) as usize;
-    let repeat = numbers.one_in(if flood { 4 } else { 20 });
-    let forerunner = match host.keys.last() {
-        Some(key) if repeat && product == 2 => *key,
+    let class = numbers.below(4) as usize;
+    let is_retry = numbers.one_in(if flood { 4 } else { 20 });
+    let earlier_attempt = match host.keys.last() {
+        Some(key) if is_retry && class == 2 => *key,
         _ => 0,
     };
     Request {
         id,
-        class: product,
+        class,
         tenant: numbers.below(3) as usize,
         deadline: if numbers.one_in(5) { host.now + 0.1 + 0.5 * numbers.fraction() } else { 0.0 },
         cost_hint: if numbers.one_in(2) { 0.004 + 0.06 * numbers.fraction() } else { 0.0 },
         memory: if flood { 40.0 } else { 10.0 } + 30.0 * numbers.fraction(),
         rank: numbers.fraction(),
         caller: numbers.below(12) as u32,
-        is_retry: repeat,
+        is_retry,
         time_unread: 0.05 * numbers.fraction(),
-        earlier_attempt: forerunner,
+        earlier_attempt,
     }
 }
 
-/// Now and then a caller gives up, or several at once lose their connection.
-fn leave_early(host: &mut Recorder, news: &mut RoundInput) {
+/// Now and then a caller gives up, or several lose their connection at once.
+fn give_up_early(host: &mut Recorder, input: &mut RoundInput) {
     if !host.numbers.one_in(10) {
         return;
     }
     let alone = host.numbers.one_in(2);
     let ids: Vec<u32> = host.open.keys().copied().take(if alone { 1 } else { 3 }).collect();
     for id in ids {
-        news.abandoned.push(id);
-        if let Some(State::Held | State::Replaying { .. }) = host.open.get(&id) {
+        input.abandoned.push(id);
+        if let Some(State::Queued | State::Replaying { .. }) = host.open.get(&id) {
             host.open.remove(&id);
         }
     }
@@ -327,9 +327,9 @@
     reasons: BTreeSet<&'static str>,
 }
 
-fn check(name: &str, charter: &PolicySettings, golden: &[u64; 3], seen: &mut Seen) {
+fn check(name: &str, settings: &PolicySettings, golden: &[u64; 3], seen: &mut Seen) {
     let hash = |seed| {
-        let host = play(charter, seed);
+        let host = play(settings, seed);
         seen.counts.iter_mut().zip(host.counts).for_each(|(sum, count)| *sum += count);
         seen.reasons.extend(host.reasons);
         host.hash
@@ -400,8 +400,8 @@
         ("short SLA times", short(), [0xa2a8_7e7c_ba95_2ec7, 0x2e66_aa18_9d7e_fbfa, 0x19a9_3c0f_902e_5e89]),
     ];
     let mut seen = Seen::default();
-    for (name, charter, golden) in cases {
-        check(name, &charter, &golden, &mut seen);
+    for (name, settings, golden) in cases {
+        check(name, &settings, &golden, &mut seen);
     }
     // Every kind of decision and each of the policy's reasons is among them, or the hashes say nothing of it.
     assert!(seen.counts.iter().all(|count| *count > 0), "{:?}", seen.counts);
@@ -410,9 +410,9 @@
 }
 
 fn short() -> PolicySettings {
-    let mut charter = base();
-    for product in &mut charter.classes {
-        (product.latency_objective, product.timeout) = (0.08, 0.3);
+    let mut settings = base();
+    for class in &mut settings.classes {
+        (class.latency_objective, class.timeout) = (0.08, 0.3);
     }
-    charter
+    settings
 }
