--- /dev/null
+++ b/crates/charter/tests/golden_config.rs
@@ -0,0 +1,297 @@
+//! Configurations as the platform writes them, and the literal values and messages that they come to.
+
+use puffinladder::{Below, Charter, Customer, Effect, Halt, Product, Signal};
+use puffinladder_charter::{read_terms, read_warrant, Meter, Peers, Terms};
+
+/// All keys that are read, each with a value of its own.
+const FULL: &str = r#"{
+  "name": "edge-7.a_b", "listen": "127.0.0.1:4100", "agent": "127.0.0.2:6100", "roster": "[::1]:8500",
+  "store": "127.0.0.3:7700", "seed": "8c1f30d27a5be964", "stop_ms": 1500, "unknown": [1],
+  "limits": {"cores": 1.0, "memory_mb": 192.5, "sockets": 1024},
+  "settings": {
+    "Servers": 730, "OverShareWorth": 0.05, "WorthBy": "work",
+    "Lanes": [
+      {"Name": "quote", "Promise": 4000, "GiveUp": 8000, "Importance": 1, "Effect": "safe"},
+      {"Name": "order", "Promise": 250, "AimStretch": 1.5, "GiveUp": 900, "Importance": 3, "LateShare": 0.25,
+       "Effect": "keyed", "DedupWindow": 20000},
+      {"Name": "charge", "Promise": 500, "GiveUp": 2000, "Importance": 0, "Effect": "unsafe"},
+      {"Promise": 1, "GiveUp": 2, "Importance": 7, "Effect": "safe"}
+    ],
+    "Tenants": [{"Name": "acme", "QuotaRps": 100, "Share": 1}, {"QuotaRps": 0}],
+    "FamilyInfo": {
+      "Below": "next_hop", "Cpus": 4, "RamKb": 16000, "RunFactor": 8, "KeyKb": 12.5, "Halt": "pause",
+      "ClassCalls": [true, false, true], "ClassSkipWorth": [0.5, 0], "Idle": 30000, "Lingers": 200, "Upstreams": 9100,
+      "CallsOut": 6, "DepWindow": 2500, "Signal": "min_rank", "ListFollows": true, "Cold": true,
+      "Meters": ["cpu_busy", "runnable", "mem_used", "sockets", "loadavg", 5]
+    },
+    "Contract": {"FallMultiple": 5, "Fall": 1500, "Cold": 1250, "ColdShare": 0.5, "StopSendingWithin": 1000},
+    "Limits": {"RetryAfter": true, "MaxRetryAfter": 3000}
+  }
+}"#;
+
+/// The fewest keys that are enough.
+const LEAST: &str = r#"{"Servers": 1, "Lanes": [{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}],
+  "FamilyInfo": {"Cpus": 2, "RamKb": 1000, "RunFactor": 2}, "Contract": {"FallMultiple": 4}}"#;
+
+fn full_terms() -> Terms {
+    let product = Product::default();
+    Terms {
+        charter: Charter {
+            servers: 730.0,
+            callers: 9100.0,
+            cores: 4.0,
+            ram: 16000.0,
+            run_factor: 8.0,
+            key_memory: 12.5,
+            products: vec![
+                Product {
+                    sla: 4.0,
+                    expiry: 8.0,
+                    value: 1.0,
+                    effect: Effect::Inquiry,
+                    calls: true,
+                    skip_share: 0.5,
+                    ..product.clone()
+                },
+                Product {
+                    sla: 0.25,
+                    sla_stretch: 1.5,
+                    expiry: 0.9,
+                    value: 3.0,
+                    late_share: 0.25,
+                    effect: Effect::Referenced,
+                    window: 20.0,
+                    calls: false,
+                    skip_share: 0.0,
+                },
+                Product {
+                    sla: 0.5,
+                    expiry: 2.0,
+                    value: 0.0,
+                    effect: Effect::OnceOnly,
+                    calls: true,
+                    ..product.clone()
+                },
+                Product { sla: 0.001, expiry: 0.002, value: 7.0, effect: Effect::Inquiry, ..product },
+            ],
+            customers: vec![Customer { quota: 100.0 }, Customer { quota: 0.0 }],
+            over_quota: 0.05,
+            by_work: true,
+            below: Below::NextTier,
+            calls_share: 6.0,
+            calls_span: 2.5,
+            lingers: 0.2,
+            halt: Halt::Pause,
+            signal: Signal::Level,
+            list_follows: true,
+            cold: true,
+            cold_share: 0.5,
+            cold_span: 1.25,
+            fall_multiple: 5.0,
+            fall_span: 1.5,
+            grace: 1.0,
+            retry_after: 3.0,
+            idle: 30.0,
+        },
+        meters: vec![Meter::Busy, Meter::Runnable, Meter::Memory, Meter::Sockets, Meter::Other, Meter::Other],
+        products: ["quote", "order", "charge", ""].map(String::from).to_vec(),
+        customers: ["acme", ""].map(String::from).to_vec(),
+    }
+}
+
+#[test]
+fn a_full_server_configuration_reads_as_its_literal_values() {
+    let warrant = read_warrant(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    assert_eq!(warrant.name, "edge-7.a_b");
+    assert_eq!(warrant.listen.to_string(), "127.0.0.1:4100");
+    assert_eq!(
+        warrant.peers,
+        Peers {
+            agent: "127.0.0.2:6100".parse().unwrap(),
+            roster: "[::1]:8500".parse().unwrap(),
+            store: Some("127.0.0.3:7700".parse().unwrap()),
+        }
+    );
+    assert_eq!(warrant.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!((warrant.stop, warrant.memory_mb, warrant.sockets), (1.5, 192.5, 1024));
+    assert_eq!(warrant.terms, full_terms());
+}
+
+#[test]
+fn absent_keys_read_as_their_defaults() {
+    let terms = read_terms(LEAST.as_bytes()).unwrap();
+    let product = Product { sla: 1.0, expiry: 2.0, value: 1.0, ..Product::default() };
+    let charter = Charter {
+        servers: 1.0,
+        cores: 2.0,
+        ram: 1000.0,
+        run_factor: 2.0,
+        products: vec![product],
+        fall_multiple: 4.0,
+        ..Charter::default()
+    };
+    let products = vec![String::new()];
+    assert_eq!(terms, Terms { charter, meters: Vec::new(), products, customers: Vec::new() });
+
+    let text = format!(
+        r#"{{"agent": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "7", "stop_ms": 0, "store": null,
+            "limits": {{"memory_mb": 16, "sockets": 64}}, "settings": {LEAST}}}"#
+    );
+    let warrant = read_warrant(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    assert_eq!((warrant.name.as_str(), warrant.listen.to_string().as_str()), ("other", "127.0.0.9:9"));
+    assert_eq!((warrant.peers.store, warrant.seed, warrant.stop), (None, 7, 0.0));
+}
+
+#[test]
+fn each_word_of_the_wire_reads_as_its_literal_value() {
+    let read = |key: &str, word: &str| {
+        let text = LEAST.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
+        read_terms(text.as_bytes()).unwrap().charter
+    };
+    for (word, below) in
+        [("silent", Below::Nothing), ("common", Below::Common), ("next_hop", Below::NextTier)]
+    {
+        assert_eq!(read("Below", word).below, below);
+    }
+    for (word, halt) in [("silent", Halt::Never), ("drop", Halt::Drop), ("pause", Halt::Pause)] {
+        assert_eq!(read("Halt", word).halt, halt);
+    }
+    let signals = [
+        ("silent", Signal::Silent),
+        ("min_rank", Signal::Level),
+        ("tokens", Signal::Tokens),
+        ("bias", Signal::Bias),
+    ];
+    for (word, signal) in signals {
+        assert_eq!(read("Signal", word).signal, signal);
+    }
+    // Without the flag no time is heeded, and another word than "work" counts by txn.
+    let limits =
+        LEAST.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
+    let charter = read_terms(limits.as_bytes()).unwrap().charter;
+    assert_eq!((charter.retry_after, charter.by_work), (0.0, false));
+}
+
+#[test]
+fn faults_of_terms_are_worded_as_they_are() {
+    let cases = [
+        (r#""Servers": 1,"#, "", "start text: Servers should be given"),
+        (r#""Servers": 1,"#, r#""Servers": null,"#, "start text: Servers should be given"),
+        (r#""Servers": 1,"#, r#""Servers": "1","#, "start text: Servers should be a number from 0 up"),
+        (r#""Servers": 1,"#, r#""Servers": -1,"#, "start text: Servers should be a number from 0 up"),
+        (r#""Servers": 1,"#, r#""Servers": 0,"#, "start text: Servers should be above 0"),
+        (r#""Promise": 1000,"#, "", "start text: Lanes[0].Promise should be given"),
+        (
+            r#""Effect": "safe""#,
+            r#""Effect": "x""#,
+            "start text: Lanes[0].Effect should be one of the wire's: unknown word x",
+        ),
+        (r#""Effect": "safe""#, r#""Effect": 3"#, "start text: Lanes[0].Effect should be a word"),
+        (r#""Promise": 1000"#, r#""Name": 3, "Promise": 1000"#, "start text: Lanes[0].Name should be a word"),
+        (r#""Servers": 1,"#, r#""Servers": 1, "Tenants": 5,"#, "start text: Tenants should be a list"),
+        (
+            r#""Servers": 1,"#,
+            r#""Servers": 1, "Tenants": [{}, {}],"#,
+            "start text: Tenants[0].QuotaRps should be given",
+        ),
+        (r#""Servers": 1,"#, r#""Servers": 1, "Limits": 5,"#, "start text: Limits should be an object"),
+        (
+            r#""Servers": 1,"#,
+            r#""Servers": 1, "Limits": {"RetryAfter": 1},"#,
+            "start text: Limits.RetryAfter should be true or false",
+        ),
+        (r#""Cpus": 2"#, r#""Cpus": 2, "Meters": 5"#, "start text: FamilyInfo.Meters should be a list"),
+        (
+            r#""Cpus": 2"#,
+            r#""Cpus": 2, "Signal": "loud""#,
+            "start text: FamilyInfo.Signal should be one of the wire's: unknown word loud",
+        ),
+        (
+            r#"{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}"#,
+            "",
+            "charter: no products",
+        ),
+        (
+            r#", "Effect": "safe""#,
+            "",
+            "start text: Lanes[0].Effect should be one of the wire's: unknown word silent",
+        ),
+        (LEAST, "[]", "start text is not a JSON object"),
+        (LEAST, "{", "start text is not JSON: EOF while parsing an object at line 1 column 1"),
+    ];
+    for (old, new, message) in cases {
+        let text = LEAST.replace(old, new);
+        assert_eq!(read_terms(text.as_bytes()).unwrap_err(), message, "{text}");
+    }
+}
+
+#[test]
+fn faults_of_server_configurations_are_worded_as_they_are() {
+    let cases = [
+        (
+            r#""name": "edge-7.a_b""#,
+            r#""name": "a b""#,
+            "start text: name should be a word of letters, digits, '-', '_' and '.'",
+        ),
+        (
+            r#""name": "edge-7.a_b""#,
+            r#""name": 5"#,
+            "start text: name should be a word of letters, digits, '-', '_' and '.'",
+        ),
+        (r#""listen": "127.0.0.1:4100","#, "", "start text: listen should be given"),
+        (
+            r#""127.0.0.1:4100""#,
+            r#""here""#,
+            "start text: listen should be an address such as 127.0.0.1:4100",
+        ),
+        (r#""127.0.0.1:4100""#, "4100", "start text: listen should be a word"),
+        (r#""agent": "127.0.0.2:6100","#, "", "start text: agent should be given"),
+        (r#""roster": "[::1]:8500","#, "", "start text: roster should be given"),
+        (
+            r#""127.0.0.3:7700""#,
+            r#""there""#,
+            "start text: store should be an address such as 127.0.0.1:4100",
+        ),
+        (r#""seed": "8c1f30d27a5be964","#, "", "start text: seed should be up to 16 hex digits"),
+        (r#""8c1f30d27a5be964""#, r#""8c1f30d27a5be9640""#, "start text: seed should be up to 16 hex digits"),
+        (
+            r#""stop_ms": 1500"#,
+            r#""stop_ms": 4000000"#,
+            "start text: stop_ms should be between 0 and 3600000",
+        ),
+        (
+            r#""memory_mb": 192.5"#,
+            r#""memory_mb": 1"#,
+            "start text: limits.memory_mb should be between 16 and 1048576",
+        ),
+        (
+            r#""sockets": 1024"#,
+            r#""sockets": 1"#,
+            "start text: limits.sockets should be between 64 and 1048576",
+        ),
+        (r#""settings": {"#, r#""others": {"#, "start text: settings should be given"),
+        (r#""settings": {"#, r#""settings": 5, "others": {"#, "start text: settings should be an object"),
+        (r#""Promise": 500"#, r#""Promise": 0"#, "start text: settings.Lanes[2].Promise should be above 0"),
+    ];
+    for (old, new, message) in cases {
+        let text = FULL.replace(old, new);
+        assert_eq!(read_warrant(text.as_bytes(), None, None).unwrap_err(), message, "{old}");
+    }
+}
+
+#[test]
+fn keys_that_hold_until_the_next_start_are_named() {
+    let read = |text: &str| read_warrant(text.as_bytes(), None, None).unwrap();
+    let old = read(FULL);
+    assert!(old.fixed(&old).is_empty());
+    let moved = FULL.replace("127.0.0.2:6100", "127.0.0.5:1").replace("[::1]:8500", "127.0.0.5:2");
+    assert!(old.fixed(&read(&moved.replace("127.0.0.3:7700", "127.0.0.5:3"))).is_empty());
+    let other = FULL
+        .replace("edge-7.a_b", "x")
+        .replace("127.0.0.1:4100", "127.0.0.1:1")
+        .replace("8c1f30d27a5be964", "1")
+        .replace("1500", "1600")
+        .replace("192.5", "193")
+        .replace("730", "731");
+    assert_eq!(old.fixed(&read(&other)), ["name", "listen", "seed", "stop_ms", "limits", "settings"]);
+}
