--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::estimate::Sizes;
 use crate::point::{unfit, ROLES, SIZES};
-use puffinladder_charter::sexpr::{Block, Fault, Reader};
+use puffinladder_settings::sexpr::{Block, Diagnostic, Reader};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that a plan may name.
@@ -92,7 +92,7 @@
 
 fn needed(block: &Block, key: &'static str) {
     if !block.has(key) {
-        block.fault(key, "should be given");
+        block.report(key, "should be given");
     }
 }
 
@@ -104,14 +104,14 @@
 
 fn span(block: &Block, key: &'static str, range: std::ops::RangeInclusive<f64>) -> f64 {
     needed(block, key);
-    block.span(key, *range.start(), range)
+    block.duration(key, *range.start(), range)
 }
 
 fn name(block: &Block, key: &'static str) -> String {
     needed(block, key);
     let text = block.text(key).unwrap_or_default();
     if text.chars().count() > LONGEST_NAME || text.chars().any(unfit) {
-        block.fault(key, format!("should be {LONGEST_NAME} letters at the most, without | < >"));
+        block.report(key, format!("should be {LONGEST_NAME} letters at the most, without | < >"));
     }
     text
 }
@@ -119,7 +119,7 @@
 /// A block that has to be there; where it is not, an empty one that says so.
 fn section<T>(top: &Block, key: &'static str, read: impl Fn(&Block) -> T) -> Option<T> {
     let Some(block) = top.block(key) else {
-        top.fault(key, "should be given");
+        top.report(key, "should be given");
         return None;
     };
     let told = read(&block);
@@ -140,7 +140,7 @@
         parts: count(block, "parts", 1..=100_000),
     };
     if told.zones < told.regions {
-        block.fault("zones", "should be one for each region at the least");
+        block.report("zones", "should be one for each region at the least");
     }
     told
 }
@@ -176,12 +176,14 @@
     };
     for role in &told.runs {
         if !PLACED.contains(&role.as_str()) {
-            block.fault("runs", format!("{role:?} should be one of {}", PLACED.join(", ")));
+            block.report("runs", format!("{role:?} should be one of {}", PLACED.join(", ")));
         }
     }
     if told.runs.iter().collect::<BTreeSet<_>>().len() < told.runs.len() {
-        block
-            .fault("runs", "a role stands here twice: two of its processes on one machine are lost together");
+        block.report(
+            "runs",
+            "a role stands here twice: two of its processes on one machine are lost together",
+        );
     }
     block.finish();
     told
@@ -202,35 +204,35 @@
 }
 
 /// Reads a plan; all that is wrong with it is named at once.
-pub fn read(file: &str, text: &str) -> Result<Plan, Vec<Fault>> {
+pub fn read(file: &str, text: &str) -> Result<Plan, Vec<Diagnostic>> {
     let reader = Reader::new(file, text);
-    let forms = reader.forms();
+    let forms = reader.parse();
     let plan = {
-        let top = reader.top(&forms);
+        let top = reader.top_level(&forms);
         let machines: Vec<Machine> = top.blocks("machine").iter().map(machine).collect();
         if machines.is_empty() {
-            top.fault("machine", "should be given: who stands where for control");
+            top.report("machine", "should be given: who stands where for control");
         }
         if machines.len() > MOST_MACHINES {
-            top.fault("machine", format!("{} of them, of {MOST_MACHINES} at the most", machines.len()));
+            top.report("machine", format!("{} of them, of {MOST_MACHINES} at the most", machines.len()));
         }
         let mut names: Vec<&str> = machines.iter().map(|machine| machine.name.as_str()).collect();
         names.sort_unstable();
         if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            top.fault("machine", format!("{:?} stands here twice", twice[0]));
+            top.report("machine", format!("{:?} stands here twice", twice[0]));
         }
         let mut shares: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for block in top.blocks("role") {
             let role = name(&block, "name");
             if !ROLES.contains(&role.as_str()) {
-                block.fault("name", format!("{role:?} should be one of {}", ROLES.join(", ")));
+                block.report("name", format!("{role:?} should be one of {}", ROLES.join(", ")));
             }
             let told: BTreeSet<String> = block.texts("shares").into_iter().collect();
             for key in told.iter().filter(|key| !SIZES.contains(&key.as_str())) {
-                block.fault("shares", format!("{key:?} should be one of {}", SIZES.join(", ")));
+                block.report("shares", format!("{key:?} should be one of {}", SIZES.join(", ")));
             }
             if shares.insert(role.clone(), told).is_some() {
-                block.fault("name", format!("{role:?} stands here twice"));
+                block.report("name", format!("{role:?} stands here twice"));
             }
             block.finish();
         }
@@ -250,7 +252,7 @@
             _ => None,
         }
     };
-    let faults = reader.faults();
+    let faults = reader.into_diagnostics();
     match plan {
         Some(plan) if faults.is_empty() => Ok(plan),
         _ => Err(faults),
--- a/crates/capacity/src/plan/tests.rs
+++ b/crates/capacity/src/plan/tests.rs
@@ -61,7 +61,7 @@
         .replace("(cpu 0.038)", "")
         .replace("(shares \"proxies\")", "(shares \"cats\")")
         .replace("(in-force 6s)", "(in-force 6)");
-    let said: Vec<String> = read("p.scm", &wrong).unwrap_err().iter().map(Fault::to_string).collect();
+    let said: Vec<String> = read("p.scm", &wrong).unwrap_err().iter().map(Diagnostic::to_string).collect();
     for key in [
         "p.scm:5:12: fleet.servers: should be a whole number from 1 to 1000000",
         "fleet.callers: should be given",
@@ -84,7 +84,7 @@
         (&SHIPPED.replace("(zones 6)", "(zones 1)"), "fleet.zones: should be one for each region"),
         (&SHIPPED.replace("(name \"a1\")", "(name \"a|1\")"), "machine.name: should be 40 letters"),
     ] {
-        let said: Vec<String> = read("p", text).unwrap_err().iter().map(Fault::to_string).collect();
+        let said: Vec<String> = read("p", text).unwrap_err().iter().map(Diagnostic::to_string).collect();
         assert!(said.iter().any(|one| one.contains(key)), "{key}: {said:#?}");
     }
 }
--- a/crates/cli/src/capacity/bounds.rs
+++ b/crates/cli/src/capacity/bounds.rs
@@ -1,8 +1,8 @@
 //! Where the code itself refuses more, whatever it would cost: taken from the code, so that the page follows it.
 
 use puffinladder_capacity::reckon::Bound;
-use puffinladder_charter::settings::read_settings;
 use puffinladder_leases::{desk, table};
+use puffinladder_settings::parse_settings;
 
 pub fn of_the_code() -> Vec<Bound> {
     let bound = |role: &str, size: &str, most: usize, named: &str| Bound {
@@ -17,17 +17,17 @@
     ];
     // What holds where a control service's settings say nothing.
     let usual = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\"))";
-    if let Some(control) = read_settings("usual", usual).ok().and_then(|settings| settings.control) {
+    if let Some(control) = parse_settings("usual", usual).ok().and_then(|settings| settings.control) {
         bounds.push(bound(
             "control",
             "servers",
-            control.most_servers,
+            control.max_servers,
             "most-servers of a control service, as it is unless set",
         ));
         bounds.push(bound(
             "control",
             "proxies",
-            control.most_proxies,
+            control.max_proxies,
             "most-proxies of a control service, as it is unless set",
         ));
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,8 +1,7 @@
 //! `puffinladder check`: what a file says, and what holds by it.
 
 use crate::say::{Done, Wrong};
-use puffinladder_charter::read_warrant;
-use puffinladder_charter::settings::{read_settings, show_settings};
+use puffinladder_settings::{parse_server_config, parse_settings};
 use std::io::Write;
 use std::path::Path;
 
@@ -13,19 +12,12 @@
     if text.trim_start().starts_with('{') {
         let told = |name: &str| std::env::var(name).ok();
         let (named, listen) = (told("BALANCER_NAME"), told("BALANCER_LISTEN"));
-        let warrant = read_warrant(text.as_bytes(), named.as_deref(), listen.as_deref())
+        let warrant = parse_server_config(text.as_bytes(), named.as_deref(), listen.as_deref())
             .map_err(|what| Wrong::Asked(format!("{name}: {what}")))?;
         writeln!(std::io::stdout(), "{warrant:#?}")?;
         return Ok(());
     }
-    match read_settings(&name, &text) {
-        Ok(settings) => {
-            write!(std::io::stdout(), "{}", show_settings(&settings))?;
-            Ok(())
-        }
-        Err(faults) => {
-            let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            Err(Wrong::Asked(lines.join("\n")))
-        }
-    }
+    let settings = parse_settings(&name, &text).map_err(|error| Wrong::Asked(error.to_string()))?;
+    write!(std::io::stdout(), "{settings}")?;
+    Ok(())
 }
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -9,7 +9,6 @@
 use crate::say::{Done, Wrong};
 use crate::serve::runtime;
 use clap::{Args, Subcommand};
-use puffinladder_charter::settings::Control as Told;
 use puffinladder_control::core::{Times, Told as Core};
 use puffinladder_control::plan::Planner;
 use puffinladder_control::resources::Subsets;
@@ -17,6 +16,7 @@
 use puffinladder_control::stream::Lease;
 use puffinladder_control::view::{Bounds, Report, Verdict, Views};
 use puffinladder_leases::words::Event;
+use puffinladder_settings::ControlSettings as Told;
 use std::io::Write;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
@@ -81,31 +81,31 @@
 
 fn setup(told: &Told) -> Setup {
     let bounds = Bounds {
-        fresh: told.fresh,
-        gone: told.gone,
-        panic: told.panic,
-        most_servers: told.most_servers,
+        fresh: told.fresh_for,
+        gone: told.gone_after,
+        panic: told.panic_threshold,
+        most_servers: told.max_servers,
         ..Bounds::default()
     };
-    let lease = Lease { bound: told.bound, heartbeat: told.heartbeat, ..Lease::default() };
+    let lease = Lease { bound: told.max_staleness, heartbeat: told.heartbeat_interval, ..Lease::default() };
     let core = Core {
         bounds,
         lease,
-        subsets: Subsets { size: told.subset, ..Subsets::default() },
-        times: Times { plan: told.plan_every, ..Times::default() },
+        subsets: Subsets { size: told.subset_size, ..Subsets::default() },
+        times: Times { plan: told.plan_interval, ..Times::default() },
     };
-    let tls = told.tls.as_ref().map(|(certificate, key, clients)| Tls {
-        certificate: certificate.into(),
-        key: key.into(),
-        clients: clients.as_ref().map(Into::into),
+    let tls = told.tls.as_ref().map(|tls| Tls {
+        certificate: (&tls.certificate).into(),
+        key: (&tls.key).into(),
+        clients: tls.client_authority.as_ref().map(Into::into),
     });
     Setup {
         told: core,
-        xds: told.xds,
-        reports: told.reports,
-        debug: told.debug,
-        snapshot: told.snapshot.as_ref().map(Into::into),
-        most_proxies: told.most_proxies,
+        xds: told.xds_listen,
+        reports: told.report_listen,
+        debug: told.debug_listen,
+        snapshot: told.snapshot_file.as_ref().map(Into::into),
+        most_proxies: told.max_proxies,
         tls,
     }
 }
--- a/crates/cli/src/fleet/archive.rs
+++ b/crates/cli/src/fleet/archive.rs
@@ -4,11 +4,11 @@
 use crate::say::{bar, step, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
+use puffinladder_settings::TraceStoreSettings as Told;
 use puffinladder_trace_store::export::export;
 use puffinladder_trace_store::serve::{start, Setup};
 use puffinladder_trace_store::store::Store;
 use puffinladder_trace_store::words::{Answer, Ask};
-use puffinladder_charter::fleet::Archive as Told;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -50,7 +50,7 @@
     match line.command {
         None => {
             let (name, settings) = serve::settings(line.settings)?;
-            let told = serve::section(&name, "archive", settings.archive.clone())?;
+            let told = serve::section(&name, "archive", settings.trace_store.clone())?;
             serve::log(&settings);
             serve::runtime()?.block_on(keep(&told, &Ground::usual(line.events)))
         }
@@ -65,12 +65,12 @@
         }),
         Some(Command::Export { settings, into }) => {
             let (name, settings) = serve::settings(settings)?;
-            let told = serve::section(&name, "archive", settings.archive)?;
-            let folder = Path::new(&told.folder);
+            let told = serve::section(&name, "archive", settings.trace_store)?;
+            let folder = Path::new(&told.directory);
             if !folder.join("archive.redb").exists() {
-                return Err(Wrong::Failed(format!("{}: there is no archive", told.folder)));
+                return Err(Wrong::Failed(format!("{}: there is no archive", told.directory)));
             }
-            let (store, _) = Store::open(folder, told.most_bytes).map_err(|e| failed(e.to_string()))?;
+            let (store, _) = Store::open(folder, told.max_bytes).map_err(|e| failed(e.to_string()))?;
             let made = (puffinladder_transport::Clock::system().unix() * 1e6) as i64;
             let rows = bar("rows");
             let met = export(&store, &into, made, &mut step(&rows));
@@ -87,9 +87,9 @@
 pub async fn keep(told: &Told, ground: &Ground) -> Done {
     let setup = Setup {
         listen: told.listen,
-        folder: (&told.folder).into(),
-        most_bytes: told.most_bytes,
-        most_connections: told.most_connections,
+        folder: (&told.directory).into(),
+        most_bytes: told.max_bytes,
+        most_connections: told.max_connections,
         events: ground.events,
         planted: ground.planted,
     };
--- a/crates/cli/src/fleet/keeper.rs
+++ b/crates/cli/src/fleet/keeper.rs
@@ -4,12 +4,12 @@
 use crate::say::{Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
-use puffinladder_charter::fleet::Keeper as Told;
 use puffinladder_lease_store::core::Terms;
 use puffinladder_lease_store::serve::{start, Setup};
 use puffinladder_lease_store::store::Store;
 use puffinladder_leases::table::{Declared, Rules};
 use puffinladder_leases::words::{Answer, Ask, Status};
+use puffinladder_settings::LeaseStoreSettings as Told;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -73,7 +73,7 @@
     match line.command {
         None => {
             let (name, settings) = serve::settings(line.settings)?;
-            let told = serve::section(&name, "keeper", settings.keeper.clone())?;
+            let told = serve::section(&name, "keeper", settings.lease_store.clone())?;
             serve::log(&settings);
             let begin = if line.found {
                 Begin::Found
@@ -105,44 +105,44 @@
 
 pub fn terms(told: &Told) -> Terms {
     let rules = Rules {
-        term: told.term,
-        drift: told.drift,
-        stall: told.stall,
-        barred: told.barred,
-        flaps: told.flaps,
-        flap_span: told.flap_span,
-        flap_rest: told.flap_rest,
-        panic: told.panic,
-        calm: told.calm,
-        moves: told.moves,
+        term: told.lease_duration,
+        drift: told.max_clock_drift,
+        stall: told.stall_timeout,
+        barred: told.exclusion_time,
+        flaps: told.flap_limit,
+        flap_span: told.flap_window,
+        flap_rest: told.flap_backoff,
+        panic: told.panic_window,
+        calm: told.rebalance_delay,
+        moves: told.max_moves,
     };
-    let declared = |duty: &puffinladder_charter::fleet::Duty| Declared {
+    let declared = |duty: &puffinladder_settings::TaskSettings| Declared {
         name: duty.name.clone(),
         parts: duty.parts as u32,
         zone: duty.zone.clone(),
     };
-    Terms { rules, duties: told.duties.iter().map(declared).collect(), ..Terms::default() }
+    Terms { rules, duties: told.tasks.iter().map(declared).collect(), ..Terms::default() }
 }
 
 pub async fn keep(told: &Told, begin: Begin, ground: &Ground) -> Done {
-    let folder = Path::new(&told.folder);
-    std::fs::create_dir_all(folder).map_err(|e| failed(format!("{}: {e}", told.folder)))?;
+    let folder = Path::new(&told.directory);
+    std::fs::create_dir_all(folder).map_err(|e| failed(format!("{}: {e}", told.directory)))?;
     let path = folder.join("keeper.redb");
     let voters: Vec<u64> = told.peers.keys().copied().collect();
     let opened = match begin {
         Begin::Open => Store::open(&path),
-        Begin::Found if !told.peers.contains_key(&told.number) => {
+        Begin::Found if !told.peers.contains_key(&told.replica_id) => {
             return Err(Wrong::Asked(format!(
                 "keeper.peers: should name keeper {} itself to found it",
-                told.number
+                told.replica_id
             )))
         }
-        Begin::Found => Store::found(&path, told.number, &voters),
-        Begin::Join => Store::join(&path, told.number),
+        Begin::Found => Store::found(&path, told.replica_id, &voters),
+        Begin::Join => Store::join(&path, told.replica_id),
     };
     let (store, disk) = opened.map_err(|e| failed(e.to_string()))?;
-    if store.id() != told.number {
-        let (held, told) = (store.id(), told.number);
+    if store.id() != told.replica_id {
+        let (held, told) = (store.id(), told.replica_id);
         return Err(failed(format!(
             "{}: is the disk of keeper {held}, and the settings say {told}",
             path.display()
@@ -152,8 +152,8 @@
         terms: terms(told),
         listen: told.listen,
         peers: told.peers.clone(),
-        tick: told.tick,
-        most_connections: told.most_connections,
+        tick: told.tick_interval,
+        most_connections: told.max_connections,
         clock: ground.clock.clone(),
         events: ground.events,
         sync_pause: ground.sync_pause.clone(),
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -6,9 +6,9 @@
 pub mod steward;
 
 use crate::say::{Done, Wrong};
+use puffinladder_leases::words::Events;
 use puffinladder_trace_store::store::Planted;
 use puffinladder_transport::Clock;
-use puffinladder_leases::words::Events;
 use serde::{de::DeserializeOwned, Serialize};
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -39,7 +39,8 @@
 
 /// Asks a service one thing.
 pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, ask: &A) -> Result<B, String> {
-    let answer = puffinladder_transport::ask(at, ask, WAIT, LONGEST).await.map_err(|e| format!("{at}: {e}"))?;
+    let answer =
+        puffinladder_transport::ask(at, ask, WAIT, LONGEST).await.map_err(|e| format!("{at}: {e}"))?;
     answer.ok_or_else(|| format!("{at}: closed without an answer"))
 }
 
--- a/crates/cli/src/fleet/steward.rs
+++ b/crates/cli/src/fleet/steward.rs
@@ -4,8 +4,8 @@
 use crate::say::Done;
 use crate::serve;
 use clap::Args;
-use puffinladder_charter::fleet::Steward as Told;
 use puffinladder_leases::desk;
+use puffinladder_settings::WorkerSettings as Told;
 use puffinladder_worker::haul;
 use puffinladder_worker::life;
 use puffinladder_worker::serve::{start, Reported, Setup};
@@ -30,51 +30,51 @@
 
 pub fn run(line: Line) -> Done {
     let (name, settings) = serve::settings(line.settings)?;
-    let told = serve::section(&name, "steward", settings.steward.clone())?;
+    let told = serve::section(&name, "steward", settings.worker.clone())?;
     serve::log(&settings);
     serve::runtime()?.block_on(serve_duties(&told, &Ground::usual(line.events)))
 }
 
 pub async fn serve_duties(told: &Told, ground: &Ground) -> Done {
-    let incarnation = life::next(Path::new(&told.folder), ground.clock.unix()).map_err(failed)?;
-    let gather = told.gather.as_ref().map(|gather| haul::Told {
-        traces: (&gather.traces).into(),
-        archive: gather.archive,
+    let incarnation = life::next(Path::new(&told.directory), ground.clock.unix()).map_err(failed)?;
+    let gather = told.trace_collection.as_ref().map(|gather| haul::Told {
+        traces: (&gather.traces_directory).into(),
+        archive: gather.trace_store,
         parts: gather.parts as u32,
-        every: gather.every,
-        step: gather.step,
+        every: gather.scan_interval,
+        step: gather.max_step_duration,
     });
     let drift = 0.02;
-    let desk = told.listen.map(|listen| Reported {
+    let desk = told.report_listen.map(|listen| Reported {
         listen,
         told: desk::Told {
-            customers: told.quota.as_ref().map(|quota| quota.customers.clone()).unwrap_or_default(),
+            customers: told.quota.as_ref().map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
             servers: told.quota.as_ref().map_or(1, |quota| quota.servers),
             parts: told.quota.as_ref().map_or(1, |quota| quota.parts as u32),
-            span: told.quota.as_ref().map_or(2.0, |quota| quota.span),
+            span: told.quota.as_ref().map_or(2.0, |quota| quota.share_duration),
             drift,
-            turns: told.turns.as_ref().map_or_else(Default::default, |turns| {
+            turns: told.drain_slots.as_ref().map_or_else(Default::default, |turns| {
                 puffinladder_leases::turns::Rules {
-                    most: turns.most,
-                    zone_share: turns.zone_share,
-                    span: turns.span,
-                    silent: turns.silent,
+                    most: turns.max_draining,
+                    zone_share: turns.max_zone_share,
+                    span: turns.slot_duration,
+                    silent: turns.silence_timeout,
                     drift,
                 }
             }),
         },
         quota: told.quota.is_some(),
-        turns: told.turns.is_some(),
+        turns: told.drain_slots.is_some(),
         most_connections: MOST,
     });
     let setup = Setup {
         name: told.name.clone(),
         zone: told.zone.clone(),
         incarnation,
-        keepers: told.keepers.clone(),
+        keepers: told.lease_stores.clone(),
         gather,
         desk,
-        holds: told.holds.clone(),
+        holds: told.idle_tasks.clone(),
         clock: ground.clock.clone(),
         events: ground.events,
     };
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,7 +17,7 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use puffinladder_charter::settings::LogFormat;
+use puffinladder_settings::LogFormat;
 use say::Wrong;
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -9,8 +9,6 @@
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand, ValueEnum};
-use puffinladder_trace_store::store::Planted;
-use puffinladder_transport::Clock;
 use puffinladder_leases::words::Events;
 use puffinladder_proving::check::Counts;
 use puffinladder_proving::ground::{play, Run, Setup};
@@ -19,6 +17,8 @@
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::Schedule;
 use puffinladder_proving::shrink::shrink;
+use puffinladder_trace_store::store::Planted;
+use puffinladder_transport::Clock;
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -311,11 +311,11 @@
                 (_, true) => keeper::Begin::Join,
                 _ => keeper::Begin::Open,
             };
-            let told = serve::section(&name, "keeper", settings.keeper)?;
+            let told = serve::section(&name, "keeper", settings.lease_store)?;
             runtime.block_on(keeper::keep(&told, begin, ground))
         }
         Kind::Steward => {
-            let told = serve::section(&name, "steward", settings.steward)?;
+            let told = serve::section(&name, "steward", settings.worker)?;
             runtime.block_on(steward::serve_duties(&told, ground))
         }
         Kind::Control => {
@@ -324,7 +324,7 @@
         }
         Kind::Seat => runtime.block_on(seat::sit(seat, ground)),
         Kind::Archive => {
-            let told = serve::section(&name, "archive", settings.archive)?;
+            let told = serve::section(&name, "archive", settings.trace_store)?;
             runtime.block_on(archive::keep(&told, ground))
         }
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! What all services of the command line share: their settings, their log, and until when they run.
 
 use crate::say::{Done, Wrong};
-use puffinladder_charter::settings::{read_settings, LogFormat, Settings};
+use puffinladder_settings::{parse_settings, LogFormat, Settings};
 use std::future::Future;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
@@ -13,9 +13,7 @@
         path.ok_or_else(|| Wrong::Asked("--settings or PUFFINLADDER_SETTINGS should name a file".into()))?;
     let name = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| Wrong::Failed(format!("{name}: {e}")))?;
-    let settings = read_settings(&name, &text).map_err(|faults| {
-        Wrong::Asked(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
-    })?;
+    let settings = parse_settings(&name, &text).map_err(|error| Wrong::Asked(error.to_string()))?;
     Ok((name, settings))
 }
 
--- a/crates/config-rollout/src/check.rs
+++ b/crates/config-rollout/src/check.rs
@@ -25,23 +25,23 @@
     }
 }
 
-/// The terms of a start text, over which contents are laid and which `puffinladder-charter` reads.
+/// The terms of a start text, over which contents are laid and which `puffinladder-settings` reads.
 #[derive(Clone, Debug)]
 pub struct Start {
     settings: Map<String, Json>,
 }
 
 impl Start {
-    /// `settings` is what `read_terms` takes: the `settings` of a server's start text, or all of an adapter's.
+    /// `settings` is what `parse_policy_config` takes: the `settings` of a server's start text, or all of an adapter's.
     pub fn new(settings: &[u8]) -> Result<Start, String> {
-        puffinladder_charter::read_terms(settings)?;
+        puffinladder_settings::parse_policy_config(settings).map_err(|error| error.to_string())?;
         match serde_json::from_slice(settings) {
             Ok(Json::Object(settings)) => Ok(Start { settings }),
             _ => Err("start text is not a JSON object".into()),
         }
     }
 
-    /// The settings with a content laid over them, as `read_terms` takes them.
+    /// The settings with a content laid over them, as `parse_policy_config` takes them.
     pub fn under(&self, content: &Content) -> Result<Vec<u8>, Wrong> {
         let mut settings = self.settings.clone();
         for (key, value) in content.all() {
@@ -86,7 +86,8 @@
         content.check()?;
         let settings = self.under(content)?;
         // Ranges were seen to above, by key; what is left concerns the terms as a whole and says so itself.
-        puffinladder_charter::read_terms(&settings).map_err(Wrong::whole)?;
+        puffinladder_settings::parse_policy_config(&settings)
+            .map_err(|error| Wrong::whole(error.to_string()))?;
         Ok(())
     }
 }
--- a/crates/config-rollout/src/check/tests.rs
+++ b/crates/config-rollout/src/check/tests.rs
@@ -26,14 +26,15 @@
         .set(Key::new(Section::Limit, FLEET, Field::MaxRetryAfter), 5000.0);
     let content = under(change);
     start().check(&content).unwrap();
-    let terms = puffinladder_charter::read_terms(&start().under(&content).unwrap()).unwrap();
-    assert_eq!(terms.customers, ["acme", "new"]);
-    assert_eq!((terms.charter.customers[0].quota, terms.charter.customers[1].quota), (25.0, 7.0));
-    assert_eq!((terms.charter.products[0].sla, terms.charter.products[0].expiry), (0.3, 0.9));
-    assert_eq!((terms.charter.servers, terms.charter.retry_after), (9.0, 5.0));
+    let terms = puffinladder_settings::parse_policy_config(&start().under(&content).unwrap()).unwrap();
+    assert_eq!(terms.customer_names, ["acme", "new"]);
+    assert_eq!((terms.settings.customers[0].quota, terms.settings.customers[1].quota), (25.0, 7.0));
+    assert_eq!((terms.settings.products[0].sla, terms.settings.products[0].expiry), (0.3, 0.9));
+    assert_eq!((terms.settings.servers, terms.settings.retry_after), (9.0, 5.0));
     // The empty content is the start text.
-    let terms = puffinladder_charter::read_terms(&start().under(&Content::default()).unwrap()).unwrap();
-    assert_eq!(terms, puffinladder_charter::read_terms(START.as_bytes()).unwrap());
+    let terms =
+        puffinladder_settings::parse_policy_config(&start().under(&Content::default()).unwrap()).unwrap();
+    assert_eq!(terms, puffinladder_settings::parse_policy_config(START.as_bytes()).unwrap());
 }
 
 #[test]
@@ -48,7 +49,7 @@
         let read = |value: f64| {
             let content = under(Change::default().set(key.clone(), value));
             start().check(&content).unwrap();
-            puffinladder_charter::read_terms(&start().under(&content).unwrap()).unwrap()
+            puffinladder_settings::parse_policy_config(&start().under(&content).unwrap()).unwrap()
         };
         assert_ne!(read(*range.start()), read(*range.end()), "{key} changes nothing");
     }
--- a/crates/config-rollout/src/patch.rs
+++ b/crates/config-rollout/src/patch.rs
@@ -8,7 +8,7 @@
 //! ```
 
 use crate::content::{Change, Field, Key, Section, Value, Wrong, CHANGE_BYTES, FLEET};
-use puffinladder_charter::sexpr::{Fault, Form, Node, Reader};
+use puffinladder_settings::sexpr::{Diagnostic, Form, Node, Reader};
 use std::collections::BTreeMap;
 
 /// A change, and where each of its keys stands, for what is found wrong later.
@@ -24,17 +24,17 @@
 const LONGEST: usize = 4 * CHANGE_BYTES;
 
 impl Patch {
-    pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Fault>> {
+    pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Diagnostic>> {
         let reader = Reader::new(file, text);
         let mut patch = Patch { file: file.into(), ..Patch::default() };
         if text.len() > LONGEST {
-            reader.fault(0, "", format!("{} bytes; a change has {LONGEST} at the most", text.len()));
-            return Err(reader.faults());
+            reader.report(0, "", format!("{} bytes; a change has {LONGEST} at the most", text.len()));
+            return Err(reader.into_diagnostics());
         }
-        let forms = reader.forms();
+        let forms = reader.parse();
         for form in &forms {
             let Some((head, rest)) = list(form) else {
-                reader.fault(
+                reader.report(
                     form.span.start,
                     "",
                     "should be a list that begins with tenant, route, limit or without",
@@ -45,14 +45,14 @@
             match section {
                 Some(section) => patch.block(&reader, text, section, form, rest),
                 None if head == "without" => rest.iter().for_each(|one| patch.without(&reader, text, one)),
-                None => reader.fault(
+                None => reader.report(
                     form.span.start,
                     head,
                     "is not known; there are tenant, route, limit, without",
                 ),
             }
         }
-        let faults = reader.faults();
+        let faults = reader.into_diagnostics();
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -68,7 +68,7 @@
             match list(item) {
                 Some(("name", [value])) if section != Section::Limit => match &value.form {
                     Form::Text(text) if name.is_none() => name = Some(text.clone()),
-                    _ => reader.fault(
+                    _ => reader.report(
                         at,
                         &format!("{}.name", section.name()),
                         "should be one text in quotes, once",
@@ -80,21 +80,21 @@
                     match (known().find(|field| field.name() == key), values) {
                         (Some(field), [value]) => match number(field, &value.form) {
                             Some(number) => fields.push((field, number, at)),
-                            None => reader.fault(value.span.start, &path, wanted(field)),
+                            None => reader.report(value.span.start, &path, wanted(field)),
                         },
-                        (Some(field), _) => reader.fault(at, &path, wanted(field)),
+                        (Some(field), _) => reader.report(at, &path, wanted(field)),
                         (None, _) => {
                             let names: Vec<&str> = known().map(Field::name).collect();
-                            reader.fault(at, &path, format!("is not known; there are {}", names.join(", ")));
+                            reader.report(at, &path, format!("is not known; there are {}", names.join(", ")));
                         }
                     }
                 }
-                None => reader.fault(at, section.name(), "should be a list that begins with a key"),
+                None => reader.report(at, section.name(), "should be a list that begins with a key"),
             }
         }
         match name {
-            None => reader.fault(form.span.start, &format!("{}.name", section.name()), "should be given"),
-            Some(_) if fields.is_empty() => reader.fault(form.span.start, section.name(), "changes nothing"),
+            None => reader.report(form.span.start, &format!("{}.name", section.name()), "should be given"),
+            Some(_) if fields.is_empty() => reader.report(form.span.start, section.name(), "changes nothing"),
             Some(name) => {
                 for (field, number, at) in fields {
                     self.enter(reader, text, Key::new(section, &name, field), Some(Value(number)), at);
@@ -128,7 +128,7 @@
         let Some((section, name, fields)) = parts else {
             let wanted =
                 "should be such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)";
-            return reader.fault(at, "without", wanted);
+            return reader.report(at, "without", wanted);
         };
         for field in fields {
             self.enter(reader, text, Key::new(section, &name, field), None, at);
@@ -141,18 +141,18 @@
         let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
         if self.change.0.contains_key(&key) {
             let path = format!("{}.{}", key.section.name(), key.field.name());
-            reader.fault(at, &path, format!("stands here a second time for {:?}", key.name));
+            reader.report(at, &path, format!("stands here a second time for {:?}", key.name));
         }
         self.places.insert(key.clone(), (line, column));
         self.change.0.insert(key, value);
     }
 
     /// What was found wrong, with its place in the file: that of its key, or the first line where the change as a whole is wrong.
-    pub fn fault(&self, wrong: &Wrong) -> Fault {
+    pub fn fault(&self, wrong: &Wrong) -> Diagnostic {
         let place = wrong.key.as_ref().and_then(|key| self.places.get(key));
         let &(line, column) = place.unwrap_or(&(1, 1));
         let key = wrong.key.as_ref().map_or(String::new(), Key::to_string);
-        Fault { file: self.file.clone(), line, column, key, what: wrong.what.clone() }
+        Diagnostic { file: self.file.clone(), line, column, key, problem: wrong.what.clone().into() }
     }
 }
 
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn said(text: &str) -> Vec<String> {
-    Patch::read("f.scm", text).unwrap_err().iter().map(Fault::to_string).collect()
+    Patch::read("f.scm", text).unwrap_err().iter().map(Diagnostic::to_string).collect()
 }
 
 #[test]
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames and records of the wire: batches in, replies out.
 
 use puffinladder::{Brain, End, Gauges, News, Outcome, Reason, Txn, Writer};
-use puffinladder_charter::Meter;
+use puffinladder_settings::GaugeKind;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
 
@@ -122,7 +122,7 @@
 /// One instance: its brain and the news of the round at hand.
 struct Instance {
     brain: Brain,
-    meters: Vec<Meter>,
+    meters: Vec<GaugeKind>,
     /// How many products its charter names.
     products: usize,
     news: News,
@@ -186,12 +186,13 @@
         if code == 10 {
             let seed = fields.u64()?;
             let len = fields.u32()? as usize;
-            let terms = puffinladder_charter::read_terms(fields.take(len)?)?;
-            let brain = Brain::new(&terms.charter, seed);
-            let products = terms.charter.products.len();
+            let terms = puffinladder_settings::parse_policy_config(fields.take(len)?)
+                .map_err(|error| error.to_string())?;
+            let brain = Brain::new(&terms.settings, seed);
+            let products = terms.settings.products.len();
             let news = News::default();
             self.instances
-                .insert(id, Instance { brain, meters: terms.meters, products, news, touched: true });
+                .insert(id, Instance { brain, meters: terms.gauges, products, news, touched: true });
             self.order.push(id);
             return Ok(());
         }
@@ -252,13 +253,13 @@
     Ok(txn)
 }
 
-fn wake(fields: &mut Fields, meters: &[Meter]) -> Result<Gauges, String> {
+fn wake(fields: &mut Fields, meters: &[GaugeKind]) -> Result<Gauges, String> {
     let _label = fields.u32()?;
     let mut gauges = Gauges::default();
     for at in 0..fields.u8()?.into() {
         let value = fields.f32()?;
         if let Some(meter) = meters.get(at) {
-            meter.show(value, &mut gauges);
+            meter.record(value, &mut gauges);
         }
     }
     Ok(gauges)
--- a/crates/gauging/src/server/peers.rs
+++ b/crates/gauging/src/server/peers.rs
@@ -1,8 +1,8 @@
 //! Whom a server speaks with, each with the moments that the added latency is reckoned from.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_transport::{dial, Lines};
 use puffinladder_toy::gateway::{message, now};
+use puffinladder_transport::{dial, Lines};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
--- a/crates/proving/src/schedule.rs
+++ b/crates/proving/src/schedule.rs
@@ -6,7 +6,7 @@
 //!   (fault (at 4s) (do cut) (who "s2") (to "archive") (way there) (span 2s)))
 //! ```
 
-use puffinladder_charter::sexpr::{Block, Fault as Wrong, Reader};
+use puffinladder_settings::sexpr::{Block, Diagnostic, Reader};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt::{self, Write};
@@ -193,10 +193,10 @@
 const MOST: usize = 10_000;
 
 impl Schedule {
-    pub fn read(file: &str, text: &str) -> Result<Schedule, Vec<Wrong>> {
+    pub fn read(file: &str, text: &str) -> Result<Schedule, Vec<Diagnostic>> {
         let reader = Reader::new(file, text);
-        let forms = reader.forms();
-        let top = reader.top(&forms);
+        let forms = reader.parse();
+        let top = reader.top_level(&forms);
         let usual = Schedule::default();
         let read = top.block("schedule").map(|block| {
             let mut schedule = Schedule {
@@ -207,24 +207,24 @@
                 servers: block.count("servers", usual.servers, 1..=300),
                 parts: block.count("parts", usual.parts, 1..=10_000),
                 backlog: block.count("backlog", usual.backlog, 0..=10_000),
-                files: block.span("files", usual.files, 0.001..=60.0),
-                span: block.span("span", usual.span, 0.1..=LONGEST),
-                term: block.span("term", usual.term, 0.2..=60.0),
+                files: block.duration("files", usual.files, 0.001..=60.0),
+                span: block.duration("span", usual.span, 0.1..=LONGEST),
+                term: block.duration("term", usual.term, 0.2..=60.0),
                 faults: Vec::new(),
             };
             let faults = block.blocks("fault");
             if faults.len() > MOST {
-                block.fault("fault", format!("should stand here {MOST} times at the most"));
+                block.report("fault", format!("should stand here {MOST} times at the most"));
             }
             schedule.faults = faults.iter().take(MOST).map(|one| fault(one, &schedule)).collect();
             block.finish();
             schedule
         });
         if read.is_none() {
-            top.fault("schedule", "should be given");
+            top.report("schedule", "should be given");
         }
         top.finish();
-        match (read, reader.faults()) {
+        match (read, reader.into_diagnostics()) {
             (Some(schedule), faults) if faults.is_empty() => Ok(schedule),
             (_, faults) => Err(faults),
         }
@@ -337,7 +337,7 @@
         let text = block.text(key)?;
         let found = Who::read(&text).filter(|who| schedule.has(*who));
         if found.is_none() {
-            block.fault(
+            block.report(
                 key,
                 format!(
                     "{text:?}: should be a process of this schedule, such as \"k1\", \"s1\" or \"archive\""
@@ -346,10 +346,10 @@
         }
         found
     };
-    let what = block.word("do", What::Pause, &WORDS);
+    let what = block.choice("do", What::Pause, &WORDS);
     for key in ["at", "do", "who"] {
         if !block.has(key) {
-            block.fault(key, "should be given");
+            block.report(key, "should be given");
         }
     }
     let usual = match what {
@@ -360,26 +360,26 @@
         _ => 0.0,
     };
     let read = Fault {
-        at: block.span("at", 0.0, 0.0..=LONGEST),
+        at: block.duration("at", 0.0, 0.0..=LONGEST),
         what,
         who: who("who").unwrap_or(Who::Archive),
         to: who("to"),
-        way: block.word("way", Way::Both, &WAYS),
-        span: block.span("span", 1.0, 0.0..=LONGEST),
+        way: block.choice("way", Way::Both, &WAYS),
+        span: block.duration("span", 1.0, 0.0..=LONGEST),
         value: block.number("value", usual, -1e6..=1e9),
     };
     if read.to.is_some() && !what.on_link() {
-        block.fault("to", "is for links alone: cut, hold, reset, slow, trickle");
+        block.report("to", "is for links alone: cut, hold, reset, slow, trickle");
     }
     let keeper = matches!(read.who, Who::Keeper(_));
     if matches!(what, What::Lose | What::Sync) && !keeper {
-        block.fault("who", "should be a keeper");
+        block.report("who", "should be a keeper");
     }
     if what == What::Release && !matches!(read.who, Who::Seat(_)) {
-        block.fault("who", "should be a server, such as \"n1\"");
+        block.report("who", "should be a server, such as \"n1\"");
     }
     if what == What::Rate && !(0.1..=10.0).contains(&read.value) {
-        block.fault("value", "should be a rate from 0.1 to 10");
+        block.report("value", "should be a rate from 0.1 to 10");
     }
     block.finish();
     read
@@ -440,7 +440,8 @@
     #[test]
     fn what_a_schedule_cannot_mean_is_named_with_its_place() {
         let text = "(schedule (keepers 3)\n (fault (at 1s) (do pause) (who \"k9\"))\n (fault (do melt) (who \"s1\"))\n (fault (at 1s) (do sync) (who \"s1\") (to \"k1\")))";
-        let said: Vec<String> = Schedule::read("f", text).unwrap_err().iter().map(Wrong::to_string).collect();
+        let said: Vec<String> =
+            Schedule::read("f", text).unwrap_err().iter().map(Diagnostic::to_string).collect();
         for wanted in [
             "f:2:28: schedule.fault.who: \"k9\"",
             "schedule.fault.at: should be given",
--- a/crates/server/src/life/journal.rs
+++ b/crates/server/src/life/journal.rs
@@ -1,7 +1,7 @@
 //! The log goes out through a thread of its own: whoever stops reading it must not stop the server.
 
 use crate::limits::Limits;
-use puffinladder_charter::settings::{Log, LogFormat};
+use puffinladder_settings::{LogFormat, LogSettings};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
@@ -37,7 +37,7 @@
 const LEVELS: &str = "info,may=warn";
 
 /// Starts logging to standard error. `RUST_LOG` wins over the settings' filter.
-pub fn start(limits: &Limits, log: &Log) -> Result<(), String> {
+pub fn start(limits: &Limits, log: &LogSettings) -> Result<(), String> {
     let (queue, lines) = sync_channel::<Vec<u8>>(limits.log_lines);
     let writer = thread::Builder::new().name("log".into()).stack_size(limits.stack_thread);
     let write = move || {
--- a/crates/server/src/life/mod.rs
+++ b/crates/server/src/life/mod.rs
@@ -26,7 +26,7 @@
 use may::net::TcpListener;
 use papers::{Directory, Options, Papers};
 use puffinladder::{Brain, Charter};
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use puffinladder_trace::row::Topic;
 use signals::{Notice, Signals};
 use std::hash::RandomState;
@@ -37,7 +37,7 @@
 /// All that the coroutines of one server share.
 pub struct House {
     /// As read at start; of `peers` those in the directory are in force.
-    pub warrant: Warrant,
+    pub warrant: ServerConfig,
     pub directory: Directory,
     pub limits: Limits,
     pub clock: Clock,
@@ -68,11 +68,11 @@
 }
 
 impl House {
-    pub fn new(warrant: Warrant, limits: Limits, book: Book) -> Arc<House> {
+    pub fn new(warrant: ServerConfig, limits: Limits, book: Book) -> Arc<House> {
         let keys = Keys::new(limits.keys, limits.results, limits.key_grain, limits.key_over);
         // Keys lie in this process, within `limits.keys`: the machine's memory, which the module guards, books
         // nothing for them.
-        let charter = &Charter { key_memory: 0.0, ..warrant.terms.charter.clone() };
+        let charter = &Charter { key_memory: 0.0, ..warrant.policy.settings.clone() };
         Arc::new(House {
             directory: Directory::new(warrant.peers),
             clock: Clock::default(),
@@ -99,10 +99,11 @@
     let settings = papers::settings(told)?;
     let warrant = papers.read()?;
     let files = settings.trace.as_ref().map_or(0, |_| TRACE_FILES);
-    let limits = Limits::new(&warrant, files + settings.publish.as_ref().map_or(0, |p| p.control.len()));
+    let limits =
+        Limits::new(&warrant, files + settings.publish.as_ref().map_or(0, |p| p.control_addresses.len()));
     journal::start(&limits, &settings.log)?;
-    let terms = &warrant.terms;
-    let counts = || Arc::new(Counts::new(terms.products.len(), terms.customers.len()));
+    let terms = &warrant.policy;
+    let counts = || Arc::new(Counts::new(terms.product_names.len(), terms.customer_names.len()));
     let counts = settings.publish.as_ref().map(|_| counts());
     let (book, recording) = recording::begin(settings.trace.as_ref(), &warrant, &limits, counts)?;
     let house = House::new(warrant, limits, book);
@@ -184,7 +185,7 @@
         Notice::Leave => {
             tracing::info!("{} was told to leave", house.warrant.name);
             let now = house.clock.now();
-            house.desk.leave(now + house.warrant.stop, now);
+            house.desk.leave(now + house.warrant.shutdown_timeout, now);
         }
     });
     tracing::error!("signals: {failed}");
@@ -196,7 +197,7 @@
         Ok(warrant) => warrant,
         Err(what) => return tracing::error!("reload: nothing changed: {what}"),
     };
-    let fixed = house.warrant.fixed(&warrant);
+    let fixed = house.warrant.changes_needing_restart(&warrant);
     if !fixed.is_empty() {
         tracing::warn!("reload: {} hold until the next start", fixed.join(", "));
     }
@@ -204,7 +205,7 @@
     let new = house.directory.swap(peers);
     let store = peers.store.map_or("nowhere".into(), |store| store.to_string());
     let found = if new { "now" } else { "still" };
-    tracing::info!("reload: agent {found} at {}, roster {}, store {store}", peers.agent, peers.roster);
+    tracing::info!("reload: agent {found} at {}, roster {}, store {store}", peers.agent, peers.registry);
     house.desk.book.note(house.clock.now(), Topic::RELOAD, f64::from(u8::from(new)));
     house.agent.look();
     house.chores.ring();
--- a/crates/server/src/life/papers.rs
+++ b/crates/server/src/life/papers.rs
@@ -2,8 +2,8 @@
 //! these in one place, which all links read.
 
 use crate::lock::lock;
-use puffinladder_charter::settings::{read_settings, LogFormat, Settings};
-use puffinladder_charter::{read_warrant, Peers, Warrant};
+use puffinladder_settings::{parse_server_config, Peers, ServerConfig};
+use puffinladder_settings::{parse_settings, LogFormat, Settings};
 use std::sync::Mutex;
 
 /// Where the configuration is read from, at start and at each reload.
@@ -32,10 +32,7 @@
         None => Settings::default(),
         Some(path) => {
             let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-            read_settings(&path, &text).map_err(|faults| {
-                let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                lines.join("\n")
-            })?
+            parse_settings(&path, &text).map_err(|error| error.to_string())?
         }
     };
     settings.log.format = options.log_format.unwrap_or(settings.log.format);
@@ -51,9 +48,13 @@
         Ok(Papers { path, name: told("BALANCER_NAME"), listen: told("BALANCER_LISTEN") })
     }
 
-    pub fn read(&self) -> Result<Warrant, String> {
+    pub fn read(&self) -> Result<ServerConfig, String> {
         let text = std::fs::read(&self.path).map_err(|e| format!("BALANCER_CONFIG: {}: {e}", self.path))?;
-        read_warrant(&text, self.name.as_deref(), self.listen.as_deref())
+        parse_server_config(&text, self.name.as_deref(), self.listen.as_deref()).map_err(|error| error.to_string())
+            .map_err(|error| error.to_string())
+            .map_err(|error| error.to_string())
+            .map_err(|error| error.to_string())
+            .map_err(|error| error.to_string())
     }
 }
 
--- a/crates/server/src/life/publish.rs
+++ b/crates/server/src/life/publish.rs
@@ -3,8 +3,8 @@
 
 use super::House;
 use crate::memory::counts::Counts;
-use puffinladder_charter::settings::Publish;
 use puffinladder_reports::{Class, State, Who, WAIT};
+use puffinladder_settings::PublishSettings;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -12,22 +12,28 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Starts to publish; the process ends without waiting for it.
-pub fn begin(told: &Publish, house: &Arc<House>, listens: SocketAddr) -> Result<(), String> {
+pub fn begin(told: &PublishSettings, house: &Arc<House>, listens: SocketAddr) -> Result<(), String> {
     let Some(counts) = house.desk.book.counts().cloned() else { return Ok(()) };
-    let (warrant, charter) = (&house.warrant, &house.warrant.terms.charter);
+    let (warrant, charter) = (&house.warrant, &house.warrant.policy.settings);
     let worth = |product: &puffinladder::Product| product.value;
     let who = Who {
         instance: warrant.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: told.zone.clone(),
-        address: told.address.unwrap_or(listens),
+        address: told.advertised_address.unwrap_or(listens),
         cores: charter.cores,
         cold: charter.cold.then_some(charter.cold_span).filter(|span| *span > 0.0),
         cold_share: charter.cold_share,
-        products: warrant.terms.products.iter().cloned().zip(charter.products.iter().map(worth)).collect(),
-        customers: warrant.terms.customers.as_slice().into(),
+        products: warrant
+            .policy
+            .product_names
+            .iter()
+            .cloned()
+            .zip(charter.products.iter().map(worth))
+            .collect(),
+        customers: warrant.policy.customer_names.as_slice().into(),
     };
-    let (control, every) = (told.control.clone(), Duration::from_secs_f64(told.every));
+    let (control, every) = (told.control_addresses.clone(), Duration::from_secs_f64(told.interval));
     let builder = thread::Builder::new().name("publish".into()).stack_size(house.limits.stack_recorder);
     let house = house.clone();
     let work = move || work(&who, &control, every, &counts, &house);
--- a/crates/server/src/life/recording.rs
+++ b/crates/server/src/life/recording.rs
@@ -3,8 +3,8 @@
 use crate::limits::Limits;
 use crate::memory::book::Book;
 use crate::memory::counts::Counts;
-use puffinladder_charter::settings::Trace;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
+use puffinladder_settings::TraceSettings;
 use puffinladder_trace::recorder::keeper::Bounds;
 use puffinladder_trace::recorder::{Folder, Recorder, Running, Told};
 use puffinladder_trace::row::Product;
@@ -29,40 +29,40 @@
 
 /// The book that txns are written into, and the recorder behind it.
 pub fn begin(
-    trace: Option<&Trace>,
-    warrant: &Warrant,
+    trace: Option<&TraceSettings>,
+    warrant: &ServerConfig,
     limits: &Limits,
     counts: Option<Arc<Counts>>,
 ) -> Result<(Book, Option<Running>), String> {
     let Some(trace) = trace else { return Ok((Book::new(None, counts), None)) };
-    let terms = &warrant.terms;
+    let terms = &warrant.policy;
     let product = |(name, product): (&String, &puffinladder::Product)| Product {
         name: name.clone(),
         value: product.value,
         sla: product.sla,
         expiry: product.expiry,
-        by_work: terms.charter.by_work,
+        by_work: terms.settings.by_work,
     };
     let told = Told {
         node: warrant.name.clone(),
         bounds: Bounds {
             block_rows: trace.block_rows,
-            block_span: trace.block_span,
+            block_span: trace.block_duration,
             file_bytes: trace.file_bytes,
-            file_span: trace.file_span,
-            most_bytes: trace.most_bytes,
-            most_files: trace.most_files,
+            file_span: trace.file_duration,
+            most_bytes: trace.max_bytes,
+            most_files: trace.max_files,
         },
-        products: terms.products.iter().zip(&terms.charter.products).map(product).collect(),
-        customers: terms.customers.clone(),
+        products: terms.product_names.iter().zip(&terms.settings.products).map(product).collect(),
+        customers: terms.customer_names.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(chance()), key)?,
-        sample: trace.sample,
+        sample: trace.sample_interval,
     };
-    let folder = Folder { path: trace.folder.clone().into(), prefix: format!("{}-", warrant.name) };
-    std::fs::create_dir_all(&folder.path).map_err(|e| format!("trace.folder: {}: {e}", trace.folder))?;
+    let folder = Folder { path: trace.directory.clone().into(), prefix: format!("{}-", warrant.name) };
+    std::fs::create_dir_all(&folder.path).map_err(|e| format!("trace.folder: {}: {e}", trace.directory))?;
     let complain = |line: &str| tracing::warn!("{line}");
     let started = Recorder::start(told, folder, limits.stack_recorder, complain);
     let (recorder, running) = started.map_err(|e| format!("no thread for the trace: {e}"))?;
-    tracing::info!("a trace is written to {}", trace.folder);
+    tracing::info!("a trace is written to {}", trace.directory);
     Ok((Book::new(Some(recorder), counts), Some(running)))
 }
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -2,7 +2,7 @@
 //! taken, run and turned away is the module's business.
 
 use puffinladder::Effect;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use std::time::Duration;
 
 /// Descriptors that the process holds for itself: 10 beside its links (`tests/process.rs` counts them), two links to the
@@ -105,15 +105,15 @@
 }
 
 /// The longest that a txn with a key may lie unread and yet be run: until its expiry.
-fn longest_unread(warrant: &Warrant) -> f64 {
-    let products = warrant.terms.charter.products.iter();
+fn longest_unread(warrant: &ServerConfig) -> f64 {
+    let products = warrant.policy.settings.products.iter();
     products.filter(|p| p.effect == Effect::Referenced).map(|p| p.expiry).fold(0.0, f64::max)
 }
 
 impl Limits {
     /// `files`: descriptors that the settings ask for beside all that, a trace's files and control services.
-    pub fn new(warrant: &Warrant, files: usize) -> Limits {
-        let sockets = warrant.sockets.saturating_sub(files);
+    pub fn new(warrant: &ServerConfig, files: usize) -> Limits {
+        let sockets = warrant.max_sockets.saturating_sub(files);
         let memory = (warrant.memory_mb * 1048576.0) as usize;
         // Descriptors: those that the process can't do without are nobody else's, however many connect: standard
         // streams, pipe, listener, event loop, the agent's link and the one that replaces it, a report, the one that is
--- a/crates/server/src/memory/book.rs
+++ b/crates/server/src/memory/book.rs
@@ -5,7 +5,7 @@
 use crate::lock::lock;
 use crate::txn::Read;
 use puffinladder::Gauges;
-use puffinladder_charter::Terms;
+use puffinladder_settings::PolicyConfig;
 use puffinladder_trace::recorder::keeper::Changes;
 use puffinladder_trace::recorder::{Entry, Recorder};
 use puffinladder_trace::row::{Step, Topic};
@@ -35,12 +35,12 @@
     }
 
     /// Begins the page of a txn that was just read.
-    pub fn page<'a>(&'a self, read: &Read, terms: &Terms) -> Page<'a> {
+    pub fn page<'a>(&'a self, read: &Read, terms: &PolicyConfig) -> Page<'a> {
         if self.0.is_none() && self.1.is_none() {
             return Page::default();
         }
         let (news, now, unread) = (&read.news, unix(), age(read.stamp));
-        let product = &terms.charter.products[news.product];
+        let product = &terms.settings.products[news.product];
         let due = now - unread + product.sla + product.sla_stretch * news.hint;
         let counts = self.1.as_deref().map(|counts| (counts, counts.asked(news.product, news.customer)));
         let Some(inner) = &self.0 else { return Page { entry: None, counts, due } };
--- a/crates/server/src/txn.rs
+++ b/crates/server/src/txn.rs
@@ -10,7 +10,7 @@
 use crate::wire::resp::{self, Array};
 use crate::wire::store::Call;
 use puffinladder::{Effect, Outcome, Reason, Txn};
-use puffinladder_charter::Terms;
+use puffinladder_settings::PolicyConfig;
 use puffinladder_trace::row::Step;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -35,10 +35,10 @@
 
 impl Read {
     /// Decodes `CALL tag class fields body`.
-    pub fn new(terms: &Terms, array: &Array, prints: &RandomState) -> Result<Read, &'static str> {
+    pub fn new(terms: &PolicyConfig, array: &Array, prints: &RandomState) -> Result<Read, &'static str> {
         let word = |place| std::str::from_utf8(array.at(place)).unwrap_or_default();
         let class = word(2);
-        let product = terms.products.iter().position(|name| name == class).ok_or("an unknown class")?;
+        let product = terms.product_names.iter().position(|name| name == class).ok_or("an unknown class")?;
         let fields = resp::fields(array.at(3), b"isftrhmpk").ok_or("a field without a value")?;
         let [name, stamp, caller, customer, repeat, hint, memory, rank, key] = fields;
         let hex = |text: &[u8]| text.iter().all(u8::is_ascii_hexdigit);
@@ -47,16 +47,16 @@
             _ => resp::fraction(text).ok_or(fault),
         };
         let name: Name = name.try_into().ok().filter(|n: &Name| hex(n)).ok_or("a wrong field i")?;
-        let key = match terms.charter.products[product].effect {
+        let key = match terms.settings.products[product].effect {
             Effect::Referenced => {
                 Some(key.try_into().ok().filter(|k: &Key| hex(k)).ok_or("a wrong field k")?)
             }
             _ => None,
         };
         let known = |known: &String| known.as_bytes() == customer;
-        let customer = match terms.customers.iter().position(known) {
+        let customer = match terms.customer_names.iter().position(known) {
             Some(place) => place,
-            None if terms.customers.is_empty() => 0,
+            None if terms.customer_names.is_empty() => 0,
             None => return Err("an unknown tenant"),
         };
         let memory = number(memory, "a wrong field m")?;
@@ -65,7 +65,7 @@
         let caller = if caller.is_empty() { Some(0) } else { resp::decimal(caller) };
         let caller = caller.and_then(|caller| u32::try_from(caller).ok()).ok_or("a wrong field f")?;
         // The module adds these up: one absurd figure would turn all others away.
-        if memory >= MEMORY || rank >= 1.0 || hint > HINT * terms.charter.products[product].expiry {
+        if memory >= MEMORY || rank >= 1.0 || hint > HINT * terms.settings.products[product].expiry {
             return Err("a field h, m or p out of range");
         }
         let news =
@@ -183,7 +183,7 @@
 /// Gives a txn its coroutine. A process with no room for one more says so at once.
 pub fn begin(house: &Arc<House>, read: Read, slip: Arc<Slip>, connection: Arc<Connection>, tag: u64) {
     let Some(life) = Life::begin(house) else {
-        let page = house.desk.book.page(&read, &house.warrant.terms);
+        let page = house.desk.book.page(&read, &house.warrant.policy);
         Answer { house, connection: &connection, tag, owed: true, page }.decline(
             0.0,
             false,
@@ -219,7 +219,7 @@
     match told {
         Told::Nothing => 0,
         Told::Launch => {
-            house.agent.launch(&read.name, &house.warrant.terms.products[read.news.product], &read.body)
+            house.agent.launch(&read.name, &house.warrant.policy.product_names[read.news.product], &read.body)
         }
         Told::Freeze => house.agent.freeze(&read.name),
         Told::Thaw => house.agent.thaw(&read.name),
@@ -229,7 +229,7 @@
 }
 
 fn live(house: &Arc<House>, read: Read, mut slip: Arc<Slip>, connection: &Connection, tag: u64) {
-    let page = house.desk.book.page(&read, &house.warrant.terms);
+    let page = house.desk.book.page(&read, &house.warrant.policy);
     let mut answer = Answer { house, connection, tag, owed: true, page };
     let key = read.key.as_ref();
     // Offered to the module once; again only if it waited for another that then never ran.
--- a/crates/server/src/txn/tests.rs
+++ b/crates/server/src/txn/tests.rs
@@ -6,7 +6,8 @@
 
 #[test]
 fn a_panic_in_a_txn_still_answers_it_and_sets_its_key_free() {
-    let warrant = puffinladder_charter::read_warrant(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
+    let warrant =
+        puffinladder_settings::parse_server_config(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
     let warrant = warrant.unwrap();
     let limits = crate::limits::Limits::new(&warrant, 0);
     let house = House::new(warrant, limits, Book::default());
@@ -19,7 +20,7 @@
     let Offer::Taken(id) = house.desk.offer(&read, 0.0, &slip, 0.0) else { panic!("not taken") };
     house.desk.replay(&key, 5, &waits);
     let died = catch_unwind(AssertUnwindSafe(|| {
-        let page = house.desk.book.page(&read, &house.warrant.terms);
+        let page = house.desk.book.page(&read, &house.warrant.policy);
         let _answer = Answer { house: &house, connection: &connection, tag: 7, owed: true, page };
         let _place = Place { house: &house, key: Some(key), id, left: false };
         panic!("as a txn might");
--- a/crates/server/src/wire/agent.rs
+++ b/crates/server/src/wire/agent.rs
@@ -283,8 +283,8 @@
         "sampled" => {
             let mut gauges = Gauges::default();
             let values = line.get("values").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
-            for (value, meter) in values.iter().zip(&house.warrant.terms.meters) {
-                meter.show(value.as_f64().unwrap_or_default(), &mut gauges);
+            for (value, meter) in values.iter().zip(&house.warrant.policy.gauges) {
+                meter.record(value.as_f64().unwrap_or_default(), &mut gauges);
             }
             if let Ok(tag) = word("tag").parse() {
                 house.agent.lock().answered = tag;
--- a/crates/server/src/wire/gateway.rs
+++ b/crates/server/src/wire/gateway.rs
@@ -86,7 +86,7 @@
             more => house.limits.usual_spans * (self.used - self.since) / f64::from(more),
         };
         let least = if self.checks { house.limits.checks_idle } else { 0.0 };
-        keep.max(usual.min(house.warrant.terms.charter.idle)).max(least)
+        keep.max(usual.min(house.warrant.policy.settings.idle)).max(least)
     }
 
     /// Whether it may be closed without harm: nothing on it is owed an answer, has yet to be written or is half read.
@@ -537,7 +537,7 @@
     let slip = Arc::new(Slip::default());
     state.open.insert(tag, slip.clone());
     drop(state);
-    match txn::Read::new(&house.warrant.terms, array, &house.prints) {
+    match txn::Read::new(&house.warrant.policy, array, &house.prints) {
         Ok(read) => txn::begin(house, read, slip, connection.clone(), tag),
         Err(what) => {
             house.tally.complain(house, format_args!("gateway: tag {tag} voided unread: {what}"));
--- a/crates/server/src/wire/gateway/tests.rs
+++ b/crates/server/src/wire/gateway/tests.rs
@@ -4,7 +4,7 @@
 /// The example's house, and a connection to a listener of its own.
 fn house() -> (Arc<House>, std::net::TcpListener, TcpStream) {
     let example = puffinladder_toy::town::EXAMPLE.as_bytes();
-    let warrant = puffinladder_charter::read_warrant(example, None, None).unwrap();
+    let warrant = puffinladder_settings::parse_server_config(example, None, None).unwrap();
     let limits = crate::limits::Limits::new(&warrant, 0);
     let house = House::new(warrant, limits, Default::default());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/wire/roster.rs
+++ b/crates/server/src/wire/roster.rs
@@ -12,9 +12,9 @@
     let (mut next, mut well, mut at) = (0.0, true, None);
     loop {
         let now = house.clock.now();
-        let roster = house.directory.peers().roster;
+        let roster = house.directory.peers().registry;
         // Where the list does not follow the state, a server leaves it by reporting no more.
-        let leaves = house.desk.kill().is_some() && !house.warrant.terms.charter.list_follows;
+        let leaves = house.desk.kill().is_some() && !house.warrant.policy.settings.list_follows;
         // A roster that moved hears at once: it may not know this server yet.
         if (now >= next || at != Some(roster)) && house.agent.greeted() && !leaves {
             (next, at) = (now + house.limits.report.as_secs_f64(), Some(roster));
--- a/crates/server/src/wire/store/tests.rs
+++ b/crates/server/src/wire/store/tests.rs
@@ -7,7 +7,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let example = puffinladder_toy::town::EXAMPLE
         .replace("127.0.0.1:7700", &listener.local_addr().unwrap().to_string());
-    let warrant = puffinladder_charter::read_warrant(example.as_bytes(), None, None).unwrap();
+    let warrant = puffinladder_settings::parse_server_config(example.as_bytes(), None, None).unwrap();
     let limits = crate::limits::Limits::new(&warrant, 0);
     let house = House::new(warrant, limits, Default::default());
     let slip = Arc::new(Slip::default());
--- /dev/null
+++ b/crates/settings/src/settings/fields.rs
@@ -0,0 +1,69 @@
+//! Fields that several sections read in the same way.
+
+use crate::sexpr::{Block, Problem};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Stands for a required address that is missing; the settings it lands in are never used.
+const PLACEHOLDER: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+
+/// An address, written as text.
+pub(super) fn address(block: &Block, key: &'static str) -> Option<SocketAddr> {
+    let text = block.text(key)?;
+    let address = text.parse().ok();
+    if address.is_none() {
+        block.report(key, Problem::Expected("an address such as \"127.0.0.1:18000\"".into()));
+    }
+    address
+}
+
+/// An address that has to be given.
+pub(super) fn required_address(block: &Block, key: &'static str) -> SocketAddr {
+    block.require(key);
+    address(block, key).unwrap_or_else(|| SocketAddr::from(PLACEHOLDER))
+}
+
+/// Text whose key has to be there.
+pub(super) fn present_text(block: &Block, key: &'static str) -> String {
+    let text = block.text(key);
+    block.require(key);
+    text.unwrap_or_default()
+}
+
+/// Text that has to be given: unlike [`present_text`], a value that is no text counts as missing too.
+pub(super) fn required_text(block: &Block, key: &'static str) -> String {
+    let text = block.text(key);
+    if text.is_none() {
+        block.report(key, Problem::Missing);
+    }
+    text.unwrap_or_default()
+}
+
+/// Addresses of lease-store replicas by number, written as `"1=127.0.0.1:18201"`.
+pub(super) fn replica_addresses(block: &Block, key: &'static str) -> BTreeMap<u64, SocketAddr> {
+    let texts = block.texts(key);
+    let mut replicas = BTreeMap::new();
+    for text in &texts {
+        match parse_replica_address(text) {
+            Some((number, address)) if !replicas.contains_key(&number) => {
+                replicas.insert(number, address);
+            }
+            _ => {
+                let expected =
+                    "should be a number and an address such as \"1=127.0.0.1:18201\", each number once";
+                block.report(key, format!("{text:?}: {expected}"));
+            }
+        }
+    }
+    if texts.is_empty() {
+        block.report(key, "should name keepers, such as \"1=127.0.0.1:18201\"");
+    }
+    replicas
+}
+
+/// The number, which is not 0, and the address of a replica.
+fn parse_replica_address(text: &str) -> Option<(u64, SocketAddr)> {
+    let (number, address) = text.split_once('=')?;
+    let number = number.parse().ok().filter(|&number| number > 0)?;
+    Some((number, address.parse().ok()?))
+}
--- /dev/null
+++ b/crates/settings/src/settings/tests.rs
@@ -0,0 +1,116 @@
+use super::*;
+
+#[test]
+fn settings_read_as_they_are_shown() {
+    let text =
+        "; ours\n(log (format json))\n(trace (folder \"/a \\\"b\\\"\") (file-span 2h) (file-bytes 1MB))";
+    let settings = parse_settings("x", text).unwrap();
+    let trace = settings.trace.as_ref().unwrap();
+    assert_eq!(
+        (trace.directory.as_str(), trace.file_duration, trace.file_bytes),
+        ("/a \"b\"", 7200.0, 1 << 20)
+    );
+    assert_eq!(parse_settings("shown", &settings.to_string()).unwrap(), settings);
+    assert_eq!(parse_settings("x", "").unwrap(), Settings::default());
+}
+
+#[test]
+fn the_control_service_and_who_publishes_to_it_read_as_they_are_shown() {
+    let text = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\") (debug \"127.0.0.1:3\") (bound 3s) (snapshot \"s\")
+            (tls (certificate \"c\") (key \"k\") (clients \"a\")))
+            (publish (control \"127.0.0.1:2\" \"127.0.0.2:2\") (zone \"a\") (every 100ms))";
+    let settings = parse_settings("x", text).unwrap();
+    assert_eq!(settings.control.as_ref().unwrap().max_staleness, 3.0);
+    assert_eq!(settings.publish.as_ref().unwrap().control_addresses.len(), 2);
+    assert_eq!(parse_settings("shown", &settings.to_string()).unwrap(), settings);
+    let wrong = "(control (xds \"here\") (heartbeat 2s) (gone 500ms)) (publish (control 5))";
+    let said: Vec<String> =
+        parse_settings("f", wrong).unwrap_err().diagnostics().iter().map(|f| f.key.clone()).collect();
+    assert_eq!(
+        said,
+        [
+            "control.reports",
+            "control.xds",
+            "control.heartbeat",
+            "control.gone",
+            "publish.control",
+            "publish.control"
+        ]
+    );
+}
+
+#[test]
+fn every_fault_is_named_with_its_place_in_one_reading() {
+    let text = "(log (format yaml))\n(trace\n  (block-rows many)\n  (file-spam 1h)\n  (file-span 90)\n  (sample 1) (sample 2))\nstray";
+    let said: Vec<String> =
+        parse_settings("f.scm", text).unwrap_err().diagnostics().iter().map(Diagnostic::to_string).collect();
+    let wanted = [
+        "f.scm:1:14: log.format: should be one of text, json",
+        "f.scm:2:1: trace.folder: should be given",
+        "f.scm:3:15: trace.block-rows: should be a whole number from 16 to 65536",
+        "f.scm:4:3: trace.file-spam: is not known; file-span may be meant",
+        "f.scm:5:14: trace.file-span: should be from 1s to 168h",
+        "f.scm:6:14: trace.sample: stands here a second time",
+        "f.scm:7:1: should be a list that begins with a key",
+    ];
+    assert_eq!(said, wanted);
+}
+
+#[test]
+fn a_text_that_cannot_be_read_says_where() {
+    for (text, place) in [("(log", "1:5"), ("(a))", "1:4"), ("(a \"x", "1:6"), ("(a \"\\q\")", "1:6")] {
+        let faults = parse_settings("f", text).unwrap_err();
+        assert!(
+            faults.diagnostics().iter().any(|f| f.to_string().starts_with(&format!("f:{place}: "))),
+            "{text}: {faults:?}"
+        );
+    }
+    assert!(parse_settings("f", &"(".repeat(1_000_000)).is_err());
+}
+
+#[test]
+fn keepers_stewards_and_archives_read_as_they_are_shown() {
+    let text = "(keeper (number 1) (listen \"127.0.0.1:0\") (folder \"k\") (peers \"1=127.0.0.1:1\" \"2=127.0.0.2:1\")
+              (duty (name \"gather\") (parts 16) (zone \"a\")) (duty (name \"turns\")) (term 1s))
+            (steward (name \"s1\") (folder \"s\") (holds \"x\" \"y\") (keepers \"1=127.0.0.1:1\") (gather (traces \"/t\") (archive \"127.0.0.9:1\") (parts 16))
+              (listen \"127.0.0.1:5\") (quota (parts 2) (servers 9) (customer (name \"a\") (rate 50)) (customer (name \"b\") (rate 7.5)))
+              (turns (most 3) (zone-share 0.25)))
+            (archive (listen \"127.0.0.9:1\") (folder \"a\") (most-bytes 1GB))";
+    let settings = parse_settings("x", text).unwrap();
+    let lease_store = settings.lease_store.as_ref().unwrap();
+    assert!(
+        lease_store.tasks.len() == 2 && lease_store.peers.len() == 2 && lease_store.lease_duration == 1.0
+    );
+    assert_eq!(parse_settings("shown", &settings.to_string()).unwrap(), settings);
+}
+
+#[test]
+fn what_is_missing_or_stands_twice_is_named_with_its_key() {
+    let wrong =
+        "(keeper (listen \"127.0.0.1:0\") (peers \"one\" \"2=127.0.0.2:1\" \"2=127.0.0.3:1\") (stall 1s)
+            (duty (name \"a\")) (duty (name \"a\"))) (steward (gather (parts 0)) (quota (customer (name \"a\"))))";
+    let said: Vec<String> =
+        parse_settings("f", wrong).unwrap_err().diagnostics().iter().map(|f| f.key.clone()).collect();
+    for key in [
+        "keeper.number",
+        "keeper.folder",
+        "keeper.peers",
+        "keeper.stall",
+        "keeper.duty",
+        "steward.name",
+        "steward.folder",
+        "steward.keepers",
+    ] {
+        assert!(said.iter().any(|one| one == key), "{key}: {said:?}");
+    }
+    for key in [
+        "steward.gather.traces",
+        "steward.gather.archive",
+        "steward.gather.parts",
+        "steward.listen",
+        "steward.quota.servers",
+        "steward.quota.customer.rate",
+    ] {
+        assert!(said.iter().any(|one| one == key), "{key}: {said:?}");
+    }
+}
--- /dev/null
+++ b/crates/settings/src/settings/worker.rs
@@ -0,0 +1,203 @@
+//! Section `steward`: an instance that runs the tasks it holds leases for.
+
+use super::fields::{address, replica_addresses, required_address, required_text};
+use super::format::{self, quoted};
+use crate::sexpr::Block;
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+
+/// An instance that runs the tasks it holds leases for.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorkerSettings {
+    /// Name of the instance. Key `name`.
+    pub name: String,
+    /// Zone of the instance. Key `zone`, default `default`.
+    pub zone: String,
+    /// Directory of the incarnation number, which must not be lost. Key `folder`.
+    pub directory: String,
+    /// Replicas of the lease store by number. Key `keepers`.
+    pub lease_stores: BTreeMap<u64, SocketAddr>,
+    /// Tasks that it holds leases for without doing anything: other programs ask the lease store who holds them. Key `holds`.
+    pub idle_tasks: Vec<String>,
+    /// The task of collecting traces. Key `gather`.
+    pub trace_collection: Option<TraceCollectionSettings>,
+    /// Where servers report; required by the two tasks that follow. Key `listen`.
+    pub report_listen: Option<SocketAddr>,
+    /// The task of splitting customers' quotas. Key `quota`.
+    pub quota: Option<QuotaSettings>,
+    /// The task of limiting how many servers drain at once. Key `turns`.
+    pub drain_slots: Option<DrainSlotSettings>,
+}
+
+/// The task of splitting customers' quotas among servers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QuotaSettings {
+    /// Parts of the task, as the lease store declares it. Key `parts`, default 1.
+    pub parts: usize,
+    /// Servers that the equal share is calculated for. Key `servers`.
+    pub servers: usize,
+    /// Seconds for which a share of a quota holds. Key `span`, default 2 s.
+    pub share_duration: f64,
+    /// Each customer's quota over the whole fleet, requests a second. Key `customer`, any number of times.
+    pub customer_rates: BTreeMap<String, f64>,
+}
+
+/// The task of limiting how many servers drain at once.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DrainSlotSettings {
+    /// Servers of the fleet that may be away at once. Key `most`, default 10.
+    pub max_draining: usize,
+    /// Share of a zone's servers that may be away at once; one of a zone always may. Key `zone-share`, default 0.1.
+    pub max_zone_share: f64,
+    /// Seconds that a slot lasts: drain, restart and slow start. Key `span`, default 30 s.
+    pub slot_duration: f64,
+    /// Seconds without a report after which a server counts as away. Key `silent`, default 5 s.
+    pub silence_timeout: f64,
+}
+
+/// The task of collecting sealed trace files.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TraceCollectionSettings {
+    /// Directory that holds a directory of traces for each server. Key `traces`.
+    pub traces_directory: String,
+    /// The trace store. Key `archive`.
+    pub trace_store: SocketAddr,
+    /// Parts of the task, as the lease store declares it. Key `parts`, default 1.
+    pub parts: usize,
+    /// Seconds between two scans for files that were sealed meanwhile. Key `every`, default 1 s.
+    pub scan_interval: f64,
+    /// Seconds that a step may take. Key `step`, default 500 ms.
+    pub max_step_duration: f64,
+}
+
+impl WorkerSettings {
+    pub(super) fn read(block: &Block) -> WorkerSettings {
+        let trace_collection = block.block("gather").as_ref().map(TraceCollectionSettings::read);
+        let quota = block.block("quota").as_ref().map(QuotaSettings::read);
+        let drain_slots = block.block("turns").as_ref().map(DrainSlotSettings::read);
+        if (quota.is_some() || drain_slots.is_some()) && !block.has("listen") {
+            block.report("listen", "should be given: servers report there");
+        }
+        let worker = WorkerSettings {
+            name: required_text(block, "name"),
+            zone: block.text("zone").unwrap_or_else(|| "default".into()),
+            directory: required_text(block, "folder"),
+            idle_tasks: block.texts("holds"),
+            lease_stores: replica_addresses(block, "keepers"),
+            trace_collection,
+            report_listen: address(block, "listen"),
+            quota,
+            drain_slots,
+        };
+        block.finish();
+        worker
+    }
+}
+
+impl QuotaSettings {
+    fn read(block: &Block) -> QuotaSettings {
+        let customer_rates = read_customer_rates(block);
+        let quota = QuotaSettings {
+            parts: block.count("parts", 1, 1..=10_000),
+            servers: block.count("servers", 1, 1..=10_000),
+            share_duration: block.duration("span", 2.0, 0.1..=600.0),
+            customer_rates,
+        };
+        block.require("servers");
+        block.finish();
+        quota
+    }
+}
+
+fn read_customer_rates(block: &Block) -> BTreeMap<String, f64> {
+    let mut rates = BTreeMap::new();
+    for customer in block.blocks("customer") {
+        let name = required_text(&customer, "name");
+        let rate = customer.number("rate", 0.0, 0.001..=1e9);
+        customer.require("rate");
+        if rates.insert(name.clone(), rate).is_some() {
+            customer.report("name", format!("{name:?} stands here twice"));
+        }
+        customer.finish();
+    }
+    rates
+}
+
+impl DrainSlotSettings {
+    fn read(block: &Block) -> DrainSlotSettings {
+        let slots = DrainSlotSettings {
+            max_draining: block.count("most", 10, 1..=10_000),
+            max_zone_share: block.number("zone-share", 0.1, 0.0..=1.0),
+            slot_duration: block.duration("span", 30.0, 0.1..=3600.0),
+            silence_timeout: block.duration("silent", 5.0, 0.1..=600.0),
+        };
+        block.finish();
+        slots
+    }
+}
+
+impl TraceCollectionSettings {
+    fn read(block: &Block) -> TraceCollectionSettings {
+        let collection = TraceCollectionSettings {
+            traces_directory: required_text(block, "traces"),
+            trace_store: required_address(block, "archive"),
+            parts: block.count("parts", 1, 1..=100_000),
+            scan_interval: block.duration("every", 1.0, 0.01..=3600.0),
+            max_step_duration: block.duration("step", 0.5, 0.01..=60.0),
+        };
+        block.finish();
+        collection
+    }
+}
+
+impl fmt::Display for WorkerSettings {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "(steward (name {}) (zone {})", quoted(&self.name), quoted(&self.zone))?;
+        write!(f, " (folder {})", quoted(&self.directory))?;
+        write!(f, "\n  (keepers {})", format::replica_addresses(&self.lease_stores))?;
+        if !self.idle_tasks.is_empty() {
+            let names: Vec<String> = self.idle_tasks.iter().map(|name| quoted(name)).collect();
+            write!(f, "\n  (holds {})", names.join(" "))?;
+        }
+        if let Some(collection) = &self.trace_collection {
+            write!(f, "\n  {collection}")?;
+        }
+        if let Some(listen) = self.report_listen {
+            write!(f, "\n  (listen \"{listen}\")")?;
+        }
+        if let Some(quota) = &self.quota {
+            write!(f, "\n  {quota}")?;
+        }
+        if let Some(slots) = &self.drain_slots {
+            write!(f, "\n  {slots}")?;
+        }
+        f.write_str(")")
+    }
+}
+
+impl fmt::Display for QuotaSettings {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "(quota (parts {}) (servers {})", self.parts, self.servers)?;
+        write!(f, " (span {}s)", self.share_duration)?;
+        for (name, rate) in &self.customer_rates {
+            write!(f, "\n    (customer (name {}) (rate {rate}))", quoted(name))?;
+        }
+        f.write_str(")")
+    }
+}
+
+impl fmt::Display for DrainSlotSettings {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "(turns (most {}) (zone-share {})", self.max_draining, self.max_zone_share)?;
+        write!(f, " (span {}s) (silent {}s))", self.slot_duration, self.silence_timeout)
+    }
+}
+
+impl fmt::Display for TraceCollectionSettings {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "(gather (traces {})", quoted(&self.traces_directory))?;
+        write!(f, " (archive \"{}\") (parts {})", self.trace_store, self.parts)?;
+        write!(f, " (every {}s) (step {}s))", self.scan_interval, self.max_step_duration)
+    }
+}
--- /dev/null
+++ b/crates/settings/src/sexpr/block.rs
@@ -0,0 +1,217 @@
+//! Lists of `(key value ...)` entries, read key by key.
+
+use super::quantity::{format_quantity, parse_quantity, Unit, BYTES, DURATION, PLAIN};
+use super::spelling::edit_distance;
+use super::{Form, Node, Problem, Reader};
+use std::cell::{Cell, RefCell};
+use std::ops::RangeInclusive;
+
+/// Most letters in which an unknown key may differ from a known one to be taken for a misspelling of it.
+const MISSPELLING_DISTANCE: usize = 2;
+
+/// One entry of a block.
+struct Entry<'r> {
+    key: &'r str,
+    /// First byte of the entry.
+    position: usize,
+    /// What follows the key.
+    values: &'r [Node],
+    /// Whether anybody asked for the key.
+    asked: Cell<bool>,
+}
+
+/// A list of `(key value ...)` entries. Values are checked as they are asked for; a key that nobody asked for by
+/// [`Block::finish`] is unknown. All problems go to the reader.
+///
+/// The functions that take a default return it where the key is absent and where its value is not usable: the caller
+/// discards what it has read once the reader has any diagnostics.
+pub struct Block<'r> {
+    reader: &'r Reader<'r>,
+    path: String,
+    position: usize,
+    entries: Vec<Entry<'r>>,
+    /// Keys that were asked for, to suggest one in place of an unknown key.
+    known: RefCell<Vec<&'static str>>,
+}
+
+impl<'r> Block<'r> {
+    pub(super) fn new(reader: &'r Reader<'r>, path: String, position: usize, forms: &'r [Node]) -> Block<'r> {
+        let mut entries = Vec::new();
+        for node in forms {
+            match Entry::of(node) {
+                Some(entry) => entries.push(entry),
+                None => reader.report(node.span.start, &path, Problem::NotAnEntry),
+            }
+        }
+        Block { reader, path, position, entries, known: RefCell::default() }
+    }
+
+    fn key_path(&self, key: &str) -> String {
+        if self.path.is_empty() {
+            key.into()
+        } else {
+            format!("{}.{key}", self.path)
+        }
+    }
+
+    /// Adds a problem at a key of this block, or at the block where it has no such key.
+    pub fn report(&self, key: &str, problem: impl Into<Problem>) {
+        let entry = self.entries.iter().find(|entry| entry.key == key);
+        let position = entry.map_or(self.position, |entry| entry.position);
+        self.reader.report(position, &self.key_path(key), problem);
+    }
+
+    /// Whether the key is given.
+    pub fn has(&self, key: &str) -> bool {
+        self.entries.iter().any(|entry| entry.key == key)
+    }
+
+    /// Reports the key as missing unless it is given.
+    pub fn require(&self, key: &str) {
+        if !self.has(key) {
+            self.report(key, Problem::Missing);
+        }
+    }
+
+    /// All entries under a key that may be given any number of times.
+    fn entries(&self, key: &'static str) -> Vec<&Entry<'r>> {
+        self.known.borrow_mut().push(key);
+        let found: Vec<&Entry> = self.entries.iter().filter(|entry| entry.key == key).collect();
+        found.iter().for_each(|entry| entry.asked.set(true));
+        found
+    }
+
+    /// The entry of a key that may be given once.
+    fn entry(&self, key: &'static str) -> Option<&Entry<'r>> {
+        let found = self.entries(key);
+        for duplicate in found.iter().skip(1) {
+            self.reader.report(duplicate.position, &self.key_path(key), Problem::Duplicate);
+        }
+        found.first().copied()
+    }
+
+    /// The one value under a key, as `read` takes it.
+    fn value<T>(&self, key: &'static str, expected: &str, read: impl Fn(&Form) -> Option<T>) -> Option<T> {
+        let entry = self.entry(key)?;
+        let value = match entry.values {
+            [value] => read(&value.form),
+            _ => None,
+        };
+        if value.is_none() {
+            let position = entry.values.first().map_or(entry.position, |node| node.span.start);
+            self.reader.report(position, &self.key_path(key), Problem::Expected(expected.to_owned()));
+        }
+        value
+    }
+
+    fn child(&self, key: &str, entry: &Entry<'r>) -> Block<'r> {
+        Block::new(self.reader, self.key_path(key), entry.position, entry.values)
+    }
+
+    /// The block under a key.
+    pub fn block(&self, key: &'static str) -> Option<Block<'r>> {
+        self.entry(key).map(|entry| self.child(key, entry))
+    }
+
+    /// The blocks under a key that may be given any number of times.
+    pub fn blocks(&self, key: &'static str) -> Vec<Block<'r>> {
+        self.entries(key).into_iter().map(|entry| self.child(key, entry)).collect()
+    }
+
+    /// Text in quotes that is not empty.
+    pub fn text(&self, key: &'static str) -> Option<String> {
+        self.value(key, "text in quotes", |form| non_empty_text(form).map(str::to_owned))
+    }
+
+    /// Texts under one key, any number of them.
+    pub fn texts(&self, key: &'static str) -> Vec<String> {
+        let Some(entry) = self.entry(key) else { return Vec::new() };
+        let mut texts = Vec::new();
+        for node in entry.values {
+            match non_empty_text(&node.form) {
+                Some(text) => texts.push(text.to_owned()),
+                None => {
+                    let problem = Problem::Expected("text in quotes".into());
+                    self.reader.report(node.span.start, &self.key_path(key), problem);
+                }
+            }
+        }
+        texts
+    }
+
+    /// The value that belongs to a word, one of a few.
+    pub fn choice<T: Copy>(&self, key: &'static str, default: T, choices: &[(&str, T)]) -> T {
+        let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
+        let expected = format!("one of {}", names.join(", "));
+        let read = |form: &Form| {
+            let word = atom(form)?;
+            choices.iter().find(|(name, _)| *name == word).map(|(_, value)| *value)
+        };
+        self.value(key, &expected, read).unwrap_or(default)
+    }
+
+    fn quantity(&self, key: &'static str, default: f64, range: RangeInclusive<f64>, units: &[Unit]) -> f64 {
+        let (low, high) = (format_quantity(*range.start(), units), format_quantity(*range.end(), units));
+        let read = |form: &Form| parse_quantity(atom(form)?, units).filter(|value| range.contains(value));
+        self.value(key, &format!("from {low} to {high}"), read).unwrap_or(default)
+    }
+
+    /// A number without a unit.
+    pub fn number(&self, key: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
+        self.quantity(key, default, range, PLAIN)
+    }
+
+    /// A whole number.
+    pub fn count(&self, key: &'static str, default: usize, range: RangeInclusive<usize>) -> usize {
+        let expected = format!("a whole number from {} to {}", range.start(), range.end());
+        let read = |form: &Form| atom(form)?.parse().ok().filter(|count| range.contains(count));
+        self.value(key, &expected, read).unwrap_or(default)
+    }
+
+    /// A duration in seconds. A number without a unit is rejected, since nobody knows which was meant.
+    pub fn duration(&self, key: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
+        self.quantity(key, default, range, DURATION)
+    }
+
+    /// A size in bytes, written with its unit.
+    pub fn bytes(&self, key: &'static str, default: u64, range: RangeInclusive<u64>) -> u64 {
+        let range = *range.start() as f64..=*range.end() as f64;
+        self.quantity(key, default as f64, range, BYTES) as u64
+    }
+
+    /// Reports the keys that nobody asked for.
+    pub fn finish(&self) {
+        let known = self.known.borrow();
+        for entry in self.entries.iter().filter(|entry| !entry.asked.get()) {
+            let closest = known.iter().map(|name| (edit_distance(entry.key, name), *name)).min();
+            let problem = match closest {
+                Some((distance, name)) if distance <= MISSPELLING_DISTANCE => Problem::Misspelled(name),
+                _ => Problem::Unknown(known.clone()),
+            };
+            self.reader.report(entry.position, &self.key_path(entry.key), problem);
+        }
+    }
+}
+
+impl<'r> Entry<'r> {
+    fn of(node: &'r Node) -> Option<Entry<'r>> {
+        let Form::List(parts) = &node.form else { return None };
+        let (first, values) = parts.split_first()?;
+        let key = atom(&first.form)?;
+        Some(Entry { key, position: node.span.start, values, asked: Cell::new(false) })
+    }
+}
+
+fn atom(form: &Form) -> Option<&str> {
+    match form {
+        Form::Atom(word) => Some(word),
+        _ => None,
+    }
+}
+
+fn non_empty_text(form: &Form) -> Option<&str> {
+    match form {
+        Form::Text(text) if !text.is_empty() => Some(text),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/settings/src/sexpr/syntax.rs
@@ -0,0 +1,127 @@
+//! The grammar of S-expressions.
+
+use std::ops::Range;
+use winnow::combinator::{alt, cut_err, delimited, preceded, repeat};
+use winnow::error::{ContextError, ErrMode, StrContext, StrContextValue};
+use winnow::stream::{LocatingSlice, Location, Stream};
+use winnow::token::{any, none_of, one_of, take_till, take_while};
+use winnow::{ModalResult, Parser};
+
+use super::Problem;
+
+/// An S-expression.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Form {
+    /// A word or a number with its unit.
+    Atom(String),
+    /// Text in quotes, its escapes resolved.
+    Text(String),
+    /// A list of expressions.
+    List(Vec<Node>),
+}
+
+/// An S-expression and the bytes that it takes in its text.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Node {
+    /// The expression.
+    pub form: Form,
+    /// Its first byte, and the one behind its last.
+    pub span: Range<usize>,
+}
+
+type Input<'a> = LocatingSlice<&'a str>;
+
+/// How deep lists may nest: the parser recurses once for each level.
+const MAX_DEPTH: usize = 64;
+/// Bytes of a text; nothing that is written by hand comes near it.
+const MAX_TEXT_BYTES: usize = 4 << 20;
+
+/// The first byte where a text is longer or nested deeper than the parser takes.
+pub(super) fn find_excess(text: &str) -> Option<usize> {
+    find_too_deep(text).or((text.len() > MAX_TEXT_BYTES).then_some(0))
+}
+
+fn find_too_deep(text: &str) -> Option<usize> {
+    let mut depth = 0usize;
+    for (position, character) in text.char_indices() {
+        depth = match character {
+            '(' => depth + 1,
+            ')' => depth.saturating_sub(1),
+            _ => depth,
+        };
+        if depth > MAX_DEPTH {
+            return Some(position);
+        }
+    }
+    None
+}
+
+/// Parses expressions up to the end of the text or the first that can't be parsed: the position of that, and the problem.
+pub(super) fn parse_forms(text: &str) -> (Vec<Node>, Option<(usize, Problem)>) {
+    let mut input = LocatingSlice::new(text);
+    let mut forms = Vec::new();
+    loop {
+        if blank.parse_next(&mut input).is_err() || input.is_empty() {
+            return (forms, None);
+        }
+        let begin = input.checkpoint();
+        match node.parse_next(&mut input) {
+            Ok(form) => forms.push(form),
+            Err(error) => {
+                let position = input.current_token_start();
+                input.reset(&begin);
+                return (forms, Some((position, describe(error, &mut input))));
+            }
+        }
+    }
+}
+
+/// Why the expression that `input` begins with can't be parsed.
+fn describe(error: ErrMode<ContextError>, input: &mut Input) -> Problem {
+    if any::<_, ContextError>.parse_next(input).ok() == Some(')') {
+        return Problem::UnmatchedParenthesis;
+    }
+    let message = error.into_inner().map(|context| context.to_string()).unwrap_or_default();
+    if message.is_empty() {
+        return Problem::Unreadable;
+    }
+    Problem::Syntax(message.replace('\n', ", "))
+}
+
+fn expected(what: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(what))
+}
+
+fn blank(input: &mut Input) -> ModalResult<()> {
+    let comment = (';', take_till(0.., '\n')).void();
+    let space = take_while(1.., char::is_whitespace).void();
+    repeat(0.., alt((space, comment))).parse_next(input)
+}
+
+fn list(input: &mut Input) -> ModalResult<Form> {
+    let close = preceded(blank, ')').context(expected("')' to close the list that begins further up"));
+    delimited('(', repeat(0.., preceded(blank, node)), cut_err(close)).map(Form::List).parse_next(input)
+}
+
+fn text(input: &mut Input) -> ModalResult<Form> {
+    let escape =
+        preceded('\\', cut_err(one_of(['"', '\\', 'n', 't'])).context(expected("one of \\\" \\\\ \\n \\t")));
+    let escaped = escape.map(|character| match character {
+        'n' => '\n',
+        't' => '\t',
+        other => other,
+    });
+    let characters = repeat(0.., alt((none_of(['"', '\\']), escaped)));
+    delimited('"', characters, cut_err('"').context(expected("'\"' to close the text")))
+        .map(Form::Text)
+        .parse_next(input)
+}
+
+fn atom(input: &mut Input) -> ModalResult<Form> {
+    let allowed = |character: char| !character.is_whitespace() && !"()\";".contains(character);
+    take_while(1.., allowed).map(|word: &str| Form::Atom(word.into())).parse_next(input)
+}
+
+fn node(input: &mut Input) -> ModalResult<Node> {
+    alt((list, text, atom)).with_span().map(|(form, span)| Node { form, span }).parse_next(input)
+}
--- a/crates/charter/tests/golden_config.rs
+++ b/crates/settings/tests/golden_config.rs
@@ -1,7 +1,7 @@
 //! Configurations as the platform writes them, and the literal values and messages that they come to.
 
 use puffinladder::{Below, Charter, Customer, Effect, Halt, Product, Signal};
-use puffinladder_charter::{read_terms, read_warrant, Meter, Peers, Terms};
+use puffinladder_settings::{parse_policy_config, parse_server_config, GaugeKind, Peers, PolicyConfig};
 
 /// All keys that are read, each with a value of its own.
 const FULL: &str = r#"{
@@ -33,10 +33,10 @@
 const LEAST: &str = r#"{"Servers": 1, "Lanes": [{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}],
   "FamilyInfo": {"Cpus": 2, "RamKb": 1000, "RunFactor": 2}, "Contract": {"FallMultiple": 4}}"#;
 
-fn full_terms() -> Terms {
+fn full_policy_config() -> PolicyConfig {
     let product = Product::default();
-    Terms {
-        charter: Charter {
+    PolicyConfig {
+        settings: Charter {
             servers: 730.0,
             callers: 9100.0,
             cores: 4.0,
@@ -93,33 +93,40 @@
             retry_after: 3.0,
             idle: 30.0,
         },
-        meters: vec![Meter::Busy, Meter::Runnable, Meter::Memory, Meter::Sockets, Meter::Other, Meter::Other],
-        products: ["quote", "order", "charge", ""].map(String::from).to_vec(),
-        customers: ["acme", ""].map(String::from).to_vec(),
+        gauges: vec![
+            GaugeKind::Busy,
+            GaugeKind::Runnable,
+            GaugeKind::Memory,
+            GaugeKind::Sockets,
+            GaugeKind::Other,
+            GaugeKind::Other,
+        ],
+        product_names: ["quote", "order", "charge", ""].map(String::from).to_vec(),
+        customer_names: ["acme", ""].map(String::from).to_vec(),
     }
 }
 
 #[test]
 fn a_full_server_configuration_reads_as_its_literal_values() {
-    let warrant = read_warrant(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    let warrant = parse_server_config(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
     assert_eq!(warrant.name, "edge-7.a_b");
     assert_eq!(warrant.listen.to_string(), "127.0.0.1:4100");
     assert_eq!(
         warrant.peers,
         Peers {
             agent: "127.0.0.2:6100".parse().unwrap(),
-            roster: "[::1]:8500".parse().unwrap(),
+            registry: "[::1]:8500".parse().unwrap(),
             store: Some("127.0.0.3:7700".parse().unwrap()),
         }
     );
     assert_eq!(warrant.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!((warrant.stop, warrant.memory_mb, warrant.sockets), (1.5, 192.5, 1024));
-    assert_eq!(warrant.terms, full_terms());
+    assert_eq!((warrant.shutdown_timeout, warrant.memory_mb, warrant.max_sockets), (1.5, 192.5, 1024));
+    assert_eq!(warrant.policy, full_policy_config());
 }
 
 #[test]
 fn absent_keys_read_as_their_defaults() {
-    let terms = read_terms(LEAST.as_bytes()).unwrap();
+    let terms = parse_policy_config(LEAST.as_bytes()).unwrap();
     let product = Product { sla: 1.0, expiry: 2.0, value: 1.0, ..Product::default() };
     let charter = Charter {
         servers: 1.0,
@@ -131,22 +138,30 @@
         ..Charter::default()
     };
     let products = vec![String::new()];
-    assert_eq!(terms, Terms { charter, meters: Vec::new(), products, customers: Vec::new() });
+    assert_eq!(
+        terms,
+        PolicyConfig {
+            settings: charter,
+            gauges: Vec::new(),
+            product_names: products,
+            customer_names: Vec::new()
+        }
+    );
 
     let text = format!(
         r#"{{"agent": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "7", "stop_ms": 0, "store": null,
             "limits": {{"memory_mb": 16, "sockets": 64}}, "settings": {LEAST}}}"#
     );
-    let warrant = read_warrant(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    let warrant = parse_server_config(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
     assert_eq!((warrant.name.as_str(), warrant.listen.to_string().as_str()), ("other", "127.0.0.9:9"));
-    assert_eq!((warrant.peers.store, warrant.seed, warrant.stop), (None, 7, 0.0));
+    assert_eq!((warrant.peers.store, warrant.seed, warrant.shutdown_timeout), (None, 7, 0.0));
 }
 
 #[test]
 fn each_word_of_the_wire_reads_as_its_literal_value() {
     let read = |key: &str, word: &str| {
         let text = LEAST.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
-        read_terms(text.as_bytes()).unwrap().charter
+        parse_policy_config(text.as_bytes()).unwrap().settings
     };
     for (word, below) in
         [("silent", Below::Nothing), ("common", Below::Common), ("next_hop", Below::NextTier)]
@@ -168,7 +183,7 @@
     // Without the flag no time is heeded, and another word than "work" counts by txn.
     let limits =
         LEAST.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
-    let charter = read_terms(limits.as_bytes()).unwrap().charter;
+    let charter = parse_policy_config(limits.as_bytes()).unwrap().settings;
     assert_eq!((charter.retry_after, charter.by_work), (0.0, false));
 }
 
@@ -221,7 +236,7 @@
     ];
     for (old, new, message) in cases {
         let text = LEAST.replace(old, new);
-        assert_eq!(read_terms(text.as_bytes()).unwrap_err(), message, "{text}");
+        assert_eq!(parse_policy_config(text.as_bytes()).unwrap_err().to_string(), message, "{text}");
     }
 }
 
@@ -275,17 +290,21 @@
     ];
     for (old, new, message) in cases {
         let text = FULL.replace(old, new);
-        assert_eq!(read_warrant(text.as_bytes(), None, None).unwrap_err(), message, "{old}");
+        assert_eq!(
+            parse_server_config(text.as_bytes(), None, None).unwrap_err().to_string(),
+            message,
+            "{old}"
+        );
     }
 }
 
 #[test]
 fn keys_that_hold_until_the_next_start_are_named() {
-    let read = |text: &str| read_warrant(text.as_bytes(), None, None).unwrap();
+    let read = |text: &str| parse_server_config(text.as_bytes(), None, None).unwrap();
     let old = read(FULL);
-    assert!(old.fixed(&old).is_empty());
+    assert!(old.changes_needing_restart(&old).is_empty());
     let moved = FULL.replace("127.0.0.2:6100", "127.0.0.5:1").replace("[::1]:8500", "127.0.0.5:2");
-    assert!(old.fixed(&read(&moved.replace("127.0.0.3:7700", "127.0.0.5:3"))).is_empty());
+    assert!(old.changes_needing_restart(&read(&moved.replace("127.0.0.3:7700", "127.0.0.5:3"))).is_empty());
     let other = FULL
         .replace("edge-7.a_b", "x")
         .replace("127.0.0.1:4100", "127.0.0.1:1")
@@ -293,5 +312,8 @@
         .replace("1500", "1600")
         .replace("192.5", "193")
         .replace("730", "731");
-    assert_eq!(old.fixed(&read(&other)), ["name", "listen", "seed", "stop_ms", "limits", "settings"]);
+    assert_eq!(
+        old.changes_needing_restart(&read(&other)),
+        ["name", "listen", "seed", "stop_ms", "limits", "settings"]
+    );
 }
--- a/crates/charter/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,9 +1,6 @@
 //! Settings files, and the literal values, texts and messages that they come to.
 
-use puffinladder_charter::fleet::{Archive, Duty, Gather, Keeper, Quota, Steward, Turns};
-use puffinladder_charter::settings::{
-    read_settings, show_settings, Control, Log, LogFormat, Publish, Settings, Trace,
-};
+use puffinladder_settings::*;
 use std::collections::BTreeMap;
 
 /// Every key there is, each with a value that is not its default.
@@ -114,108 +111,117 @@
 
 fn full() -> Settings {
     Settings {
-        log: Log { format: LogFormat::Json, filter: Some("debug,may=warn".into()) },
-        trace: Some(Trace {
-            folder: "/tr\\a\"ces\n\t".into(),
+        log: LogSettings { format: LogFormat::Json, filter: Some("debug,may=warn".into()) },
+        trace: Some(TraceSettings {
+            directory: "/tr\\a\"ces\n\t".into(),
             block_rows: 512,
-            block_span: 2.5,
+            block_duration: 2.5,
             file_bytes: 1_048_576,
-            file_span: 7200.0,
-            most_bytes: 3_221_225_472,
-            most_files: 12,
-            sample: 7,
+            file_duration: 7200.0,
+            max_bytes: 3_221_225_472,
+            max_files: 12,
+            sample_interval: 7,
             key_file: Some("/k".into()),
         }),
-        publish: Some(Publish {
-            control: vec!["127.0.0.1:18001".parse().unwrap(), "127.0.0.2:18001".parse().unwrap()],
+        publish: Some(PublishSettings {
+            control_addresses: vec!["127.0.0.1:18001".parse().unwrap(), "127.0.0.2:18001".parse().unwrap()],
             zone: "a".into(),
-            every: 0.1,
-            address: Some("127.0.0.4:80".parse().unwrap()),
+            interval: 0.1,
+            advertised_address: Some("127.0.0.4:80".parse().unwrap()),
         }),
-        control: Some(Control {
-            xds: "127.0.0.1:1".parse().unwrap(),
-            reports: "127.0.0.1:2".parse().unwrap(),
-            debug: Some("127.0.0.1:3".parse().unwrap()),
-            bound: 3.0,
-            heartbeat: 1.5,
-            plan_every: 0.5,
-            fresh: 2.0,
-            gone: 60.0,
-            panic: 0.25,
-            subset: 50,
-            most_proxies: 100,
-            most_servers: 200,
-            snapshot: Some("s".into()),
-            tls: Some(("c".into(), "k".into(), Some("a".into()))),
+        control: Some(ControlSettings {
+            xds_listen: "127.0.0.1:1".parse().unwrap(),
+            report_listen: "127.0.0.1:2".parse().unwrap(),
+            debug_listen: Some("127.0.0.1:3".parse().unwrap()),
+            max_staleness: 3.0,
+            heartbeat_interval: 1.5,
+            plan_interval: 0.5,
+            fresh_for: 2.0,
+            gone_after: 60.0,
+            panic_threshold: 0.25,
+            subset_size: 50,
+            max_proxies: 100,
+            max_servers: 200,
+            snapshot_file: Some("s".into()),
+            tls: Some(TlsFiles {
+                certificate: "c".into(),
+                key: "k".into(),
+                client_authority: Some("a".into()),
+            }),
         }),
-        keeper: Some(Keeper {
-            number: 3,
+        lease_store: Some(LeaseStoreSettings {
+            replica_id: 3,
             listen: "127.0.0.1:18201".parse().unwrap(),
-            folder: "kf".into(),
+            directory: "kf".into(),
             peers: BTreeMap::from([
                 (1, "127.0.0.1:18201".parse().unwrap()),
                 (3, "127.0.0.3:18201".parse().unwrap()),
             ]),
-            duties: vec![
-                Duty { name: "gather".into(), parts: 16, zone: Some("a".into()) },
-                Duty { name: "turns".into(), parts: 1, zone: None },
+            tasks: vec![
+                TaskSettings { name: "gather".into(), parts: 16, zone: Some("a".into()) },
+                TaskSettings { name: "turns".into(), parts: 1, zone: None },
             ],
-            term: 1.0,
-            drift: 0.03,
-            stall: 12.0,
-            barred: 61.0,
-            flaps: 4,
-            flap_span: 62.0,
-            flap_rest: 31.0,
-            panic: 6.0,
-            calm: 3.0,
-            moves: 65,
-            tick: 0.05,
-            most_connections: 2001,
+            lease_duration: 1.0,
+            max_clock_drift: 0.03,
+            stall_timeout: 12.0,
+            exclusion_time: 61.0,
+            flap_limit: 4,
+            flap_window: 62.0,
+            flap_backoff: 31.0,
+            panic_window: 6.0,
+            rebalance_delay: 3.0,
+            max_moves: 65,
+            tick_interval: 0.05,
+            max_connections: 2001,
         }),
-        steward: Some(Steward {
+        worker: Some(WorkerSettings {
             name: "s1".into(),
             zone: "b".into(),
-            folder: "sf".into(),
-            keepers: BTreeMap::from([(1, "127.0.0.1:18201".parse().unwrap())]),
-            holds: vec!["x".into(), "y".into()],
-            gather: Some(Gather {
-                traces: "/t".into(),
-                archive: "127.0.0.9:18211".parse().unwrap(),
+            directory: "sf".into(),
+            lease_stores: BTreeMap::from([(1, "127.0.0.1:18201".parse().unwrap())]),
+            idle_tasks: vec!["x".into(), "y".into()],
+            trace_collection: Some(TraceCollectionSettings {
+                traces_directory: "/t".into(),
+                trace_store: "127.0.0.9:18211".parse().unwrap(),
                 parts: 15,
-                every: 2.0,
-                step: 0.25,
+                scan_interval: 2.0,
+                max_step_duration: 0.25,
             }),
-            listen: Some("127.0.0.1:18221".parse().unwrap()),
-            quota: Some(Quota {
+            report_listen: Some("127.0.0.1:18221".parse().unwrap()),
+            quota: Some(QuotaSettings {
                 parts: 2,
                 servers: 300,
-                span: 3.0,
-                customers: BTreeMap::from([("k001".into(), 120.0), ("k002".into(), 7.5)]),
+                share_duration: 3.0,
+                customer_rates: BTreeMap::from([("k001".into(), 120.0), ("k002".into(), 7.5)]),
+            }),
+            drain_slots: Some(DrainSlotSettings {
+                max_draining: 11,
+                max_zone_share: 0.2,
+                slot_duration: 31.0,
+                silence_timeout: 6.0,
             }),
-            turns: Some(Turns { most: 11, zone_share: 0.2, span: 31.0, silent: 6.0 }),
         }),
-        archive: Some(Archive {
+        trace_store: Some(TraceStoreSettings {
             listen: "127.0.0.9:18211".parse().unwrap(),
-            folder: "af".into(),
-            most_bytes: 1_073_741_824,
-            most_connections: 501,
+            directory: "af".into(),
+            max_bytes: 1_073_741_824,
+            max_connections: 501,
         }),
     }
 }
 
 #[test]
 fn a_full_settings_file_reads_as_its_literal_values() {
-    assert_eq!(read_settings("f", FULL).unwrap(), full());
+    assert_eq!(parse_settings("f", FULL).unwrap(), full());
 }
 
 #[test]
 fn settings_are_shown_word_for_word() {
-    assert_eq!(show_settings(&full()), SHOWN);
-    assert_eq!(read_settings("shown", SHOWN).unwrap(), full());
-    assert_eq!(show_settings(&read_settings("f", LEAST).unwrap()), DEFAULTS_SHOWN);
+    assert_eq!(full().to_string(), SHOWN);
+    assert_eq!(parse_settings("shown", SHOWN).unwrap(), full());
+    assert_eq!(parse_settings("f", LEAST).unwrap().to_string(), DEFAULTS_SHOWN);
     let off = "(log (format text))\n; trace: off\n; publish: off\n; control: off\n";
-    assert_eq!(show_settings(&Settings::default()), off);
+    assert_eq!(Settings::default().to_string(), off);
 }
 
 #[test]
@@ -293,17 +299,22 @@
         ]),
     ];
     for (text, messages) in cases {
-        let said: Vec<String> =
-            read_settings("f.scm", text).unwrap_err().iter().map(ToString::to_string).collect();
+        let said: Vec<String> = parse_settings("f.scm", text)
+            .unwrap_err()
+            .diagnostics()
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         assert_eq!(said, messages, "{text}");
     }
-    let deep = read_settings("f.scm", &"(".repeat(100)).unwrap_err();
-    assert_eq!(deep[0].to_string(), "f.scm:1:65: too long, or lists nested too deeply");
+    let deep = parse_settings("f.scm", &"(".repeat(100)).unwrap_err();
+    assert_eq!(deep.diagnostics()[0].to_string(), "f.scm:1:65: too long, or lists nested too deeply");
 }
 
 #[test]
 fn a_fault_gives_file_line_column_and_key_one_by_one() {
-    let faults = read_settings("f.scm", "(log\n  (format yaml))").unwrap_err();
+    let error = parse_settings("f.scm", "(log\n  (format yaml))").unwrap_err();
+    let faults = error.diagnostics();
     assert_eq!(faults.len(), 1);
     assert_eq!((faults[0].file.as_str(), faults[0].line, faults[0].column), ("f.scm", 2, 11));
     assert_eq!(faults[0].key, "log.format");
