--- a/crates/config-rollout/src/check/tests.rs
+++ b/crates/config-rollout/src/check/tests.rs
@@ -27,10 +27,10 @@
     let content = under(change);
     start().check(&content).unwrap();
     let terms = puffinladder_settings::parse_policy_config(&start().under(&content).unwrap()).unwrap();
-    assert_eq!(terms.customer_names, ["acme", "new"]);
-    assert_eq!((terms.settings.customers[0].quota, terms.settings.customers[1].quota), (25.0, 7.0));
-    assert_eq!((terms.settings.products[0].sla, terms.settings.products[0].expiry), (0.3, 0.9));
-    assert_eq!((terms.settings.servers, terms.settings.retry_after), (9.0, 5.0));
+    assert_eq!(terms.tenant_names, ["acme", "new"]);
+    assert_eq!((terms.settings.tenants[0].quota, terms.settings.tenants[1].quota), (25.0, 7.0));
+    assert_eq!((terms.settings.classes[0].latency_objective, terms.settings.classes[0].timeout), (0.3, 0.9));
+    assert_eq!((terms.settings.servers, terms.settings.max_retry_after), (9.0, 5.0));
     // The empty content is the start text.
     let terms =
         puffinladder_settings::parse_policy_config(&start().under(&Content::default()).unwrap()).unwrap();
--- a/crates/server/src/life/mod.rs
+++ b/crates/server/src/life/mod.rs
@@ -25,7 +25,7 @@
 use may::coroutine::Builder;
 use may::net::TcpListener;
 use papers::{Directory, Options, Papers};
-use puffinladder::{Brain, Charter};
+use puffinladder::{AdmissionPolicy, PolicySettings};
 use puffinladder_settings::ServerConfig;
 use puffinladder_trace::row::Topic;
 use signals::{Notice, Signals};
@@ -72,11 +72,11 @@
         let keys = Keys::new(limits.keys, limits.results, limits.key_grain, limits.key_over);
         // Keys lie in this process, within `limits.keys`: the machine's memory, which the module guards, books
         // nothing for them.
-        let charter = &Charter { key_memory: 0.0, ..warrant.policy.settings.clone() };
+        let charter = &PolicySettings { key_memory: 0.0, ..warrant.policy.settings.clone() };
         Arc::new(House {
             directory: Directory::new(warrant.peers),
             clock: Clock::default(),
-            desk: Desk::new(Brain::new(charter, warrant.seed), keys, charter.idle, book),
+            desk: Desk::new(AdmissionPolicy::new(charter, warrant.seed), keys, charter.idle_timeout, book),
             agent: Agent::new(limits.buffer, limits.unsent_agent),
             store: Store::default(),
             gateways: Gateways::default(),
@@ -103,7 +103,7 @@
         Limits::new(&warrant, files + settings.publish.as_ref().map_or(0, |p| p.control_addresses.len()));
     journal::start(&limits, &settings.log)?;
     let terms = &warrant.policy;
-    let counts = || Arc::new(Counts::new(terms.product_names.len(), terms.customer_names.len()));
+    let counts = || Arc::new(Counts::new(terms.class_names.len(), terms.tenant_names.len()));
     let counts = settings.publish.as_ref().map(|_| counts());
     let (book, recording) = recording::begin(settings.trace.as_ref(), &warrant, &limits, counts)?;
     let house = House::new(warrant, limits, book);
--- a/crates/server/src/life/papers.rs
+++ b/crates/server/src/life/papers.rs
@@ -50,7 +50,8 @@
 
     pub fn read(&self) -> Result<ServerConfig, String> {
         let text = std::fs::read(&self.path).map_err(|e| format!("BALANCER_CONFIG: {}: {e}", self.path))?;
-        parse_server_config(&text, self.name.as_deref(), self.listen.as_deref()).map_err(|error| error.to_string())
+        parse_server_config(&text, self.name.as_deref(), self.listen.as_deref())
+            .map_err(|error| error.to_string())
             .map_err(|error| error.to_string())
             .map_err(|error| error.to_string())
             .map_err(|error| error.to_string())
--- a/crates/server/src/life/publish.rs
+++ b/crates/server/src/life/publish.rs
@@ -15,23 +15,17 @@
 pub fn begin(told: &PublishSettings, house: &Arc<House>, listens: SocketAddr) -> Result<(), String> {
     let Some(counts) = house.desk.book.counts().cloned() else { return Ok(()) };
     let (warrant, charter) = (&house.warrant, &house.warrant.policy.settings);
-    let worth = |product: &puffinladder::Product| product.value;
+    let worth = |product: &puffinladder::RequestClass| product.priority_weight;
     let who = Who {
         instance: warrant.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: told.zone.clone(),
         address: told.advertised_address.unwrap_or(listens),
         cores: charter.cores,
-        cold: charter.cold.then_some(charter.cold_span).filter(|span| *span > 0.0),
-        cold_share: charter.cold_share,
-        products: warrant
-            .policy
-            .product_names
-            .iter()
-            .cloned()
-            .zip(charter.products.iter().map(worth))
-            .collect(),
-        customers: warrant.policy.customer_names.as_slice().into(),
+        cold: charter.starts_cold.then_some(charter.warm_up_duration).filter(|span| *span > 0.0),
+        cold_share: charter.cold_capacity_fraction,
+        products: warrant.policy.class_names.iter().cloned().zip(charter.classes.iter().map(worth)).collect(),
+        customers: warrant.policy.tenant_names.as_slice().into(),
     };
     let (control, every) = (told.control_addresses.clone(), Duration::from_secs_f64(told.interval));
     let builder = thread::Builder::new().name("publish".into()).stack_size(house.limits.stack_recorder);
--- a/crates/server/src/life/recording.rs
+++ b/crates/server/src/life/recording.rs
@@ -36,12 +36,12 @@
 ) -> Result<(Book, Option<Running>), String> {
     let Some(trace) = trace else { return Ok((Book::new(None, counts), None)) };
     let terms = &warrant.policy;
-    let product = |(name, product): (&String, &puffinladder::Product)| Product {
+    let product = |(name, product): (&String, &puffinladder::RequestClass)| Product {
         name: name.clone(),
-        value: product.value,
-        sla: product.sla,
-        expiry: product.expiry,
-        by_work: terms.settings.by_work,
+        value: product.priority_weight,
+        sla: product.latency_objective,
+        expiry: product.timeout,
+        by_work: terms.settings.weight_per_work,
     };
     let told = Told {
         node: warrant.name.clone(),
@@ -53,8 +53,8 @@
             most_bytes: trace.max_bytes,
             most_files: trace.max_files,
         },
-        products: terms.product_names.iter().zip(&terms.settings.products).map(product).collect(),
-        customers: terms.customer_names.clone(),
+        products: terms.class_names.iter().zip(&terms.settings.classes).map(product).collect(),
+        customers: terms.tenant_names.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(chance()), key)?,
         sample: trace.sample_interval,
     };
--- a/crates/settings/src/config_error.rs
+++ b/crates/settings/src/config_error.rs
@@ -34,6 +34,6 @@
         word: String,
     },
     /// Each value is acceptable, but the policy can't work by all of them together.
-    #[error("{0}")]
-    Policy(String),
+    #[error(transparent)]
+    Policy(#[from] puffinladder::SettingsError),
 }
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -2,7 +2,9 @@
 
 use crate::json_object::{parse_object, JsonObject};
 use crate::ConfigError;
-use puffinladder::{Below, Charter, Customer, Effect, Gauges, Halt, Product, Signal};
+use puffinladder::{
+    Downstream, Gauges, Idempotency, LoadSignal, PolicySettings, Preemption, RequestClass, Tenant,
+};
 use serde_json::Value;
 
 /// Which gauge a value belongs to that comes with a timer.
@@ -47,13 +49,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyConfig {
     /// What the policy itself is given.
-    pub settings: Charter,
+    pub settings: PolicySettings,
     /// The kind of each gauge, in the order in which a timer's values come.
     pub gauges: Vec<GaugeKind>,
-    /// Names of the products, in the order of `settings.products`.
-    pub product_names: Vec<String>,
-    /// Names of the customers, in the order of `settings.customers`.
-    pub customer_names: Vec<String>,
+    /// Names of the request classes, in the order of `settings.classes`.
+    pub class_names: Vec<String>,
+    /// Names of the tenants, in the order of `settings.tenants`.
+    pub tenant_names: Vec<String>,
 }
 
 /// Parses the JSON object that configures the policy.
@@ -71,69 +73,72 @@
     let info = top.object("FamilyInfo")?;
     let contract = top.object("Contract")?;
     let limits = top.object("Limits")?;
-    let (product_names, products) = read_products(top, &info)?;
-    let (customer_names, customers) = read_customers(top)?;
-    let retry_after = read_max_retry_after(&limits)?;
-    let settings = Charter {
+    let (class_names, classes) = read_classes(top, &info)?;
+    let (tenant_names, tenants) = read_tenants(top)?;
+    let max_retry_after = read_max_retry_after(&limits)?;
+    let settings = PolicySettings {
         servers: top.positive_number("Servers")?,
         callers: info.number_or_zero("Upstreams")?,
         cores: info.positive_number("Cpus")?,
-        ram: info.positive_number("RamKb")?,
-        run_factor: info.positive_number("RunFactor")?,
+        memory: info.positive_number("RamKb")?,
+        running_memory_factor: info.positive_number("RunFactor")?,
         key_memory: info.number_or_zero("KeyKb")?,
-        products,
-        customers,
-        over_quota: top.number_or_zero("OverShareWorth")?,
-        by_work: top.word("WorthBy")? == "work",
-        below: read_downstream(&info)?,
-        calls_share: info.number_or_zero("CallsOut")?,
-        calls_span: info.duration_or_zero("DepWindow")?,
-        lingers: info.duration_or_zero("Lingers")?,
-        halt: read_preemption(&info)?,
-        signal: read_signal(&info)?,
-        list_follows: info.flag("ListFollows")?,
-        cold: info.flag("Cold")?,
-        cold_share: contract.number_or_zero("ColdShare")?,
-        cold_span: contract.duration_or_zero("Cold")?,
-        fall_multiple: contract.positive_number("FallMultiple")?,
-        fall_span: contract.duration_or_zero("Fall")?,
-        grace: contract.duration_or_zero("StopSendingWithin")?,
-        retry_after,
-        idle: info.duration_or_zero("Idle")?,
+        classes,
+        tenants,
+        over_quota_fraction: top.number_or_zero("OverShareWorth")?,
+        weight_per_work: top.word("WorthBy")? == "work",
+        downstream: read_downstream(&info)?,
+        call_concurrency_share: info.number_or_zero("CallsOut")?,
+        call_averaging_window: info.duration_or_zero("DepWindow")?,
+        abandoned_call_linger: info.duration_or_zero("Lingers")?,
+        preemption: read_preemption(&info)?,
+        load_signal: read_load_signal(&info)?,
+        endpoints_follow_health: info.flag("ListFollows")?,
+        starts_cold: info.flag("Cold")?,
+        cold_capacity_fraction: contract.number_or_zero("ColdShare")?,
+        warm_up_duration: contract.duration_or_zero("Cold")?,
+        overload_multiple: contract.positive_number("FallMultiple")?,
+        overload_window: contract.duration_or_zero("Fall")?,
+        drain_grace: contract.duration_or_zero("StopSendingWithin")?,
+        max_retry_after,
+        idle_timeout: info.duration_or_zero("Idle")?,
     };
-    settings.check().map_err(ConfigError::Policy)?;
+    settings.validate()?;
     let gauges = info.list("Meters")?.iter().map(GaugeKind::from_name).collect();
-    Ok(PolicyConfig { settings, gauges, product_names, customer_names })
+    Ok(PolicyConfig { settings, gauges, class_names, tenant_names })
 }
 
-/// Names and settings of the products. What concerns their calls stands in lists of the server's information.
-fn read_products(top: &JsonObject, info: &JsonObject) -> Result<(Vec<String>, Vec<Product>), ConfigError> {
+/// Names and settings of the request classes. What concerns their calls stands in lists of the server's information.
+fn read_classes(
+    top: &JsonObject,
+    info: &JsonObject,
+) -> Result<(Vec<String>, Vec<RequestClass>), ConfigError> {
     let info_at = |key: &str, index: usize| -> Option<&Value> { info.get(key)?.get(index) };
-    let (mut names, mut products) = (Vec::new(), Vec::new());
+    let (mut names, mut classes) = (Vec::new(), Vec::new());
     for (index, lane) in top.objects("Lanes")?.iter().enumerate() {
         names.push(lane.name()?);
-        products.push(Product {
-            sla: lane.positive_duration("Promise")?,
-            sla_stretch: lane.number_or_zero("AimStretch")?,
-            expiry: lane.positive_duration("GiveUp")?,
-            value: lane.number("Importance")?,
-            late_share: lane.number_or_zero("LateShare")?,
-            effect: read_effect(lane)?,
-            window: lane.duration_or_zero("DedupWindow")?,
-            calls: info_at("ClassCalls", index).and_then(Value::as_bool).unwrap_or(false),
-            skip_share: info_at("ClassSkipWorth", index).and_then(Value::as_f64).unwrap_or(0.0),
+        classes.push(RequestClass {
+            latency_objective: lane.positive_duration("Promise")?,
+            objective_stretch: lane.number_or_zero("AimStretch")?,
+            timeout: lane.positive_duration("GiveUp")?,
+            priority_weight: lane.number("Importance")?,
+            late_weight_fraction: lane.number_or_zero("LateShare")?,
+            idempotency: read_idempotency(lane)?,
+            dedup_window: lane.duration_or_zero("DedupWindow")?,
+            makes_calls: info_at("ClassCalls", index).and_then(Value::as_bool).unwrap_or(false),
+            degraded_weight_fraction: info_at("ClassSkipWorth", index).and_then(Value::as_f64).unwrap_or(0.0),
         });
     }
-    Ok((names, products))
+    Ok((names, classes))
 }
 
-fn read_customers(top: &JsonObject) -> Result<(Vec<String>, Vec<Customer>), ConfigError> {
-    let (mut names, mut customers) = (Vec::new(), Vec::new());
+fn read_tenants(top: &JsonObject) -> Result<(Vec<String>, Vec<Tenant>), ConfigError> {
+    let (mut names, mut tenants) = (Vec::new(), Vec::new());
     for tenant in top.objects("Tenants")? {
         names.push(tenant.name()?);
-        customers.push(Customer { quota: tenant.number("QuotaRps")? });
+        tenants.push(Tenant { quota: tenant.number("QuotaRps")? });
     }
-    Ok((names, customers))
+    Ok((names, tenants))
 }
 
 /// Seconds; 0 where callers are not told when to retry.
@@ -144,27 +149,36 @@
     limits.duration_or_zero("MaxRetryAfter")
 }
 
-fn read_effect(lane: &JsonObject) -> Result<Effect, ConfigError> {
-    let effects = [("safe", Effect::Inquiry), ("keyed", Effect::Referenced), ("unsafe", Effect::OnceOnly)];
-    lane.choice("Effect", &effects)
+fn read_idempotency(lane: &JsonObject) -> Result<Idempotency, ConfigError> {
+    let kinds = [
+        ("safe", Idempotency::Idempotent),
+        ("keyed", Idempotency::Keyed),
+        ("unsafe", Idempotency::NonIdempotent),
+    ];
+    lane.choice("Effect", &kinds)
 }
 
-fn read_downstream(info: &JsonObject) -> Result<Below, ConfigError> {
-    let kinds = [("silent", Below::Nothing), ("common", Below::Common), ("next_hop", Below::NextTier)];
+fn read_downstream(info: &JsonObject) -> Result<Downstream, ConfigError> {
+    let kinds = [
+        ("silent", Downstream::None),
+        ("common", Downstream::SharedDependency),
+        ("next_hop", Downstream::NextTier),
+    ];
     info.choice("Below", &kinds)
 }
 
-fn read_preemption(info: &JsonObject) -> Result<Halt, ConfigError> {
-    let kinds = [("silent", Halt::Never), ("drop", Halt::Drop), ("pause", Halt::Pause)];
+fn read_preemption(info: &JsonObject) -> Result<Preemption, ConfigError> {
+    let kinds =
+        [("silent", Preemption::Never), ("drop", Preemption::Discard), ("pause", Preemption::Suspend)];
     info.choice("Halt", &kinds)
 }
 
-fn read_signal(info: &JsonObject) -> Result<Signal, ConfigError> {
+fn read_load_signal(info: &JsonObject) -> Result<LoadSignal, ConfigError> {
     let signals = [
-        ("silent", Signal::Silent),
-        ("min_rank", Signal::Level),
-        ("tokens", Signal::Tokens),
-        ("bias", Signal::Bias),
+        ("silent", LoadSignal::None),
+        ("min_rank", LoadSignal::MinimumRank),
+        ("tokens", LoadSignal::Tokens),
+        ("bias", LoadSignal::SelectionBias),
     ];
     info.choice("Signal", &signals)
 }
--- a/crates/settings/tests/golden_config.rs
+++ b/crates/settings/tests/golden_config.rs
@@ -1,6 +1,6 @@
 //! Configurations as the platform writes them, and the literal values and messages that they come to.
 
-use puffinladder::{Below, Charter, Customer, Effect, Halt, Product, Signal};
+use puffinladder::{Downstream, Idempotency, LoadSignal, PolicySettings, Preemption, RequestClass, Tenant};
 use puffinladder_settings::{parse_policy_config, parse_server_config, GaugeKind, Peers, PolicyConfig};
 
 /// All keys that are read, each with a value of its own.
@@ -34,64 +34,70 @@
   "FamilyInfo": {"Cpus": 2, "RamKb": 1000, "RunFactor": 2}, "Contract": {"FallMultiple": 4}}"#;
 
 fn full_policy_config() -> PolicyConfig {
-    let product = Product::default();
+    let product = RequestClass::default();
     PolicyConfig {
-        settings: Charter {
+        settings: PolicySettings {
             servers: 730.0,
             callers: 9100.0,
             cores: 4.0,
-            ram: 16000.0,
-            run_factor: 8.0,
+            memory: 16000.0,
+            running_memory_factor: 8.0,
             key_memory: 12.5,
-            products: vec![
-                Product {
-                    sla: 4.0,
-                    expiry: 8.0,
-                    value: 1.0,
-                    effect: Effect::Inquiry,
-                    calls: true,
-                    skip_share: 0.5,
+            classes: vec![
+                RequestClass {
+                    latency_objective: 4.0,
+                    timeout: 8.0,
+                    priority_weight: 1.0,
+                    idempotency: Idempotency::Idempotent,
+                    makes_calls: true,
+                    degraded_weight_fraction: 0.5,
                     ..product.clone()
                 },
-                Product {
-                    sla: 0.25,
-                    sla_stretch: 1.5,
-                    expiry: 0.9,
-                    value: 3.0,
-                    late_share: 0.25,
-                    effect: Effect::Referenced,
-                    window: 20.0,
-                    calls: false,
-                    skip_share: 0.0,
+                RequestClass {
+                    latency_objective: 0.25,
+                    objective_stretch: 1.5,
+                    timeout: 0.9,
+                    priority_weight: 3.0,
+                    late_weight_fraction: 0.25,
+                    idempotency: Idempotency::Keyed,
+                    dedup_window: 20.0,
+                    makes_calls: false,
+                    degraded_weight_fraction: 0.0,
                 },
-                Product {
-                    sla: 0.5,
-                    expiry: 2.0,
-                    value: 0.0,
-                    effect: Effect::OnceOnly,
-                    calls: true,
+                RequestClass {
+                    latency_objective: 0.5,
+                    timeout: 2.0,
+                    priority_weight: 0.0,
+                    idempotency: Idempotency::NonIdempotent,
+                    makes_calls: true,
                     ..product.clone()
                 },
-                Product { sla: 0.001, expiry: 0.002, value: 7.0, effect: Effect::Inquiry, ..product },
+                RequestClass {
+                    latency_objective: 0.001,
+                    timeout: 0.002,
+                    priority_weight: 7.0,
+                    idempotency: Idempotency::Idempotent,
+                    ..product
+                },
             ],
-            customers: vec![Customer { quota: 100.0 }, Customer { quota: 0.0 }],
-            over_quota: 0.05,
-            by_work: true,
-            below: Below::NextTier,
-            calls_share: 6.0,
-            calls_span: 2.5,
-            lingers: 0.2,
-            halt: Halt::Pause,
-            signal: Signal::Level,
-            list_follows: true,
-            cold: true,
-            cold_share: 0.5,
-            cold_span: 1.25,
-            fall_multiple: 5.0,
-            fall_span: 1.5,
-            grace: 1.0,
-            retry_after: 3.0,
-            idle: 30.0,
+            tenants: vec![Tenant { quota: 100.0 }, Tenant { quota: 0.0 }],
+            over_quota_fraction: 0.05,
+            weight_per_work: true,
+            downstream: Downstream::NextTier,
+            call_concurrency_share: 6.0,
+            call_averaging_window: 2.5,
+            abandoned_call_linger: 0.2,
+            preemption: Preemption::Suspend,
+            load_signal: LoadSignal::MinimumRank,
+            endpoints_follow_health: true,
+            starts_cold: true,
+            cold_capacity_fraction: 0.5,
+            warm_up_duration: 1.25,
+            overload_multiple: 5.0,
+            overload_window: 1.5,
+            drain_grace: 1.0,
+            max_retry_after: 3.0,
+            idle_timeout: 30.0,
         },
         gauges: vec![
             GaugeKind::Busy,
@@ -101,8 +107,8 @@
             GaugeKind::Other,
             GaugeKind::Other,
         ],
-        product_names: ["quote", "order", "charge", ""].map(String::from).to_vec(),
-        customer_names: ["acme", ""].map(String::from).to_vec(),
+        class_names: ["quote", "order", "charge", ""].map(String::from).to_vec(),
+        tenant_names: ["acme", ""].map(String::from).to_vec(),
     }
 }
 
@@ -127,15 +133,20 @@
 #[test]
 fn absent_keys_read_as_their_defaults() {
     let terms = parse_policy_config(LEAST.as_bytes()).unwrap();
-    let product = Product { sla: 1.0, expiry: 2.0, value: 1.0, ..Product::default() };
-    let charter = Charter {
+    let product = RequestClass {
+        latency_objective: 1.0,
+        timeout: 2.0,
+        priority_weight: 1.0,
+        ..RequestClass::default()
+    };
+    let charter = PolicySettings {
         servers: 1.0,
         cores: 2.0,
-        ram: 1000.0,
-        run_factor: 2.0,
-        products: vec![product],
-        fall_multiple: 4.0,
-        ..Charter::default()
+        memory: 1000.0,
+        running_memory_factor: 2.0,
+        classes: vec![product],
+        overload_multiple: 4.0,
+        ..PolicySettings::default()
     };
     let products = vec![String::new()];
     assert_eq!(
@@ -143,8 +154,8 @@
         PolicyConfig {
             settings: charter,
             gauges: Vec::new(),
-            product_names: products,
-            customer_names: Vec::new()
+            class_names: products,
+            tenant_names: Vec::new()
         }
     );
 
@@ -163,28 +174,32 @@
         let text = LEAST.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
         parse_policy_config(text.as_bytes()).unwrap().settings
     };
-    for (word, below) in
-        [("silent", Below::Nothing), ("common", Below::Common), ("next_hop", Below::NextTier)]
-    {
-        assert_eq!(read("Below", word).below, below);
+    for (word, below) in [
+        ("silent", Downstream::None),
+        ("common", Downstream::SharedDependency),
+        ("next_hop", Downstream::NextTier),
+    ] {
+        assert_eq!(read("Below", word).downstream, below);
     }
-    for (word, halt) in [("silent", Halt::Never), ("drop", Halt::Drop), ("pause", Halt::Pause)] {
-        assert_eq!(read("Halt", word).halt, halt);
+    for (word, halt) in
+        [("silent", Preemption::Never), ("drop", Preemption::Discard), ("pause", Preemption::Suspend)]
+    {
+        assert_eq!(read("Halt", word).preemption, halt);
     }
     let signals = [
-        ("silent", Signal::Silent),
-        ("min_rank", Signal::Level),
-        ("tokens", Signal::Tokens),
-        ("bias", Signal::Bias),
+        ("silent", LoadSignal::None),
+        ("min_rank", LoadSignal::MinimumRank),
+        ("tokens", LoadSignal::Tokens),
+        ("bias", LoadSignal::SelectionBias),
     ];
     for (word, signal) in signals {
-        assert_eq!(read("Signal", word).signal, signal);
+        assert_eq!(read("Signal", word).load_signal, signal);
     }
     // Without the flag no time is heeded, and another word than "work" counts by txn.
     let limits =
         LEAST.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
     let charter = parse_policy_config(limits.as_bytes()).unwrap().settings;
-    assert_eq!((charter.retry_after, charter.by_work), (0.0, false));
+    assert_eq!((charter.max_retry_after, charter.weight_per_work), (0.0, false));
 }
 
 #[test]
@@ -224,7 +239,7 @@
         (
             r#"{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}"#,
             "",
-            "charter: no products",
+            "policy settings: no request classes",
         ),
         (
             r#", "Effect": "safe""#,
