--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -1,7 +1,8 @@
 //! Where the configuration and the settings are read from.
 
-use puffinladder_charter::settings::{read_settings, LogFormat, Settings};
-use puffinladder_charter::{read_warrant, Warrant};
+use puffinladder_settings::{
+    parse_server_config, parse_settings, ConfigError, LogFormat, ServerConfig, Settings, SettingsError,
+};
 use std::io;
 use thiserror::Error;
 
@@ -20,8 +21,8 @@
         source: io::Error,
     },
     /// The configuration is wrong.
-    #[error("{0}")]
-    Invalid(String),
+    #[error(transparent)]
+    Invalid(#[from] ConfigError),
     /// The settings can't be read.
     #[error("{path}: {source}")]
     SettingsUnreadable {
@@ -31,8 +32,8 @@
         source: io::Error,
     },
     /// The settings are wrong; a line for each fault.
-    #[error("{0}")]
-    SettingsInvalid(String),
+    #[error(transparent)]
+    SettingsInvalid(#[from] SettingsError),
 }
 
 /// What the command line says; the environment stands in for what it leaves open.
@@ -63,10 +64,7 @@
 fn load_settings_file(path: String) -> Result<Settings, ConfigurationError> {
     match std::fs::read_to_string(&path) {
         Err(source) => Err(ConfigurationError::SettingsUnreadable { path, source }),
-        Ok(text) => read_settings(&path, &text).map_err(|faults| {
-            let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            ConfigurationError::SettingsInvalid(lines.join("\n"))
-        }),
+        Ok(text) => Ok(parse_settings(&path, &text)?),
     }
 }
 
@@ -90,10 +88,10 @@
     }
 
     /// Reads and checks the configuration.
-    pub fn load(&self) -> Result<Warrant, ConfigurationError> {
+    pub fn load(&self) -> Result<ServerConfig, ConfigurationError> {
         let text = std::fs::read(&self.path)
             .map_err(|source| ConfigurationError::Unreadable { path: self.path.clone(), source })?;
-        read_warrant(&text, self.name.as_deref(), self.listen.as_deref()).map_err(ConfigurationError::Invalid)
+        Ok(parse_server_config(&text, self.name.as_deref(), self.listen.as_deref())?)
     }
 }
 
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -7,9 +7,9 @@
 use crate::runtime::clock::Clock;
 use crate::state::counters::{ClassRates, Counters};
 use puffinladder::RequestClass;
-use puffinladder_charter::settings::Publish;
-use puffinladder_charter::Warrant;
 use puffinladder_reports::{Class, State, Who, WAIT};
+use puffinladder_settings::PublishSettings;
+use puffinladder_settings::ServerConfig;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 
 /// Starts to publish, where anything is counted; the process ends without waiting for it.
 pub fn start(
-    settings: &Publish,
-    config: &Warrant,
+    settings: &PublishSettings,
+    config: &ServerConfig,
     limits: &Limits,
     dispatcher: &Arc<Dispatcher>,
     clock: &Arc<Clock>,
@@ -38,8 +38,8 @@
     let Some(counters) = dispatcher.log.counters().cloned() else { return Ok(()) };
     let publisher = Publisher {
         identity: identity(settings, config, listen),
-        control: settings.control.clone(),
-        interval: Duration::from_secs_f64(settings.every),
+        control: settings.control_addresses.clone(),
+        interval: Duration::from_secs_f64(settings.interval),
         counters,
         dispatcher: dispatcher.clone(),
         clock: clock.clone(),
@@ -49,20 +49,20 @@
 }
 
 /// What does not change while the process lives.
-fn identity(settings: &Publish, config: &Warrant, listen: SocketAddr) -> Who {
-    let (terms, charter) = (&config.terms, &config.terms.charter);
+fn identity(settings: &PublishSettings, config: &ServerConfig, listen: SocketAddr) -> Who {
+    let (terms, charter) = (&config.policy, &config.policy.settings);
     let weight = |class: &RequestClass| class.priority_weight;
     let warm_up = charter.starts_cold.then_some(charter.warm_up_duration).filter(|span| *span > 0.0);
     Who {
         instance: config.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: settings.zone.clone(),
-        address: settings.address.unwrap_or(listen),
+        address: settings.advertised_address.unwrap_or(listen),
         cores: charter.cores,
         cold: warm_up,
         cold_share: charter.cold_capacity_fraction,
-        products: terms.products.iter().cloned().zip(charter.classes.iter().map(weight)).collect(),
-        customers: terms.customers.as_slice().into(),
+        products: terms.class_names.iter().cloned().zip(charter.classes.iter().map(weight)).collect(),
+        customers: terms.tenant_names.as_slice().into(),
     }
 }
 
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -339,7 +339,7 @@
         self.last_stamp = match self.last_command {
             AgentCommand::None => NO_COMMAND,
             AgentCommand::Launch => {
-                let class = &self.context.config.terms.products[self.received.request.class];
+                let class = &self.context.config.policy.class_names[self.received.request.class];
                 agent.launch(attempt, class, &self.received.body)
             }
             AgentCommand::Freeze => agent.freeze(attempt),
--- a/crates/server/src/request/mod.rs
+++ b/crates/server/src/request/mod.rs
@@ -15,7 +15,7 @@
 use crate::wire::gateway::connection::Connection;
 use crate::wire::store::StoreClient;
 use puffinladder::Reason;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use reply::PendingReply;
 use slots::RequestSlots;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     /// Where gateways' faults are logged.
     pub faults: Arc<FaultLog>,
     /// Names and terms of their classes.
-    pub config: Arc<Warrant>,
+    pub config: Arc<ServerConfig>,
     /// The process's clock.
     pub clock: Arc<Clock>,
     /// Times and counts.
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -14,7 +14,7 @@
 use may::io::WaitIo;
 use may::net::TcpStream;
 use puffinladder::{Gauges, Outcome};
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use serde_json::Value;
 use std::convert::Infallible;
 use std::io;
@@ -50,7 +50,7 @@
     /// Where the agent is found.
     pub addresses: Arc<PeerAddresses>,
     /// The configuration, for its meters.
-    pub config: Arc<Warrant>,
+    pub config: Arc<ServerConfig>,
     /// Where notices that concern nobody are logged.
     pub faults: Arc<FaultLog>,
     /// The pace of connecting anew.
@@ -180,8 +180,8 @@
 
     fn receive_gauges(&self, tag: &str, values: &[Value]) {
         let mut gauges = Gauges::default();
-        for (value, meter) in values.iter().zip(&self.config.terms.meters) {
-            meter.show(value.as_f64().unwrap_or_default(), &mut gauges);
+        for (value, meter) in values.iter().zip(&self.config.policy.gauges) {
+            meter.record(value.as_f64().unwrap_or_default(), &mut gauges);
         }
         if let Ok(tag) = tag.parse() {
             self.link.confirm(tag);
--- a/crates/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -24,10 +24,10 @@
         let length = fields.u32()? as usize;
         let text = fields.take(length)?;
         let terms =
-            puffinladder_charter::read_terms(text).map_err(|e| RecordError::Settings(e.to_string()))?;
-        let schema = Schema { meters: terms.meters, classes: terms.charter.classes.len() };
+            puffinladder_settings::parse_policy_config(text).map_err(|e| RecordError::Settings(e.to_string()))?;
+        let schema = Schema { meters: terms.gauges, classes: terms.settings.classes.len() };
         Ok(Instance {
-            policy: AdmissionPolicy::new(&terms.charter, seed),
+            policy: AdmissionPolicy::new(&terms.settings, seed),
             schema,
             input: RoundInput::default(),
             has_input: true,
--- a/crates/sim-adapter/src/events.rs
+++ b/crates/sim-adapter/src/events.rs
@@ -3,7 +3,7 @@
 use crate::error::RecordError;
 use crate::fields::Fields;
 use puffinladder::{Gauges, Request, RoundInput};
-use puffinladder_charter::Meter;
+use puffinladder_settings::GaugeKind;
 
 /// What a record is.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 /// What an instance's start text says of the records that follow.
 pub struct Schema {
     /// The gauges of a tick, in the order in which their values come.
-    pub meters: Vec<Meter>,
+    pub meters: Vec<GaugeKind>,
     /// Request classes.
     pub classes: usize,
 }
@@ -118,7 +118,7 @@
     for at in 0..fields.u8()?.into() {
         let value = fields.f32()?;
         if let Some(meter) = schema.meters.get(at) {
-            meter.show(value, &mut gauges);
+            meter.record(value, &mut gauges);
         }
     }
     Ok(gauges)
