--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -17,9 +17,9 @@
 /// Seconds over which that mean is taken at least.
 const SHORTEST_MEAN: f64 = 0.1;
 /// Share to which a failed or slow call cuts the window: a usual step.
-const CUT: f64 = 0.7;
+const WINDOW_CUT: f64 = 0.7;
 /// Rise of a call's time over its base that counts as slow: past mere chance.
-const SLOW_RISE: f64 = 2.5;
+const SLOW_CALL_RISE: f64 = 2.5;
 /// How many calls may be open, and what is known of those that were.
 pub(super) struct CallWindow {
     window: f64,
@@ -93,12 +93,12 @@
 
     /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or rejected.
     pub fn adapt(&mut self, now: f64, outcome: Outcome) {
-        if outcome == Outcome::Completed && self.time <= SLOW_RISE * self.base_time {
+        if outcome == Outcome::Completed && self.time <= SLOW_CALL_RISE * self.base_time {
             self.window += (1.0 / self.window).min(self.window);
         } else if !matches!(outcome, Outcome::Failed | Outcome::ConnectionLost)
             && now - self.cut_at > self.time
         {
-            self.window *= CUT;
+            self.window *= WINDOW_CUT;
             self.cut_at = now;
         }
     }
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -7,19 +7,20 @@
 use crate::{Completion, Decisions, Outcome, Reason};
 
 /// Seconds before a call is retried, doubled each time: a full tier has moved on by then.
-const RETRY_BACKOFF: f64 = 0.025;
+const CALL_RETRY_BACKOFF: f64 = 0.025;
 /// Failures up to which that backoff doubles.
 const MOST_DOUBLINGS: u8 = 6;
 /// Share of the time left to the latency objective that a dispensable call gets.
-const LIMIT_SHARE: f64 = 0.5;
+const CALL_LIMIT_SHARE: f64 = 0.5;
 /// Share of the latency objective to wait for a call before it is left out.
-const WAIT_SHARE: f64 = 0.25;
+const CALL_WAIT_SHARE: f64 = 0.25;
 
 /// The time-out of a call. A hung call must hold neither its request till the end nor its place in the window: it
 /// is left out in good time, where it may, else given up with the latency objective.
 fn call_limit(now: f64, request: &InFlight, is_dispensable: bool) -> f64 {
     let left = request.arrived + request.objective - now;
-    let limit = if is_dispensable { LIMIT_SHARE * left } else { left.max(LIMIT_SHARE * request.objective) };
+    let limit =
+        if is_dispensable { CALL_LIMIT_SHARE * left } else { left.max(CALL_LIMIT_SHARE * request.objective) };
     limit.min(request.deadline - now - MARGIN).max(MARGIN)
 }
 
@@ -64,7 +65,7 @@
         let request = &mut self.requests[at];
         request.stage = Stage::AwaitingCall;
         request.call_failures = (request.call_failures + 1).min(MOST_DOUBLINGS);
-        request.call_at = now + RETRY_BACKOFF * f64::from(1 << request.call_failures);
+        request.call_at = now + CALL_RETRY_BACKOFF * f64::from(1 << request.call_failures);
     }
 
     /// Whether a failed call is not to be retried.
@@ -94,7 +95,7 @@
     /// The wait threshold at the second queue: whether a request waited so long for a call that it leaves it out.
     pub(super) fn has_waited_too_long_for_call(&self, now: f64, request: &InFlight) -> bool {
         request.stage == Stage::AwaitingCall
-            && now - request.reached_call > WAIT_SHARE * request.objective
+            && now - request.reached_call > CALL_WAIT_SHARE * request.objective
             && self.classes[request.input.class].has_degraded_answer()
             && self.crowd_room(now) > 0.0
     }
--- a/src/policy/memory.rs
+++ b/src/policy/memory.rs
@@ -5,11 +5,11 @@
 use std::collections::VecDeque;
 
 /// Share of the memory up to which runs start: leaves room for what arrives.
-const RUN_SHARE: f64 = 0.85;
+const MEMORY_FOR_RUNS: f64 = 0.85;
 /// Share of the memory over which the queue is cut: a batch still fits above.
-const QUEUE_SHARE: f64 = 0.92;
+const MEMORY_FOR_QUEUE: f64 = 0.92;
 /// Share that idempotency keys may fill: a few runs still fit beside them.
-const KEY_SHARE: f64 = 0.7;
+const MEMORY_FOR_KEYS: f64 = 0.7;
 
 /// The machine's memory as the policy books it, in kilobytes.
 pub(super) struct MemoryBudget {
@@ -66,17 +66,17 @@
 
     pub fn has_room_for_key(&self) -> bool {
         let keys = (self.key_expiries.len() + 1) as f64 * self.key;
-        self.used + self.key <= QUEUE_SHARE * self.capacity && keys <= KEY_SHARE * self.capacity
+        self.used + self.key <= MEMORY_FOR_QUEUE * self.capacity && keys <= MEMORY_FOR_KEYS * self.capacity
     }
 
     /// Whether the queue has to be cut.
     pub fn is_over(&self) -> bool {
-        self.used > QUEUE_SHARE * self.capacity
+        self.used > MEMORY_FOR_QUEUE * self.capacity
     }
 
     /// Whether a queued request would take too much once it runs.
     pub fn is_too_full_to_run(&self, request: &InFlight) -> bool {
-        self.used + self.growth(request) > RUN_SHARE * self.capacity
+        self.used + self.growth(request) > MEMORY_FOR_RUNS * self.capacity
     }
 
     /// What a queued request takes more once it runs.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -3,7 +3,7 @@
 use crate::Tenant;
 
 /// Seconds of a quota that a bucket holds, beside what chance puts on it: bursts are over by then.
-const BURST: f64 = 1.0;
+const QUOTA_BURST: f64 = 1.0;
 
 /// This server's part of a tenant's quota, as a bucket that fills at that rate.
 pub(super) struct QuotaBucket {
@@ -20,7 +20,7 @@
 
     /// Whether a request that comes now is beyond the quota. Only a first attempt within it takes a token.
     pub fn is_over(&mut self, now: f64, is_first_attempt: bool) -> bool {
-        let most = BURST * self.rate + self.rate.sqrt();
+        let most = QUOTA_BURST * self.rate + self.rate.sqrt();
         self.tokens = (self.tokens + (now - self.filled_at) * self.rate).min(most);
         self.filled_at = now;
         let is_over = self.tokens < 1.0;
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 /// Seconds of Retry-After at the most, as in the design; latency objectives bound it too.
-const LONGEST: f64 = 1.0;
+const LONGEST_RETRY_AFTER: f64 = 1.0;
 /// Mean share of it drawn by a sound server: callers neither go nor return together.
-const SOUND_MEAN: f64 = 0.25;
+const SOUND_RETRY_AFTER: f64 = 0.25;
 /// Share of retries among arrivals from which the other servers count as full too.
 const RETRIES_EVERYWHERE: f64 = 0.1;
 /// Of the multiply-with-carry generator: a multiplier of full period, and the half that is drawn.
@@ -26,7 +26,7 @@
 
 impl RetryAdvice {
     pub fn new(settings: &PolicySettings, seed: u64) -> RetryAdvice {
-        let longest = settings.max_retry_after.min(LONGEST);
+        let longest = settings.max_retry_after.min(LONGEST_RETRY_AFTER);
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         RetryAdvice { longest: objectives.fold(longest, f64::min), retries: 0.0, random: seed >> 1 | 1 }
     }
@@ -52,7 +52,7 @@
 
     /// Seconds to keep off a server in this state.
     pub fn draw_retry_after(&mut self, is_sound: bool) -> f64 {
-        self.longest * if is_sound { 2.0 * SOUND_MEAN * self.draw() } else { 1.0 }
+        self.longest * if is_sound { 2.0 * SOUND_RETRY_AFTER * self.draw() } else { 1.0 }
     }
 }
 
