--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs the admission policy on the wire of the bench's simulator: batches of events on standard input, replies
-//! with decisions on standard output, one [`AdmissionPolicy`](puffinladder::AdmissionPolicy) for each instance.
+//! Runs the admission policy on the wire of the bench's simulator: batches of events on standard input,
+//! replies with decisions on standard output, one [`AdmissionPolicy`](puffinladder::AdmissionPolicy) for each
+//! instance.
 //!
 //! The program frames, decodes and encodes; it decides nothing.
 #![deny(missing_docs)]
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -5,8 +5,8 @@
 /// Carries out what an [`AdmissionPolicy`](crate::AdmissionPolicy) decides. Ids are those of the host's
 /// [`Request`](crate::Request)s, durations are seconds.
 ///
-/// A request is *settled* when it is answered with its result, *rejected* when it is turned away before it ran,
-/// and *failed* when it is answered with an error.
+/// A request is *settled* when it is answered with its result, *rejected* when it is turned away before it
+/// ran, and *failed* when it is answered with an error.
 pub trait Decisions {
     /// Gives a queued request to the cores.
     fn run(&mut self, id: u32);
@@ -36,8 +36,8 @@
     fn set_keepalive(&mut self, span: f64);
     /// Asks for a round with gauges after this time.
     fn schedule_tick(&mut self, after: f64);
-    /// Reports the limit of running requests, that of open calls, and the pressure behind the load signal (0 to
-    /// 1), for hosts that record them.
+    /// Reports the limit of running requests, that of open calls, and the pressure behind the load signal (0
+    /// to 1), for hosts that record them.
     fn record_limits(&mut self, _runs: f64, _calls: f64, _pressure: f64) {}
     /// Logs a line for the operators; rare.
     fn log(&mut self, text: &str);
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -91,7 +91,8 @@
         self.time = moving_average(self.time, duration, NEW_SAMPLE);
     }
 
-    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or rejected.
+    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or
+    /// rejected.
     pub fn adapt(&mut self, now: f64, outcome: Outcome) {
         if outcome == Outcome::Completed && self.time <= SLOW_CALL_RISE * self.base_time {
             self.window += (1.0 / self.window).min(self.window);
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -15,8 +15,8 @@
 /// Share of the latency objective to wait for a call before it is left out.
 const CALL_WAIT_SHARE: f64 = 0.25;
 
-/// The time-out of a call. A hung call must hold neither its request till the end nor its place in the window: it
-/// is left out in good time, where it may, else given up with the latency objective.
+/// The time-out of a call. A hung call must hold neither its request till the end nor its place in the
+/// window: it is left out in good time, where it may, else given up with the latency objective.
 fn call_limit(now: f64, request: &InFlight, is_dispensable: bool) -> f64 {
     let left = request.arrived + request.objective - now;
     let limit =
@@ -92,7 +92,8 @@
         }
     }
 
-    /// The wait threshold at the second queue: whether a request waited so long for a call that it leaves it out.
+    /// The wait threshold at the second queue: whether a request waited so long for a call that it leaves it
+    /// out.
     pub(super) fn has_waited_too_long_for_call(&self, now: f64, request: &InFlight) -> bool {
         request.stage == Stage::AwaitingCall
             && now - request.reached_call > CALL_WAIT_SHARE * request.objective
@@ -103,8 +104,9 @@
     /// Lets the best of those that wait for a call make it.
     pub(super) fn open_calls(&mut self, now: f64, out: &mut impl Decisions) {
         let mut room = self.calls.room(now, self.calling);
-        // As much of the crowd as a run needs to start, or with a small crowd new runs take every place that frees
-        // and those that wait for a call stay there, their memory held, until nobody wants them any more.
+        // As much of the crowd as a run needs to start, or with a small crowd new runs take every place that
+        // frees and those that wait for a call stay there, their memory held, until nobody wants them any
+        // more.
         while room >= 1.0 && self.crowd_room(now) > 0.0 && self.calls.mean_allows_more() {
             let Some(at) = self.next_to_call(now) else { return };
             let request = &mut self.requests[at];
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -62,8 +62,8 @@
         self.by_finished_runs = moving_average(self.by_finished_runs, times_usual, NEW_SAMPLE_QUICK);
     }
 
-    /// Open runs are on average as old as a run takes. Where most are far older the machine has slowed or hangs,
-    /// which finished runs tell only later; a few long ones that pin their slots don't count.
+    /// Open runs are on average as old as a run takes. Where most are far older the machine has slowed or
+    /// hangs, which finished runs tell only later; a few long ones that pin their slots don't count.
     pub fn compare_ages(&mut self, ages: &RunAges, running: usize, cores: f64) {
         let hangs = 2 * ages.old > running && running as f64 >= cores;
         self.by_open_runs = if hangs { ages.age / ages.usual } else { 1.0 };
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded too
-    /// late, so the server leaves the list for a while, then tries again. Judged by its runs against their base,
-    /// never by load, or a crowded fleet would list itself out.
+    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded
+    /// too late, so the server leaves the list for a while, then tries again. Judged by its runs against
+    /// their base, never by load, or a crowded fleet would list itself out.
     pub fn step(&mut self, now: f64, run_time_rise: f64, out: &mut impl Decisions) {
         match self.off_since {
             None if now - self.sound_at > SLOW_FOR => {
--- a/src/policy/load_signal.rs
+++ b/src/policy/load_signal.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Tokens for each caller: what can be finished within the shortest wait, beside what runs; far more while
-    /// nothing waits. Never under the bias, since a caller takes a small fraction for a chance.
+    /// Tokens for each caller: what can be finished within the shortest wait, beside what runs; far more
+    /// while nothing waits. Never under the bias, since a caller takes a small fraction for a chance.
     fn tokens(&self, now: f64, busy: f64, bias: f64) -> f64 {
         let wait = self.classes.iter().map(|class| class.wait_threshold).fold(f64::MAX, f64::min);
         let seen = 1.0 - (-self.warm_up.uptime(now) / RATE_SPAN).exp();
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -6,8 +6,8 @@
 const TIGHT: f64 = 0.6;
 /// Pressure gained a step, full in three seconds: callers hear late.
 pub(super) const PRESSURE_STEP: f64 = 0.03;
-/// Parts of that step that are lost: half while the server is busy; at once while cores are free, since free cores
-/// are lost at once and callers that heard of a full server come back late.
+/// Parts of that step that are lost: half while the server is busy; at once while cores are free, since free
+/// cores are lost at once and callers that heard of a full server come back late.
 const EASE_BUSY: f64 = 0.5;
 const EASE_IDLE: f64 = 2.0;
 /// Change of the signal that is worth sending.
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Keeps queued memory under the machine's, and what a cold server has in flight within its ramp, lowest rank
-    /// first.
+    /// Keeps queued memory under the machine's, and what a cold server has in flight within its ramp, lowest
+    /// rank first.
     pub(super) fn cut_queue(&mut self, now: f64, out: &mut impl Decisions) {
         let mut was_cut_for_ramp = false;
         loop {
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -1,4 +1,5 @@
-//! Rejections: the Retry-After that goes with them, whether another server is worth a try, and the log of them.
+//! Rejections: the Retry-After that goes with them, whether another server is worth a try, and the log of
+//! them.
 
 use super::state::AdmissionPolicy;
 use crate::{Decisions, Reason};
@@ -37,8 +38,8 @@
         if self.ramp_left(self.last_round) >= 1.0 {
             return bounded;
         }
-        // While it is cold and its ramp is used up, all callers together come back no faster than its crowd is
-        // renewed.
+        // While it is cold and its ramp is used up, all callers together come back no faster than its crowd
+        // is renewed.
         let crowd = self.warm_up.crowd(self.last_round);
         let turn = self.callers * self.settings.overload_window / crowd;
         bounded.max(turn.min(self.retry_advice.longest()))
--- a/src/policy/rounds.rs
+++ b/src/policy/rounds.rs
@@ -75,8 +75,8 @@
         self.remove(at, out);
     }
 
-    /// A caller gave its request up. Those that go together went with their connection or gateway; one that goes
-    /// `alone` has lost patience.
+    /// A caller gave its request up. Those that go together went with their connection or gateway; one that
+    /// goes `alone` has lost patience.
     fn abandoned(&mut self, now: f64, id: u32, alone: bool, out: &mut impl Decisions) {
         let Some(&at) = self.places.get(&id) else { return };
         let is_preemptible = self.is_preemptible();
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -11,8 +11,8 @@
 pub(super) const BASE_RUNS: f64 = 200.0;
 /// Runs before a base says anything: the first to end are the short ones.
 const FIRST_RUNS: f64 = 20.0;
-/// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes as
-/// much.
+/// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes
+/// as much.
 pub(super) const RUN_TIME_RISE: f64 = 1.3;
 /// Share of its latency objective that a run on a sound machine takes at most.
 const USUAL_SHARE: f64 = 0.33;
@@ -22,7 +22,8 @@
 const WAIT_SHARE_LOW: f64 = 0.12;
 /// Share of the dearest class's weight up to which a class is of low weight.
 const LOW_WEIGHT: f64 = 0.5;
-/// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not decide.
+/// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not
+/// decide.
 const LONGEST_COUNTED: f64 = 3.0;
 /// The least work that a request counts for, over the mean of its class: hints can't make it free.
 const LEAST_RELATIVE_WORK: f64 = 0.05;
@@ -114,8 +115,8 @@
 }
 
 impl HintTrust {
-    /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests would be
-    /// given up.
+    /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests
+    /// would be given up.
     pub fn relative_work(&self, relative_hint: f64) -> f64 {
         let trust = ((self.covariance + NEW_SAMPLE) / (self.variance + NEW_SAMPLE)).clamp(0.0, 1.0);
         (1.0 + trust * (relative_hint - 1.0)).max(LEAST_RELATIVE_WORK)
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -123,8 +123,8 @@
         concurrency::room_with_calls(self.warm_up.crowd(now), self.running + self.calling)
     }
 
-    /// How many more a cold server may have in flight, queued and run. Guards against all callers finding it at
-    /// once, each of which knows only what it sends itself.
+    /// How many more a cold server may have in flight, queued and run. Guards against all callers finding it
+    /// at once, each of which knows only what it sends itself.
     pub(super) fn ramp_left(&self, now: f64) -> f64 {
         self.warm_up.ramp(now) - (self.queue.len() + self.running + self.calling) as f64
     }
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,4 +1,5 @@
-//! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in flight.
+//! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in
+//! flight.
 
 use crate::PolicySettings;
 
@@ -60,8 +61,9 @@
         self.cores * (1.0 + self.extra_per_core * self.warmth(now))
     }
 
-    /// Guards against a full share for a cold server: it asks for no more than the share of its speed, until work
-    /// that leaves cores free shows that it has more than the settings promise. `eased` is what that takes off now.
+    /// Guards against a full share for a cold server: it asks for no more than the share of its speed, until
+    /// work that leaves cores free shows that it has more than the settings promise. `eased` is what that
+    /// takes off now.
     pub fn update_caution(&mut self, now: f64, eased: Option<f64>) -> f64 {
         self.caution = self.caution.min(1.0 - self.warmth(now));
         if let Some(eased) = eased {
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,9 +7,11 @@
     pub id: u32,
     /// Index in [`PolicySettings::classes`](crate::PolicySettings::classes).
     pub class: usize,
-    /// Index in [`PolicySettings::tenants`](crate::PolicySettings::tenants); meaningless where there are none.
+    /// Index in [`PolicySettings::tenants`](crate::PolicySettings::tenants); meaningless where there are
+    /// none.
     pub tenant: usize,
-    /// When its caller gives this attempt up, on the host's clock in seconds; 0 where the caller does not say.
+    /// When its caller gives this attempt up, on the host's clock in seconds; 0 where the caller does not
+    /// say.
     pub deadline: f64,
     /// The caller's estimate of its core time, in seconds; 0 for none.
     pub cost_hint: f64,
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -237,7 +237,8 @@
     assert_eq!(host.count("call"), 4);
 }
 
-/// Has one request at a call every tenth of a second; returns the calls made and the time for which one was open.
+/// Has one request at a call every tenth of a second; returns the calls made and the time for which one was
+/// open.
 fn calls_open(share: f64, class: usize, requests: u32) -> (usize, f64) {
     let mut host = Host::new(&PolicySettings { call_concurrency_share: share, ..settings() });
     let mut open = 0.0;
@@ -356,7 +357,8 @@
 
 #[test]
 fn lying_cost_hints_are_no_longer_trusted() {
-    // Every run takes a second, whatever its hint: after some, a large hint has nobody rejected for want of time.
+    // Every run takes a second, whatever its hint: after some, a large hint has nobody rejected for want of
+    // time.
     let mut host = busy_host(&settings());
     for id in 3..60 {
         host.arrive(&[Request { cost_hint: [0.2, 1.8][id as usize % 2], ..request(id, 0) }]);
@@ -446,7 +448,8 @@
 
 #[test]
 fn a_rejection_keeps_few_callers_off_for_no_more_than_a_few_of_their_requests() {
-    // Two callers bring some forty requests a second: off for a second each, they would leave the server idle.
+    // Two callers bring some forty requests a second: off for a second each, they would leave the server
+    // idle.
     let mut host = Host::new(&settings());
     for id in 1..100 {
         host.arrive(&[request(id, 0)]);
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,4 +1,5 @@
-//! A small host for tests: it plays rounds to a policy, one event at a time, and logs what the policy decides.
+//! A small host for tests: it plays rounds to a policy, one event at a time, and logs what the policy
+//! decides.
 
 use puffinladder::*;
 
@@ -59,7 +60,8 @@
     }
 }
 
-/// A server of two cores: class 0 weighs much and is idempotent, 1 weighs little, 2 is keyed, 3 not idempotent.
+/// A server of two cores: class 0 weighs much and is idempotent, 1 weighs little, 2 is keyed, 3 not
+/// idempotent.
 pub fn settings() -> PolicySettings {
     let class = |priority_weight, idempotency, degraded_weight_fraction| RequestClass {
         latency_objective: 4.0,
