--- a/crates/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -5,19 +5,33 @@
 
 /// Codes of the actions in a reply.
 mod code {
+    /// Give a request to the cores.
     pub const RUN: u8 = 10;
+    /// Turn a request away, with a Retry-After.
     pub const REJECT: u8 = 20;
+    /// Answer a request with an error.
     pub const FAIL: u8 = 30;
+    /// Take a run off the cores.
     pub const PREEMPT: u8 = 40;
+    /// Let a request make its downstream call.
     pub const ALLOW_CALL: u8 = 50;
+    /// Have a request go on without its call.
     pub const SKIP_CALL: u8 = 60;
+    /// Recognise retries of a request.
     pub const REMEMBER_KEY: u8 = 70;
+    /// Drop the key of a request.
     pub const FORGET_KEY: u8 = 80;
+    /// Settle a retry with an earlier result.
     pub const REPLAY_RESULT: u8 = 90;
+    /// The answer to health checks.
     pub const HEALTH: u8 = 100;
+    /// The load signal on answers.
     pub const LOAD_SIGNAL: u8 = 110;
+    /// How long unused connections stay open.
     pub const KEEPALIVE: u8 = 120;
+    /// Ask for a round with gauges.
     pub const TICK: u8 = 130;
+    /// A line for the operators.
     pub const LOG: u8 = 140;
     /// The actions that follow are this instance's.
     pub const INSTANCE: u8 = 160;
--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -7,12 +7,12 @@
 use crate::{Decisions, Idempotency, Reason, Request};
 
 impl AdmissionPolicy {
+    /// Queues a request that was read, or replays or rejects it at once.
     pub(super) fn arrived(&mut self, now: f64, request: &Request, out: &mut impl Decisions) {
         let request = self.stamp(now, request);
         let input = request.input;
         let class = &self.classes[input.class];
         let is_keyed = class.settings.idempotency == Idempotency::Keyed;
-        let dedup_window = class.settings.dedup_window;
         self.retry_advice.learn_arrival(input.is_retry, NEW_SAMPLE);
         if now < request.deadline && !request.over_quota {
             self.pressure.learn_wait(input.time_unread / class.wait_threshold);
@@ -31,18 +31,22 @@
         if self.drain.is_some_and(|drain| arrived > drain.last_arrival - MARGIN) {
             return self.reject(at, Reason::Draining, out);
         }
-        if !is_keyed {
-            return;
+        if is_keyed {
+            self.remember_key(now, at, out);
         }
-        if self.memory.has_room_for_key() {
-            let span = (dedup_window - input.time_unread).max(MARGIN) + MARGIN;
-            out.remember_key(input.id, span);
-            self.requests[at].key_until = Some(now + span);
-            self.memory.add_key();
-        } else {
-            // Without the memory of its key a retry could run: it must not run here at all.
-            self.reject(at, Reason::KeyMemoryFull, out);
+    }
+
+    /// Remembers the key of a queued request, or rejects it: without the memory of its key a retry could run.
+    fn remember_key(&mut self, now: f64, at: usize, out: &mut impl Decisions) {
+        if !self.memory.has_room_for_key() {
+            return self.reject(at, Reason::KeyMemoryFull, out);
         }
+        let request = &mut self.requests[at];
+        let dedup_window = self.classes[request.input.class].settings.dedup_window;
+        let span = (dedup_window - request.input.time_unread).max(MARGIN) + MARGIN;
+        out.remember_key(request.input.id, span);
+        request.key_until = Some(now + span);
+        self.memory.add_key();
     }
 
     /// What holds for a request for as long as it is in flight.
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -37,6 +37,7 @@
 }
 
 impl CallWindow {
+    /// The window at the start, for what the settings say of the downstream.
     pub fn new(settings: &PolicySettings) -> CallWindow {
         let share = settings.call_concurrency_share;
         let (window, most, least) = if settings.downstream == Downstream::SharedDependency {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Calls that may be open.
     pub fn window(&self) -> f64 {
         self.window
     }
@@ -69,6 +71,7 @@
         (open + self.lingering.len()) as f64
     }
 
+    /// Takes in how many calls were open for the time that has passed.
     pub fn update_mean(&mut self, elapsed: f64, open: usize) {
         let occupied = self.occupied(open);
         self.mean_open += (occupied - self.mean_open) * (elapsed / self.averaging).min(1.0);
@@ -85,6 +88,7 @@
         self.lingering.push_back(now + linger);
     }
 
+    /// Takes in how long a completed call took, in seconds.
     pub fn learn_time(&mut self, duration: f64) {
         let weight = if duration < self.base_time { NEW_SAMPLE } else { 1.0 / BASE_RUNS };
         self.base_time = moving_average(self.base_time, duration, weight);
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -25,6 +25,7 @@
 }
 
 impl AdmissionPolicy {
+    /// A run has reached its downstream call.
     pub(super) fn call_reached(&mut self, now: f64, id: u32) {
         let Some(&at) = self.places.get(&id) else { return };
         let request = &mut self.requests[at];
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -27,12 +27,14 @@
 }
 
 impl ConcurrencyLimit {
+    /// The limit at the start: a run for each core.
     pub fn new(settings: &PolicySettings) -> ConcurrencyLimit {
         let crowd_per_core = 1.0 + (settings.overload_multiple - 1.0).max(0.0);
         let most = CEILING * settings.cores * crowd_per_core;
         ConcurrencyLimit { runs: settings.cores, cores: settings.cores, most }
     }
 
+    /// The limit, before what is survived now bounds it.
     pub fn runs(&self) -> f64 {
         self.runs
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -26,6 +26,7 @@
 }
 
 impl RunAges {
+    /// Adds an open run and the seconds that it usually takes.
     pub fn add(&mut self, now: f64, began: f64, usual: f64) {
         self.age = self.age + now - began;
         self.usual += usual;
@@ -46,18 +47,22 @@
 }
 
 impl Slowdown {
+    /// By the runs that finished of late.
     pub fn by_finished_runs(&self) -> f64 {
         self.by_finished_runs
     }
 
+    /// By the age of the runs that are open.
     pub fn by_open_runs(&self) -> f64 {
         self.by_open_runs
     }
 
+    /// By whichever shows more.
     pub fn rise(&self) -> f64 {
         self.by_finished_runs.max(self.by_open_runs)
     }
 
+    /// Takes in a finished run that took so many times its usual time.
     pub fn learn_run(&mut self, times_usual: f64) {
         self.by_finished_runs = moving_average(self.by_finished_runs, times_usual, NEW_SAMPLE_QUICK);
     }
@@ -115,11 +120,13 @@
 }
 
 impl Keepalive {
+    /// The keepalive that the settings name, until connections crowd.
     pub fn new(settings: &PolicySettings) -> Keepalive {
         let connections = CONNECTIONS_PER_REQUEST * settings.cores * settings.overload_multiple;
         Keepalive { span: settings.idle_timeout, most: settings.idle_timeout, connections }
     }
 
+    /// The keepalive, in seconds.
     pub fn span(&self) -> f64 {
         self.span
     }
--- a/src/policy/memory.rs
+++ b/src/policy/memory.rs
@@ -22,6 +22,7 @@
 }
 
 impl MemoryBudget {
+    /// An empty machine of the memory that the settings name.
     pub fn new(settings: &PolicySettings) -> MemoryBudget {
         MemoryBudget {
             capacity: settings.memory,
@@ -40,6 +41,7 @@
         self.used = self.key_expiries.len() as f64 * self.key;
     }
 
+    /// Counts a request in flight.
     pub fn count(&mut self, request: &InFlight) {
         self.used += match request.stage {
             Stage::Queued => self.queued(request),
@@ -52,18 +54,22 @@
         request.input.memory + if request.key_until.is_some() { self.key } else { 0.0 }
     }
 
+    /// Books a request that arrived.
     pub fn add(&mut self, memory: f64) {
         self.used += memory;
     }
 
+    /// Books a key that is remembered from now on.
     pub fn add_key(&mut self) {
         self.used += self.key;
     }
 
+    /// Frees what a queued request and its key take.
     pub fn release_queued(&mut self, request: &InFlight) {
         self.used -= self.queued(request);
     }
 
+    /// Whether one more key can be remembered.
     pub fn has_room_for_key(&self) -> bool {
         let keys = (self.key_expiries.len() + 1) as f64 * self.key;
         self.used + self.key <= MEMORY_FOR_QUEUE * self.capacity && keys <= MEMORY_FOR_KEYS * self.capacity
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of one server: what it admits, runs and rejects, and what it tells its callers.
 //!
 //! A host makes `AdmissionPolicy::new(&settings, seed)` when its process starts and calls
-//! `policy.decide(&round, &mut decisions)` once a round with all that happened since the last one. The types
-//! that go in and out are in the parent module; `docs/design.md` tells where the mechanism comes from and
-//! what each constant rests on.
+//! `policy.decide(&round, &mut decisions)` once a round with all that happened since the last one. What goes in
+//! is in `src/settings.rs`, `request.rs` and `round.rs`, what comes out in `decisions.rs` and `outcome.rs`.
+//! `docs/design.md` tells where the mechanism comes from and what each constant rests on.
 //!
 //! A request is stamped with its arrival (the time it lay unread counts) and queued until a run slot frees.
 //! Then its wait is judged against its class's threshold, and it runs or is rejected ([`queue`]). The rest
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -25,6 +25,7 @@
 }
 
 impl Pressure {
+    /// No pressure; the settings say how many weights a minimum rank can cut.
     pub fn new(settings: &PolicySettings) -> Pressure {
         let mut weights: Vec<f64> = settings.classes.iter().map(|class| class.priority_weight).collect();
         weights.sort_by(f64::total_cmp);
@@ -33,6 +34,7 @@
         Pressure { value: 0.0, top_rank, longest_wait: 0.0, sent: 0.0 }
     }
 
+    /// The pressure, from 0 to 1.
     pub fn value(&self) -> f64 {
         self.value
     }
@@ -42,6 +44,7 @@
         self.longest_wait = self.longest_wait.max(share_of_threshold);
     }
 
+    /// Forgets the waits of the step that ends.
     pub fn begin_step(&mut self) {
         self.longest_wait = 0.0;
     }
@@ -65,6 +68,7 @@
         self.longest_wait < TIGHT / 2.0
     }
 
+    /// Adapts to the waits of this step; `is_idle` says that cores are free and nothing is queued.
     pub fn step(&mut self, is_idle: bool) {
         if self.longest_wait > TIGHT {
             self.value = (self.value + PRESSURE_STEP).min(1.0);
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -19,6 +19,7 @@
 }
 
 impl Rank {
+    /// The greater goes first.
     pub fn compare(self, other: Rank) -> Ordering {
         let by_weight = self.weight.total_cmp(&other.weight);
         by_weight.then(self.negated_arrival.total_cmp(&other.negated_arrival))
@@ -26,6 +27,7 @@
 }
 
 impl AdmissionPolicy {
+    /// Where a request stands in the order.
     pub(super) fn rank(&self, at: usize) -> Rank {
         let request = &self.requests[at];
         Rank { weight: self.weight_per_work(request), negated_arrival: -request.arrived }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -14,6 +14,7 @@
 }
 
 impl QuotaBucket {
+    /// An empty bucket for one of so many servers.
     pub fn new(tenant: &Tenant, servers: f64) -> QuotaBucket {
         QuotaBucket { rate: tenant.quota / servers, tokens: 0.0, filled_at: 0.0 }
     }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -23,6 +23,7 @@
         self.rejections.add(request.input.class, reason);
     }
 
+    /// Logs what was rejected, once an interval.
     pub(super) fn log_rejections(&mut self, now: f64, out: &mut impl Decisions) {
         if let Some(counts) = self.rejections.take_text(now) {
             let (runs, calls) = (self.limit.runs(), self.calls.window());
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -25,12 +25,14 @@
 }
 
 impl RetryAdvice {
+    /// Advice within the settings' longest Retry-After and latency objectives.
     pub fn new(settings: &PolicySettings, seed: u64) -> RetryAdvice {
         let longest = settings.max_retry_after.min(LONGEST_RETRY_AFTER);
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         RetryAdvice { longest: objectives.fold(longest, f64::min), retries: 0.0, random: seed >> 1 | 1 }
     }
 
+    /// Takes in whether an arrival is a retry.
     pub fn learn_arrival(&mut self, is_retry: bool, weight: f64) {
         self.retries += weight * (f64::from(u8::from(is_retry)) - self.retries);
     }
@@ -41,6 +43,7 @@
         (self.random & LOW_WORD) as f64 / (LOW_WORD + 1) as f64
     }
 
+    /// Seconds of Retry-After at the most.
     pub fn longest(&self) -> f64 {
         self.longest
     }
@@ -71,10 +74,12 @@
 }
 
 impl RejectionLog {
+    /// The first interval begins now.
     pub fn start(&mut self, now: f64) {
         self.logged_at = now;
     }
 
+    /// Counts a rejection.
     pub fn add(&mut self, class: usize, reason: Reason) {
         *self.counts.entry(RejectionKind { class, reason }).or_default() += 1;
     }
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -41,6 +41,7 @@
 /// Terms of a class, and what its runs have shown.
 #[derive(Default)]
 pub(super) struct ClassState {
+    /// As the settings give it.
     pub settings: RequestClass,
     /// Seconds that a first attempt may wait for a slot.
     pub wait_threshold: f64,
@@ -70,10 +71,12 @@
 }
 
 impl ClassState {
+    /// Whether its requests may run any number of times.
     pub fn is_idempotent(&self) -> bool {
         self.settings.idempotency == Idempotency::Idempotent
     }
 
+    /// Whether an answer without the downstream call is worth something.
     pub fn has_degraded_answer(&self) -> bool {
         self.settings.degraded_weight_fraction > 0.0
     }
@@ -141,11 +144,13 @@
 }
 
 impl CallerPatience {
+    /// A caller gave its request up at this age, in seconds.
     pub fn gave_up(&mut self, age: f64) {
         self.age = moving_average(self.age, age, NEW_SAMPLE_QUICK);
         self.share += NEW_CALLER * (1.0 - self.share);
     }
 
+    /// A run ended for a caller that was still there, at this age of its request.
     pub fn waited_to_the_end(&mut self, age: f64) {
         if age > self.age {
             self.share -= NEW_CALLER * self.share;
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Whether runs can be taken off the cores.
     pub(super) fn is_preemptible(&self) -> bool {
         self.settings.preemption != Preemption::Never
     }
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -22,6 +22,7 @@
 }
 
 impl WarmUp {
+    /// A process that has yet to begin its first round.
     pub fn new(settings: &PolicySettings) -> WarmUp {
         let cold_fraction = if settings.starts_cold { settings.cold_capacity_fraction.min(1.0) } else { 1.0 };
         WarmUp {
@@ -34,18 +35,22 @@
         }
     }
 
+    /// The first round begins now.
     pub fn start(&mut self, now: f64) {
         self.started = Some(now);
     }
 
+    /// Whether the first round has begun.
     pub fn has_started(&self) -> bool {
         self.started.is_some()
     }
 
+    /// Whether the settings let the process start cold.
     pub fn may_be_cold(&self) -> bool {
         self.cold_fraction < 1.0
     }
 
+    /// Seconds since the first round.
     pub fn uptime(&self, now: f64) -> f64 {
         now - self.started.unwrap_or(now)
     }
