--- a/crates/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -23,11 +23,10 @@
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
         let text = fields.take(length)?;
-        let terms = puffinladder_settings::parse_policy_config(text)
-            .map_err(|e| RecordError::Settings(e.to_string()))?;
-        let schema = Schema { meters: terms.gauges, classes: terms.settings.classes.len() };
+        let config = puffinladder_settings::parse_policy_config(text)?;
+        let schema = Schema { meters: config.gauges, classes: config.settings.classes.len() };
         Ok(Instance {
-            policy: AdmissionPolicy::new(&terms.settings, seed),
+            policy: AdmissionPolicy::new(&config.settings, seed),
             schema,
             input: RoundInput::default(),
             has_input: true,
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,5 +1,6 @@
 //! What can be wrong with the simulator's stream.
 
+use puffinladder_settings::ConfigError;
 use std::io;
 use thiserror::Error;
 
@@ -68,7 +69,7 @@
 }
 
 /// What is wrong with a record.
-#[derive(Debug, Error, PartialEq)]
+#[derive(Debug, Error)]
 pub enum RecordError {
     /// The batch ends before a field does.
     #[error("a field of {size} bytes at byte {at} is cut off")]
@@ -104,6 +105,6 @@
         class: usize,
     },
     /// The start text is no usable settings.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -259,3 +259,6 @@
         first_out_of_range(&positive, &non_negative)
     }
 }
+
+#[cfg(test)]
+mod tests;
