--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -1,14 +1,12 @@
 //! Carries out what the policy decides.
 
-use super::Dispatcher;
-use crate::runtime::lock::lock;
+use super::published::PublishedState;
 use crate::state::idempotency::IdempotencyKeys;
 use crate::state::in_flight::InFlightRequests;
 use crate::state::mailbox::Event;
+use crate::state::request_log::RequestLog;
 use puffinladder::{Decisions, Reason};
 use puffinladder_trace::row::Topic;
-use std::io::Write;
-use std::sync::atomic::Ordering;
 
 /// Ends a request that never ran: its key is released, and its coroutine hears of it.
 pub(super) fn end_unrun(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, event: Event) {
@@ -22,7 +20,8 @@
 
 /// Turns the decisions of one round into events for the requests that they concern.
 pub(super) struct DecisionWriter<'a> {
-    pub dispatcher: &'a Dispatcher,
+    pub published: &'a PublishedState,
+    pub log: &'a RequestLog,
     pub in_flight: &'a mut InFlightRequests,
     pub keys: &'a mut IdempotencyKeys,
     pub now: f64,
@@ -88,15 +87,13 @@
     }
 
     fn set_health(&mut self, healthy: bool, _stored: bool) {
-        self.dispatcher.healthy.store(healthy, Ordering::Relaxed);
-        self.dispatcher.log.record_health(self.now, healthy);
+        self.published.set_healthy(healthy);
+        self.log.record_health(self.now, healthy);
     }
 
     fn set_load_signal(&mut self, amount: f64) {
-        let mut signal = lock(&self.dispatcher.load_signal);
-        signal.clear();
-        let _ = write!(signal, "v={amount:.4}");
-        self.dispatcher.log.note_change(self.now, Topic::SIGNAL, amount);
+        self.published.set_load_signal(amount);
+        self.log.note_change(self.now, Topic::SIGNAL, amount);
     }
 
     fn set_keepalive(&mut self, span: f64) {
@@ -108,7 +105,7 @@
     }
 
     fn record_limits(&mut self, runs: f64, calls: f64, pressure: f64) {
-        self.dispatcher.log.record_limits(self.now, runs, calls, pressure);
+        self.log.record_limits(self.now, runs, calls, pressure);
     }
 
     fn log(&mut self, text: &str) {
--- a/crates/server/src/wire/gateway/listener.rs
+++ b/crates/server/src/ingress/listener.rs
@@ -1,9 +1,9 @@
 //! Accepts connections of gateways.
 
-use super::connection::Connection;
-use super::connections::Connections;
 use super::session::{Session, SessionContext};
 use crate::runtime::wait_queue::WaitQueue;
+use crate::wire::gateway::connection::Connection;
+use crate::wire::gateway::connections::Connections;
 use may::coroutine;
 use may::net::{TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/server/src/wire/gateway/session.rs
+++ b/crates/server/src/ingress/session.rs
@@ -1,14 +1,14 @@
 //! The conversation on one connection of a gateway, from its first message to its close.
 
-use super::connection::{Connection, ConnectionState};
-use super::connections::Connections;
 use super::decode::RequestDecoder;
 use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
-use crate::request::{self, RequestContext};
+use crate::request::{self, context::RequestContext};
 use crate::runtime::clock::Clock;
 use crate::runtime::fault_log::FaultLog;
 use crate::state::mailbox::{Event, Mailbox};
+use crate::wire::gateway::connection::{Connection, ConnectionState};
+use crate::wire::gateway::connections::Connections;
 use crate::wire::resp::{self, Array, FramingError};
 use crate::wire::ring::{ReadOutcome, RingBuffer};
 use may::coroutine;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -3,6 +3,7 @@
 #![deny(missing_docs)]
 
 mod dispatcher;
+mod ingress;
 mod lifecycle;
 mod limits;
 mod request;
--- /dev/null
+++ b/crates/server/src/lifecycle/dispatch_loop.rs
@@ -0,0 +1,81 @@
+//! The dispatcher's loop: rounds of the policy as input comes, ticks with gauges when the policy wants them, and
+//! housekeeping ten times a second.
+
+use crate::dispatcher::{CycleHooks, CycleTimes, Dispatcher};
+use crate::limits::Limits;
+use crate::runtime::alarm::Alarm;
+use crate::runtime::clock::Clock;
+use crate::runtime::request_slots::RequestSlots;
+use crate::runtime::summary::{Activity, AnswerSummary};
+use crate::runtime::wait_queue::WaitQueue;
+use crate::wire::agent::link::AgentLink;
+use crate::wire::gateway::connections::Connections;
+use crate::wire::store::StoreClient;
+use may::coroutine;
+use std::sync::Arc;
+
+/// The loop, and the parts of the server that it drives.
+pub struct DispatchLoop {
+    /// Whose rounds it runs.
+    pub dispatcher: Arc<Dispatcher>,
+    /// Asked for gauges before a tick.
+    pub agent: Arc<AgentLink>,
+    /// Told which calls are overdue.
+    pub store: Arc<StoreClient>,
+    /// Told which connections lie unused.
+    pub connections: Arc<Connections>,
+    /// Counted for the summary.
+    pub slots: Arc<RequestSlots>,
+    /// Writes the summary line.
+    pub summary: Arc<AnswerSummary>,
+    /// Woken with each housekeeping.
+    pub housekeeping: Arc<WaitQueue>,
+    /// Set to the next deadline.
+    pub alarm: Arc<Alarm>,
+    /// The process's clock.
+    pub clock: Arc<Clock>,
+    /// Times and counts.
+    pub limits: Arc<Limits>,
+}
+
+impl DispatchLoop {
+    /// Works for as long as the process lives.
+    pub fn run(&self) {
+        let times = CycleTimes {
+            housekeeping_interval: self.limits.housekeeping_interval.as_secs_f64(),
+            gauge_timeout: self.limits.gauge_timeout.as_secs_f64(),
+        };
+        self.dispatcher.set_worker();
+        loop {
+            let now = self.clock.now();
+            self.store.wake_overdue(now);
+            self.dispatcher.run_cycle(now, times, self);
+            coroutine::park();
+        }
+    }
+
+    fn activity(&self) -> Activity {
+        Activity {
+            in_flight: self.slots.in_use(),
+            gateways: self.connections.count(),
+            store_calls: self.store.open_connections(),
+        }
+    }
+}
+
+impl CycleHooks for DispatchLoop {
+    fn keep_house(&self, now: f64, keepalive: f64) {
+        self.connections.close_idle(keepalive);
+        self.agent.break_unmarked_since(now - self.limits.replay_timeout);
+        self.summary.report(now, self.limits.summary_interval, || self.activity());
+        self.housekeeping.wake_all();
+    }
+
+    fn poll_gauges(&self, tag: u64) {
+        self.agent.poll_gauges(tag);
+    }
+
+    fn set_alarm(&self, delay: f64) {
+        self.alarm.set(delay);
+    }
+}
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,6 +1,7 @@
 //! Start, reload, drain and end of the process.
 
 pub mod configuration;
+mod dispatch_loop;
 pub mod error;
 mod logging;
 mod publish;
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -1,14 +1,17 @@
 //! Builds the parts of a server and connects them.
 
-use crate::dispatcher::cycle::DispatchLoop;
+use super::dispatch_loop::DispatchLoop;
 use crate::dispatcher::Dispatcher;
+use crate::ingress::decode::RequestDecoder;
+use crate::ingress::listener::GatewayListener;
+use crate::ingress::session::SessionContext;
 use crate::limits::Limits;
-use crate::request::slots::RequestSlots;
-use crate::request::RequestContext;
+use crate::request::context::RequestContext;
 use crate::runtime::addresses::PeerAddresses;
 use crate::runtime::alarm::Alarm;
 use crate::runtime::clock::Clock;
 use crate::runtime::fault_log::FaultLog;
+use crate::runtime::request_slots::RequestSlots;
 use crate::runtime::summary::AnswerSummary;
 use crate::runtime::wait_queue::WaitQueue;
 use crate::state::idempotency::{IdempotencyKeys, KeyBounds};
@@ -17,9 +20,6 @@
 use crate::wire::agent::reader::AgentReader;
 use crate::wire::gateway::connection::ConnectionContext;
 use crate::wire::gateway::connections::Connections;
-use crate::wire::gateway::decode::RequestDecoder;
-use crate::wire::gateway::listener::GatewayListener;
-use crate::wire::gateway::session::SessionContext;
 use crate::wire::registry::RegistryReporter;
 use crate::wire::store::StoreClient;
 use puffinladder::{AdmissionPolicy, PolicySettings};
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -1,8 +1,8 @@
 //! The state machine of one request: offers it to the dispatcher, then turns each event into commands to the agent, calls
 //! to the store and its answer.
 
+use super::context::RequestContext;
 use super::reply::{InFlightGuard, PendingReply};
-use super::RequestContext;
 use crate::dispatcher::Offer;
 use crate::runtime::clock;
 use crate::state::mailbox::{Event, Mailbox};
--- a/crates/server/src/request/mod.rs
+++ b/crates/server/src/request/mod.rs
@@ -1,47 +1,17 @@
 //! A request's life, from its reading to its answer and to the end of its run: one coroutine each.
 
+pub mod context;
 mod execution;
 mod reply;
-pub mod slots;
 
-use crate::dispatcher::Dispatcher;
-use crate::limits::Limits;
-use crate::runtime::clock::Clock;
-use crate::runtime::fault_log::FaultLog;
-use crate::runtime::summary::AnswerSummary;
 use crate::state::mailbox::Mailbox;
 use crate::state::received_request::ReceivedRequest;
-use crate::wire::agent::link::AgentLink;
 use crate::wire::gateway::connection::Connection;
-use crate::wire::store::StoreClient;
+use context::RequestContext;
 use puffinladder::Reason;
-use puffinladder_charter::Warrant;
 use reply::PendingReply;
-use slots::RequestSlots;
 use std::sync::Arc;
 
-/// What the coroutines of all requests share.
-pub struct RequestContext {
-    /// Decides about them.
-    pub dispatcher: Arc<Dispatcher>,
-    /// Runs them.
-    pub agent: Arc<AgentLink>,
-    /// Takes their downstream calls.
-    pub store: Arc<StoreClient>,
-    /// How many there may be.
-    pub slots: Arc<RequestSlots>,
-    /// Counts their answers.
-    pub summary: Arc<AnswerSummary>,
-    /// Where gateways' faults are logged.
-    pub faults: Arc<FaultLog>,
-    /// Names and terms of their classes.
-    pub config: Arc<Warrant>,
-    /// The process's clock.
-    pub clock: Arc<Clock>,
-    /// Times and counts.
-    pub limits: Arc<Limits>,
-}
-
 /// One of the process's places for requests, held by a coroutine.
 struct RequestSlot(Arc<RequestContext>);
 
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -1,6 +1,6 @@
 //! The two things that a request owes whatever happens to it: one answer to its gateway, and its end to the dispatcher.
 
-use super::RequestContext;
+use super::context::RequestContext;
 use crate::state::identifiers::IdempotencyKey;
 use crate::state::received_request::ReceivedRequest;
 use crate::state::request_log::RequestEntry;
--- a/crates/server/src/request/tests.rs
+++ b/crates/server/src/request/tests.rs
@@ -2,6 +2,7 @@
 use super::*;
 use crate::dispatcher::Offer;
 use crate::lifecycle::Server;
+use crate::limits::Limits;
 use crate::state::mailbox::Event;
 use crate::state::request_log::RequestLog;
 use may::net::TcpStream;
--- a/crates/server/src/runtime/mod.rs
+++ b/crates/server/src/runtime/mod.rs
@@ -5,5 +5,6 @@
 pub mod clock;
 pub mod fault_log;
 pub mod lock;
+pub mod request_slots;
 pub mod summary;
 pub mod wait_queue;
--- a/crates/server/src/wire/gateway/connection.rs
+++ b/crates/server/src/wire/gateway/connection.rs
@@ -40,28 +40,28 @@
 }
 
 /// The state of a connection.
-pub(super) struct ConnectionState {
+pub struct ConnectionState {
     /// What waits to go out.
-    pub(super) out: RingBuffer,
+    pub out: RingBuffer,
     /// The requests that are owed an answer, by their tags.
-    pub(super) open_requests: HashMap<u64, Arc<Mailbox>>,
-    pub(super) used_tags: UsedTags,
+    pub open_requests: HashMap<u64, Arc<Mailbox>>,
+    pub used_tags: UsedTags,
     /// Nothing more is taken or written.
-    pub(super) closed: bool,
+    pub closed: bool,
     /// It is to close, unless something comes on it before its coroutine has looked.
-    pub(super) close_requested: bool,
+    pub close_requested: bool,
     /// When its gateway was asked to leave it, s.
-    pub(super) goaway_at: Option<f64>,
-    pub(super) last_used: f64,
-    pub(super) accepted_at: f64,
+    pub goaway_at: Option<f64>,
+    pub last_used: f64,
+    pub accepted_at: f64,
     /// How many messages it has brought.
-    pub(super) messages: u32,
+    pub messages: u32,
     /// Since when a message is unfinished; the first one is from the start.
-    pub(super) message_began: Option<f64>,
+    pub message_began: Option<f64>,
     /// A part of a message has been read.
-    pub(super) has_partial_message: bool,
+    pub has_partial_message: bool,
     /// It was last asked for health.
-    pub(super) asked_for_health: bool,
+    pub asked_for_health: bool,
 }
 
 impl ConnectionState {
@@ -83,7 +83,7 @@
     }
 
     /// Takes note of a read: it brought so many complete messages, and nothing else or a part of the next.
-    pub(super) fn record_read(&mut self, complete: u32, input_empty: bool, now: f64) {
+    pub fn record_read(&mut self, complete: u32, input_empty: bool, now: f64) {
         self.messages = self.messages.saturating_add(complete);
         if complete > 0 || input_empty {
             self.message_began = None;
@@ -96,7 +96,7 @@
 
     /// How long, s, it may lie unused, where those may for `keepalive` that came once: one that came again and again is
     /// likely to come after a few times its usual interval.
-    pub(super) fn idle_timeout(&self, keepalive: f64, context: &ConnectionContext) -> f64 {
+    pub fn idle_timeout(&self, keepalive: f64, context: &ConnectionContext) -> f64 {
         let limits = &context.limits;
         let usual = match self.messages {
             0 | 1 => 0.0,
@@ -108,7 +108,7 @@
 
     /// Whether it may be closed without harm: nothing on it is owed an answer, has yet to be written or is half read.
     /// Half of a first message spares nobody, or those who never end one would hold their places.
-    pub(super) fn is_idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let half_read = self.has_partial_message && self.messages > 0;
         !self.closed && self.open_requests.is_empty() && self.out.is_empty() && !half_read
     }
@@ -121,12 +121,12 @@
         Connection { state: Mutex::new(state), waker: stream.waker(), context: context.clone() }
     }
 
-    pub(super) fn state(&self) -> MutexGuard<'_, ConnectionState> {
+    pub fn state(&self) -> MutexGuard<'_, ConnectionState> {
         lock(&self.state)
     }
 
     /// Has its coroutine look at it.
-    pub(super) fn wake(&self) {
+    pub fn wake(&self) {
         self.waker.wakeup();
     }
 
@@ -163,13 +163,13 @@
     }
 
     /// Asks the gateway to leave this connection.
-    pub(super) fn write_goaway(&self, state: &mut ConnectionState, now: f64) {
+    pub fn write_goaway(&self, state: &mut ConnectionState, now: f64) {
         state.goaway_at = Some(now);
         self.write(state, &[b"0", b"goaway"]);
     }
 
     /// Writes what the gateway takes now; whether that was all.
-    pub(super) fn flush(&self, state: &mut ConnectionState, stream: &TcpStream) -> io::Result<bool> {
+    pub fn flush(&self, state: &mut ConnectionState, stream: &TcpStream) -> io::Result<bool> {
         let before = state.out.len();
         let written = state.out.drain_to(stream.inner());
         self.context.unsent.fetch_sub(before - state.out.len(), Ordering::Relaxed);
@@ -177,7 +177,7 @@
     }
 
     /// Queues a message. A gateway that leaves too much unread is cut off.
-    pub(super) fn write(&self, state: &mut ConnectionState, elements: &[&[u8]]) {
+    pub fn write(&self, state: &mut ConnectionState, elements: &[&[u8]]) {
         let size = elements.iter().map(|element| element.len() + 12).sum::<usize>();
         let mut bytes = Vec::with_capacity(64 + size);
         resp::write_array(&mut bytes, elements);
@@ -196,14 +196,14 @@
     }
 
     /// Ends all that is open: nothing more is taken or owed here.
-    pub(super) fn cancel_all(&self) {
+    pub fn cancel_all(&self) {
         let mut state = self.state();
         state.closed = true;
         state.open_requests.drain().for_each(|(_, mailbox)| mailbox.send(Event::Cancelled));
     }
 
     /// Drops what has not gone out.
-    pub(super) fn discard_unsent(&self) {
+    pub fn discard_unsent(&self) {
         let mut state = self.state();
         self.context.unsent.fetch_sub(state.out.len(), Ordering::Relaxed);
         state.out = RingBuffer::new(1, 1);
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -13,9 +13,9 @@
     /// Those that are served, by their serial numbers.
     serving: Mutex<HashMap<usize, Arc<Connection>>>,
     /// Those no longer served: ended from here and read to their end, oldest first.
-    pub(super) closing: Mutex<VecDeque<Arc<Connection>>>,
+    pub closing: Mutex<VecDeque<Arc<Connection>>>,
     /// Descriptors that connections of gateways hold, served or closing: counted from accept to close.
-    pub(super) descriptors: AtomicUsize,
+    pub descriptors: AtomicUsize,
     /// Where the listener waits for a connection or a descriptor to come free.
     freed: WaitQueue,
     context: Arc<ConnectionContext>,
@@ -48,12 +48,12 @@
     }
 
     /// Serves one more.
-    pub(super) fn insert(&self, serial: usize, connection: Arc<Connection>) {
+    pub fn insert(&self, serial: usize, connection: Arc<Connection>) {
         self.serving().insert(serial, connection);
     }
 
     /// Serves it no longer.
-    pub(super) fn remove(&self, serial: usize) {
+    pub fn remove(&self, serial: usize) {
         if self.serving().remove(&serial).is_some() {
             self.freed.wake_all();
         }
@@ -113,7 +113,7 @@
     /// Closes the connection that can best be done without: one that has said nothing yet, else one that came once, else
     /// any, and of its kind the one that lay unused for longest. A gateway that sends there at this moment sends once
     /// more. Returns whether there is any.
-    pub(super) fn close_idlest(&self) -> bool {
+    pub fn close_idlest(&self) -> bool {
         let connections = self.serving();
         let candidates = connections.values().filter_map(|connection| {
             let state = connection.state();
@@ -128,7 +128,7 @@
     }
 
     /// Waits until one more descriptor may be held.
-    pub(super) fn wait_for_descriptor(&self) {
+    pub fn wait_for_descriptor(&self) {
         while !self.reserve_descriptor() {
             self.freed.wait();
         }
@@ -137,7 +137,7 @@
     /// Whether one more descriptor may be held. If not, the connection that is closing longest ends, or an idle one begins
     /// to close: descriptors are for who comes with work. With all at work one more is taken only to be rejected, on the
     /// descriptor that the process keeps for that.
-    pub(super) fn reserve_descriptor(&self) -> bool {
+    pub fn reserve_descriptor(&self) -> bool {
         if !self.is_full() {
             return true;
         }
@@ -149,35 +149,35 @@
     }
 
     /// Whether all descriptors of gateways are held.
-    pub(super) fn is_full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.descriptors.load(Ordering::Relaxed) >= self.context.limits.max_gateway_descriptors
     }
 
     /// Waits until some connection or descriptor comes free, or for the next housekeeping.
-    pub(super) fn wait_for_free(&self) {
+    pub fn wait_for_free(&self) {
         self.freed.wait();
     }
 
     /// Begins to close a connection.
-    pub(super) fn begin_closing(&self, connection: &Arc<Connection>) {
+    pub fn begin_closing(&self, connection: &Arc<Connection>) {
         lock(&self.closing).push_back(connection.clone());
     }
 
     /// Whether a connection may go on closing.
-    pub(super) fn is_closing(&self, connection: &Arc<Connection>) -> bool {
+    pub fn is_closing(&self, connection: &Arc<Connection>) -> bool {
         lock(&self.closing).iter().any(|other| Arc::ptr_eq(other, connection))
     }
 
     /// A connection has closed.
-    pub(super) fn end_closing(&self, connection: &Arc<Connection>) {
+    pub fn end_closing(&self, connection: &Arc<Connection>) {
         lock(&self.closing).retain(|other| !Arc::ptr_eq(other, connection));
     }
 
-    pub(super) fn count_descriptor(&self) {
+    pub fn count_descriptor(&self) {
         self.descriptors.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn release_descriptor(&self) {
+    pub fn release_descriptor(&self) {
         self.descriptors.fetch_sub(1, Ordering::Relaxed);
         self.freed.wake_all();
     }
--- a/crates/server/src/wire/gateway/mod.rs
+++ b/crates/server/src/wire/gateway/mod.rs
@@ -1,10 +1,7 @@
-//! Connections of gateways: one coroutine each, which alone reads and writes it.
+//! Connections of gateways, as those see them who answer on them or close them.
 
 pub mod connection;
 pub mod connections;
-pub mod decode;
-pub mod listener;
-pub mod session;
 mod tags;
 
 #[cfg(test)]
--- a/crates/server/src/wire/gateway/tags.rs
+++ b/crates/server/src/wire/gateway/tags.rs
@@ -4,15 +4,15 @@
 
 /// Which tags were used: all up to one, and some above it.
 #[derive(Default)]
-pub(super) struct UsedTags {
-    pub(super) all_up_to: u64,
-    pub(super) above: BTreeSet<u64>,
+pub struct UsedTags {
+    pub all_up_to: u64,
+    pub above: BTreeSet<u64>,
 }
 
 impl UsedTags {
     /// Marks a tag as used and says whether it is new; at most `max_remembered` of those above an unused one are
     /// remembered.
-    pub(super) fn insert(&mut self, tag: u64, max_remembered: usize) -> bool {
+    pub fn insert(&mut self, tag: u64, max_remembered: usize) -> bool {
         if tag <= self.all_up_to || !self.above.insert(tag) {
             return false;
         }
