--- a/crates/server/src/ingress/listener.rs
+++ b/crates/server/src/ingress/listener.rs
@@ -31,8 +31,8 @@
                     if self.make_room() {
                         self.start_session(serial, stream);
                     } else {
-                        let message = "gateway: no seat for a new connection, all are at work";
-                        self.context.faults.warn(format_args!("{message}"));
+                        let message = format_args!("gateway: new connection rejected, all are in use");
+                        self.context.faults.warn(message);
                     }
                 }
                 Err(error) => {
--- a/crates/server/src/state/idempotency/tests.rs
+++ b/crates/server/src/state/idempotency/tests.rs
@@ -16,7 +16,7 @@
 const KEY: IdempotencyKey = [b'a'; 32];
 
 #[test]
-fn whoever_came_to_the_machine_within_the_window_is_a_repeat_however_late_it_is_read() {
+fn whoever_came_to_the_machine_within_the_window_is_a_retry_however_late_it_is_read() {
     let mut keys = keys();
     assert_eq!(keys.acquire(KEY, 5, 1, 100.0), KeyLookup::Acquired);
     keys.extend(&KEY, 1, 150.0);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn behind_a_try_that_never_ran_the_key_is_free_for_whoever_waited() {
+fn behind_an_attempt_that_never_ran_the_key_is_free_for_whoever_waited() {
     let (mut keys, mailboxes) = (keys(), [(); 2].map(|()| Arc::new(Mailbox::default())));
     keys.acquire(KEY, 5, 1, 100.0);
     keys.await_result(&KEY, 5, &mailboxes[0]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_try_that_broke_off_before_it_was_remembered_holds_up_no_other_key() {
+fn an_attempt_that_broke_off_before_it_was_remembered_holds_up_no_other_key() {
     let (mut keys, mailbox) = (keys(), Arc::new(Mailbox::default()));
     keys.acquire(KEY, 5, 1, 100.0);
     keys.await_result(&KEY, 5, &mailbox);
--- a/crates/server/src/state/mailbox.rs
+++ b/crates/server/src/state/mailbox.rs
@@ -72,12 +72,13 @@
 }
 
 impl Event {
-    /// The event's name in trace lines of the log.
+    /// The event's name in trace lines of the log. `decline`, `gone` and `replay` are searched for by scripts and
+    /// tests, and stay.
     pub fn label(&self) -> &'static str {
         match self {
             Event::Run => "run",
             Event::Reject { .. } => "decline",
-            Event::Fail(_) => "void",
+            Event::Fail(_) => "fail",
             Event::Pause => "pause",
             Event::Call { .. } => "call",
             Event::SkipCall => "skip call",
@@ -87,10 +88,10 @@
             Event::Resume => "resume",
             Event::Returned { .. } => "returned",
             Event::Result(_) => "result",
-            Event::KeyReleased => "free",
+            Event::KeyReleased => "key released",
             Event::Cancelled => "gone",
-            Event::Forgotten => "over",
-            Event::Shutdown => "close",
+            Event::Forgotten => "forgotten",
+            Event::Shutdown => "shut down",
         }
     }
 }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -27,17 +27,17 @@
 
 #[test]
 fn of_thirty_servers_killed_at_work_and_started_again_nine_in_ten_are_ready_within_ten_seconds() {
-    // Some rosters take connections and say nothing, and some agents come up only once their server is healthy.
+    // Some registries take connections and say nothing, and some agents come up only once their server is healthy.
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     let roster = deaf.local_addr().unwrap();
     // Addresses of their own, so that nobody's outgoing connection takes a port while its server is dead.
     let id = std::process::id();
     let mut towns: Vec<Town> = (0..30)
         .map(|at| {
-            Town::open(SERVER, |told| {
-                told["listen"] = json!(format!("127.{}.{}.{}:0", 64 + (id >> 8) % 128, id % 256, at + 1));
+            Town::open(SERVER, |config| {
+                config["listen"] = json!(format!("127.{}.{}.{}:0", 64 + (id >> 8) % 128, id % 256, at + 1));
                 if at % 5 == 0 {
-                    told["roster"] = json!(roster);
+                    config["roster"] = json!(roster);
                 }
             })
         })
@@ -70,12 +70,12 @@
 
 #[test]
 fn thirty_callers_together_get_no_more_of_a_cold_server_than_its_ramp_and_each_hears_so() {
-    let town = Town::open(SERVER, |told| {
-        let settings = &mut told["settings"];
+    let town = Town::open(SERVER, |config| {
+        let settings = &mut config["settings"];
         let info = &mut settings["FamilyInfo"];
         (info["Cold"], info["Cpus"], info["Upstreams"]) = (json!(true), json!(6), json!(30));
         (info["Signal"], info["RamKb"]) = (json!("tokens"), json!(1e6));
-        // Nobody is declined for its wait meanwhile.
+        // Nobody is rejected for its wait meanwhile.
         settings["Lanes"][0]["GiveUp"] = json!(60_000);
         settings["Contract"] = json!({"FallMultiple": 5, "Fall": 1500, "Cold": 600_000, "ColdShare": 0.2, "StopSendingWithin": 1000});
     });
@@ -101,13 +101,13 @@
         caller.stream.set_nonblocking(false).unwrap();
         any
     };
-    let told = callers.iter_mut().filter(answered).map(|caller| caller.answer().unwrap().fields);
-    let told: Vec<String> = told.collect();
+    let advice = callers.iter_mut().filter(answered).map(|caller| caller.answer().unwrap().fields);
+    let advice: Vec<String> = advice.collect();
     let field = |fields: &str, name: &str| -> f64 {
         let found = fields.split(',').find_map(|field| field.strip_prefix(name)?.parse().ok());
         found.unwrap_or_else(|| panic!("no {name} in {fields}"))
     };
-    assert!(told.len() >= 25 && told.iter().all(|fields| field(fields, "w=") >= 1000.0), "{told:?}");
-    assert!(told.iter().all(|fields| 30.0 * field(fields, "v=") < 1.0), "{told:?}");
+    assert!(advice.len() >= 25 && advice.iter().all(|fields| field(fields, "w=") >= 1000.0), "{advice:?}");
+    assert!(advice.iter().all(|fields| 30.0 * field(fields, "v=") < 1.0), "{advice:?}");
     assert!(30.0 * field(&town.gateway().check().fields, "v=") < 1.0);
 }
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -66,7 +66,7 @@
         assert!(!unix.contains(socket), "a Unix socket among {open:?}");
         sockets += usize::from(tcp.contains(socket));
     }
-    // The listener, the agent's link, at most a report to the roster and the gateway on its way out.
+    // The listener, the agent's link, at most a report to the registry and the gateway on its way out.
     assert!((2..=4).contains(&sockets), "{open:?}");
     assert!(open.len() <= 14, "{open:?}");
     let table = fs::read_to_string(proc(&town, "net/tcp")).unwrap();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn signals_are_heard_any_number_of_times_and_the_notice_to_leave_once() {
+fn signals_are_heard_any_number_of_times_and_the_notice_to_drain_once() {
     let mut town = town();
     for moves in 1..=3 {
         town.move_peers();
--- a/crates/server/tests/publish.rs
+++ b/crates/server/tests/publish.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_control_service_hears_what_was_asked_declined_and_run_and_of_the_drain_before_it() {
+fn a_control_service_hears_what_was_asked_rejected_and_run_and_of_the_drain_before_it() {
     let folder = tempfile::tempdir().unwrap();
     let control = TcpListener::bind("127.0.0.1:0").unwrap();
     let town = town(folder.path(), &control.local_addr().unwrap().to_string());
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -1,4 +1,4 @@
-//! Rare moments, told to a whole server process over real connections. Each story forces its order: the process stands
+//! Rare moments, played to a whole server process over real connections. Each story forces its order: the process stands
 //! still while its sockets fill, or a stand-in waits for what it must have seen.
 
 use puffinladder_toy::gateway::{message, now, Gateway};
@@ -35,7 +35,7 @@
 fn what_was_answered_before_a_broken_message_arrives_and_no_reset_takes_it_away() {
     let town = town();
     let mut gateway = town.gateway();
-    // Answered at once, unread by the module; then what can't be read, and more behind it than one read takes.
+    // Answered at once, unread by the policy; then what can't be read, and more behind it than one read takes.
     let good = message(&[b"CALL", b"1", b"nothing", b"", b""]);
     let bytes = [good, b"*no array\r\n".to_vec(), vec![b'x'; 60_000]].concat();
     town.pause();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_notice_to_leave_finds_what_was_accepted_but_not_read_and_that_is_answered() {
+fn the_notice_to_drain_finds_what_was_accepted_but_not_read_and_that_is_answered() {
     let town = town();
     let mut open = town.gateway();
     assert_eq!(word(&mut open, "quote", "", b""), "200");
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_notice_to_leave_before_the_agent_is_up_is_heeded_and_what_was_read_is_answered() {
+fn the_notice_to_drain_before_the_agent_is_up_is_heeded_and_what_was_read_is_answered() {
     let mut town = Town::found(SERVER, false, |_| {});
     let mut gateway = town.gateway();
     gateway.call("order", KEY, b"read too soon");
@@ -143,14 +143,14 @@
     assert!(town.end().success());
 }
 
-// ---- repeats ----
+// ---- retries ----
 
 #[test]
-fn a_repeat_that_lay_unread_past_its_window_never_runs_again() {
+fn a_retry_that_lay_unread_past_its_window_never_runs_again() {
     // A window of 0.1 s, and tries that may lie unread for long before they are due.
-    let town = Town::open(SERVER, |told| {
-        told["settings"]["Lanes"][1]["DedupWindow"] = json!(100);
-        told["settings"]["Lanes"][1]["GiveUp"] = json!(60_000);
+    let town = Town::open(SERVER, |config| {
+        config["settings"]["Lanes"][1]["DedupWindow"] = json!(100);
+        config["settings"]["Lanes"][1]["GiveUp"] = json!(60_000);
     });
     let mut gateway = town.gateway();
     let came = now();
@@ -173,7 +173,7 @@
     town.agent.finish(&name);
     gateway.cancel(tag);
     town.resume();
-    // Whichever was read first, there is at most one answer, and the result serves a repeat.
+    // Whichever was read first, there is at most one answer, and the result serves a retry.
     let (repeat, _) = gateway.call("order", KEY, b"hold");
     let mut answer = gateway.answer().unwrap();
     if answer.tag == tag {
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_window_shorter_than_the_run_ends_no_sooner_than_the_run() {
-    let town = Town::open(SERVER, |told| told["settings"]["Lanes"][1]["DedupWindow"] = json!(1));
+    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(1));
     let mut gateway = town.gateway();
     let (first, name) = gateway.call("order", KEY, b"hold");
     town.agent.hears("launch", &name);
@@ -221,10 +221,10 @@
 #[test]
 fn an_expiry_without_end_breaks_no_call() {
     // Times far beyond what a duration holds: the call goes out all the same, and its reply comes back.
-    let town = Town::open(SERVER, |told| {
+    let town = Town::open(SERVER, |config| {
         for lane in 0..2 {
             for key in ["Promise", "GiveUp", "DedupWindow"] {
-                told["settings"]["Lanes"][lane][key] = json!(1e300);
+                config["settings"]["Lanes"][lane][key] = json!(1e300);
             }
         }
     });
@@ -240,9 +240,9 @@
 }
 
 #[test]
-fn a_roster_that_takes_connections_and_says_nothing_stops_nothing() {
+fn a_registry_that_takes_connections_and_says_nothing_stops_nothing() {
     let deaf = deaf();
-    let mut town = Town::open(SERVER, |told| told["roster"] = json!(deaf.local_addr().unwrap()));
+    let mut town = Town::open(SERVER, |config| config["roster"] = json!(deaf.local_addr().unwrap()));
     town.logs("no report");
     still_serves(&town);
     town.agent.cut();
@@ -260,9 +260,9 @@
 fn silent_clients_in_a_full_table_leave_descriptors_for_work_and_for_our_own_links() {
     let down = deaf();
     let narrow = ["sh", "-c", "ulimit -n 64; exec \"$0\"", SERVER[0]];
-    let town = Town::open(&narrow, |told| {
-        told["limits"]["sockets"] = json!(64);
-        told["roster"] = json!(down.local_addr().unwrap());
+    let town = Town::open(&narrow, |config| {
+        config["limits"]["sockets"] = json!(64);
+        config["roster"] = json!(down.local_addr().unwrap());
     });
     let mut silent: Vec<Gateway> = (0..200).map(|_| town.gateway()).collect();
     // As many calls below as there is room for beside a run, none of which ends.
@@ -305,9 +305,9 @@
 fn no_moment_of_a_flood_a_drain_or_a_new_life_holds_more_descriptors_than_were_given() {
     const GIVEN: usize = 64;
     // Its last moments are the ones in which all connections part while others still come.
-    let mut town = Town::open(SERVER, |told| {
-        told["limits"]["sockets"] = json!(GIVEN);
-        told["stop_ms"] = json!(1500);
+    let mut town = Town::open(SERVER, |config| {
+        config["limits"]["sockets"] = json!(GIVEN);
+        config["stop_ms"] = json!(1500);
     });
     let server = town.server;
     let (over, most) = (AtomicBool::new(false), AtomicUsize::new(0));
@@ -378,8 +378,8 @@
 #[test]
 fn names_with_dots_equal_beginnings_and_letters_of_any_alphabet_are_told_apart() {
     let lane = |name: &str, effect: &str| json!({"Name": name, "Promise": 4000, "GiveUp": 8000, "Importance": 1, "Effect": effect, "DedupWindow": 900});
-    let town = Town::open(SERVER, |told| {
-        let settings = &mut told["settings"];
+    let town = Town::open(SERVER, |config| {
+        let settings = &mut config["settings"];
         settings["Lanes"] =
             json!([lane("cita", "safe"), lane("cita.año", "keyed"), lane("cita.año.新", "unsafe")]);
         settings["Tenants"] =
--- a/crates/server/tests/stories.rs
+++ b/crates/server/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories told to a whole server process by the example's stand-ins.
+//! Stories played to a whole server process by the example's stand-ins.
 
 use puffinladder_toy::gateway::{message, now, Answer, Gateway};
 use puffinladder_toy::town::{start, Town, EXAMPLE};
@@ -16,7 +16,7 @@
     Town::open(SERVER, |_| {})
 }
 
-/// The answer to the one txn that is open.
+/// The answer to the one request that is open.
 fn answer(gateway: &mut Gateway, tag: u64) -> Answer {
     let answer = gateway.answer().expect("an answer");
     assert_eq!(answer.tag, tag);
@@ -28,18 +28,18 @@
     answer(gateway, tag).word
 }
 
-/// A server that is still well settles a txn of a new gateway.
+/// A server that is still well completes a request of a new gateway.
 fn still_serves(town: &Town) {
     assert_eq!(word(&mut town.gateway(), "quote", "", b"still there"), "200");
 }
 
-/// A stamp so long ago that the txn has waited past any threshold.
+/// A stamp so long ago that the request has waited past any threshold.
 fn stale() -> String {
     format!(",s={}", now() - 5000)
 }
 
 #[test]
-fn a_txn_is_settled_with_the_bytes_of_its_run_and_they_may_be_any() {
+fn a_request_is_completed_with_the_bytes_of_its_run_and_they_may_be_any() {
     let town = town();
     let mut gateway = town.gateway();
     let body: Vec<u8> = (0..2048).map(|at| (at * 7 % 256) as u8).collect();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_txn_that_waited_too_long_is_declined_with_advice_and_never_runs() {
+fn a_request_that_waited_too_long_is_rejected_with_advice_and_never_runs() {
     let town = town();
     let mut gateway = town.gateway();
     let (tag, name) = gateway.call("quote", &stale(), b"too old");
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn a_faulty_run_is_voided() {
+fn a_faulty_run_is_answered_as_failed() {
     assert_eq!(word(&mut town().gateway(), "quote", "", b"fail"), "500");
 }
 
 #[test]
-fn a_repeat_gets_the_result_of_its_forerunner_during_the_run_and_behind_it() {
+fn a_retry_gets_the_result_of_its_earlier_attempt_during_the_run_and_behind_it() {
     let town = town();
     let (mut first, mut second) = (town.gateway(), town.gateway());
     let (tag, name) = first.call("order", KEY, b"hold an order");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn whoever_waited_for_a_try_that_never_ran_runs_in_its_place() {
+fn whoever_waited_for_an_attempt_that_never_ran_runs_in_its_place() {
     let town = town();
     let (mut first, mut second) = (town.gateway(), town.gateway());
     let (_, name) = first.call("order", KEY, b"hold an order");
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_key_of_another_txn_is_never_served_and_spoils_nothing_even_if_it_came_first() {
+fn the_key_of_another_request_is_never_served_and_spoils_nothing_even_if_it_came_first() {
     let town = town();
     let (mut good, mut bad) = (town.gateway(), town.gateway());
     let (_, made_up) = bad.call("order", KEY, b"hold, made up");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_run_that_failed_is_not_run_again_for_a_repeat() {
+fn a_run_that_failed_is_not_run_again_for_a_retry() {
     let town = town();
     let mut gateway = town.gateway();
     for _ in 0..2 {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_declined_try_leaves_no_forerunner() {
+fn a_rejected_attempt_leaves_no_earlier_attempt() {
     let town = town();
     let mut gateway = town.gateway();
     assert_eq!(word(&mut gateway, "order", &format!("{KEY}{}", stale()), b"an order"), "503");
@@ -156,7 +156,7 @@
 
 #[test]
 fn behind_its_window_a_key_is_free_again() {
-    let town = Town::open(SERVER, |told| told["settings"]["Lanes"][1]["DedupWindow"] = json!(100));
+    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(100));
     let mut gateway = town.gateway();
     let begun = Instant::now();
     while town.agent.count("launch", "") < 2 {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_cancelled_txn_gets_no_answer_and_its_run_is_taken_off_the_cores() {
+fn a_cancelled_request_gets_no_answer_and_its_run_is_taken_off_the_cores() {
     let town = town();
     let mut gateway = town.gateway();
     let (tag, name) = gateway.call("quote", "", b"hold");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn txns_of_a_lost_gateway_count_as_gone() {
+fn requests_of_a_lost_gateway_count_as_gone() {
     let town = town();
     let mut gateway = town.gateway();
     let (_, name) = gateway.call("quote", "", b"hold");
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_referenced_run_goes_on_without_its_gateway_and_serves_the_repeat() {
+fn a_keyed_run_goes_on_without_its_gateway_and_serves_the_retry() {
     let town = town();
     let mut gateway = town.gateway();
     let (tag, name) = gateway.call("order", KEY, b"hold");
@@ -268,7 +268,7 @@
 
 #[test]
 fn whoever_says_nothing_or_never_ends_a_message_is_closed_and_keeps_nobody_out() {
-    let town = Town::open(SERVER, |told| told["limits"]["sockets"] = json!(64));
+    let town = Town::open(SERVER, |config| config["limits"]["sockets"] = json!(64));
     let mut silent: Vec<Gateway> = (0..60).map(|_| town.gateway()).collect();
     still_serves(&town);
     for (at, gateway) in silent.iter_mut().enumerate().skip(50) {
@@ -281,7 +281,7 @@
 
 #[test]
 fn connections_that_lie_unused_make_room_and_those_at_work_stay() {
-    let town = Town::open(SERVER, |told| told["limits"]["sockets"] = json!(64));
+    let town = Town::open(SERVER, |config| config["limits"]["sockets"] = json!(64));
     let mut busy = town.gateway();
     let (tag, name) = busy.call("quote", "", b"hold");
     town.agent.hears("launch", &name);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn more_than_32_open_txns_close_the_connection() {
+fn more_than_32_open_requests_close_the_connection() {
     let town = town();
     let mut gateway = town.gateway();
     for _ in 0..33 {
@@ -332,9 +332,9 @@
 }
 
 #[test]
-fn a_crowd_beyond_the_process_s_size_is_declined_and_memory_holds() {
-    // Runs that book almost nothing, so that the module lets them all in; 16 MB bear 127 of them.
-    let town = Town::open(SERVER, |told| told["limits"]["memory_mb"] = json!(16));
+fn a_crowd_beyond_the_process_s_size_is_rejected_and_memory_holds() {
+    // Runs that book almost nothing, so that the policy lets them all in; 16 MB bear 127 of them.
+    let town = Town::open(SERVER, |config| config["limits"]["memory_mb"] = json!(16));
     let mut gateways: Vec<Gateway> = (0..8).map(|_| town.gateway()).collect();
     let body = [&b"hold"[..], &[b'x'; 2044]].concat();
     for gateway in &mut gateways {
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn health_checks_are_answered_before_the_agent_is_up_and_the_roster_hears_only_behind_it() {
+fn health_checks_are_answered_before_the_agent_is_up_and_the_registry_hears_only_behind_it() {
     let town = Town::found(SERVER, false, |_| {});
     assert_eq!(town.gateway().check().word, "serving");
     assert_eq!(town.roster.calls.lock().len(), 0);
@@ -421,13 +421,13 @@
 
 #[test]
 fn with_a_silent_agent_due_answers_still_go_out() {
-    let town = Town::open(SERVER, |told| told["settings"]["Lanes"][0]["GiveUp"] = json!(600));
+    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][0]["GiveUp"] = json!(600));
     town.agent.mute(true);
     assert_eq!(word(&mut town.gateway(), "quote", "", b"hold"), "500");
 }
 
 #[test]
-fn a_call_goes_below_under_the_name_of_its_txn_and_the_reply_comes_back_unchanged() {
+fn a_call_goes_below_under_the_name_of_its_request_and_the_reply_comes_back_unchanged() {
     let town = town();
     let mut gateway = town.gateway();
     for (key, text) in [("5c", "a call"), ("5d", "a call with more"), ("5e", "the next one")] {
@@ -439,7 +439,7 @@
 
 #[test]
 fn a_call_that_may_have_had_its_effect_is_not_repeated_and_one_that_never_ran_is() {
-    let town = Town::open(SERVER, |told| told["settings"]["Lanes"][1]["Promise"] = json!(700));
+    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["Promise"] = json!(700));
     let mut gateway = town.gateway();
     for (at, end) in ["error", "late", "junk", "short", "break", "hang"].into_iter().enumerate() {
         let key = KEY.replace("5c0f", &format!("00{at:02}"));
@@ -461,7 +461,7 @@
 
 #[test]
 fn without_a_store_calls_prove_unreachable_and_are_left_out() {
-    let town = Town::open(SERVER, |told| told["store"] = Value::Null);
+    let town = Town::open(SERVER, |config| config["store"] = Value::Null);
     let mut gateway = town.gateway();
     let (tag, _) = gateway.call("quote", "", b"call nobody");
     assert_eq!(answer(&mut gateway, tag).body, b"poorer");
@@ -512,10 +512,10 @@
 }
 
 #[test]
-fn without_a_roster_the_server_serves() {
-    let town = Town::open(SERVER, |told| {
+fn without_a_registry_the_server_serves() {
+    let town = Town::open(SERVER, |config| {
         let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        told["roster"] = json!(gone.local_addr().unwrap());
+        config["roster"] = json!(gone.local_addr().unwrap());
     });
     town.logs("no report");
     still_serves(&town);
@@ -523,8 +523,8 @@
 
 #[test]
 fn a_server_that_leaves_reports_so_or_reports_no_more() {
-    let follows = Town::open(SERVER, |told| told["settings"]["FamilyInfo"]["ListFollows"] = json!(true));
-    let mut other = Town::open(SERVER, |told| told["stop_ms"] = json!(3500));
+    let follows = Town::open(SERVER, |config| config["settings"]["FamilyInfo"]["ListFollows"] = json!(true));
+    let mut other = Town::open(SERVER, |config| config["stop_ms"] = json!(3500));
     other.roster.hears("toy-1", "on");
     for town in [&follows, &other] {
         town.term();
@@ -538,8 +538,8 @@
 }
 
 #[test]
-fn an_unused_connection_is_asked_to_leave_and_a_crossing_txn_is_not_lost() {
-    let town = Town::open(SERVER, |told| told["settings"]["FamilyInfo"]["Idle"] = json!(200));
+fn an_unused_connection_is_asked_to_leave_and_a_crossing_request_is_not_lost() {
+    let town = Town::open(SERVER, |config| config["settings"]["FamilyInfo"]["Idle"] = json!(200));
     let mut gateway = town.gateway();
     assert_eq!(word(&mut gateway, "quote", "", b""), "200");
     let goodbye = gateway.answer().unwrap();
@@ -557,7 +557,7 @@
     let noticed = Instant::now();
     town.term();
     town.logs("told to leave");
-    // Past the grace nothing runs any more: each txn is declined, and the gateway may go elsewhere.
+    // Past the grace nothing runs any more: each request is rejected, and the gateway may go elsewhere.
     let mut other = town.gateway();
     while word(&mut other, "quote", "", b"late") != "503" {
         assert!(noticed.elapsed() < Duration::from_secs(20), "late txns still run");
@@ -581,7 +581,7 @@
     let town = town();
     town.deaf.store(true, Ordering::Relaxed);
     let mut gateway = town.gateway();
-    // Every txn is traced: far more than a pipe holds.
+    // Every request is traced: far more than a pipe holds.
     for _ in 0..3000 {
         assert_eq!(word(&mut gateway, "quote", "", b"traced"), "200");
     }
--- a/crates/server/tests/trace.rs
+++ b/crates/server/tests/trace.rs
@@ -30,8 +30,10 @@
 
 /// A server that records, whose runs nobody can halt: they outlive their answers.
 fn town(settings: &str) -> Town {
-    let told = format!("PUFFINLADDER_SETTINGS={settings}");
-    Town::open(&["env", &told, SERVER], |config| config["settings"]["FamilyInfo"]["Halt"] = "silent".into())
+    let settings = format!("PUFFINLADDER_SETTINGS={settings}");
+    Town::open(&["env", &settings, SERVER], |config| {
+        config["settings"]["FamilyInfo"]["Halt"] = "silent".into()
+    })
 }
 
 fn files(folder: &Path) -> Vec<PathBuf> {
@@ -42,7 +44,7 @@
 }
 
 /// Rows of all files by the hash of their try's name, with the words of their steps.
-fn told(folder: &Path, names: &mut Names) -> BTreeMap<u32, (Row, Vec<String>)> {
+fn recorded_rows(folder: &Path, names: &mut Names) -> BTreeMap<u32, (Row, Vec<String>)> {
     let mut all = BTreeMap::new();
     for path in files(folder) {
         let Ok(mut trace) = Trace::open(File::open(path).unwrap()) else { continue };
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn a_drained_server_leaves_a_sealed_trace_that_tells_each_txn_and_why() {
+fn a_drained_server_leaves_a_sealed_trace_that_tells_each_request_and_why() {
     let folder = tempfile::tempdir().unwrap();
     let mut town = town(&settings(folder.path(), "(block-span 0.2s)"));
     let mut gateway = town.gateway();
@@ -92,7 +94,7 @@
     assert!(town.end().success());
 
     let mut names = Names::default();
-    let rows = told(folder.path(), &mut names);
+    let rows = recorded_rows(folder.path(), &mut names);
     assert_eq!(rows.len(), 8);
     for (name, (answer, class)) in &sent {
         let (row, steps) = &rows[name];
@@ -175,7 +177,7 @@
     let heard: Vec<_> = gateways.into_iter().map(|thread| thread.join().unwrap()).collect();
 
     let mut names = Names::default();
-    let rows = told(folder.path(), &mut names);
+    let rows = recorded_rows(folder.path(), &mut names);
     assert!(rows.len() >= 256, "{}", rows.len());
     for gateway in &heard {
         let mut missing = false;
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -51,16 +51,16 @@
 #[test]
 fn every_kind_of_message_goes_out_byte_for_byte_as_the_peers_know_it() {
     let (agent, store, roster) = (listener(), listener(), listener());
-    let mut told: Value = serde_json::from_str(EXAMPLE).unwrap();
-    told["listen"] = json!("127.0.0.1:0");
-    told["agent"] = json!(agent.local_addr().unwrap());
-    told["store"] = json!(store.local_addr().unwrap());
-    told["roster"] = json!(roster.local_addr().unwrap());
-    told["settings"]["FamilyInfo"]["Signal"] = json!("silent");
-    told["settings"]["Lanes"][0]["Promise"] = json!(1e300);
-    told["settings"]["Lanes"][0]["GiveUp"] = json!(1e300);
+    let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
+    config["listen"] = json!("127.0.0.1:0");
+    config["agent"] = json!(agent.local_addr().unwrap());
+    config["store"] = json!(store.local_addr().unwrap());
+    config["roster"] = json!(roster.local_addr().unwrap());
+    config["settings"]["FamilyInfo"]["Signal"] = json!("silent");
+    config["settings"]["Lanes"][0]["Promise"] = json!(1e300);
+    config["settings"]["Lanes"][0]["GiveUp"] = json!(1e300);
     let log = Arc::default();
-    let (mut child, _) = start(SERVER, &told.to_string(), &log, &Arc::default());
+    let (mut child, _) = start(SERVER, &config.to_string(), &log, &Arc::default());
     let server = log.wait("the server to listen", |log: &mut Vec<String>| {
         log.iter().find_map(|line| line.split_once("listens on ")?.1.parse::<std::net::SocketAddr>().ok())
     });
@@ -129,9 +129,9 @@
     gateway.write_all(&message(&[b"CANCEL", b"4"])).unwrap();
     assert_eq!(command(&mut link), "{\"op\":\"freeze\",\"id\":\"00000000000000bb\"}\n");
 
-    // The notice to leave: a report, a goodbye and the end.
-    let told = std::process::Command::new("kill").arg(child.id().to_string()).status().unwrap();
-    assert!(told.success());
+    // The notice to drain: a report, a goodbye and the end.
+    let killed = std::process::Command::new("kill").arg(child.id().to_string()).status().unwrap();
+    assert!(killed.success());
     answer(&mut gateway, "*2\r\n$1\r\n0\r\n$6\r\ngoaway\r\n");
     assert_eq!(gateway.read(&mut [0]).unwrap(), 0);
     assert!(child.wait().unwrap().success());
