--- a/crates/server/src/ingress/tests.rs
+++ b/crates/server/src/ingress/tests.rs
@@ -12,7 +12,7 @@
 /// The example's server, and a connection to a listener of its own.
 fn server() -> (Server, std::net::TcpListener, TcpStream) {
     let example = puffinladder_toy::town::EXAMPLE.as_bytes();
-    let config = puffinladder_charter::read_warrant(example, None, None).unwrap();
+    let config = puffinladder_settings::parse_server_config(example, None, None).unwrap();
     let limits = crate::limits::Limits::new(&config, 0);
     let server = Server::new(config, limits, Default::default());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/lifecycle/recording.rs
+++ b/crates/server/src/lifecycle/recording.rs
@@ -5,8 +5,8 @@
 use crate::state::counters::Counters;
 use crate::state::request_log::RequestLog;
 use puffinladder::RequestClass;
-use puffinladder_charter::settings::Trace;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
+use puffinladder_settings::TraceSettings;
 use puffinladder_trace::recorder::keeper::Bounds;
 use puffinladder_trace::recorder::{Folder, Recorder, Running, Told};
 use puffinladder_trace::row::Product;
@@ -35,41 +35,41 @@
 
 /// The log that requests are written into, and the recorder behind it.
 pub fn start(
-    trace: Option<&Trace>,
-    config: &Warrant,
+    trace: Option<&TraceSettings>,
+    config: &ServerConfig,
     limits: &Limits,
     counters: Option<Arc<Counters>>,
 ) -> Result<(RequestLog, Option<Running>), StartError> {
     let Some(trace) = trace else { return Ok((RequestLog::new(None, counters), None)) };
-    let terms = &config.terms;
+    let terms = &config.policy;
     let product = |(name, class): (&String, &RequestClass)| Product {
         name: name.clone(),
         value: class.priority_weight,
         sla: class.latency_objective,
         expiry: class.timeout,
-        by_work: terms.charter.weight_per_work,
+        by_work: terms.settings.weight_per_work,
     };
     let told = Told {
         node: config.name.clone(),
         bounds: Bounds {
             block_rows: trace.block_rows,
-            block_span: trace.block_span,
+            block_span: trace.block_duration,
             file_bytes: trace.file_bytes,
-            file_span: trace.file_span,
-            most_bytes: trace.most_bytes,
-            most_files: trace.most_files,
+            file_span: trace.file_duration,
+            most_bytes: trace.max_bytes,
+            most_files: trace.max_files,
         },
-        products: terms.products.iter().zip(&terms.charter.classes).map(product).collect(),
-        customers: terms.customers.clone(),
+        products: terms.class_names.iter().zip(&terms.settings.classes).map(product).collect(),
+        customers: terms.tenant_names.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(random_key()), load_key)?,
-        sample: trace.sample,
+        sample: trace.sample_interval,
     };
-    let folder = Folder { path: trace.folder.clone().into(), prefix: format!("{}-", config.name) };
+    let folder = Folder { path: trace.directory.clone().into(), prefix: format!("{}-", config.name) };
     std::fs::create_dir_all(&folder.path)
-        .map_err(|source| StartError::TraceFolder { folder: trace.folder.clone(), source })?;
+        .map_err(|source| StartError::TraceFolder { folder: trace.directory.clone(), source })?;
     let warn = |line: &str| tracing::warn!("{line}");
     let started = Recorder::start(told, folder, limits.recorder_stack_bytes, warn);
     let (recorder, running) = started.map_err(StartError::TraceThread)?;
-    tracing::info!("a trace is written to {}", trace.folder);
+    tracing::info!("a trace is written to {}", trace.directory);
     Ok((RequestLog::new(Some(recorder), counters), Some(running)))
 }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -10,8 +10,8 @@
 use crate::state::counters::Counters;
 use may::coroutine::Builder;
 use may::net::TcpListener;
-use puffinladder_charter::settings::Settings;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
+use puffinladder_settings::Settings;
 use puffinladder_trace::row::Topic;
 use std::sync::Arc;
 use std::thread;
@@ -60,11 +60,11 @@
 /// Descriptors for a trace's files and for connections to control services.
 fn reserved_descriptors(settings: &Settings) -> usize {
     let trace_files = settings.trace.as_ref().map_or(0, |_| TRACE_FILES);
-    trace_files + settings.publish.as_ref().map_or(0, |publish| publish.control.len())
+    trace_files + settings.publish.as_ref().map_or(0, |publish| publish.control_addresses.len())
 }
 
-fn new_counters(config: &Warrant) -> Arc<Counters> {
-    Arc::new(Counters::new(config.terms.products.len(), config.terms.customers.len()))
+fn new_counters(config: &ServerConfig) -> Arc<Counters> {
+    Arc::new(Counters::new(config.policy.class_names.len(), config.policy.tenant_names.len()))
 }
 
 /// One core, one worker; it must not be tied to a core that other servers are tied to as well.
@@ -142,7 +142,7 @@
         SignalAction::Drain => {
             tracing::info!("{} was told to leave", server.config.name);
             let now = server.clock.now();
-            server.dispatcher.start_drain(now + server.config.stop, now);
+            server.dispatcher.start_drain(now + server.config.shutdown_timeout, now);
         }
     });
     tracing::error!("signals: {error}");
@@ -154,7 +154,7 @@
         Ok(config) => config,
         Err(error) => return tracing::error!("reload: nothing changed: {error}"),
     };
-    let unchangeable = server.config.fixed(&config);
+    let unchangeable = server.config.changes_needing_restart(&config);
     if !unchangeable.is_empty() {
         tracing::warn!("reload: {} hold until the next start", unchangeable.join(", "));
     }
@@ -162,7 +162,7 @@
     let changed = server.addresses.replace(peers);
     let store = peers.store.map_or("nowhere".into(), |store| store.to_string());
     let found = if changed { "now" } else { "still" };
-    tracing::info!("reload: agent {found} at {}, registry {}, store {store}", peers.agent, peers.roster);
+    tracing::info!("reload: agent {found} at {}, registry {}, store {store}", peers.agent, peers.registry);
     server.dispatcher.log.note(server.clock.now(), Topic::RELOAD, f64::from(u8::from(changed)));
     server.agent.recheck_address();
     server.housekeeping.wake_all();
--- a/crates/server/src/request/context.rs
+++ b/crates/server/src/request/context.rs
@@ -8,7 +8,7 @@
 use crate::runtime::summary::AnswerSummary;
 use crate::wire::agent::link::AgentLink;
 use crate::wire::store::StoreClient;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use std::sync::Arc;
 
 /// What the coroutines of all requests share.
@@ -26,7 +26,7 @@
     /// Where gateways' faults are logged.
     pub faults: Arc<FaultLog>,
     /// Names and terms of their classes.
-    pub config: Arc<Warrant>,
+    pub config: Arc<ServerConfig>,
     /// The process's clock.
     pub clock: Arc<Clock>,
     /// Times and counts.
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -32,7 +32,7 @@
         tag: u64,
         received: &ReceivedRequest,
     ) -> PendingReply<'a> {
-        let entry = context.dispatcher.log.open(received, &context.config.terms);
+        let entry = context.dispatcher.log.open(received, &context.config.policy);
         PendingReply { context, connection, tag, owed: true, entry }
     }
 
--- a/crates/server/src/wire/registry.rs
+++ b/crates/server/src/wire/registry.rs
@@ -9,7 +9,7 @@
 use crate::runtime::wait_queue::WaitQueue;
 use crate::wire::agent::link::AgentLink;
 use may::net::TcpStream;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     /// Where the registry is found.
     pub addresses: Arc<PeerAddresses>,
     /// The server's name.
-    pub config: Arc<Warrant>,
+    pub config: Arc<ServerConfig>,
     /// The pace of looking whether a report is due.
     pub housekeeping: Arc<WaitQueue>,
     /// The process's clock.
@@ -50,7 +50,7 @@
         let (mut next, mut succeeded, mut reported_to) = (0.0, true, None);
         loop {
             let now = self.clock.now();
-            let registry = self.addresses.get().roster;
+            let registry = self.addresses.get().registry;
             // A registry that moved hears at once: it may not know this server yet.
             let due = now >= next || reported_to != Some(registry);
             if due && self.agent.is_greeted() && !self.is_leaving() {
@@ -71,7 +71,7 @@
     /// Where the endpoint list does not follow the health, a draining server leaves it by reporting no more.
     fn is_leaving(&self) -> bool {
         let draining = self.dispatcher.kill_time().is_some();
-        draining && !self.config.terms.charter.endpoints_follow_health
+        draining && !self.config.policy.settings.endpoints_follow_health
     }
 
     /// One report on a connection of its own: what became of the last one, or of its answer, can't touch it.
