--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -1,4 +1,5 @@
-//! Rejections: the Retry-After that goes with them, whether another server is worth a try, and the log of them.
+//! Rejections: the Retry-After that goes with them, whether another server is worth a try, and the log of
+//! them.
 
 use super::state::AdmissionPolicy;
 use crate::{Decisions, Reason};
@@ -22,6 +23,7 @@
         self.rejections.add(request.input.class, reason);
     }
 
+    /// Logs what was rejected, once an interval.
     pub(super) fn log_rejections(&mut self, now: f64, out: &mut impl Decisions) {
         if let Some(counts) = self.rejections.take_text(now) {
             let (runs, calls) = (self.limit.runs(), self.calls.window());
@@ -37,8 +39,8 @@
         if self.ramp_left(self.last_round) >= 1.0 {
             return bounded;
         }
-        // While it is cold and its ramp is used up, all callers together come back no faster than its crowd is
-        // renewed.
+        // While it is cold and its ramp is used up, all callers together come back no faster than its crowd
+        // is renewed.
         let crowd = self.warm_up.crowd(self.last_round);
         let turn = self.callers * self.settings.overload_window / crowd;
         bounded.max(turn.min(self.retry_advice.longest()))
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 /// Seconds of Retry-After at the most, as in the design; latency objectives bound it too.
-const LONGEST: f64 = 1.0;
+const LONGEST_RETRY_AFTER: f64 = 1.0;
 /// Mean share of it drawn by a sound server: callers neither go nor return together.
-const SOUND_MEAN: f64 = 0.25;
+const SOUND_RETRY_AFTER: f64 = 0.25;
 /// Share of retries among arrivals from which the other servers count as full too.
 const RETRIES_EVERYWHERE: f64 = 0.1;
 /// Of the multiply-with-carry generator: a multiplier of full period, and the half that is drawn.
@@ -25,12 +25,14 @@
 }
 
 impl RetryAdvice {
+    /// Advice within the settings' longest Retry-After and latency objectives.
     pub fn new(settings: &PolicySettings, seed: u64) -> RetryAdvice {
-        let longest = settings.max_retry_after.min(LONGEST);
+        let longest = settings.max_retry_after.min(LONGEST_RETRY_AFTER);
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         RetryAdvice { longest: objectives.fold(longest, f64::min), retries: 0.0, random: seed >> 1 | 1 }
     }
 
+    /// Takes in whether an arrival is a retry.
     pub fn learn_arrival(&mut self, is_retry: bool, weight: f64) {
         self.retries += weight * (f64::from(u8::from(is_retry)) - self.retries);
     }
@@ -41,6 +43,7 @@
         (self.random & LOW_WORD) as f64 / (LOW_WORD + 1) as f64
     }
 
+    /// Seconds of Retry-After at the most.
     pub fn longest(&self) -> f64 {
         self.longest
     }
@@ -52,7 +55,7 @@
 
     /// Seconds to keep off a server in this state.
     pub fn draw_retry_after(&mut self, is_sound: bool) -> f64 {
-        self.longest * if is_sound { 2.0 * SOUND_MEAN * self.draw() } else { 1.0 }
+        self.longest * if is_sound { 2.0 * SOUND_RETRY_AFTER * self.draw() } else { 1.0 }
     }
 }
 
@@ -71,10 +74,12 @@
 }
 
 impl RejectionLog {
+    /// The first interval begins now.
     pub fn start(&mut self, now: f64) {
         self.logged_at = now;
     }
 
+    /// Counts a rejection.
     pub fn add(&mut self, class: usize, reason: Reason) {
         *self.counts.entry(RejectionKind { class, reason }).or_default() += 1;
     }
