--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -20,12 +20,19 @@
 
 /// Turns the decisions of one round into events for the requests that they concern.
 pub(super) struct DecisionWriter<'a> {
+    /// Health and load signal.
     pub published: &'a PublishedState,
+    /// Where decisions are recorded.
     pub log: &'a RequestLog,
+    /// The requests in flight.
     pub in_flight: &'a mut InFlightRequests,
+    /// The idempotency keys.
     pub keys: &'a mut IdempotencyKeys,
+    /// The round's time, s.
     pub now: f64,
+    /// When the policy wants its next tick, s.
     pub tick_at: &'a mut f64,
+    /// How long gateways may keep an unused connection, s.
     pub keepalive: &'a mut f64,
 }
 
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -23,6 +23,7 @@
     rounds: Mutex<Rounds>,
     /// The coroutine that runs the rounds.
     worker: OnceLock<Coroutine>,
+    /// Health and load signal.
     published: PublishedState,
     /// When the process is killed, after a notice to drain.
     kill_time: OnceLock<f64>,
--- a/crates/server/src/dispatcher/published.rs
+++ b/crates/server/src/dispatcher/published.rs
@@ -7,6 +7,7 @@
 
 /// Health and load signal.
 pub(super) struct PublishedState {
+    /// What the policy says of this server's health.
     healthy: AtomicBool,
     /// The load signal's field as it goes out, `v=0.5`.
     load_signal: Mutex<Vec<u8>>,
@@ -20,10 +21,12 @@
 }
 
 impl PublishedState {
+    /// Whether the policy calls this server healthy.
     pub(super) fn healthy(&self) -> bool {
         self.healthy.load(Ordering::Relaxed)
     }
 
+    /// Sets whether this server is healthy.
     pub(super) fn set_healthy(&self, healthy: bool) {
         self.healthy.store(healthy, Ordering::Relaxed);
     }
@@ -33,6 +36,7 @@
         out.extend_from_slice(&lock(&self.load_signal));
     }
 
+    /// Sets the load signal.
     pub(super) fn set_load_signal(&self, amount: f64) {
         let mut signal = lock(&self.load_signal);
         signal.clear();
--- a/crates/server/src/dispatcher/rounds.rs
+++ b/crates/server/src/dispatcher/rounds.rs
@@ -37,8 +37,11 @@
 /// The policy, its input and the requests in flight.
 pub(super) struct Rounds {
     policy: AdmissionPolicy,
+    /// The requests in flight.
     pub(super) in_flight: InFlightRequests,
+    /// The idempotency keys.
     pub(super) keys: IdempotencyKeys,
+    /// What has come in since the last round.
     pub(super) input: RoundInput,
     /// When each of the arrivals came to the machine, s of the Unix clock.
     arrival_timestamps: Vec<f64>,
@@ -63,6 +66,7 @@
 }
 
 impl Rounds {
+    /// No requests yet, and nothing to decide.
     pub(super) fn new(policy: AdmissionPolicy, keys: IdempotencyKeys, keepalive: f64) -> Rounds {
         Rounds {
             policy,
--- a/crates/server/src/ingress/decode.rs
+++ b/crates/server/src/ingress/decode.rs
@@ -55,17 +55,17 @@
 
     /// Decodes a `CALL`.
     pub fn decode(&self, array: &Array) -> Result<ReceivedRequest, DecodeError> {
-        let terms = &self.config.policy;
-        let class = find_class(terms, array.at(2))?;
+        let policy = &self.config.policy;
+        let class = find_class(policy, array.at(2))?;
         let fields = resp::parse_fields(array.at(3), FIELD_NAMES).ok_or(DecodeError::MissingValue)?;
         let [attempt, timestamp, caller, tenant, retry, hint, memory, rank, key] = fields;
         let attempt: AttemptId = parse_hex(attempt).ok_or(DecodeError::MalformedField('i'))?;
-        let settings = &terms.settings.classes[class];
+        let settings = &policy.settings.classes[class];
         let key: Option<IdempotencyKey> = match settings.idempotency {
             Idempotency::Keyed => Some(parse_hex(key).ok_or(DecodeError::MalformedField('k'))?),
             _ => None,
         };
-        let tenant = find_tenant(terms, tenant)?;
+        let tenant = find_tenant(policy, tenant)?;
         let memory = parse_number(memory, 'm')?;
         let rank = parse_number(rank, 'p')?;
         let cost_hint = parse_number(hint, 'h')? / MILLISECONDS_PER_SECOND;
@@ -86,16 +86,16 @@
     }
 }
 
-fn find_class(terms: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
+fn find_class(policy: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
     let name = std::str::from_utf8(name).unwrap_or_default();
-    terms.class_names.iter().position(|known| known == name).ok_or(DecodeError::UnknownClass)
+    policy.class_names.iter().position(|known| known == name).ok_or(DecodeError::UnknownClass)
 }
 
 /// Without tenants in the settings any name will do.
-fn find_tenant(terms: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
-    match terms.tenant_names.iter().position(|known| known.as_bytes() == name) {
+fn find_tenant(policy: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
+    match policy.tenant_names.iter().position(|known| known.as_bytes() == name) {
         Some(place) => Ok(place),
-        None if terms.tenant_names.is_empty() => Ok(0),
+        None if policy.tenant_names.is_empty() => Ok(0),
         None => Err(DecodeError::UnknownTenant),
     }
 }
--- a/crates/server/src/ingress/listener.rs
+++ b/crates/server/src/ingress/listener.rs
@@ -85,6 +85,7 @@
 }
 
 impl Socket {
+    /// Counts the socket's descriptor.
     pub(super) fn new(connections: &Arc<Connections>, stream: TcpStream) -> Socket {
         connections.count_descriptor();
         Socket { stream, _descriptor: CountedDescriptor(connections.clone()) }
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -50,19 +50,19 @@
 
 /// What does not change while the process lives.
 fn identity(settings: &PublishSettings, config: &ServerConfig, listen: SocketAddr) -> Who {
-    let (terms, charter) = (&config.policy, &config.policy.settings);
+    let (names, policy) = (&config.policy, &config.policy.settings);
     let weight = |class: &RequestClass| class.priority_weight;
-    let warm_up = charter.starts_cold.then_some(charter.warm_up_duration).filter(|span| *span > 0.0);
+    let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|span| *span > 0.0);
     Who {
         instance: config.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: settings.zone.clone(),
         address: settings.advertised_address.unwrap_or(listen),
-        cores: charter.cores,
+        cores: policy.cores,
         cold: warm_up,
-        cold_share: charter.cold_capacity_fraction,
-        products: terms.class_names.iter().cloned().zip(charter.classes.iter().map(weight)).collect(),
-        customers: terms.tenant_names.as_slice().into(),
+        cold_share: policy.cold_capacity_fraction,
+        products: names.class_names.iter().cloned().zip(policy.classes.iter().map(weight)).collect(),
+        customers: names.tenant_names.as_slice().into(),
     }
 }
 
--- a/crates/server/src/lifecycle/recording.rs
+++ b/crates/server/src/lifecycle/recording.rs
@@ -33,21 +33,31 @@
         .ok_or_else(|| StartError::TraceKeyMalformed { file: file.into() })
 }
 
-/// The log that requests are written into, and the recorder behind it.
+/// The log that requests are written into, and the recorder behind it, if there is one.
+pub struct Recording {
+    /// Where requests are recorded and counted.
+    pub log: RequestLog,
+    /// The thread that writes the trace.
+    pub running: Option<Running>,
+}
+
+/// Starts the recorder, if the settings ask for a trace.
 pub fn start(
     trace: Option<&TraceSettings>,
     config: &ServerConfig,
     limits: &Limits,
     counters: Option<Arc<Counters>>,
-) -> Result<(RequestLog, Option<Running>), StartError> {
-    let Some(trace) = trace else { return Ok((RequestLog::new(None, counters), None)) };
-    let terms = &config.policy;
+) -> Result<Recording, StartError> {
+    let Some(trace) = trace else {
+        return Ok(Recording { log: RequestLog::new(None, counters), running: None });
+    };
+    let policy = &config.policy;
     let product = |(name, class): (&String, &RequestClass)| Product {
         name: name.clone(),
         value: class.priority_weight,
         sla: class.latency_objective,
         expiry: class.timeout,
-        by_work: terms.settings.weight_per_work,
+        by_work: policy.settings.weight_per_work,
     };
     let told = Told {
         node: config.name.clone(),
@@ -59,8 +69,8 @@
             most_bytes: trace.max_bytes,
             most_files: trace.max_files,
         },
-        products: terms.class_names.iter().zip(&terms.settings.classes).map(product).collect(),
-        customers: terms.tenant_names.clone(),
+        products: policy.class_names.iter().zip(&policy.settings.classes).map(product).collect(),
+        customers: policy.tenant_names.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(random_key()), load_key)?,
         sample: trace.sample_interval,
     };
@@ -71,5 +81,5 @@
     let started = Recorder::start(told, folder, limits.recorder_stack_bytes, warn);
     let (recorder, running) = started.map_err(StartError::TraceThread)?;
     tracing::info!("a trace is written to {}", trace.directory);
-    Ok((RequestLog::new(Some(recorder), counters), Some(running)))
+    Ok(Recording { log: RequestLog::new(Some(recorder), counters), running: Some(running) })
 }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -2,6 +2,7 @@
 
 use super::configuration::{self, ConfigurationSource, Options};
 use super::error::StartError;
+use super::recording::Recording;
 use super::server::Server;
 use super::shutdown::Shutdown;
 use super::signals::{SignalAction, SignalListener};
@@ -46,12 +47,12 @@
     let limits = Limits::new(&config, reserved_descriptors(&settings));
     logging::start(&limits, &settings.log)?;
     let counters = settings.publish.as_ref().map(|_| new_counters(&config));
-    let (log, recording) = recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
+    let Recording { log, running } = recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
     let server = Arc::new(Server::new(config, limits, log));
     configure_coroutines(&server.limits);
     start_parts(&server, &settings)?;
     start_signal_thread(&server, source, signals)?;
-    wait_for_end(&server, Shutdown::new(recording));
+    wait_for_end(&server, Shutdown::new(running));
     tracing::info!("{} ends", server.config.name);
     logging::flush();
     Ok(())
--- a/crates/server/src/request/context.rs
+++ b/crates/server/src/request/context.rs
@@ -25,7 +25,7 @@
     pub summary: Arc<AnswerSummary>,
     /// Where gateways' faults are logged.
     pub faults: Arc<FaultLog>,
-    /// Names and terms of their classes.
+    /// Names and settings of their classes.
     pub config: Arc<ServerConfig>,
     /// The process's clock.
     pub clock: Arc<Clock>,
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -26,6 +26,7 @@
 }
 
 impl<'a> PendingReply<'a> {
+    /// Owes this tag an answer, and opens the request's log entry.
     pub(super) fn new(
         context: &'a RequestContext,
         connection: &'a Connection,
@@ -98,6 +99,7 @@
 }
 
 impl<'a> InFlightGuard<'a> {
+    /// Guards a request that is in flight under this number.
     pub(super) fn new(
         context: &'a RequestContext,
         key: Option<IdempotencyKey>,
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -41,12 +41,12 @@
     }
 
     /// Opens the entry of a request that was just read.
-    pub fn open<'a>(&'a self, received: &ReceivedRequest, terms: &PolicyConfig) -> RequestEntry<'a> {
+    pub fn open<'a>(&'a self, received: &ReceivedRequest, policy: &PolicyConfig) -> RequestEntry<'a> {
         if self.trace.is_none() && self.counters.is_none() {
             return RequestEntry::default();
         }
         let (request, now, time_unread) = (&received.request, unix_now(), seconds_since(received.timestamp));
-        let class = &terms.settings.classes[request.class];
+        let class = &policy.settings.classes[request.class];
         let due = now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
         let counted = self.counters.as_deref().map(|counters| {
             let cell = counters.count_received(request.class, request.tenant);
--- a/crates/server/src/wire/gateway/connection.rs
+++ b/crates/server/src/wire/gateway/connection.rs
@@ -45,6 +45,7 @@
     pub out: RingBuffer,
     /// The requests that are owed an answer, by their tags.
     pub open_requests: HashMap<u64, Arc<Mailbox>>,
+    /// The tags that it has used.
     pub used_tags: UsedTags,
     /// Nothing more is taken or written.
     pub closed: bool,
@@ -52,7 +53,9 @@
     pub close_requested: bool,
     /// When its gateway was asked to leave it, s.
     pub goaway_at: Option<f64>,
+    /// When a message came or an answer went last, s.
     pub last_used: f64,
+    /// When it was accepted, s.
     pub accepted_at: f64,
     /// How many messages it has brought.
     pub messages: u32,
@@ -121,6 +124,7 @@
         Connection { state: Mutex::new(state), waker: stream.waker(), context: context.clone() }
     }
 
+    /// The locked state.
     pub fn state(&self) -> MutexGuard<'_, ConnectionState> {
         lock(&self.state)
     }
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -173,10 +173,12 @@
         lock(&self.closing).retain(|other| !Arc::ptr_eq(other, connection));
     }
 
+    /// One more descriptor is held.
     pub fn count_descriptor(&self) {
         self.descriptors.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// A descriptor has been closed.
     pub fn release_descriptor(&self) {
         self.descriptors.fetch_sub(1, Ordering::Relaxed);
         self.freed.wake_all();
--- a/crates/server/src/wire/gateway/tags.rs
+++ b/crates/server/src/wire/gateway/tags.rs
@@ -5,7 +5,9 @@
 /// Which tags were used: all up to one, and some above it.
 #[derive(Default)]
 pub struct UsedTags {
+    /// All tags up to this one were used.
     pub all_up_to: u64,
+    /// Tags that were used above one that was not.
     pub above: BTreeSet<u64>,
 }
 
