--- a/crates/config-rollout/src/content/tests.rs
+++ b/crates/config-rollout/src/content/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::change::MAX_CHANGE_KEYS;
+use crate::key::{Field, Section, MAX_NAME_BYTES};
 
 fn one(key: Key, value: f64) -> Change {
     Change::default().set(key, value)
@@ -15,21 +17,21 @@
 
 #[test]
 fn what_no_server_could_read_is_refused_with_its_key() {
-    let long = "x".repeat(NAME + 1);
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
     let cases = [
         (one(Key::tenant(""), 1.0), "a name should have"),
         (one(Key::tenant(&long), 1.0), "a name should have"),
         (one(Key::tenant("a\nb"), 1.0), "a name should have"),
-        (one(Key::new(Section::Tenant, "a", Field::Promise), 1.0), "a tenant has no promise"),
+        (one(Key::new(Section::Tenant, "a", Field::LatencyObjective), 1.0), "a tenant has no promise"),
         (one(Key::new(Section::Limit, "mine", Field::Servers), 1.0), "limits stand under"),
         (one(Key::tenant("a"), -1.0), "should be from 0 to"),
         (one(Key::tenant("a"), -0.0), "should be from 0 to"),
         (one(Key::tenant("a"), f64::INFINITY), "should be from 0 to"),
-        (one(Key::route("a", Field::Promise), 0.0), "should be from 0.001 to"),
+        (one(Key::route("a", Field::LatencyObjective), 0.0), "should be from 0.001 to"),
     ];
     for (change, what) in cases {
         let wrong = change.check().unwrap_err();
-        assert!(wrong.what.starts_with(what) && wrong.key.is_some(), "{wrong}");
+        assert!(wrong.reason.starts_with(what) && wrong.key.is_some(), "{wrong}");
         assert!(Content::default().after(&change).is_err(), "{wrong}");
     }
 }
@@ -38,12 +40,12 @@
 fn changes_and_contents_are_bounded() {
     let many = |count: usize| {
         let keys = (0..count).map(|at| (Key::tenant(&format!("t{at}")), Some(Value(1.0))));
-        Change(keys.collect())
+        keys.collect::<Change>()
     };
-    assert!(many(CHANGE_KEYS).check().is_ok());
-    assert!(many(CHANGE_KEYS + 1).check().is_err());
-    assert!(Content::default().after(&many(KEYS)).is_ok());
-    assert!(Content::default().after(&many(KEYS + 1)).is_err());
+    assert!(many(MAX_CHANGE_KEYS).check().is_ok());
+    assert!(many(MAX_CHANGE_KEYS + 1).check().is_err());
+    assert!(Content::default().after(&many(MAX_KEYS)).is_ok());
+    assert!(Content::default().after(&many(MAX_KEYS + 1)).is_err());
 }
 
 #[test]
--- a/crates/config-rollout/src/seal/tests.rs
+++ b/crates/config-rollout/src/digest/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::content::{Change, Field, Key};
+use crate::change::Change;
+use crate::key::{Field, Key};
 
 fn content() -> Content {
     Content::default().after(&Change::default().set(Key::tenant("acme"), 5.0)).unwrap()
@@ -22,7 +23,7 @@
         Change::default().set(Key::tenant("acme"), 5.000001),
         Change::default().set(Key::tenant("acmf"), 5.0),
         Change::default().remove(Key::tenant("acme")),
-        Change::default().set(Key::route("acme", Field::Promise), 5.0),
+        Change::default().set(Key::route("acme", Field::LatencyObjective), 5.0),
     ];
     for change in others {
         let other = base.after(&change).unwrap();
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -1,22 +1,27 @@
 use super::*;
-use crate::content::{Change, Key};
-use crate::history::{Command, Entry, Limits, Origin, Put};
-use crate::seal::Seal;
+use crate::change::Change;
+use crate::digest::Seal;
+use crate::history::{Command, LogEntry, Origin, PutRequest, RetentionLimits};
+use crate::key::Key;
+use crate::messages::{encode_change, encode_content, Chunk, RejectedVersion, TransferId, TransferProgress};
 use puffinladder_leases::Owner;
 use std::collections::BTreeSet;
 
 fn apply(history: &mut History, command: Command) {
-    history.apply(&Entry { at: 0.0, command }).unwrap();
+    history.apply(&LogEntry { at: 0.0, command }).unwrap();
 }
 
 fn put(history: &mut History, change: Change) {
     let base = history.head();
-    apply(history, Command::Put(Put { base, author: "ann".into(), epoch: 1, origin: Origin::Put, change }));
+    apply(
+        history,
+        Command::Put(PutRequest { base, author: "ann".into(), epoch: 1, origin: Origin::Put, change }),
+    );
 }
 
 fn release(history: &mut History) {
     let number = history.head().number;
-    apply(history, Command::Trial { epoch: 1, number, canaries: BTreeSet::new() });
+    apply(history, Command::StartCanary { epoch: 1, number, canaries: BTreeSet::new() });
     apply(history, Command::Release { epoch: 1, number });
 }
 
@@ -24,13 +29,20 @@
     (0..keys).fold(Change::default(), |change, at| change.set(Key::tenant(&format!("tenant-{at}")), quota))
 }
 
-fn ack(name: &str, serial: u64, holds: Head) -> Ack {
-    Ack { owner: Owner::new(name, 1), serial, in_force: holds, holds, healthy: true, ..Ack::default() }
+fn ack(name: &str, sequence: u64, staged: VersionId) -> Acknowledgement {
+    Acknowledgement {
+        server: Owner::new(name, 1),
+        sequence,
+        active: staged,
+        staged,
+        healthy: true,
+        ..Acknowledgement::default()
+    }
 }
 
 /// A history of one large version and a few small ones.
-fn history() -> (History, Vec<Head>) {
-    let mut history = History::new(Seal::default(), Limits::default());
+fn history() -> (History, Vec<VersionId>) {
+    let mut history = History::new(Seal::default(), RetentionLimits::default());
     let mut heads = vec![history.head()];
     put(&mut history, many(400, 5.0));
     heads.push(history.head());
@@ -42,56 +54,68 @@
     (history, heads)
 }
 
-fn pieces(lines: &[(String, Tell)]) -> Vec<&Piece> {
-    lines
-        .iter()
-        .filter_map(|(_, tell)| if let Tell::Piece(piece) = tell { Some(piece) } else { None })
-        .collect()
+fn chunk_of(outgoing: &OutgoingMessage) -> Option<&Chunk> {
+    match &outgoing.message {
+        DistributorMessage::Chunk(chunk) => Some(chunk),
+        DistributorMessage::Target { .. } => None,
+    }
+}
+
+/// The chunks among some messages.
+fn chunks(outgoing: &[OutgoingMessage]) -> Vec<&Chunk> {
+    outgoing.iter().filter_map(chunk_of).collect()
+}
+
+fn is_chunk(outgoing: &OutgoingMessage) -> bool {
+    chunk_of(outgoing).is_some()
 }
 
 #[test]
 fn a_change_or_a_whole_whichever_is_shorter() {
     let (mut history, heads) = history();
-    let mut distributor = Distributor::new(Rules::default(), 1, 0.0);
-    distributor.heard(0.0, &ack("near", 1, heads[1]));
-    let lines = distributor.pump(1.0, &history, 0.0);
-    assert_eq!(pieces(&lines)[0].way.from, Some(heads[1]));
-    assert!(pieces(&lines)[0].way.total < 100);
+    let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
+    distributor.receive(0.0, &ack("near", 1, heads[1]));
+    let messages = distributor.poll(1.0, &history, 0.0);
+    assert_eq!(chunks(&messages)[0].transfer.base, Some(heads[1]));
+    assert!(chunks(&messages)[0].transfer.total_bytes < 100);
     // One whose version nobody knows gets all of it.
-    distributor.heard(1.0, &ack("odd", 1, Head { number: 2, ..heads[3] }));
-    let lines: Vec<_> =
-        distributor.pump(2.0, &history, 0.0).into_iter().filter(|(name, _)| name == "odd").collect();
-    assert_eq!(pieces(&lines)[0].way.from, None);
+    distributor.receive(1.0, &ack("odd", 1, VersionId { number: 2, ..heads[3] }));
+    let messages: Vec<_> = distributor
+        .poll(2.0, &history, 0.0)
+        .into_iter()
+        .filter(|outgoing| outgoing.server == "odd")
+        .collect();
+    assert_eq!(chunks(&messages)[0].transfer.base, None);
     // Everything is taken away again: the whole is shorter than what led there.
     let gone =
         (0..399).fold(Change::default(), |change, at| change.remove(Key::tenant(&format!("tenant-{at}"))));
     put(&mut history, gone);
     release(&mut history);
-    distributor.heard(2.0, &ack("far", 1, heads[2]));
-    let lines = distributor.pump(3.0, &history, 0.0);
-    let far: Vec<_> = lines.into_iter().filter(|(name, _)| name == "far").collect();
-    assert_eq!((pieces(&far)[0].way.from, pieces(&far)[0].way.to), (None, history.head()));
-    assert!(pieces(&far)[0].way.total < 100);
+    distributor.receive(2.0, &ack("far", 1, heads[2]));
+    let messages = distributor.poll(3.0, &history, 0.0);
+    let far: Vec<_> = messages.into_iter().filter(|outgoing| outgoing.server == "far").collect();
+    assert_eq!((chunks(&far)[0].transfer.base, chunks(&far)[0].transfer.target), (None, history.head()));
+    assert!(chunks(&far)[0].transfer.total_bytes < 100);
 }
 
 #[test]
 fn no_server_is_sent_more_than_its_bytes_in_any_second_also_when_it_goes_from_one_to_another() {
     let (history, heads) = history();
     let mut sent: Vec<(f64, f64)> = Vec::new();
-    let mut distributor = Distributor::new(Rules::default(), 1, 0.0);
-    let mut serial = 0;
+    let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
+    let mut sequence = 0;
     for step in 0..2000 {
         let now = f64::from(step) * 0.01;
         // It never gets anything whole, and looks for another distributor now and then.
         if step % 137 == 0 {
-            distributor = Distributor::new(Rules::default(), 1, now);
+            distributor = Distributor::new(DistributorSettings::default(), 1, now);
         }
         if step % 7 == 0 {
-            serial += 1;
-            distributor.heard(now, &ack("n1", serial, heads[0]));
+            sequence += 1;
+            distributor.receive(now, &ack("n1", sequence, heads[0]));
         }
-        let lines = distributor.pump(now, &history, 0.0);
-        sent.extend(lines.iter().map(|(_, tell)| (now, tell.bytes() as f64)));
+        let messages = distributor.poll(now, &history, 0.0);
+        sent.extend(messages.iter().map(|outgoing| (now, outgoing.message.line_bytes() as f64)));
     }
     assert!(sent.len() > 20);
     for (at, _) in &sent {
@@ -103,58 +127,66 @@
 #[test]
 fn what_is_lost_is_sent_again_from_where_the_server_is() {
     let (history, heads) = history();
-    let mut distributor = Distributor::new(Rules::default(), 1, 0.0);
-    distributor.heard(0.0, &ack("n1", 1, heads[0]));
-    let first = distributor.pump(0.5, &history, 0.0);
-    let first = pieces(&first)[0].clone();
-    assert_eq!(first.at, 0);
-    // The second piece is lost: the server has the first.
-    let second = distributor.pump(1.0, &history, 0.0);
-    assert_eq!(pieces(&second)[0].at as usize, PIECE);
-    let got = Ack { got: Some((first.way, PIECE as u32)), ..ack("n1", 2, heads[0]) };
-    distributor.heard(1.1, &got);
-    let rest = distributor.pump(2.0, &history, 0.0);
-    assert_eq!(pieces(&rest)[0].at as usize, PIECE, "it goes back to the second");
+    let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
+    distributor.receive(0.0, &ack("n1", 1, heads[0]));
+    let first = distributor.poll(0.5, &history, 0.0);
+    let first = chunks(&first)[0].clone();
+    assert_eq!(first.offset, 0);
+    // The second chunk is lost: the server has the first.
+    let second = distributor.poll(1.0, &history, 0.0);
+    assert_eq!(chunks(&second)[0].offset as usize, MAX_CHUNK_BYTES);
+    let ack_of_first = Acknowledgement {
+        progress: Some(TransferProgress { transfer: first.transfer, received_bytes: MAX_CHUNK_BYTES as u32 }),
+        ..ack("n1", 2, heads[0])
+    };
+    distributor.receive(1.1, &ack_of_first);
+    let rest = distributor.poll(2.0, &history, 0.0);
+    assert_eq!(chunks(&rest)[0].offset as usize, MAX_CHUNK_BYTES, "it goes back to the second");
     // Another distributor goes on from there as well.
-    let mut other = Distributor::new(Rules::default(), 9, 2.0);
-    other.heard(2.0, &got);
-    let rest = other.pump(3.0, &history, 0.0);
-    assert_eq!((pieces(&rest)[0].at as usize, pieces(&rest)[0].way), (PIECE, first.way));
+    let mut other = Distributor::new(DistributorSettings::default(), 9, 2.0);
+    other.receive(2.0, &ack_of_first);
+    let rest = other.poll(3.0, &history, 0.0);
+    assert_eq!(
+        (chunks(&rest)[0].offset as usize, chunks(&rest)[0].transfer),
+        (MAX_CHUNK_BYTES, first.transfer)
+    );
     // The body was poisoned and dropped there: from the beginning.
-    distributor.heard(2.1, &ack("n1", 3, heads[0]));
-    let rest = distributor.pump(4.0, &history, 0.0);
-    assert_eq!(pieces(&rest)[0].at, 0);
+    distributor.receive(2.1, &ack("n1", 3, heads[0]));
+    let rest = distributor.poll(4.0, &history, 0.0);
+    assert_eq!(chunks(&rest)[0].offset, 0);
 }
 
 #[test]
 fn a_mass_restart_is_spread_bounded_and_nobody_waits_forever() {
     let (history, heads) = history();
-    let rules = Rules { catch_ups: 3, ..Rules::default() };
-    let mut distributor = Distributor::new(rules, 1, 0.0);
+    let settings = DistributorSettings { catch_up_slots: 3, ..DistributorSettings::default() };
+    let mut distributor = Distributor::new(settings, 1, 0.0);
     let names: Vec<String> = (0..30).map(|at| format!("n{at:02}")).collect();
-    let mut got: BTreeMap<String, usize> = BTreeMap::new();
+    let mut received: BTreeMap<String, usize> = BTreeMap::new();
     let mut order = Vec::new();
-    let mut serial = 0;
-    let total = crate::words::body_of_content(history.content()).len();
+    let mut sequence = 0;
+    let total = encode_content(history.content()).len();
     for step in 0..3000 {
         let now = f64::from(step) * 0.05;
-        serial += 1;
+        sequence += 1;
         for name in &names {
-            let have = got.get(name).copied().unwrap_or(0);
-            let holds = if have >= total { history.head() } else { heads[0] };
+            let have = received.get(name).copied().unwrap_or(0);
+            let staged = if have >= total { history.head() } else { heads[0] };
             // One of them takes nothing in, and must not keep its place from the others.
             let dead = name == "n07";
-            let way = Way { from: None, to: history.head(), total: total as u32 };
-            let got = (have > 0 && have < total && !dead).then_some((way, have as u32));
-            distributor.heard(now, &Ack { got, ..ack(name, serial, if dead { heads[0] } else { holds }) });
+            let transfer = TransferId { base: None, target: history.head(), total_bytes: total as u32 };
+            let incomplete = have > 0 && have < total && !dead;
+            let progress = incomplete.then_some(TransferProgress { transfer, received_bytes: have as u32 });
+            let ack = ack(name, sequence, if dead { heads[0] } else { staged });
+            distributor.receive(now, &Acknowledgement { progress, ..ack });
         }
-        let lines = distributor.pump(now, &history, 0.0);
+        let messages = distributor.poll(now, &history, 0.0);
         assert!(distributor.catching_up() <= 3);
-        for (name, tell) in lines {
-            if let Tell::Piece(piece) = tell {
-                let have = got.entry(name.clone()).or_default();
-                if *have == piece.at as usize {
-                    *have += piece.bytes.len();
+        for OutgoingMessage { server: name, message } in messages {
+            if let DistributorMessage::Chunk(chunk) = message {
+                let have = received.entry(name.clone()).or_default();
+                if *have == chunk.offset as usize {
+                    *have += chunk.bytes.len();
                 }
                 if *have >= total && !order.contains(&name) {
                     order.push(name);
@@ -172,81 +204,84 @@
 #[test]
 fn a_dead_peer_holds_no_body_and_is_forgotten() {
     let (history, heads) = history();
-    let rules = Rules { servers: 5, ..Rules::default() };
-    let mut distributor = Distributor::new(rules, 1, 0.0);
+    let settings = DistributorSettings { max_servers: 5, ..DistributorSettings::default() };
+    let mut distributor = Distributor::new(settings, 1, 0.0);
     for at in 0..5 {
-        assert!(distributor.heard(0.0, &ack(&format!("n{at}"), 1, heads[0])));
+        assert!(distributor.receive(0.0, &ack(&format!("n{at}"), 1, heads[0])));
     }
-    assert!(!distributor.heard(0.0, &ack("one too many", 1, heads[0])));
-    distributor.pump(1.0, &history, 0.0);
-    assert!(distributor.sends_to("n1") && distributor.catching_up() == 5);
-    assert_eq!(distributor.pump(9.0, &history, 0.0), []);
-    assert!(!distributor.sends_to("n1") && distributor.catching_up() == 0);
+    assert!(!distributor.receive(0.0, &ack("one too many", 1, heads[0])));
+    distributor.poll(1.0, &history, 0.0);
+    assert!(distributor.is_sending_to("n1") && distributor.catching_up() == 5);
+    assert_eq!(distributor.poll(9.0, &history, 0.0), []);
+    assert!(!distributor.is_sending_to("n1") && distributor.catching_up() == 0);
     // The change and the whole content, once for all of them.
-    let change = crate::words::body_of_change(&history.between(0, history.head().number).unwrap());
-    let whole = crate::words::body_of_content(history.content());
-    assert_eq!(distributor.bodies_bytes(), change.len() + whole.len());
-    distributor.pump(99.0, &history, 0.0);
+    let change = encode_change(&history.combined_change(0, history.head().number).unwrap());
+    let whole = encode_content(history.content());
+    assert_eq!(distributor.cached_bytes(), change.len() + whole.len());
+    distributor.poll(99.0, &history, 0.0);
     assert_eq!(distributor.servers(), 0);
 }
 
 #[test]
-fn canaries_come_first_and_what_is_taken_back_goes_no_further() {
+fn canaries_come_first_and_what_is_reverted_goes_no_further() {
     let (mut history, heads) = history();
     let last = *heads.last().unwrap();
     put(&mut history, many(1, 99.0));
     let (epoch, number) = (1, history.head().number);
-    apply(&mut history, Command::Trial { epoch, number, canaries: BTreeSet::from(["n1".to_string()]) });
-    let mut distributor = Distributor::new(Rules::default(), 1, 0.0);
+    apply(&mut history, Command::StartCanary { epoch, number, canaries: BTreeSet::from(["n1".to_string()]) });
+    let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
     let names = ["n1", "n2"];
-    assert!(names.iter().all(|name| distributor.heard(0.0, &ack(name, 1, last))));
-    let lines = distributor.pump(1.0, &history, 0.0);
+    assert!(names.iter().all(|name| distributor.receive(0.0, &ack(name, 1, last))));
+    let messages = distributor.poll(1.0, &history, 0.0);
     let to: Vec<_> =
-        lines.iter().filter(|(_, tell)| matches!(tell, Tell::Piece(_))).map(|(name, _)| name).collect();
+        messages.iter().filter(|outgoing| is_chunk(outgoing)).map(|outgoing| &outgoing.server).collect();
     assert_eq!(to, ["n1"]);
-    apply(&mut history, Command::TakeBack { epoch, author: "o".into(), number, cause: "it fell".into() });
-    // n1 has not said that it got it: it is not sent again.
-    assert!(names.iter().all(|name| distributor.heard(1.5, &ack(name, 2, last))));
-    let lines = distributor.pump(2.0, &history, 0.0);
-    let lines2 = distributor.pump(2.1, &history, 0.0);
-    let heads: Vec<_> =
-        pieces(&lines).into_iter().chain(pieces(&lines2)).map(|piece| piece.way.to.number).collect();
+    apply(&mut history, Command::Revert { epoch, author: "o".into(), number, cause: "it fell".into() });
+    // n1 has not said that it got it: the reverted version is not sent again.
+    assert!(names.iter().all(|name| distributor.receive(1.5, &ack(name, 2, last))));
+    let messages = distributor.poll(2.0, &history, 0.0);
+    let next_messages = distributor.poll(2.1, &history, 0.0);
+    let heads: Vec<_> = chunks(&messages)
+        .into_iter()
+        .chain(chunks(&next_messages))
+        .map(|chunk| chunk.transfer.target.number)
+        .collect();
     assert_eq!(heads, [number + 1, number + 1]);
-    // Nor does anybody get again what he refused.
-    let refused = Some(crate::words::Refused { head: history.head(), cause: "no".into() });
-    distributor.heard(2.2, &Ack { refused, ..ack("n2", 3, last) });
-    assert!(!distributor.sends_to("n2"));
-    let later = distributor.pump(4.0, &history, 0.0);
+    // Nor is a server sent again what it rejected.
+    let rejected = Some(RejectedVersion { version: history.head(), cause: "no".into() });
+    distributor.receive(2.2, &Acknowledgement { rejected, ..ack("n2", 3, last) });
+    assert!(!distributor.is_sending_to("n2"));
+    let later = distributor.poll(4.0, &history, 0.0);
     assert!(
-        pieces(&later).is_empty()
-            || later.iter().all(|(name, tell)| name == "n1" || !matches!(tell, Tell::Piece(_)))
+        chunks(&later).is_empty()
+            || later.iter().all(|outgoing| outgoing.server == "n1" || !is_chunk(outgoing))
     );
 }
 
 #[test]
-fn a_replica_that_is_behind_says_nothing_and_old_words_of_a_server_count_for_nothing() {
+fn a_replica_that_is_behind_sends_nothing_and_old_acknowledgements_count_for_nothing() {
     let (mut history, heads) = history();
     let old = history.clone();
     apply(&mut history, Command::Announce { epoch: 4 });
-    let mut distributor = Distributor::new(Rules::default(), 1, 0.0);
-    distributor.heard(0.0, &ack("n1", 5, heads[1]));
-    assert!(!distributor.pump(1.0, &history, 0.0).is_empty());
-    assert_eq!(distributor.pump(3.0, &old, 0.0), []);
-    assert_eq!(distributor.counts().late_views, 1);
-    distributor.heard(3.0, &ack("n1", 6, history.head()));
-    assert!(!distributor.sends_to("n1"));
-    distributor.heard(3.1, &ack("n1", 4, heads[1]));
-    assert!(pieces(&distributor.pump(4.0, &history, 0.0)).is_empty());
+    let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
+    distributor.receive(0.0, &ack("n1", 5, heads[1]));
+    assert!(!distributor.poll(1.0, &history, 0.0).is_empty());
+    assert_eq!(distributor.poll(3.0, &old, 0.0), []);
+    assert_eq!(distributor.counters().stale_replicas, 1);
+    distributor.receive(3.0, &ack("n1", 6, history.head()));
+    assert!(!distributor.is_sending_to("n1"));
+    distributor.receive(3.1, &ack("n1", 4, heads[1]));
+    assert!(chunks(&distributor.poll(4.0, &history, 0.0)).is_empty());
 }
 
 #[test]
-fn rules_that_could_not_be_kept_are_refused() {
-    assert_eq!(Rules::default().check(), Ok(()));
+fn settings_that_could_not_be_kept_are_rejected() {
+    assert_eq!(DistributorSettings::default().check(), Ok(()));
     let wrong = [
-        Rules { burst: 100.0, ..Rules::default() },
-        Rules { rate: 0.0, ..Rules::default() },
-        Rules { retry: f64::NAN, ..Rules::default() },
-        Rules { catch_ups: 0, ..Rules::default() },
+        DistributorSettings { burst: 100.0, ..DistributorSettings::default() },
+        DistributorSettings { rate: 0.0, ..DistributorSettings::default() },
+        DistributorSettings { retry_timeout: f64::NAN, ..DistributorSettings::default() },
+        DistributorSettings { catch_up_slots: 0, ..DistributorSettings::default() },
     ];
-    assert!(wrong.iter().all(|rules| rules.check().is_err()));
+    assert!(wrong.iter().all(|settings| settings.check().is_err()));
 }
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -1,523 +1,463 @@
-//! A server's side. Pieces go in, in any order and from anybody; out comes a whole content that may be put in force between two rounds,
-//! and nothing else. The host asks [`Follower::next`], puts that in force, and says so by [`Follower::in_force`]; only then is it
-//! acknowledged. Times are s by the server's own monotonic clock.
+//! A server's side of the rollout. Chunks go in, in any order and from any distributor; out comes a whole content that may be activated
+//! between two rounds of the host, and nothing else.
 //!
-//! What goes to its own disk as last good is a version under which it has lived for a while: one under which it fell at once would make it
-//! fall again at every start, faster than the remedy reaches it.
+//! The host asks [`Follower::staged`], activates that version, and reports it by [`Follower::activated`]; only then is it acknowledged. A
+//! content is staged once it is complete, its digest is right under its number, and the server's own checks passed. Versions never go
+//! back, and of two contents under one number the first stays.
 //!
-//! A content becomes applicable once it is complete, its digest is right under its number, and the server's own checks passed. Versions
-//! never go back, and of two contents under one number the first stays.
+//! Times are s by the server's own monotonic clock.
 
-use crate::check::Checker;
-use crate::content::{Change, Content};
-use crate::seal::{Digest, Head, Seal};
-use crate::words::{Ack, Piece, Refused, Tell, Way, BODY};
+mod last_good;
+mod partial_bodies;
+mod version_log;
+
+pub use last_good::LastGoodError;
+
+use crate::change::Change;
+use crate::content::Content;
+use crate::digest::{Digest, Seal, VersionId};
+use crate::messages::{Acknowledgement, Chunk, DistributorMessage, TransferId, MAX_BODY_BYTES};
+use crate::validation::ContentValidator;
+use last_good::LastGoodWriter;
+use partial_bodies::{Extended, PartialBodies};
 use puffinladder_leases::sent::Sent;
 use puffinladder_leases::Owner;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, VecDeque};
+use std::io;
 use std::sync::Arc;
 use thiserror::Error;
-
-/// Bodies that may be on their way here at once, from whichever distributors.
-const BODIES: usize = 3;
-/// Versions whose digests stay known, versions refused, conflicts told of, and bytes of a cause.
-const KNOWN: usize = 256;
-const REFUSED: usize = 16;
-const CONFLICTS: usize = 8;
-const CAUSE: usize = 256;
-/// Acknowledgements that may be unanswered and still be counted from.
-const SENT: usize = 64;
-/// s between two acknowledgements where nothing happens.
-pub const BEAT: f64 = 1.0;
-/// The same for as long as a version is new, so that its owner soon knows how a server fares under it.
-pub const NEW_BEAT: f64 = 0.25;
-/// s that a server lives and is well under a version before that is its last good one.
-pub const GOOD: f64 = 1.0;
-/// s between two in any case: whoever sends nonsense gets no answer to each line of it.
-pub const SOON: f64 = 0.02;
-
-/// A content and what it is called.
+use version_log::VersionLog;
+
+/// Time between two acknowledgements where nothing happens, s.
+pub const ACK_INTERVAL: f64 = 1.0;
+/// The same for as long as a version is new, s, so that the lease holder soon knows how the server does under it.
+pub const NEW_VERSION_ACK_INTERVAL: f64 = 0.25;
+/// Time for which a server has to be healthy under a version before that is its last good one, s.
+pub const PROBATION: f64 = 1.0;
+/// Shortest time between two acknowledgements, s, so that a flood of invalid messages is not answered one by one.
+pub const MIN_ACK_INTERVAL: f64 = 0.02;
+/// Acknowledgements whose sending times stay known, for the messages that answer them.
+const MAX_UNANSWERED_ACKS: usize = 64;
+
+/// A content and the version it belongs to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    pub head: Head,
+pub struct VersionedContent {
+    /// The version.
+    pub version: VersionId,
+    /// The whole content after it.
     pub content: Arc<Content>,
 }
 
 /// Two contents under one number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conflict {
+    /// The number.
     pub number: u64,
-    pub kept: Digest,
+    /// The digest that was known first and stays.
+    pub known: Digest,
+    /// The digest that came later.
     pub other: Digest,
 }
 
-/// What became of a piece.
+/// What came of a message from a distributor.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    /// There is a version to be put in force.
-    Ready(Head),
+pub enum Received {
+    /// A version is complete and checked, and waits to be activated.
+    Staged(VersionId),
     /// More of the body is to come.
-    More,
-    /// Known already, or older than what is held.
-    Old,
-    /// Bytes before these are missing, or the version that it changes.
+    Incomplete,
+    /// Known already, or older than what is staged or active.
+    Outdated,
+    /// Something before it is missing: bytes of the body, or the version to which it is a change.
     Gap,
-    Wrong(Fault),
+    /// The message is not valid, or its version is rejected.
+    Invalid(MessageError),
 }
 
+/// What is wrong with a message from a distributor.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
-    #[error("a piece that claims what can't be: {0}")]
-    Unfit(&'static str),
+pub enum MessageError {
+    /// A number, length or tag in it is not valid; which one.
+    #[error("invalid field: {0}")]
+    InvalidField(&'static str),
+    /// The body of that version can't be decoded or applied.
     #[error("the body of version {0} can't be read")]
-    Torn(u64),
+    Undecodable(u64),
+    /// The content of that version has another digest.
     #[error("the digest of version {0} is not that of its content")]
-    Digest(u64),
-    #[error("version {}: here with digest {}, sent with {}", .0.number, .0.kept, .0.other)]
+    WrongDigest(u64),
+    /// Another content is known under that number.
+    #[error("version {}: here with digest {}, sent with {}", .0.number, .0.known, .0.other)]
     Conflict(Conflict),
-    #[error("version {number} refused: {cause}")]
-    Refused { number: u64, cause: String },
+    /// The server's own checks, or its host, rejected the version.
+    #[error("version {number} rejected: {cause}")]
+    Rejected {
+        /// The version.
+        number: u64,
+        /// Why, for people.
+        cause: String,
+    },
 }
 
-/// Counted since the start, for metrics.
+/// Events counted since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub pieces: u64,
-    pub in_force: u64,
-    pub old: u64,
+pub struct FollowerCounters {
+    /// Chunks received.
+    pub chunks: u64,
+    /// Versions activated.
+    pub activated: u64,
+    /// Chunks of versions that were known or older.
+    pub outdated: u64,
+    /// Chunks before which something was missing.
     pub gaps: u64,
-    pub unfit: u64,
-    pub torn: u64,
-    pub digests: u64,
+    /// Messages with an invalid field.
+    pub invalid: u64,
+    /// Bodies that could not be decoded or applied.
+    pub undecodable: u64,
+    /// Bodies whose digest was wrong.
+    pub wrong_digests: u64,
+    /// Contents under a number that was known with another digest.
     pub conflicts: u64,
-    pub refused: u64,
+    /// Versions rejected by the server's own checks or its host.
+    pub rejected: u64,
 }
 
-/// What it began with.
+/// With which content a server started.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Began {
+pub enum StartedWith {
     /// The last good version from its own disk.
-    LastGood(Head),
-    /// Its start file alone, and why, where there was something on its disk.
-    StartFile(Option<String>),
-}
-
-#[derive(Clone, Debug, PartialEq)]
-struct Body {
-    way: Way,
-    bytes: Vec<u8>,
-}
-
-/// What stands on a server's own disk.
-#[derive(Serialize, Deserialize)]
-struct Kept {
-    format: u32,
-    head: Head,
-    content: Content,
+    LastGood(VersionId),
+    /// Its base settings alone; with the reason where something was on its disk.
+    BaseSettings(Option<LastGoodError>),
 }
-const FORMAT: u32 = 1;
 
+/// The state of one server's incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Follower {
-    me: Owner,
+    server: Owner,
     zone: String,
     seal: Seal,
-    in_force: Held,
-    since: f64,
-    ready: Option<Held>,
-    /// What becomes its last good version, unless it falls before then, and since when that has been in force.
-    proves: Option<(Held, f64)>,
-    /// What is on its disk, as far as it knows; what is being written.
-    kept: Option<Head>,
-    writes: Option<Head>,
-    /// The one that grew last stands last.
-    bodies: Vec<Body>,
-    /// Digests that were right here.
-    known: BTreeMap<u64, Digest>,
-    refused: VecDeque<Refused>,
-    conflicts: VecDeque<Conflict>,
-    counts: Counts,
-    unsaved: Option<String>,
+    active: VersionedContent,
+    active_since: f64,
+    staged: Option<VersionedContent>,
+    last_good: LastGoodWriter,
+    partial_bodies: PartialBodies,
+    version_log: VersionLog,
+    counters: FollowerCounters,
     healthy: bool,
-    /// What it should have, as it was last told.
-    target: Option<Head>,
-    /// Until when what is in force is known to be what it should be.
-    fresh: Option<f64>,
-    sent: Sent,
-    acked: Option<f64>,
-    urgent: bool,
-}
-
-fn short(mut text: String) -> String {
-    let mut end = CAUSE.min(text.len());
-    while !text.is_char_boundary(end) {
-        end -= 1;
-    }
-    text.truncate(end);
-    text
+    /// The version that it should have, as it was last told.
+    target: Option<VersionId>,
+    /// Until when the active version is known to be the right one.
+    fresh_until: Option<f64>,
+    sent_acks: Sent,
+    last_ack: Option<f64>,
+    /// Something happened that the next acknowledgement should not wait with.
+    ack_urgent: bool,
 }
 
 impl Follower {
-    /// Begins with what its disk holds, or with its start file, without waiting for anybody.
+    /// Starts with what the disk holds, or with the base settings, without waiting for anybody.
     pub fn start(
-        me: Owner,
+        server: Owner,
         zone: &str,
         seal: Seal,
         disk: Option<&[u8]>,
-        checker: &dyn Checker,
-    ) -> (Follower, Began) {
-        let empty = Held { head: seal.head(0, &Content::default()), content: Arc::default() };
-        let (in_force, began) = match disk.map(|bytes| last_good(&seal, bytes, checker)) {
-            Some(Ok(held)) => {
-                let head = held.head;
-                (held, Began::LastGood(head))
+        validator: &dyn ContentValidator,
+    ) -> (Follower, StartedWith) {
+        let base =
+            VersionedContent { version: seal.version_id(0, &Content::default()), content: Arc::default() };
+        let (active, started_with) = match disk.map(|bytes| last_good::read(&seal, bytes, validator)) {
+            Some(Ok(last_good)) => {
+                let version = last_good.version;
+                (last_good, StartedWith::LastGood(version))
             }
-            Some(Err(why)) => (empty, Began::StartFile(Some(why))),
-            None => (empty, Began::StartFile(None)),
+            Some(Err(error)) => (base, StartedWith::BaseSettings(Some(error))),
+            None => (base, StartedWith::BaseSettings(None)),
         };
+        let stored = matches!(started_with, StartedWith::LastGood(_)).then_some(active.version);
         let follower = Follower {
-            me,
+            server,
             zone: zone.into(),
             seal,
-            known: BTreeMap::from([(in_force.head.number, in_force.head.digest)]),
-            kept: matches!(began, Began::LastGood(_)).then_some(in_force.head),
-            in_force,
-            since: f64::MIN,
-            ready: None,
-            proves: None,
-            writes: None,
-            bodies: Vec::new(),
-            refused: VecDeque::new(),
-            conflicts: VecDeque::new(),
-            counts: Counts::default(),
-            unsaved: None,
+            version_log: VersionLog::new(active.version),
+            active,
+            active_since: f64::MIN,
+            staged: None,
+            last_good: LastGoodWriter::new(stored),
+            partial_bodies: PartialBodies::default(),
+            counters: FollowerCounters::default(),
             healthy: true,
             target: None,
-            fresh: None,
-            sent: Sent::after(0, SENT),
-            acked: None,
-            urgent: true,
+            fresh_until: None,
+            sent_acks: Sent::after(0, MAX_UNANSWERED_ACKS),
+            last_ack: None,
+            ack_urgent: true,
         };
-        (follower, began)
+        (follower, started_with)
     }
 
-    pub fn me(&self) -> &Owner {
-        &self.me
+    /// The server and its incarnation.
+    pub fn server(&self) -> &Owner {
+        &self.server
     }
-    pub fn works_by(&self) -> &Held {
-        &self.in_force
+
+    /// The version by which the server works.
+    pub fn active(&self) -> &VersionedContent {
+        &self.active
     }
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+
+    /// Events since the start.
+    pub fn counters(&self) -> &FollowerCounters {
+        &self.counters
     }
-    /// The latest of two contents under one number.
+
+    /// The latest conflicts, each once, oldest first.
     pub fn conflicts(&self) -> impl Iterator<Item = &Conflict> {
-        self.conflicts.iter()
+        self.version_log.conflicts()
     }
 
-    fn holds(&self) -> &Held {
-        self.ready.as_ref().unwrap_or(&self.in_force)
+    /// What the host is to activate now, as a whole; it is newer than what is active.
+    pub fn staged(&self) -> Option<&VersionedContent> {
+        self.staged.as_ref()
     }
 
-    /// What is to be put in force now, whole; it is newer than what is.
-    pub fn next(&self) -> Option<&Held> {
-        self.ready.as_ref()
+    fn newest(&self) -> &VersionedContent {
+        self.staged.as_ref().unwrap_or(&self.active)
     }
 
-    /// The host works by that version from now on; false where it is not the one that was to be put in force.
-    pub fn in_force(&mut self, now: f64, head: Head) -> bool {
-        let Some(ready) = self.ready.take_if(|ready| ready.head == head) else { return false };
-        (self.in_force, self.since) = (ready, now);
-        // The one before may yet prove good: versions that follow fast on each other must not keep all of them off the disk.
-        self.proves.get_or_insert_with(|| (self.in_force.clone(), now));
-        self.counts.in_force += 1;
-        self.urgent = true;
+    /// The host works by that version from now on. False where it is not the staged one.
+    pub fn activated(&mut self, now: f64, version: VersionId) -> bool {
+        let Some(staged) = self.staged.take_if(|staged| staged.version == version) else { return false };
+        (self.active, self.active_since) = (staged, now);
+        self.last_good.activated(now, &self.active);
+        self.counters.activated += 1;
+        self.ack_urgent = true;
         true
     }
 
-    /// The host could not put it in force: it stays with what it has.
-    pub fn refuse(&mut self, head: Head, cause: &str) {
-        if self.ready.as_ref().is_some_and(|ready| ready.head == head) {
-            self.ready = None;
-            self.refused(head, cause.into());
+    /// The host could not activate the staged version: it stays with what it has, and the version is rejected.
+    pub fn reject(&mut self, version: VersionId, cause: &str) {
+        if self.staged.take_if(|staged| staged.version == version).is_some() {
+            self.record_rejection(version, cause.into());
         }
     }
 
-    /// What the host is to write to its disk in place of what stands there, as soon as a version has proved good; then [`Follower::saved`].
+    /// What the host is to write to its disk in place of what is there, as soon as a version has passed its probation; the host then
+    /// reports by [`Follower::save_finished`].
     pub fn save(&mut self, now: f64) -> Option<Vec<u8>> {
-        if self.writes.is_some() || !self.healthy {
+        if !self.healthy {
             return None;
         }
-        let (held, _) = self.proves.take_if(|(_, since)| now - *since >= GOOD)?;
-        if self.in_force.head != held.head {
-            self.proves = Some((self.in_force.clone(), now));
-        }
-        self.writes = Some(held.head);
-        let kept = Kept { format: FORMAT, head: held.head, content: Content::clone(&held.content) };
-        // Plain data into memory: there is nothing that could fail.
-        postcard::to_allocvec(&kept).ok()
+        self.last_good.next_write(now, &self.active)
     }
 
-    /// Whether that could be written; a server with a full disk works on, says so and tries again.
-    pub fn saved(&mut self, now: f64, outcome: Result<(), String>) {
-        let head = self.writes.take();
-        match &outcome {
-            Ok(()) => self.kept = head,
-            Err(_) => drop(self.proves.get_or_insert_with(|| (self.in_force.clone(), now))),
-        }
-        let unsaved = outcome.err().map(short);
-        self.urgent |= unsaved != self.unsaved;
-        self.unsaved = unsaved;
+    /// Whether that could be written. A server with a full disk works on, reports the error and tries again.
+    pub fn save_finished(&mut self, now: f64, outcome: io::Result<()>) {
+        let changed = self.last_good.write_finished(now, outcome, &self.active);
+        self.ack_urgent |= changed;
     }
 
-    /// What it would begin with after a restart, as far as it knows.
-    pub fn kept(&self) -> Option<Head> {
-        self.kept
+    /// The version with which the server would start after a restart, as far as is known.
+    pub fn stored(&self) -> Option<VersionId> {
+        self.last_good.stored()
     }
 
-    /// The host's own word on how it fares under what is in force.
-    pub fn fares(&mut self, now: f64, healthy: bool) {
+    /// Whether the host finds itself healthy under the active version.
+    pub fn set_healthy(&mut self, now: f64, healthy: bool) {
         if healthy != self.healthy {
-            self.urgent = true;
-            let proved = self.kept == Some(self.in_force.head);
-            self.proves = (healthy && !proved).then(|| (self.in_force.clone(), now));
+            self.ack_urgent = true;
+            self.last_good.health_changed(now, healthy, &self.active);
         }
         self.healthy = healthy;
     }
 
-    /// A new link to a distributor: it is told at once where this server stands.
-    pub fn attached(&mut self) {
-        self.urgent = true;
+    /// There is a new connection to a distributor, which is told at once where this server stands.
+    pub fn connected(&mut self) {
+        self.ack_urgent = true;
     }
 
-    /// s for which what is in force is not known to be what it should be; none where nobody ever told.
+    /// Time for which the active version is not known to be the right one, s; none where no distributor ever confirmed it.
     pub fn age(&self, now: f64) -> Option<f64> {
-        self.fresh.map(|fresh| (now - fresh).max(0.0))
+        self.fresh_until.map(|fresh_until| (now - fresh_until).max(0.0))
     }
 
-    /// What a distributor tells.
-    pub fn hear(&mut self, tell: &Tell, checker: &dyn Checker) -> Heard {
-        match tell {
-            Tell::Piece(piece) => self.piece(piece, checker),
-            Tell::Target { head, age, serial, tag } => self.told(*head, *age, *serial, *tag),
+    /// The version that the server should have, as it was last told.
+    pub fn target(&self) -> Option<VersionId> {
+        self.target
+    }
+
+    /// Takes a message from a distributor in.
+    pub fn receive(&mut self, message: &DistributorMessage, validator: &dyn ContentValidator) -> Received {
+        match message {
+            DistributorMessage::Chunk(chunk) => self.receive_chunk(chunk, validator),
+            DistributorMessage::Target { target, age, acknowledged, tag } => {
+                self.receive_target(*target, *age, *acknowledged, *tag)
+            }
         }
     }
 
-    fn told(&mut self, head: Head, age: f64, serial: u64, tag: u64) -> Heard {
+    fn receive_target(&mut self, target: VersionId, age: f64, acknowledged: u64, tag: u64) -> Received {
         if !(age >= 0.0 && age.is_finite()) {
-            self.counts.unfit += 1;
-            return Heard::Wrong(Fault::Unfit("an age"));
+            return self.invalid_field("an age");
         }
-        if tag != self.seal.tag(&self.me.instance, head, age, serial) {
-            self.counts.unfit += 1;
-            return Heard::Wrong(Fault::Unfit("its tag"));
+        if tag != self.seal.tag(&self.server.instance, target, age, acknowledged) {
+            return self.invalid_field("its tag");
         }
-        if let Some(conflict) = self.conflict(head) {
-            return Heard::Wrong(Fault::Conflict(conflict));
+        if let Some(conflict) = self.find_conflict(target) {
+            return Received::Invalid(MessageError::Conflict(conflict));
         }
-        // A canary is ahead of what others are told.
-        self.target = Some(head);
-        if self.in_force.head.number >= head.number {
-            // An answer to nothing that is known to have been sent says nothing of its age.
-            if let Some(sent) = self.sent.at(serial) {
-                self.fresh = Some(self.fresh.unwrap_or(f64::MIN).max(sent - age));
-            }
-            return Heard::Old;
-        }
-        Heard::Gap
-    }
-
-    /// What it was last told that it should have.
-    pub fn target(&self) -> Option<Head> {
-        self.target
-    }
-
-    /// Remembers and tells of another content under a number that is known here.
-    fn conflict(&mut self, head: Head) -> Option<Conflict> {
-        let kept = *self.known.get(&head.number).filter(|kept| **kept != head.digest)?;
-        let conflict = Conflict { number: head.number, kept, other: head.digest };
-        self.counts.conflicts += 1;
-        self.urgent = true;
-        if !self.conflicts.contains(&conflict) {
-            self.conflicts.push_back(conflict);
-            if self.conflicts.len() > CONFLICTS {
-                self.conflicts.pop_front();
-            }
+        self.target = Some(target);
+        // A canary may be ahead of the version that it is told.
+        if self.active.version.number < target.number {
+            return Received::Gap;
         }
-        Some(conflict)
-    }
-
-    fn refused(&mut self, head: Head, cause: String) -> Heard {
-        let cause = short(cause);
-        self.counts.refused += 1;
-        self.urgent = true;
-        self.refused.retain(|one| one.head != head);
-        self.refused.push_back(Refused { head, cause: cause.clone() });
-        if self.refused.len() > REFUSED {
-            self.refused.pop_front();
+        // A message that answers no known acknowledgement says nothing of its age.
+        if let Some(sent) = self.sent_acks.at(acknowledged) {
+            self.fresh_until = Some(self.fresh_until.unwrap_or(f64::MIN).max(sent - age));
         }
-        Heard::Wrong(Fault::Refused { number: head.number, cause })
+        Received::Outdated
     }
 
-    fn unfit(&mut self, what: &'static str) -> Heard {
-        self.counts.unfit += 1;
-        Heard::Wrong(Fault::Unfit(what))
-    }
-
-    fn piece(&mut self, piece: &Piece, checker: &dyn Checker) -> Heard {
-        self.counts.pieces += 1;
-        let Piece { way, at, bytes } = piece;
-        let (total, at) = (way.total as usize, *at as usize);
-        if total == 0 || total > BODY {
-            return self.unfit("a body's length");
-        }
-        if bytes.is_empty() || at.checked_add(bytes.len()).is_none_or(|end| end > total) {
-            return self.unfit("a place in its body");
+    fn receive_chunk(&mut self, chunk: &Chunk, validator: &dyn ContentValidator) -> Received {
+        self.counters.chunks += 1;
+        if let Err(field) = check_bounds(chunk) {
+            return self.invalid_field(field);
         }
-        if way.from.is_some_and(|from| from.number >= way.to.number) {
-            return self.unfit("a change that leads back");
+        let TransferId { base, target, .. } = chunk.transfer;
+        if let Some(conflict) = self.find_conflict(target) {
+            return Received::Invalid(MessageError::Conflict(conflict));
         }
-        if let Some(conflict) = self.conflict(way.to) {
-            return Heard::Wrong(Fault::Conflict(conflict));
+        if target.number <= self.newest().version.number {
+            self.counters.outdated += 1;
+            // The sender does not know where this server stands.
+            self.ack_urgent = true;
+            return Received::Outdated;
         }
-        if way.to.number <= self.holds().head.number {
-            self.counts.old += 1;
-            self.urgent = true; // whoever sent it does not know where this server stands
-            return Heard::Old;
+        if let Some(cause) = self.version_log.rejection_cause(target) {
+            self.ack_urgent = true;
+            return Received::Invalid(MessageError::Rejected { number: target.number, cause });
         }
-        if let Some(refused) = self.refused.iter().find(|one| one.head == way.to) {
-            let cause = refused.cause.clone();
-            self.urgent = true;
-            return Heard::Wrong(Fault::Refused { number: way.to.number, cause });
+        if base.is_some_and(|base| self.base_content(base).is_none()) {
+            return self.gap();
         }
-        if way.from.is_some_and(|from| self.base(from).is_none()) {
-            self.counts.gaps += 1;
-            self.urgent = true;
-            return Heard::Gap;
-        }
-        let Some(body) = self.grow(way, at, bytes) else {
-            self.counts.gaps += 1;
-            self.urgent = true;
-            return Heard::Gap;
-        };
-        match body {
-            None => Heard::More,
-            Some(body) => self.whole(body, checker),
+        match self.partial_bodies.extend(chunk) {
+            Extended::Gap => self.gap(),
+            Extended::Incomplete => Received::Incomplete,
+            Extended::Complete(body) => self.stage(chunk.transfer, &body, validator),
         }
     }
 
-    /// The content that a change may be laid over: what is held, or what is in force.
-    fn base(&self, from: Head) -> Option<&Held> {
-        [Some(&self.in_force), self.ready.as_ref()].into_iter().flatten().find(|held| held.head == from)
+    fn invalid_field(&mut self, field: &'static str) -> Received {
+        self.counters.invalid += 1;
+        Received::Invalid(MessageError::InvalidField(field))
     }
 
-    /// Adds a piece to its body; none where bytes before it are missing. The inner is the body once it is complete. A claimed length
-    /// reserves nothing, and what stands here already is not written anew.
-    fn grow(&mut self, way: &Way, at: usize, bytes: &[u8]) -> Option<Option<Body>> {
-        let place = self.bodies.iter().position(|body| body.way == *way);
-        let mut body = match place {
-            Some(place) => self.bodies.remove(place),
-            None if at == 0 => Body { way: *way, bytes: Vec::new() },
-            None => return None,
-        };
-        let have = body.bytes.len();
-        let gap = at > have;
-        if !gap {
-            body.bytes.extend(bytes.iter().skip(have - at));
-        }
-        if body.bytes.len() >= way.total as usize {
-            return Some(Some(body));
-        }
-        self.bodies.push(body);
-        if self.bodies.len() > BODIES {
-            self.bodies.remove(0);
-        }
-        (!gap).then_some(None)
+    fn gap(&mut self) -> Received {
+        self.counters.gaps += 1;
+        self.ack_urgent = true;
+        Received::Gap
     }
 
-    fn whole(&mut self, body: Body, checker: &dyn Checker) -> Heard {
-        let to = body.way.to;
-        self.urgent = true;
-        let content = match body.way.from {
-            None => {
-                postcard::from_bytes::<Content>(&body.bytes).ok().filter(|content| content.check().is_ok())
-            }
-            Some(from) => {
-                let change = postcard::from_bytes::<Change>(&body.bytes).ok();
-                change.and_then(|change| self.base(from)?.content.after(&change).ok())
-            }
-        };
-        let Some(content) = content else {
-            self.counts.torn += 1;
-            return Heard::Wrong(Fault::Torn(to.number));
+    /// Records and returns the conflict where another content is known under this number.
+    fn find_conflict(&mut self, version: VersionId) -> Option<Conflict> {
+        let conflict = self.version_log.record_conflict(version)?;
+        self.counters.conflicts += 1;
+        self.ack_urgent = true;
+        Some(conflict)
+    }
+
+    fn record_rejection(&mut self, version: VersionId, cause: String) -> Received {
+        let cause = self.version_log.record_rejection(version, cause);
+        self.counters.rejected += 1;
+        self.ack_urgent = true;
+        Received::Invalid(MessageError::Rejected { number: version.number, cause })
+    }
+
+    /// The content to which a change may be applied: the active or the staged one.
+    fn base_content(&self, base: VersionId) -> Option<&Content> {
+        let candidates = [Some(&self.active), self.staged.as_ref()];
+        candidates.into_iter().flatten().find(|held| held.version == base).map(|held| &*held.content)
+    }
+
+    /// Decodes and checks a complete body, and stages its content.
+    fn stage(&mut self, transfer: TransferId, body: &[u8], validator: &dyn ContentValidator) -> Received {
+        let version = transfer.target;
+        self.ack_urgent = true;
+        let Some(content) = self.decode(transfer.base, body) else {
+            self.counters.undecodable += 1;
+            return Received::Invalid(MessageError::Undecodable(version.number));
         };
-        if self.seal.digest(to.number, &content) != to.digest {
-            self.counts.digests += 1;
-            return Heard::Wrong(Fault::Digest(to.number));
+        if self.seal.digest(version.number, &content) != version.digest {
+            self.counters.wrong_digests += 1;
+            return Received::Invalid(MessageError::WrongDigest(version.number));
         }
-        if let Err(wrong) = checker.check(&content) {
-            // Its digest is right: another content under this number is a conflict from here on.
-            self.know(to);
-            return self.refused(to, wrong.to_string());
+        // Its digest is right, so another content under this number is a conflict from here on, even if this one is rejected.
+        self.version_log.record_digest(version);
+        if let Err(error) = validator.validate(&content) {
+            return self.record_rejection(version, error.to_string());
         }
-        self.know(to);
-        self.ready = Some(Held { head: to, content: Arc::new(content) });
-        self.bodies.retain(|body| body.way.to.number > to.number);
-        Heard::Ready(to)
+        self.staged = Some(VersionedContent { version, content: Arc::new(content) });
+        self.partial_bodies.drop_up_to(version.number);
+        Received::Staged(version)
     }
 
-    fn know(&mut self, head: Head) {
-        self.known.insert(head.number, head.digest);
-        if self.known.len() > KNOWN {
-            self.known.pop_first();
+    fn decode(&self, base: Option<VersionId>, body: &[u8]) -> Option<Content> {
+        match base {
+            None => postcard::from_bytes::<Content>(body).ok().filter(|content| content.check().is_ok()),
+            Some(base) => {
+                let change = postcard::from_bytes::<Change>(body).ok()?;
+                self.base_content(base)?.after(&change).ok()
+            }
         }
     }
 
-    /// When the next acknowledgement is due; soon after news.
-    pub fn due(&self) -> f64 {
-        let Some(acked) = self.acked else { return f64::MIN };
-        match self.urgent {
-            true => acked + SOON,
-            false if acked < self.since + GOOD => acked + NEW_BEAT,
-            false => acked + BEAT,
-        }
+    /// When the next acknowledgement is due; soon after an event.
+    pub fn ack_due(&self) -> f64 {
+        let Some(last_ack) = self.last_ack else { return f64::MIN };
+        let interval = if self.ack_urgent {
+            MIN_ACK_INTERVAL
+        } else if last_ack < self.active_since + PROBATION {
+            NEW_VERSION_ACK_INTERVAL
+        } else {
+            ACK_INTERVAL
+        };
+        last_ack + interval
     }
 
     /// The acknowledgement to send now, if one is due.
-    pub fn ack(&mut self, now: f64) -> Option<Ack> {
-        if now < self.due() {
+    pub fn acknowledge(&mut self, now: f64) -> Option<Acknowledgement> {
+        if now < self.ack_due() {
             return None;
         }
-        (self.acked, self.urgent) = (Some(now), false);
-        let serial = self.sent.send(now);
-        Some(Ack {
-            owner: self.me.clone(),
+        (self.last_ack, self.ack_urgent) = (Some(now), false);
+        Some(Acknowledgement {
+            server: self.server.clone(),
             zone: self.zone.clone(),
-            serial,
-            in_force: self.in_force.head,
-            holds: self.holds().head,
-            got: self.bodies.last().map(|body| (body.way, body.bytes.len() as u32)),
-            refused: self.refused.back().cloned(),
-            conflicts: self.counts.conflicts,
+            sequence: self.sent_acks.send(now),
+            active: self.active.version,
+            staged: self.newest().version,
+            progress: self.partial_bodies.latest_progress(),
+            rejected: self.version_log.last_rejected().cloned(),
+            conflicts: self.counters.conflicts,
             healthy: self.healthy,
-            unsaved: self.unsaved.clone(),
+            save_error: self.last_good.error().map(str::to_owned),
         })
     }
 }
 
-fn last_good(seal: &Seal, bytes: &[u8], checker: &dyn Checker) -> Result<Held, String> {
-    let kept: Kept =
-        postcard::from_bytes(bytes).map_err(|e| format!("its last good version can't be read: {e}"))?;
-    if kept.format != FORMAT {
-        return Err(format!("its last good version has format {}, not {FORMAT}", kept.format));
+/// Names the field of a chunk that can't be true.
+fn check_bounds(chunk: &Chunk) -> Result<(), &'static str> {
+    let (total, offset) = (chunk.transfer.total_bytes as usize, chunk.offset as usize);
+    if total == 0 || total > MAX_BODY_BYTES {
+        return Err("a body's length");
+    }
+    let end = offset.checked_add(chunk.bytes.len());
+    if chunk.bytes.is_empty() || end.is_none_or(|end| end > total) {
+        return Err("a place in its body");
     }
-    if seal.head(kept.head.number, &kept.content) != kept.head {
-        return Err("its last good version is not what its digest says".into());
+    if chunk.transfer.base.is_some_and(|base| base.number >= chunk.transfer.target.number) {
+        return Err("a change that leads back");
     }
-    kept.content.check().map_err(|wrong| wrong.to_string())?;
-    checker.check(&kept.content).map_err(|wrong| format!("its last good version is refused: {wrong}"))?;
-    Ok(Held { head: kept.head, content: Arc::new(kept.content) })
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,23 +1,34 @@
-//! Configuration in force everywhere (`docs/config.md`).
+//! Rollout of configuration to every server of the fleet (`docs/config.md`).
 //!
-//! A [`history`] of versions is what the keepers replicate; a [`distributor`] brings it to servers as changes; a [`follower`] is a
-//! server's side, which puts a version in force whole or not at all; a [`rollout`] belongs to the owner of the duty, who lets a few
-//! servers go first and knows who has what in force. None of them does I/O or reads a clock: times come in as seconds, each of
-//! them by whoever's clock it is said to be.
+//! - [`history`]: the line of versions that the lease-store replicas apply from their log;
+//! - [`distributor`]: sends each server what it lacks, as a change or as whole content;
+//! - [`follower`]: a server's side, which activates a version as a whole or not at all;
+//! - [`rollout`]: run by the lease holder of [`TASK`], which has a few canaries go first and knows which server has what active.
+//!
+//! Nothing here does I/O or reads a clock, so that the same code runs in tests under simulated time. Times come in as seconds; each
+//! function says by whose clock.
+#![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod check;
+mod base64_bytes;
+pub mod change;
 pub mod content;
+pub mod digest;
 pub mod distributor;
 pub mod follower;
 pub mod history;
+pub mod key;
+pub mod messages;
 pub mod patch;
 pub mod rollout;
-pub mod seal;
-pub mod words;
+pub mod setting;
+pub mod validation;
 
-pub use content::{Change, Content, Field, Key, Section, Value, Wrong};
-pub use seal::{Digest, Head, Seal};
+pub use change::Change;
+pub use content::Content;
+pub use digest::{Digest, Seal, VersionId};
+pub use key::{Field, Key, Section};
+pub use setting::{ValidationError, Value};
 
-/// The duty under whose grant versions are accepted, tried and released.
-pub const DUTY: &str = "config";
+/// The leased task whose holder accepts, tries and releases versions.
+pub const TASK: &str = "config";
--- a/crates/config-rollout/src/patch.rs
+++ b/crates/config-rollout/src/patch.rs
@@ -7,155 +7,214 @@
 //! (without (tenant "old") (route "orders" late-share))   ; back to the start file's value
 //! ```
 
-use crate::content::{Change, Field, Key, Section, Value, Wrong, CHANGE_BYTES, FLEET};
+use crate::change::{Change, MAX_CHANGE_BYTES};
+use crate::key::{Field, Key, Section, FLEET};
+use crate::setting::{ValidationError, Value};
 use puffinladder_charter::sexpr::{Fault, Form, Node, Reader};
 use std::collections::BTreeMap;
 
-/// A change, and where each of its keys stands, for what is found wrong later.
+/// Bytes of a patch's text, at the most: white space and comments come on top of what a change may hold.
+const MAX_TEXT_BYTES: usize = 4 * MAX_CHANGE_BYTES;
+
+/// Milliseconds of the units in which times are written.
+const SECOND_MS: f64 = 1e3;
+const MINUTE_MS: f64 = 6e4;
+
+/// A change, and where in the file each of its keys stands, for errors that are found later.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Patch {
+    /// The name of the file, for messages.
     pub file: String,
+    /// What the file says.
     pub change: Change,
-    /// Line and column of each key, from 1.
-    places: BTreeMap<Key, (usize, usize)>,
+    places: BTreeMap<Key, Place>,
+}
+
+/// A place in a text, counted from 1.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Place {
+    line: usize,
+    column: usize,
 }
 
-/// Bytes of a patch's text: spaces and comments beside what a change may hold.
-const LONGEST: usize = 4 * CHANGE_BYTES;
+impl Place {
+    /// Where a change as a whole is said to stand.
+    const START: Place = Place { line: 1, column: 1 };
+
+    fn of_offset(text: &str, offset: usize) -> Place {
+        let before = &text.as_bytes()[..offset.min(text.len())];
+        let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
+        let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
+        Place { line, column }
+    }
+}
 
 impl Patch {
+    /// Reads a patch. Errors come all at once, each with file, line, column and key.
     pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Fault>> {
-        let reader = Reader::new(file, text);
-        let mut patch = Patch { file: file.into(), ..Patch::default() };
-        if text.len() > LONGEST {
-            reader.fault(0, "", format!("{} bytes; a change has {LONGEST} at the most", text.len()));
-            return Err(reader.faults());
+        let mut parser = Parser { reader: Reader::new(file, text), text, patch: Patch::default() };
+        parser.patch.file = file.into();
+        if text.len() > MAX_TEXT_BYTES {
+            let reason = format!("{} bytes; a change has {MAX_TEXT_BYTES} at the most", text.len());
+            parser.error(0, "", reason);
+            return Err(parser.reader.faults());
         }
-        let forms = reader.forms();
-        for form in &forms {
-            let Some((head, rest)) = list(form) else {
-                reader.fault(
-                    form.span.start,
-                    "",
-                    "should be a list that begins with tenant, route, limit or without",
-                );
-                continue;
-            };
-            let section = Section::ALL.into_iter().find(|section| section.name() == head);
-            match section {
-                Some(section) => patch.block(&reader, text, section, form, rest),
-                None if head == "without" => rest.iter().for_each(|one| patch.without(&reader, text, one)),
-                None => reader.fault(
-                    form.span.start,
-                    head,
-                    "is not known; there are tenant, route, limit, without",
-                ),
-            }
-        }
-        let faults = reader.faults();
-        if !faults.is_empty() {
-            return Err(faults);
+        let forms = parser.reader.forms();
+        forms.iter().for_each(|form| parser.form(form));
+        let Parser { reader, patch, .. } = parser;
+        let errors = reader.faults();
+        if !errors.is_empty() {
+            return Err(errors);
         }
-        patch.change.check().map_err(|wrong| vec![patch.fault(&wrong)])?;
+        patch.change.check().map_err(|error| vec![patch.locate(&error)])?;
         Ok(patch)
     }
 
-    fn block(&mut self, reader: &Reader, text: &str, section: Section, form: &Node, rest: &[Node]) {
+    /// An error with its place in the file: that of its key, or the start where the change as a whole is wrong.
+    pub fn locate(&self, error: &ValidationError) -> Fault {
+        let place = error.key.as_ref().and_then(|key| self.places.get(key));
+        let Place { line, column } = *place.unwrap_or(&Place::START);
+        let key = error.key.as_ref().map_or(String::new(), Key::to_string);
+        Fault { file: self.file.clone(), line, column, key, what: error.reason.clone() }
+    }
+}
+
+/// A field with its value, as it stands in a block.
+struct Assignment {
+    field: Field,
+    value: f64,
+    offset: usize,
+}
+
+/// What `without` removes: one or more fields under one name.
+struct Removal {
+    section: Section,
+    name: String,
+    fields: Vec<Field>,
+}
+
+struct Parser<'a> {
+    reader: Reader<'a>,
+    text: &'a str,
+    patch: Patch,
+}
+
+impl Parser<'_> {
+    fn error(&self, offset: usize, path: &str, reason: impl Into<String>) {
+        self.reader.fault(offset, path, reason);
+    }
+
+    /// One form at the top of the file.
+    fn form(&mut self, form: &Node) {
+        let offset = form.span.start;
+        let Some((head, items)) = list(form) else {
+            return self.error(
+                offset,
+                "",
+                "should be a list that begins with tenant, route, limit or without",
+            );
+        };
+        match Section::from_name(head) {
+            Some(section) => self.block(section, form, items),
+            None if head == "without" => items.iter().for_each(|item| self.without(item)),
+            None => self.error(offset, head, "is not known; there are tenant, route, limit, without"),
+        }
+    }
+
+    /// `(tenant (name "acme") (quota 120))` and its like.
+    fn block(&mut self, section: Section, form: &Node, items: &[Node]) {
         let mut name = (section == Section::Limit).then(|| FLEET.to_owned());
-        let mut fields: Vec<(Field, f64, usize)> = Vec::new();
-        for item in rest {
-            let at = item.span.start;
+        let mut assignments = Vec::new();
+        for item in items {
             match list(item) {
                 Some(("name", [value])) if section != Section::Limit => match &value.form {
                     Form::Text(text) if name.is_none() => name = Some(text.clone()),
-                    _ => reader.fault(
-                        at,
-                        &format!("{}.name", section.name()),
-                        "should be one text in quotes, once",
-                    ),
-                },
-                Some((key, values)) => {
-                    let known = || Field::ALL.into_iter().filter(move |field| field.section() == section);
-                    let path = format!("{}.{key}", section.name());
-                    match (known().find(|field| field.name() == key), values) {
-                        (Some(field), [value]) => match number(field, &value.form) {
-                            Some(number) => fields.push((field, number, at)),
-                            None => reader.fault(value.span.start, &path, wanted(field)),
-                        },
-                        (Some(field), _) => reader.fault(at, &path, wanted(field)),
-                        (None, _) => {
-                            let names: Vec<&str> = known().map(Field::name).collect();
-                            reader.fault(at, &path, format!("is not known; there are {}", names.join(", ")));
-                        }
+                    _ => {
+                        let path = format!("{}.name", section.name());
+                        self.error(item.span.start, &path, "should be one text in quotes, once");
                     }
+                },
+                Some((key, values)) => assignments.extend(self.assignment(section, item, key, values)),
+                None => {
+                    self.error(item.span.start, section.name(), "should be a list that begins with a key")
                 }
-                None => reader.fault(at, section.name(), "should be a list that begins with a key"),
             }
         }
-        match name {
-            None => reader.fault(form.span.start, &format!("{}.name", section.name()), "should be given"),
-            Some(_) if fields.is_empty() => reader.fault(form.span.start, section.name(), "changes nothing"),
-            Some(name) => {
-                for (field, number, at) in fields {
-                    self.enter(reader, text, Key::new(section, &name, field), Some(Value(number)), at);
-                }
-            }
+        let Some(name) = name else {
+            let path = format!("{}.name", section.name());
+            return self.error(form.span.start, &path, "should be given");
+        };
+        if assignments.is_empty() {
+            return self.error(form.span.start, section.name(), "changes nothing");
+        }
+        for Assignment { field, value, offset } in assignments {
+            self.insert(Key::new(section, &name, field), Some(Value(value)), offset);
         }
     }
 
-    /// `(tenant "acme")` takes all fields of it away, `(route "orders" late-share)` one.
-    fn without(&mut self, reader: &Reader, text: &str, one: &Node) {
-        let at = one.span.start;
-        let parts = list(one).and_then(|(head, rest)| {
-            let section = Section::ALL.into_iter().find(|section| section.name() == head)?;
-            let (name, rest) = match rest {
-                [Node { form: Form::Text(name), .. }, rest @ ..] if section != Section::Limit => {
-                    (name.as_str(), rest)
-                }
-                rest if section == Section::Limit => (FLEET, rest),
-                _ => return None,
-            };
-            let mut fields = Vec::new();
-            for word in rest {
-                let Form::Atom(word) = &word.form else { return None };
-                fields.push(Field::ALL.into_iter().find(|f| f.section() == section && f.name() == word)?);
-            }
-            if fields.is_empty() {
-                fields.extend(Field::ALL.into_iter().filter(|field| field.section() == section));
-            }
-            Some((section, name.to_owned(), fields))
-        });
-        let Some((section, name, fields)) = parts else {
-            let wanted =
+    /// `(quota 120)` in a block; none, and an error said, where it is not valid.
+    fn assignment(&self, section: Section, item: &Node, key: &str, values: &[Node]) -> Option<Assignment> {
+        let offset = item.span.start;
+        let path = format!("{}.{key}", section.name());
+        let Some(field) = section.field(key) else {
+            let names: Vec<&str> = section.fields().map(Field::name).collect();
+            self.error(offset, &path, format!("is not known; there are {}", names.join(", ")));
+            return None;
+        };
+        let [value] = values else {
+            self.error(offset, &path, expected(field));
+            return None;
+        };
+        let number = number(field, &value.form);
+        if number.is_none() {
+            self.error(value.span.start, &path, expected(field));
+        }
+        Some(Assignment { field, value: number?, offset })
+    }
+
+    /// An item of `without`: `(tenant "acme")` removes all fields of it, `(route "orders" late-share)` one.
+    fn without(&mut self, item: &Node) {
+        let offset = item.span.start;
+        let Some(Removal { section, name, fields }) = removal(item) else {
+            let expected =
                 "should be such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)";
-            return reader.fault(at, "without", wanted);
+            return self.error(offset, "without", expected);
         };
         for field in fields {
-            self.enter(reader, text, Key::new(section, &name, field), None, at);
+            self.insert(Key::new(section, &name, field), None, offset);
         }
     }
 
-    fn enter(&mut self, reader: &Reader, text: &str, key: Key, value: Option<Value>, at: usize) {
-        let before = &text.as_bytes()[..at.min(text.len())];
-        let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
-        let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
-        if self.change.0.contains_key(&key) {
+    fn insert(&mut self, key: Key, value: Option<Value>, offset: usize) {
+        if self.patch.change.contains(&key) {
             let path = format!("{}.{}", key.section.name(), key.field.name());
-            reader.fault(at, &path, format!("stands here a second time for {:?}", key.name));
+            self.error(offset, &path, format!("stands here a second time for {:?}", key.name));
         }
-        self.places.insert(key.clone(), (line, column));
-        self.change.0.insert(key, value);
+        self.patch.places.insert(key.clone(), Place::of_offset(self.text, offset));
+        self.patch.change.insert(key, value);
     }
+}
 
-    /// What was found wrong, with its place in the file: that of its key, or the first line where the change as a whole is wrong.
-    pub fn fault(&self, wrong: &Wrong) -> Fault {
-        let place = wrong.key.as_ref().and_then(|key| self.places.get(key));
-        let &(line, column) = place.unwrap_or(&(1, 1));
-        let key = wrong.key.as_ref().map_or(String::new(), Key::to_string);
-        Fault { file: self.file.clone(), line, column, key, what: wrong.what.clone() }
+fn removal(item: &Node) -> Option<Removal> {
+    let (head, rest) = list(item)?;
+    let section = Section::from_name(head)?;
+    let (name, words) = match rest {
+        words if section == Section::Limit => (FLEET, words),
+        [Node { form: Form::Text(name), .. }, words @ ..] => (name.as_str(), words),
+        _ => return None,
+    };
+    let mut fields = Vec::new();
+    for word in words {
+        let Form::Atom(word) = &word.form else { return None };
+        fields.push(section.field(word)?);
     }
+    if fields.is_empty() {
+        fields.extend(section.fields());
+    }
+    Some(Removal { section, name: name.to_owned(), fields })
 }
 
+/// The head of a list and what follows it.
 fn list(node: &Node) -> Option<(&str, &[Node])> {
     let Form::List(parts) = &node.form else { return None };
     match parts.split_first()? {
@@ -164,27 +223,23 @@
     }
 }
 
-fn is_time(field: Field) -> bool {
-    matches!(field, Field::Promise | Field::GiveUp | Field::Window | Field::MaxRetryAfter)
-}
-
-fn wanted(field: Field) -> String {
-    let (range, unit) = (field.range(), if is_time(field) { "ms" } else { "" });
+/// What a field takes, for messages.
+fn expected(field: Field) -> String {
+    let (range, unit) = (field.range(), if field.is_time() { "ms" } else { "" });
     format!("should be from {}{unit} to {}{unit}", range.start(), range.end())
 }
 
-/// Times need a unit, since nobody knows which was meant.
+/// The number that a word stands for, times in ms. Times need a unit, or it would be open which one was meant.
 fn number(field: Field, form: &Form) -> Option<f64> {
     let Form::Atom(word) = form else { return None };
     let (number, unit) = word.split_at(word.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(word.len()));
-    let size = match (is_time(field), unit) {
-        (false, "") => 1.0,
-        (true, "ms") => 1.0,
-        (true, "s") => 1e3,
-        (true, "m") => 6e4,
+    let factor = match (field.is_time(), unit) {
+        (false, "") | (true, "ms") => 1.0,
+        (true, "s") => SECOND_MS,
+        (true, "m") => MINUTE_MS,
         _ => return None,
     };
-    let value = number.parse::<f64>().ok()? * size;
+    let value = number.parse::<f64>().ok()? * factor;
     (field.range().contains(&value) && value.is_sign_positive()).then_some(value)
 }
 
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -11,8 +11,8 @@
     let patch = Patch::read("f.scm", text).unwrap();
     let wanted = Change::default()
         .set(Key::tenant("acme"), 120.0)
-        .set(Key::route("orders", Field::Promise), 800.0)
-        .set(Key::route("orders", Field::GiveUp), 2000.0)
+        .set(Key::route("orders", Field::LatencyObjective), 800.0)
+        .set(Key::route("orders", Field::Expiry), 2000.0)
         .set(Key::limit(Field::MaxRetryAfter), 5000.0)
         .remove(Key::tenant("old"))
         .remove(Key::route("orders", Field::LateShare))
@@ -45,9 +45,9 @@
     let patch =
         Patch::read("f.scm", "(tenant (name \"a\") (quota 1))\n\n  (route (name \"nowhere\") (promise 5s))")
             .unwrap();
-    let wrong = Wrong::at(&Key::route("nowhere", Field::Promise), "no such route");
-    assert_eq!(patch.fault(&wrong).to_string(), "f.scm:3:27: route \"nowhere\" promise: no such route");
-    assert_eq!(patch.fault(&Wrong::whole("too large")).to_string(), "f.scm:1:1: too large");
+    let wrong = ValidationError::at(&Key::route("nowhere", Field::LatencyObjective), "no such route");
+    assert_eq!(patch.locate(&wrong).to_string(), "f.scm:3:27: route \"nowhere\" promise: no such route");
+    assert_eq!(patch.locate(&ValidationError::whole("too large")).to_string(), "f.scm:1:1: too large");
 }
 
 #[test]
@@ -62,11 +62,11 @@
     ] {
         assert!(!said(text).is_empty(), "{text}");
     }
-    assert!(Patch::read("f", &" ".repeat(LONGEST + 1)).is_err());
+    assert!(Patch::read("f", &" ".repeat(MAX_TEXT_BYTES + 1)).is_err());
     assert!(Patch::read("f", &"(".repeat(100_000)).is_err());
     let many: String =
         (0..CHANGE_KEYS_AND_ONE).map(|at| format!("(tenant (name \"{at}\") (quota 1))")).collect();
     assert!(said(&many)[0].contains("a change has"));
 }
 
-const CHANGE_KEYS_AND_ONE: usize = crate::content::CHANGE_KEYS + 1;
+const CHANGE_KEYS_AND_ONE: usize = crate::change::MAX_CHANGE_KEYS + 1;
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -1,10 +1,12 @@
 //! What the plan's size takes in bytes: lines as they stand on a link, bodies, snapshots. `docs/config.md` has the figures; run with
 //! `--nocapture` to see them.
 
-use puffinladder_config_rollout::distributor::Rules;
-use puffinladder_config_rollout::history::{Command, Entry, History, Limits, Origin, Put};
-use puffinladder_config_rollout::words::{body_of_change, body_of_content, Ack, Piece, Tell, Way};
-use puffinladder_config_rollout::{Change, Content, Field, Head, Key, Seal};
+use puffinladder_config_rollout::distributor::DistributorSettings;
+use puffinladder_config_rollout::history::{Command, History, LogEntry, Origin, PutRequest, RetentionLimits};
+use puffinladder_config_rollout::messages::{
+    encode_change, encode_content, Acknowledgement, Chunk, DistributorMessage, TransferId,
+};
+use puffinladder_config_rollout::{Change, Content, Field, Key, Seal, VersionId};
 use puffinladder_leases::Owner;
 use std::collections::BTreeSet;
 
@@ -20,7 +22,7 @@
     }
     for at in 0..ROUTES {
         let name = format!("service-{:03}/route-{at:04}", at % 230);
-        for field in [Field::Promise, Field::GiveUp, Field::Importance, Field::LateShare] {
+        for field in [Field::LatencyObjective, Field::Expiry, Field::PriorityWeight, Field::LateShare] {
             change = change.set(Key::route(&name, field), 0.5);
         }
     }
@@ -28,52 +30,59 @@
     content
 }
 
-fn line(from: Option<Head>, to: Head, body: Vec<u8>) -> usize {
-    Tell::Piece(Piece { way: Way { from, to, total: body.len() as u32 }, at: 0, bytes: body }).bytes()
+fn line(from: Option<VersionId>, to: VersionId, body: Vec<u8>) -> usize {
+    DistributorMessage::Chunk(Chunk {
+        transfer: TransferId { base: from, target: to, total_bytes: body.len() as u32 },
+        offset: 0,
+        bytes: body,
+    })
+    .line_bytes()
 }
 
 #[test]
 fn a_change_is_small_wherever_it_goes_and_a_whole_content_is_not() {
     let seal = Seal::default();
     let content = plan();
-    let head = seal.head(1_234_567, &content);
+    let head = seal.version_id(1_234_567, &content);
     let one = Change::default().set(Key::tenant("tenant-00042"), 120.0);
-    let small = line(Some(head), Head { number: head.number + 1, ..head }, body_of_change(&one));
-    let target = Tell::target(&seal, "server-0042", head, 0.125, 123_456).bytes();
-    let owner = Owner::new("server-0042", 17);
-    let ack = Ack {
-        owner,
+    let small = line(Some(head), VersionId { number: head.number + 1, ..head }, encode_change(&one));
+    let target = DistributorMessage::target(&seal, "server-0042", head, 0.125, 123_456).line_bytes();
+    let ack = Acknowledgement {
+        server: Owner::new("server-0042", 17),
         zone: "zone-3".into(),
-        serial: 123_456,
-        in_force: head,
-        holds: head,
+        sequence: 123_456,
+        active: head,
+        staged: head,
         healthy: true,
-        ..Ack::default()
+        ..Acknowledgement::default()
     };
     let ack = serde_json::to_vec(&ack).expect("a line").len() + 1;
-    let whole = body_of_content(&content).len();
+    let whole = encode_content(&content).len();
     println!(
         "a change of one key: {small} B; target: {target} B; ack: {ack} B; the whole content: {whole} B"
     );
 
     // A day of changes, each of one tenant's quota, as one body for a server that was away.
-    let mut history = History::new(seal, Limits::default());
+    let mut history = History::new(seal, RetentionLimits::default());
     for at in 0..A_DAY {
         let change =
             Change::default().set(Key::tenant(&format!("tenant-{:05}", at * 7 % TENANTS)), f64::from(at));
-        let put = Put { base: history.head(), author: "ann".into(), epoch: 1, origin: Origin::Put, change };
-        history.apply(&Entry { at: f64::from(at), command: Command::Put(put) }).expect("accepted");
+        let put =
+            PutRequest { base: history.head(), author: "ann".into(), epoch: 1, origin: Origin::Put, change };
+        history.apply(&LogEntry { at: f64::from(at), command: Command::Put(put) }).expect("accepted");
         if at % 10 == 9 {
             let (epoch, number) = (1, history.head().number);
             let canaries = BTreeSet::from(["n1".to_string()]);
             history
-                .apply(&Entry { at: 0.0, command: Command::Trial { epoch, number, canaries } })
+                .apply(&LogEntry { at: 0.0, command: Command::StartCanary { epoch, number, canaries } })
                 .expect("tried");
-            history.apply(&Entry { at: 0.0, command: Command::Release { epoch, number } }).expect("released");
+            history
+                .apply(&LogEntry { at: 0.0, command: Command::Release { epoch, number } })
+                .expect("released");
         }
     }
-    let day = body_of_change(&history.between(0, u64::from(A_DAY)).expect("kept")).len();
-    let rate = Rules::default().rate;
+    let day = encode_change(&history.combined_change(0, u64::from(A_DAY)).expect("kept")).len();
+    let rate = DistributorSettings::default().rate;
     let takes = |body: usize| body as f64 * 4.0 / 3.0 * 1.1 / rate;
     println!(
         "a day of changes: {day} B, {:.1} s at {rate} B a second; whole: {:.0} s; a snapshot with them: {} B",
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -1,11 +1,15 @@
 //! Two writers, one server, one trial, explored exhaustively: every order of puts, of what the owner says, of pieces that come late, doubled
 //! or never, and of a restart from a disk that is behind.
 
-use puffinladder_config_rollout::check::Shape;
-use puffinladder_config_rollout::follower::{Follower, GOOD};
-use puffinladder_config_rollout::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
-use puffinladder_config_rollout::words::{body_of_change, body_of_content, Piece, Tell, Way};
-use puffinladder_config_rollout::{Change, Content, Head, Key, Seal};
+use puffinladder_config_rollout::follower::{Follower, PROBATION};
+use puffinladder_config_rollout::history::{
+    Command, History, LogEntry, Origin, Outcome, PutRequest, Rejection, RetentionLimits,
+};
+use puffinladder_config_rollout::messages::{
+    encode_change, encode_content, Chunk, DistributorMessage, TransferId,
+};
+use puffinladder_config_rollout::validation::BoundsValidator;
+use puffinladder_config_rollout::{Change, Content, Key, Seal, VersionId};
 use puffinladder_leases::Owner;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -29,16 +33,16 @@
 struct State {
     history: History,
     /// The head that each writer saw last.
-    views: [Head; 2],
+    views: [VersionId; 2],
     /// Contents that writers were told are accepted, by number.
-    accepted: Vec<(Head, Key, f64)>,
+    accepted: Vec<(VersionId, Key, f64)>,
     follower: Follower,
-    module: Head,
+    module: VersionId,
     /// In this life.
     highest: u64,
-    acked: Head,
+    acked: VersionId,
     disk: Option<Vec<u8>>,
-    mail: Vec<Tell>,
+    mail: Vec<DistributorMessage>,
     restarts: u8,
     missed: bool,
     back: bool,
@@ -68,18 +72,18 @@
     /// A round of the module.
     Round,
     Save,
-    Ack,
+    Acknowledgement,
     Restart,
 }
 
 struct Small(Bug);
 
 fn start(life: u64, disk: Option<&[u8]>) -> Follower {
-    Follower::start(Owner::new("n", life), "", Seal::default(), disk, &Shape).0
+    Follower::start(Owner::new("n", life), "", Seal::default(), disk, &BoundsValidator).0
 }
 
-fn apply(state: &mut State, command: Command) -> Result<Done, Refusal> {
-    state.history.apply(&Entry { at: 0.0, command })
+fn apply(state: &mut State, command: Command) -> Result<Outcome, Rejection> {
+    state.history.apply(&LogEntry { at: 0.0, command })
 }
 
 impl Model for Small {
@@ -87,7 +91,7 @@
     type Action = Deed;
 
     fn init_states(&self) -> Vec<State> {
-        let history = History::new(Seal::default(), Limits::default());
+        let history = History::new(Seal::default(), RetentionLimits::default());
         let (follower, head) = (start(1, None), history.head());
         vec![State {
             history,
@@ -116,7 +120,7 @@
         }
         deeds.extend([Deed::Try, Deed::Release, Deed::TakeBack, Deed::Send, Deed::SendWhole]);
         deeds.extend((0..state.mail.len()).flat_map(|at| [Deed::Deliver(at), Deed::Lose(at)]));
-        deeds.extend([Deed::Round, Deed::Save, Deed::Ack]);
+        deeds.extend([Deed::Round, Deed::Save, Deed::Acknowledgement]);
         if state.restarts == 0 {
             deeds.push(Deed::Restart);
         }
@@ -125,7 +129,7 @@
     fn next_state(&self, last: &State, deed: Deed) -> Option<State> {
         let mut state = last.clone();
         let head = state.history.head();
-        let trial = state.history.stage().trial.as_ref().map(|trial| trial.number);
+        let trial = state.history.state().canary.as_ref().map(|trial| trial.number);
         match deed {
             Deed::Look(at) => state.views[at] = head,
             Deed::Put(at) => {
@@ -136,77 +140,82 @@
                     base = head;
                 }
                 let saw = state.views[at];
-                let put =
-                    Put { base, author: ["ann", "bob"][at].into(), epoch: 1, origin: Origin::Put, change };
+                let put = PutRequest {
+                    base,
+                    author: ["ann", "bob"][at].into(),
+                    epoch: 1,
+                    origin: Origin::Put,
+                    change,
+                };
                 match apply(&mut state, Command::Put(put)) {
                     // He believes that nothing came between what he saw and his own.
-                    Ok(Done::Accepted(new)) if new.number != saw.number + 1 => state.back = true,
-                    Ok(Done::Accepted(new)) => state.accepted.push((new, key, value)),
-                    Err(Refusal::Missed { .. }) => state.missed = true,
+                    Ok(Outcome::Accepted(new)) if new.number != saw.number + 1 => state.back = true,
+                    Ok(Outcome::Accepted(new)) => state.accepted.push((new, key, value)),
+                    Err(Rejection::MissedVersions { .. }) => state.missed = true,
                     _ => return None,
                 }
             }
             Deed::Try => {
                 let number = head.number;
-                if trial.is_some() || number <= state.history.stage().released {
+                if trial.is_some() || number <= state.history.state().released {
                     return None;
                 }
                 let canaries = BTreeSet::from(["n".to_string()]);
-                apply(&mut state, Command::Trial { epoch: 1, number, canaries }).ok()?;
+                apply(&mut state, Command::StartCanary { epoch: 1, number, canaries }).ok()?;
             }
             Deed::Release => {
                 apply(&mut state, Command::Release { epoch: 1, number: trial? }).ok()?;
             }
             Deed::TakeBack => {
                 let (author, cause) = ("o".into(), "it fell".into());
-                apply(&mut state, Command::TakeBack { epoch: 1, author, number: trial?, cause }).ok()?;
+                apply(&mut state, Command::Revert { epoch: 1, author, number: trial?, cause }).ok()?;
             }
             Deed::Send | Deed::SendWhole => {
                 if state.mail.len() >= MAIL {
                     return None;
                 }
-                let to = state.history.known(state.history.stage().target("n"))?;
+                let to = state.history.version_id(state.history.state().target("n"))?;
                 if to.number <= state.acked.number {
                     return None;
                 }
                 let (from, body) = match deed {
                     Deed::Send => {
-                        let change = state.history.between(state.acked.number, to.number)?;
-                        (Some(state.acked), body_of_change(&change))
+                        let change = state.history.combined_change(state.acked.number, to.number)?;
+                        (Some(state.acked), encode_change(&change))
                     }
-                    _ => (None, body_of_content(&state.history.content_at(to.number)?)),
+                    _ => (None, encode_content(&state.history.content_at(to.number)?)),
                 };
-                let way = Way { from, to, total: body.len() as u32 };
-                let tell = Tell::Piece(Piece { way, at: 0, bytes: body });
-                if state.mail.contains(&tell) {
+                let transfer = TransferId { base: from, target: to, total_bytes: body.len() as u32 };
+                let message = DistributorMessage::Chunk(Chunk { transfer, offset: 0, bytes: body });
+                if state.mail.contains(&message) {
                     return None;
                 }
-                state.mail.push(tell);
+                state.mail.push(message);
             }
             Deed::Deliver(at) => {
-                let tell = state.mail[at].clone();
-                state.follower.hear(&tell, &Shape);
+                let message = state.mail[at].clone();
+                state.follower.receive(&message, &BoundsValidator);
                 if self.0 == Bug::Back {
-                    if let Tell::Piece(piece) = &tell {
-                        state.module = piece.way.to;
+                    if let DistributorMessage::Chunk(piece) = &message {
+                        state.module = piece.transfer.target;
                         state.back |= state.module.number < state.highest;
                     }
                 }
             }
             Deed::Lose(at) => drop(state.mail.remove(at)),
             Deed::Round => {
-                let head = state.follower.next()?.head;
+                let head = state.follower.staged()?.version;
                 state.back |= head.number <= state.highest && state.highest > 0;
                 (state.module, state.highest) = (head, head.number);
-                state.follower.in_force(0.0, head);
+                state.follower.activated(0.0, head);
             }
             Deed::Save => {
-                state.disk = Some(state.follower.save(GOOD)?);
-                state.follower.saved(GOOD, Ok(()));
+                state.disk = Some(state.follower.save(PROBATION)?);
+                state.follower.save_finished(PROBATION, Ok(()));
             }
-            Deed::Ack => {
-                let held = state.follower.next().filter(|_| self.0 == Bug::EarlyAck);
-                let now = held.map_or(state.follower.works_by().head, |held| held.head);
+            Deed::Acknowledgement => {
+                let held = state.follower.staged().filter(|_| self.0 == Bug::EarlyAck);
+                let now = held.map_or(state.follower.active().version, |held| held.version);
                 if state.acked == now {
                     return None;
                 }
@@ -216,7 +225,7 @@
             Deed::Restart => {
                 state.restarts += 1;
                 state.follower = start(2, state.disk.as_deref());
-                state.module = state.follower.works_by().head;
+                state.module = state.follower.active().version;
                 (state.acked, state.highest) = (state.module, state.module.number);
             }
         }
@@ -227,14 +236,15 @@
         vec![
             Property::always("in order", |_, state: &State| !state.back),
             Property::always("in force is what the line has", |_, state: &State| {
-                let content = &state.follower.works_by().content;
+                let content = &state.follower.active().content;
                 let right: Option<Content> = state.history.content_at(state.module.number);
-                state.history.knows(state.module) && right.as_ref() == Some(&**content)
+                state.history.contains(state.module) && right.as_ref() == Some(&**content)
             }),
             Property::always("accepted stays", |_, state: &State| {
-                let kept = |head: &Head, key: &Key, value: f64| {
+                let kept = |head: &VersionId, key: &Key, value: f64| {
                     let content = state.history.content_at(head.number);
-                    state.history.knows(*head) && content.and_then(|content| content.get(key)) == Some(value)
+                    state.history.contains(*head)
+                        && content.and_then(|content| content.get(key)) == Some(value)
                 };
                 state.accepted.iter().all(|(head, key, value)| kept(head, key, *value))
             }),
@@ -243,7 +253,7 @@
                 state.module.number == VERSIONS
             }),
             Property::sometimes("a version is taken back", |_, state: &State| {
-                !state.history.stage().taken_back.is_empty() && state.module.number > 1
+                !state.history.state().reverted.is_empty() && state.module.number > 1
             }),
         ]
     }
