--- /dev/null
+++ b/crates/config-rollout/tests/schedules/control.rs
@@ -0,0 +1,166 @@
+//! The lease holders of the rollout, the current one and those that were replaced; and the distributors.
+
+use crate::network::{Message, Proposer};
+use crate::world::{Bug, Checked, SentLine, SimulatedHolder, World, STEP};
+use puffinladder_config_rollout::distributor::OutgoingMessage;
+use puffinladder_config_rollout::history::{Command, LogEntry};
+use puffinladder_config_rollout::rollout::{RolloutController, RolloutSettings};
+use rand::Rng;
+
+/// Bytes to one server in any one second.
+const BYTE_BUDGET: f64 = 12_000.0;
+
+impl World {
+    pub fn run_lease_holders(&mut self) -> Checked {
+        if self.now >= self.calm_from {
+            // Somebody gets the lease, and the lease store has a leader.
+            self.next_lease_at = self.next_lease_at.map(|at| at.min(self.now));
+            self.leaderless_until = self.leaderless_until.min(self.now);
+        }
+        if self.next_lease_at.is_none() && self.holders.iter().all(|holder| holder.works_until <= self.now) {
+            self.next_lease_at = Some(self.now + 0.2);
+        }
+        self.holders.retain(|holder| holder.works_until > self.now);
+        if self.next_lease_at.is_some_and(|at| self.now >= at) && self.reaches_leader(0) {
+            self.grant_lease();
+        }
+        self.expire_unreachable_lease();
+        for at in 0..self.holders.len() {
+            self.run_lease_holder(at)?;
+        }
+        Ok(())
+    }
+
+    fn grant_lease(&mut self) {
+        self.next_lease_at = None;
+        self.last_epoch += 1;
+        let epoch = self.last_epoch;
+        let region = if self.now < self.cut_until { 0 } else { usize::from(self.rng.random_bool(0.3)) };
+        let (author, seed) = (format!("holder-{epoch}"), self.rng.random());
+        let mut controller =
+            RolloutController::new(RolloutSettings::default(), &author, epoch, seed, self.now);
+        for server in &self.servers {
+            controller.expect_server(self.now, &server.name, &server.zone);
+        }
+        let replica = self.committed.clone();
+        self.holders.push(SimulatedHolder { region, controller, replica, works_until: f64::MAX });
+    }
+
+    /// A holder that the lease store can't hear loses its lease, and works on in the belief that it has it.
+    fn expire_unreachable_lease(&mut self) {
+        if self.next_lease_at.is_some() || self.now >= self.cut_until || self.now - self.cut_since <= 2.5 {
+            return;
+        }
+        let current = |holder: &&mut SimulatedHolder| holder.works_until == f64::MAX;
+        for holder in self.holders.iter_mut().filter(|holder| holder.region != 0).filter(current) {
+            holder.works_until = self.now + 9.0;
+            self.next_lease_at = Some(self.now);
+        }
+    }
+
+    fn run_lease_holder(&mut self, at: usize) -> Checked {
+        let reaches_leader = self.reaches_leader(self.holders[at].region);
+        let holder = &mut self.holders[at];
+        let is_behind = holder.replica.applied() != self.committed.applied();
+        if reaches_leader && is_behind && holder.works_until == f64::MAX {
+            holder.replica = self.committed.clone();
+        }
+        let command = holder.controller.next_command(self.now, &holder.replica);
+        // Now and then only, since it looks at every server.
+        if ((self.now / STEP).round() as u64).is_multiple_of(4) {
+            self.check_status(at)?;
+        }
+        let Some(command) = command.filter(|_| reaches_leader) else { return Ok(()) };
+        let mut commands = vec![command];
+        if self.bug == Bug::NoCanary {
+            if let Command::StartCanary { epoch, number, .. } = commands[0] {
+                commands.push(Command::Release { epoch, number });
+            }
+        }
+        for command in commands {
+            let entry = LogEntry { at: self.now, command };
+            let replaced = self.holders[at].works_until < f64::MAX;
+            let delay = if replaced { self.delay() * 10.0 } else { self.delay() };
+            self.post(delay, Message::Proposal { entry, proposer: Proposer::LeaseHolder });
+        }
+        Ok(())
+    }
+
+    /// Whether what a lease holder says of all servers is true.
+    fn check_status(&mut self, at: usize) -> Checked {
+        let holder = &self.holders[at];
+        let status = holder.controller.status(self.now, &holder.replica);
+        if status.everywhere {
+            self.counts.everywhere += 1;
+            let lacks = self.servers.iter().find(|server| server.highest < status.released.number);
+            if let Some(server) = lacks {
+                return Err(format!(
+                    "{} is said to be everywhere, {} never had it",
+                    status.released, server.name
+                ));
+            }
+        } else if status.up_to_date + status.lagging.len() != status.servers {
+            return Err(format!(
+                "of {} servers {} have it and {} lag",
+                status.servers,
+                status.up_to_date,
+                status.lagging.len()
+            ));
+        }
+        Ok(())
+    }
+
+    pub fn run_distributors(&mut self) -> Checked {
+        for at in 0..self.distributors.len() {
+            if self.now >= self.distributors[at].down_until {
+                self.run_distributor(at)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn run_distributor(&mut self, at: usize) -> Checked {
+        let region = self.distributors[at].region;
+        // A replica of its own region; on the side without a majority that one has no updates.
+        let replica = if region == 0 { self.rng.random_range(0..2) } else { 2 };
+        let fresh = self.reaches_leader(region);
+        let distributor = &mut self.distributors[at];
+        if self.now >= distributor.next_update {
+            distributor.next_update = self.now + 0.1;
+            let replica = &self.replicas[replica];
+            let updated = match replica.update_since(distributor.replica.head()) {
+                Some(update) => distributor.replica.apply_update(update),
+                None => distributor.replica.apply_snapshot(&replica.snapshot()),
+            };
+            updated.map_err(|error| format!("distributor {at}: {error}"))?;
+            if fresh {
+                distributor.fresh_at = self.now;
+            }
+        }
+        let age = if self.bug == Bug::NoAge { 0.0 } else { (self.now - distributor.fresh_at).min(1e6) };
+        let messages = distributor.distributor.poll(self.now, &distributor.replica, age);
+        for OutgoingMessage { server: name, message } in messages {
+            let Some(to) = self.servers.iter().position(|server| server.name == name) else { continue };
+            if self.servers[to].connected_to != Some(at) || self.is_cut(region, self.servers[to].region) {
+                continue;
+            }
+            self.check_budget(to, message.line_bytes() as f64)?;
+            self.send(at, to, message);
+        }
+        Ok(())
+    }
+
+    /// No server is sent more than its budget in any second.
+    fn check_budget(&mut self, to: usize, bytes: f64) -> Checked {
+        let (now, server) = (self.now, &mut self.servers[to]);
+        server.sent_lines.push_back(SentLine { at: now, bytes });
+        while server.sent_lines.front().is_some_and(|line| line.at <= now - 1.0) {
+            server.sent_lines.pop_front();
+        }
+        let sum: f64 = server.sent_lines.iter().map(|line| line.bytes).sum();
+        if sum > BYTE_BUDGET {
+            return Err(format!("{now:.2}: {} was sent {sum} B in one second", server.name));
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/config-rollout/tests/schedules/server.rs
@@ -0,0 +1,280 @@
+//! A server's rounds: it receives, activates, stores and acknowledges versions, and each step is checked.
+
+use crate::network::Message;
+use crate::world::{local_check, Bug, Checked, SimulatedDistributor, SimulatedServer, World, DEADLY, STEP};
+use puffinladder_config_rollout::follower::{Received, VersionedContent};
+use puffinladder_config_rollout::messages::{Chunk, DistributorMessage};
+use puffinladder_config_rollout::{Change, Key};
+use rand::Rng;
+use std::io;
+use std::sync::Arc;
+
+/// Whether a server's round goes on.
+#[derive(PartialEq)]
+enum Round {
+    Continues,
+    Ended,
+}
+
+impl SimulatedServer {
+    pub fn has_deadly(&self, quota: f64) -> bool {
+        self.active.content.get(&Key::tenant("deadly")) == Some(quota)
+    }
+}
+
+impl World {
+    pub fn receive(&mut self, at: usize, message: &DistributorMessage) -> Checked {
+        self.servers[at].last_heard = self.now;
+        if let Some(content) = self.taken_by_bug(at, message) {
+            return self.activate(at, content);
+        }
+        let whole = matches!(message, DistributorMessage::Chunk(chunk) if chunk.transfer.base.is_none());
+        let server = &mut self.servers[at];
+        let before = *server.follower.counters();
+        if let Received::Staged(_) = server.follower.receive(message, &local_check) {
+            self.counts.whole_contents += u64::from(whole);
+        }
+        let after = server.follower.counters();
+        self.counts.wrong_digests += after.wrong_digests - before.wrong_digests;
+        self.counts.undecodable += after.undecodable - before.undecodable;
+        self.counts.conflicts += after.conflicts - before.conflicts;
+        if after.rejected > before.rejected {
+            let number = server.follower.target().map_or(0, |target| target.number);
+            let name = &server.name;
+            let is_canary = self.canaries.values().any(|names| names.contains(name));
+            if !is_canary {
+                return Err(format!("{name}, no canary, rejected what it was sent, target {number}"));
+            }
+        }
+        Ok(())
+    }
+
+    /// What a planted bug activates without asking the follower.
+    fn taken_by_bug(&self, at: usize, message: &DistributorMessage) -> Option<VersionedContent> {
+        let server = &self.servers[at];
+        match (self.bug, message) {
+            (Bug::Unchecked, DistributorMessage::Chunk(chunk)) => apply_unchecked(&server.active, chunk),
+            (Bug::Downgrade, DistributorMessage::Target { target, .. }) => {
+                server.previous.iter().find(|older| older.version == *target).cloned()
+            }
+            _ => None,
+        }
+    }
+
+    /// The host works by that content from this round on.
+    fn activate(&mut self, at: usize, content: VersionedContent) -> Checked {
+        let (now, server) = (self.now, &mut self.servers[at]);
+        let (name, version) = (server.name.clone(), content.version);
+        let previous = server.active.version;
+        if version.number <= previous.number {
+            return Err(format!("{now:.2}: {name} went from {previous} to {version}"));
+        }
+        server.previous.push(std::mem::replace(&mut server.active, content));
+        server.highest = server.highest.max(version.number);
+        self.counts.activated += 1;
+        self.counts.wide_steps += u64::from(version.number >= previous.number + 10);
+        self.check_active(at)?;
+        let server = &mut self.servers[at];
+        if server.has_deadly(DEADLY) {
+            server.crashes_at = Some(now + 0.2);
+        }
+        let released = self.committed.state().released;
+        let is_canary = self.canaries.get(&version.number).is_some_and(|names| names.contains(&name));
+        if version.number > released && !is_canary {
+            return Err(format!("{now:.2}: {name} has {version} active, released is {released}"));
+        }
+        let bad = server.has_deadly(DEADLY) || local_check(&server.active.content).is_err();
+        if bad && !is_canary {
+            return Err(format!("{now:.2}: {name}, no canary, has a bad {version} active"));
+        }
+        Ok(())
+    }
+
+    /// What is active is, as a whole, what the line has under its number.
+    fn check_active(&self, at: usize) -> Checked {
+        let SimulatedServer { name, active: VersionedContent { version, content }, .. } = &self.servers[at];
+        let Some(known) = self.versions.get(&version.number) else {
+            return Err(format!("{name} has {version} active, which never was"));
+        };
+        if known.digest != version.digest || known.content != **content {
+            let keys = known.content.diff(content).len();
+            return Err(format!("{name} has {version} active, {keys} keys off"));
+        }
+        Ok(())
+    }
+
+    /// A server's round.
+    pub fn run_server(&mut self, at: usize) -> Checked {
+        let (now, calm) = (self.now, self.now >= self.calm_from);
+        let server = &mut self.servers[at];
+        if calm {
+            (server.paused_until, server.disk_full_until) = (0.0, 0.0);
+            (server.mute_until, server.deaf_until) = (0.0, 0.0);
+        }
+        if now < server.down_until || now < server.paused_until {
+            return Ok(());
+        }
+        if server.crashes_at.is_some_and(|crashes_at| now >= crashes_at) {
+            self.kill(at);
+            self.servers[at].down_until = now + 0.3;
+            return Ok(());
+        }
+        self.check_age(at)?;
+        let server = &mut self.servers[at];
+        if let Some(second_half) = server.second_half.take() {
+            server.active.content = second_half.content;
+        }
+        self.check_active(at)?;
+        self.connect(at);
+        if self.activate_staged(at, calm)? == Round::Ended || self.save(at, calm)? == Round::Ended {
+            return Ok(());
+        }
+        self.acknowledge(at, calm)
+    }
+
+    /// On the side without a majority no server takes what it has for newer than the cut.
+    fn check_age(&mut self, at: usize) -> Checked {
+        let (now, server) = (self.now, &self.servers[at]);
+        let is_cut_off = now < self.cut_until && server.region != 0;
+        let Some(age) = server.follower.age(now).filter(|_| is_cut_off) else { return Ok(()) };
+        let least = now - self.cut_since - STEP;
+        if age < least {
+            return Err(format!(
+                "{now:.2}: {} takes what it has for {age:.2} s old, {least:.2} at least",
+                server.name
+            ));
+        }
+        // A distributor that started within the cut knows nothing at all, and says so.
+        if age < 1e5 {
+            self.counts.oldest = self.counts.oldest.max(age);
+        }
+        Ok(())
+    }
+
+    /// The host activates what is staged, and may be killed before or after.
+    fn activate_staged(&mut self, at: usize, calm: bool) -> Result<Round, String> {
+        // Rounds of the host are not those of its connections.
+        let is_round = self.rng.random_bool(0.6);
+        let server = &mut self.servers[at];
+        let Some(staged) = server.follower.staged().filter(|_| is_round).cloned() else {
+            return Ok(Round::Continues);
+        };
+        let chance = if calm { 9 } else { self.rng.random_range(0..120) };
+        if chance == 0 {
+            self.kill(at); // before the round
+            return Ok(Round::Ended);
+        }
+        let version = staged.version;
+        if self.bug == Bug::HalfChange && server.active.content.diff(&staged.content).len() > 1 {
+            self.activate_half(at, staged);
+            return self.check_active(at).map(|()| Round::Ended);
+        }
+        if self.bug != Bug::Unchecked || version.number > server.active.version.number {
+            self.activate(at, staged)?;
+        }
+        if chance == 1 {
+            self.kill(at); // the host had it, nobody knows
+            return Ok(Round::Ended);
+        }
+        if !self.servers[at].follower.activated(self.now, version) {
+            return Err("what was activated is not known".into());
+        }
+        Ok(Round::Continues)
+    }
+
+    fn activate_half(&mut self, at: usize, staged: VersionedContent) {
+        let server = &mut self.servers[at];
+        let whole = server.active.content.diff(&staged.content);
+        let half: Change = whole.iter().map(|(key, value)| (key.clone(), value)).take(1).collect();
+        let half = server.active.content.after(&half).expect("valid");
+        server.active = VersionedContent { version: staged.version, content: Arc::new(half) };
+        server.follower.activated(self.now, staged.version);
+        server.second_half = Some(staged);
+    }
+
+    /// The host writes the last good version to its disk, and may be killed before.
+    fn save(&mut self, at: usize, calm: bool) -> Result<Round, String> {
+        let now = self.now;
+        let Some(bytes) = self.servers[at].follower.save(now) else { return Ok(Round::Continues) };
+        if !calm && self.rng.random_range(0..40) == 0 {
+            self.kill(at); // before it is on the disk
+            return Ok(Round::Ended);
+        }
+        let server = &mut self.servers[at];
+        if now < server.disk_full_until {
+            server.follower.save_finished(now, Err(io::Error::other("no space left")));
+            return Ok(Round::Continues);
+        }
+        // Written beside the old one and put in its place, so that a kill leaves one of them.
+        server.disk = Some(bytes);
+        server.follower.save_finished(now, Ok(()));
+        let stored = server.follower.stored().map_or(0, |version| version.number);
+        if stored < server.stored {
+            return Err(format!("{} wrote version {stored} over {}", server.name, server.stored));
+        }
+        server.stored = stored;
+        Ok(Round::Continues)
+    }
+
+    fn acknowledge(&mut self, at: usize, calm: bool) -> Checked {
+        let (now, server) = (self.now, &mut self.servers[at]);
+        let Some(mut ack) = server.follower.acknowledge(now) else { return Ok(()) };
+        let active = server.active.version;
+        match self.bug {
+            Bug::EarlyAck => ack.active = ack.staged,
+            // It tells the truth about what it should not have done.
+            Bug::Unchecked => ack.active = active,
+            _ => {}
+        }
+        if ack.active != active {
+            return Err(format!("{now:.2}: {} acknowledges {}, has {active}", server.name, ack.active));
+        }
+        if let Some(distributor) = server.connected_to.filter(|_| now >= server.mute_until) {
+            let delay = self.delay();
+            if calm || self.rng.random_range(0..100) > 2 {
+                self.post(delay, Message::ToDistributor { distributor, server: at, ack });
+            }
+        }
+        Ok(())
+    }
+
+    /// A server is connected to one distributor, of its own region if there is one, and goes to another when it hears nothing.
+    fn connect(&mut self, at: usize) {
+        let now = self.now;
+        let SimulatedServer { name, region, connected_to, last_heard, .. } = &self.servers[at];
+        let (name, region) = (name.clone(), *region);
+        let is_reached = |distributor: &SimulatedDistributor| {
+            now >= distributor.down_until && !self.is_cut(distributor.region, region)
+        };
+        let is_broken = connected_to.is_some_and(|current| !is_reached(&self.distributors[current]));
+        let is_silent = now - last_heard > 2.5;
+        if connected_to.is_some() && !is_broken && !is_silent {
+            return;
+        }
+        let reached = |at: &usize| is_reached(&self.distributors[*at]);
+        let all: Vec<usize> = (0..self.distributors.len()).filter(reached).collect();
+        let in_region = |at: &usize| self.distributors[*at].region == region;
+        let near: Vec<usize> = all.iter().copied().filter(in_region).collect();
+        if let Some(current) = *connected_to {
+            self.distributors[current].distributor.disconnected(&name);
+        }
+        let candidates = if near.is_empty() || self.rng.random_bool(0.2) { all } else { near };
+        let next = (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())]);
+        let server = &mut self.servers[at];
+        (server.connected_to, server.last_heard) = (next, now);
+        server.follower.connected();
+    }
+}
+
+/// The content after a change of one chunk, whatever its digest.
+fn apply_unchecked(active: &VersionedContent, chunk: &Chunk) -> Option<VersionedContent> {
+    let transfer = chunk.transfer;
+    let change = postcard::from_bytes::<Change>(&chunk.bytes).ok()?;
+    let is_newer = transfer.target.number > active.version.number;
+    let is_complete = chunk.bytes.len() == transfer.total_bytes as usize;
+    if !is_newer || !is_complete || transfer.base != Some(active.version) {
+        return None;
+    }
+    let content = active.content.after(&change).ok()?;
+    Some(VersionedContent { version: transfer.target, content: Arc::new(content) })
+}
--- /dev/null
+++ b/crates/config-rollout/tests/schedules/world.rs
@@ -0,0 +1,339 @@
+//! The simulated fleet: its servers, distributors, lease holders and lease-store replicas, and the loop that moves time on.
+
+use crate::counts::Counts;
+use crate::network::{InTransit, Proposer};
+use puffinladder_config_rollout::distributor::{Distributor, DistributorSettings};
+use puffinladder_config_rollout::follower::{Follower, VersionedContent};
+use puffinladder_config_rollout::history::{History, LogEntry, RetentionLimits};
+use puffinladder_config_rollout::rollout::RolloutController;
+use puffinladder_config_rollout::{Content, Digest, Key, Seal, ValidationError, VersionId};
+use puffinladder_leases::{Epoch, Owner};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Time between two steps of the simulation, s.
+pub const STEP: f64 = 0.04;
+/// No new fault and no change from here on, s; within so many s more all servers have to have the last version.
+const CALM_FROM: f64 = 26.0;
+const CONVERGENCE_LIMIT: f64 = 6.0;
+/// A quota that no server accepts, and one under which each crashes.
+pub const POISON: f64 = 666.0;
+pub const DEADLY: f64 = 13.0;
+
+/// Fine, or which invariant does not hold.
+pub type Checked = Result<(), String>;
+
+/// A fault of a host that the schedules have to catch.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Bug {
+    None,
+    /// A server applies what it was sent before it looks at the digest.
+    Unchecked,
+    /// A server goes back to an older version that is named to it.
+    Downgrade,
+    /// The staged version is acknowledged as if it were active.
+    EarlyAck,
+    /// A change is activated over two rounds.
+    HalfChange,
+    /// The lease store accepts commands of an old lease holder.
+    StaleEpoch,
+    /// A distributor counts no bytes.
+    NoByteBudget,
+    /// A version is released as soon as it is on canaries.
+    NoCanary,
+    /// A leader answers before a majority has the entry.
+    EarlyAnswer,
+    /// A distributor that is cut off says that what it knows is fresh.
+    NoAge,
+}
+
+/// A server: its host process, its follower, its disk.
+pub struct SimulatedServer {
+    pub name: String,
+    pub zone: String,
+    pub region: usize,
+    pub incarnation: u64,
+    pub follower: Follower,
+    /// By what the host works, in this incarnation.
+    pub active: VersionedContent,
+    /// What was active before, for a bug that goes back.
+    pub previous: Vec<VersionedContent>,
+    /// The highest version that was ever active.
+    pub highest: u64,
+    pub disk: Option<Vec<u8>>,
+    /// The version on the disk.
+    pub stored: u64,
+    pub disk_full_until: f64,
+    pub down_until: f64,
+    pub paused_until: f64,
+    /// Its messages are lost until then.
+    pub mute_until: f64,
+    /// Messages to it are lost until then.
+    pub deaf_until: f64,
+    /// Which distributor.
+    pub connected_to: Option<usize>,
+    pub last_heard: f64,
+    /// When it crashes by the version that is active.
+    pub crashes_at: Option<f64>,
+    /// Within the last second.
+    pub sent_lines: VecDeque<SentLine>,
+    /// The second half of a change, for the bug that applies it late.
+    pub second_half: Option<VersionedContent>,
+}
+
+/// A line that was sent to a server.
+pub struct SentLine {
+    pub at: f64,
+    pub bytes: f64,
+}
+
+pub struct SimulatedDistributor {
+    pub region: usize,
+    pub distributor: Distributor,
+    pub replica: History,
+    /// When a majority was last heard.
+    pub fresh_at: f64,
+    pub down_until: f64,
+    /// When it next asks the lease store for an update.
+    pub next_update: f64,
+}
+
+pub struct SimulatedHolder {
+    pub region: usize,
+    pub controller: RolloutController,
+    pub replica: History,
+    /// It was replaced and works on without knowing, until then.
+    pub works_until: f64,
+}
+
+/// An entry that the leader has and no majority yet.
+pub struct PendingEntry {
+    pub due: f64,
+    pub entry: LogEntry,
+    pub proposer: Proposer,
+}
+
+/// What a version is, by the line that a majority agreed on.
+pub struct KnownVersion {
+    pub digest: Digest,
+    pub content: Content,
+}
+
+pub struct World {
+    pub rng: ChaCha8Rng,
+    pub bug: Bug,
+    /// s from the start.
+    pub now: f64,
+    pub calm_from: f64,
+    /// Longest time for which regions are cut, s.
+    pub longest_cut: f64,
+    pub seal: Seal,
+    pub limits: RetentionLimits,
+    pub servers: Vec<SimulatedServer>,
+    pub distributors: Vec<SimulatedDistributor>,
+    pub holders: Vec<SimulatedHolder>,
+    /// What a majority agreed on, and the history that it makes.
+    pub log: Vec<LogEntry>,
+    pub committed: History,
+    /// The lease-store replicas, each as far as it has come.
+    pub replicas: Vec<History>,
+    pub pending: Vec<PendingEntry>,
+    pub leaderless_until: f64,
+    /// Two regions don't hear each other until then; the majority is in region 0.
+    pub cut_until: f64,
+    pub cut_since: f64,
+    pub last_epoch: Epoch,
+    pub next_lease_at: Option<f64>,
+    pub in_transit: Vec<InTransit>,
+    pub posted: u64,
+    /// Every version that ever was.
+    pub versions: BTreeMap<u64, KnownVersion>,
+    /// Which servers were allowed to have a version early.
+    pub canaries: BTreeMap<u64, BTreeSet<String>>,
+    /// The highest epoch under which anything took effect.
+    pub highest_epoch: Epoch,
+    pub accepted: Vec<VersionId>,
+    pub next_put: f64,
+    pub put_interval: f64,
+    /// Keys of one change, at the most.
+    pub max_keys: usize,
+    pub counts: Counts,
+    converged_after: f64,
+}
+
+/// A server's own check.
+pub fn local_check(content: &Content) -> Result<(), ValidationError> {
+    let key = Key::tenant("poison");
+    match content.get(&key) {
+        Some(POISON) => Err(ValidationError::at(&key, "poison")),
+        _ => Ok(()),
+    }
+}
+
+impl World {
+    pub fn new(seed: u64, bug: Bug) -> World {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let seal = if seed.is_multiple_of(4) { Seal::default() } else { Seal::keyed([7; 32]) };
+        let versions = if seed.is_multiple_of(3) { 6 } else { 4096 };
+        let limits = RetentionLimits { versions, bytes: 1 << 20 };
+        let committed = History::new(seal.clone(), limits);
+        let server_count = rng.random_range(5..=40);
+        let distributor_count = rng.random_range(1..=3);
+        let start = KnownVersion { digest: committed.head().digest, content: Content::default() };
+        let mut world = World {
+            bug,
+            now: 0.0,
+            calm_from: CALM_FROM,
+            longest_cut: 16.0,
+            servers: Vec::new(),
+            distributors: Vec::new(),
+            holders: Vec::new(),
+            log: Vec::new(),
+            replicas: vec![committed.clone(); 3],
+            pending: Vec::new(),
+            leaderless_until: 0.0,
+            cut_until: 0.0,
+            cut_since: 0.0,
+            last_epoch: 0,
+            next_lease_at: Some(0.0),
+            in_transit: Vec::new(),
+            posted: 0,
+            versions: BTreeMap::from([(0, start)]),
+            canaries: BTreeMap::new(),
+            highest_epoch: 0,
+            accepted: Vec::new(),
+            next_put: 1.0,
+            put_interval: rng.random_range(0.2..2.5),
+            max_keys: if rng.random_bool(0.3) { rng.random_range(40..100) } else { 3 },
+            counts: Counts::default(),
+            converged_after: 0.0,
+            seal,
+            limits,
+            committed,
+            rng,
+        };
+        for at in 0..distributor_count {
+            let region = if distributor_count == 1 { 0 } else { at % 2 };
+            let distributor = world.new_distributor(region);
+            world.distributors.push(distributor);
+        }
+        for at in 0..server_count {
+            let server = world.new_server(at);
+            world.servers.push(server);
+        }
+        world
+    }
+
+    fn new_server(&self, at: usize) -> SimulatedServer {
+        let (region, zone) = (at % 2, format!("z{}", at % 6));
+        let name = format!("n{at:02}");
+        let (follower, _) =
+            Follower::start(Owner::new(&name, 1), &zone, self.seal.clone(), None, &local_check);
+        SimulatedServer {
+            name,
+            zone,
+            region,
+            incarnation: 1,
+            active: follower.active().clone(),
+            follower,
+            previous: Vec::new(),
+            highest: 0,
+            disk: None,
+            stored: 0,
+            disk_full_until: 0.0,
+            down_until: 0.0,
+            paused_until: 0.0,
+            mute_until: 0.0,
+            deaf_until: 0.0,
+            connected_to: None,
+            last_heard: 0.0,
+            crashes_at: None,
+            sent_lines: VecDeque::new(),
+            second_half: None,
+        }
+    }
+
+    pub fn new_distributor(&mut self, region: usize) -> SimulatedDistributor {
+        let rate = if self.bug == Bug::NoByteBudget { 1e9 } else { DistributorSettings::default().rate };
+        let burst = if self.bug == Bug::NoByteBudget { 1e9 } else { DistributorSettings::default().burst };
+        // Few enough that servers wait for a slot, enough that the largest contents here can be everywhere in time: 40 servers in 16
+        // slots are three rounds, each of 6.5 KB at 8 KB a second.
+        let catch_up_slots = self.rng.random_range(4..9) * 4;
+        let settings = DistributorSettings { rate, burst, catch_up_slots, ..DistributorSettings::default() };
+        settings.check().expect("valid settings");
+        SimulatedDistributor {
+            region,
+            distributor: Distributor::new(settings, self.rng.random(), self.now),
+            replica: History::new(self.seal.clone(), self.limits),
+            fresh_at: f64::MIN,
+            down_until: 0.0,
+            next_update: 0.0,
+        }
+    }
+
+    /// Plays the schedule to its end, or until an invariant does not hold.
+    pub fn run(&mut self) -> Checked {
+        while self.now < self.calm_from + CONVERGENCE_LIMIT {
+            self.now += STEP;
+            if self.now < self.calm_from {
+                self.inject_fault()?;
+                self.put_changes()?;
+            }
+            self.deliver()?;
+            self.run_lease_store()?;
+            self.run_lease_holders()?;
+            self.run_distributors()?;
+            for at in 0..self.servers.len() {
+                self.run_server(at)?;
+            }
+            if self.now >= self.calm_from && self.converged_after == 0.0 && self.difference().is_none() {
+                self.converged_after = self.now - self.calm_from;
+            }
+        }
+        self.check_end()?;
+        self.counts.versions += self.versions.len() as u64 - 1;
+        self.counts.convergence = self.converged_after;
+        Ok(())
+    }
+
+    fn check_end(&self) -> Checked {
+        if let Some(difference) = self.difference() {
+            return Err(format!("{CONVERGENCE_LIMIT} s after healing: {difference}"));
+        }
+        for version in &self.accepted {
+            if self.versions.get(&version.number).map(|known| known.digest) != Some(version.digest) {
+                return Err(format!("version {version} was accepted and is lost"));
+            }
+        }
+        for replica in &self.replicas {
+            if *replica != self.committed {
+                return Err(format!("a replica has {}, another {}", replica.head(), self.committed.head()));
+            }
+        }
+        Ok(())
+    }
+
+    /// What keeps the fleet from having the last version everywhere.
+    fn difference(&self) -> Option<String> {
+        let head = self.committed.head();
+        let state = self.committed.state();
+        if state.released != head.number {
+            return Some(format!("released is {} of {head}, {state:?}", state.released));
+        }
+        let server = self.servers.iter().find(|server| server.active.version != head)?;
+        let connection = server.connected_to.map(|at| {
+            let SimulatedDistributor { distributor, replica, .. } = &self.distributors[at];
+            (distributor.is_sending_to(&server.name), distributor.catching_up(), replica.state())
+        });
+        Some(format!(
+            "{} has {}, not {head}; target {:?}, {:?}, incarnation {}, crashes at {:?}, {connection:?}",
+            server.name,
+            server.active.version,
+            server.follower.target(),
+            server.follower.counters(),
+            server.incarnation,
+            server.crashes_at,
+        ))
+    }
+}
