--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -311,11 +311,11 @@
                 (_, true) => keeper::Begin::Join,
                 _ => keeper::Begin::Open,
             };
-            let told = serve::section(&name, "keeper", settings.keeper)?;
+            let told = serve::section(&name, "keeper", settings.lease_store)?;
             runtime.block_on(keeper::keep(&told, begin, ground))
         }
         Kind::Steward => {
-            let told = serve::section(&name, "steward", settings.steward)?;
+            let told = serve::section(&name, "steward", settings.worker)?;
             runtime.block_on(steward::serve_duties(&told, ground))
         }
         Kind::Control => {
@@ -324,7 +324,7 @@
         }
         Kind::Seat => runtime.block_on(seat::sit(seat, ground)),
         Kind::Archive => {
-            let told = serve::section(&name, "archive", settings.archive)?;
+            let told = serve::section(&name, "archive", settings.trace_store)?;
             runtime.block_on(archive::keep(&told, ground))
         }
     }
--- a/crates/config-rollout/src/patch.rs
+++ b/crates/config-rollout/src/patch.rs
@@ -10,12 +10,15 @@
 use crate::change::{Change, MAX_CHANGE_BYTES};
 use crate::key::{Field, Key, Section, FLEET};
 use crate::setting::{ValidationError, Value};
-use puffinladder_charter::sexpr::{Fault, Form, Node, Reader};
+use puffinladder_settings::sexpr::{Diagnostic, Form, Node, Problem, Reader};
 use std::collections::BTreeMap;
 
 /// Bytes of a patch's text, at the most: white space and comments come on top of what a change may hold.
 const MAX_TEXT_BYTES: usize = 4 * MAX_CHANGE_BYTES;
 
+/// What a form at the top of a patch may begin with.
+const TOP_LEVEL_KEYS: [&str; 4] = ["tenant", "route", "limit", "without"];
+
 /// Milliseconds of the units in which times are written.
 const SECOND_MS: f64 = 1e3;
 const MINUTE_MS: f64 = 6e4;
@@ -51,18 +54,18 @@
 
 impl Patch {
     /// Reads a patch. Errors come all at once, each with file, line, column and key.
-    pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Fault>> {
+    pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Diagnostic>> {
         let mut parser = Parser { reader: Reader::new(file, text), text, patch: Patch::default() };
         parser.patch.file = file.into();
         if text.len() > MAX_TEXT_BYTES {
             let reason = format!("{} bytes; a change has {MAX_TEXT_BYTES} at the most", text.len());
-            parser.error(0, "", reason);
-            return Err(parser.reader.faults());
+            parser.report(0, "", reason);
+            return Err(parser.reader.into_diagnostics());
         }
-        let forms = parser.reader.forms();
+        let forms = parser.reader.parse();
         forms.iter().for_each(|form| parser.form(form));
         let Parser { reader, patch, .. } = parser;
-        let errors = reader.faults();
+        let errors = reader.into_diagnostics();
         if !errors.is_empty() {
             return Err(errors);
         }
@@ -71,11 +74,11 @@
     }
 
     /// An error with its place in the file: that of its key, or the start where the change as a whole is wrong.
-    pub fn locate(&self, error: &ValidationError) -> Fault {
+    pub fn locate(&self, error: &ValidationError) -> Diagnostic {
         let place = error.key.as_ref().and_then(|key| self.places.get(key));
         let Place { line, column } = *place.unwrap_or(&Place::START);
         let key = error.key.as_ref().map_or(String::new(), Key::to_string);
-        Fault { file: self.file.clone(), line, column, key, what: error.reason.clone() }
+        Diagnostic { file: self.file.clone(), line, column, key, problem: error.reason.clone().into() }
     }
 }
 
@@ -100,24 +103,24 @@
 }
 
 impl Parser<'_> {
-    fn error(&self, offset: usize, path: &str, reason: impl Into<String>) {
-        self.reader.fault(offset, path, reason);
+    fn report(&self, offset: usize, path: &str, problem: impl Into<Problem>) {
+        self.reader.report(offset, path, problem);
     }
 
     /// One form at the top of the file.
     fn form(&mut self, form: &Node) {
         let offset = form.span.start;
         let Some((head, items)) = list(form) else {
-            return self.error(
+            return self.report(
                 offset,
                 "",
-                "should be a list that begins with tenant, route, limit or without",
+                Problem::Expected("a list that begins with tenant, route, limit or without".into()),
             );
         };
         match Section::from_name(head) {
             Some(section) => self.block(section, form, items),
             None if head == "without" => items.iter().for_each(|item| self.without(item)),
-            None => self.error(offset, head, "is not known; there are tenant, route, limit, without"),
+            None => self.report(offset, head, Problem::Unknown(TOP_LEVEL_KEYS.to_vec())),
         }
     }
 
@@ -131,43 +134,44 @@
                     Form::Text(text) if name.is_none() => name = Some(text.clone()),
                     _ => {
                         let path = format!("{}.name", section.name());
-                        self.error(item.span.start, &path, "should be one text in quotes, once");
+                        self.report(
+                            item.span.start,
+                            &path,
+                            Problem::Expected("one text in quotes, once".into()),
+                        );
                     }
                 },
                 Some((key, values)) => assignments.extend(self.assignment(section, item, key, values)),
-                None => {
-                    self.error(item.span.start, section.name(), "should be a list that begins with a key")
-                }
+                None => self.report(item.span.start, section.name(), Problem::NotAnEntry),
             }
         }
         let Some(name) = name else {
             let path = format!("{}.name", section.name());
-            return self.error(form.span.start, &path, "should be given");
+            return self.report(form.span.start, &path, Problem::Missing);
         };
         if assignments.is_empty() {
-            return self.error(form.span.start, section.name(), "changes nothing");
+            return self.report(form.span.start, section.name(), "changes nothing");
         }
         for Assignment { field, value, offset } in assignments {
             self.insert(Key::new(section, &name, field), Some(Value(value)), offset);
         }
     }
 
-    /// `(quota 120)` in a block; none, and an error said, where it is not valid.
+    /// `(quota 120)` in a block; none, after a report, where it is not valid.
     fn assignment(&self, section: Section, item: &Node, key: &str, values: &[Node]) -> Option<Assignment> {
         let offset = item.span.start;
         let path = format!("{}.{key}", section.name());
         let Some(field) = section.field(key) else {
-            let names: Vec<&str> = section.fields().map(Field::name).collect();
-            self.error(offset, &path, format!("is not known; there are {}", names.join(", ")));
+            self.report(offset, &path, Problem::Unknown(section.fields().map(Field::name).collect()));
             return None;
         };
         let [value] = values else {
-            self.error(offset, &path, expected(field));
+            self.report(offset, &path, expected(field));
             return None;
         };
         let number = number(field, &value.form);
         if number.is_none() {
-            self.error(value.span.start, &path, expected(field));
+            self.report(value.span.start, &path, expected(field));
         }
         Some(Assignment { field, value: number?, offset })
     }
@@ -176,9 +180,8 @@
     fn without(&mut self, item: &Node) {
         let offset = item.span.start;
         let Some(Removal { section, name, fields }) = removal(item) else {
-            let expected =
-                "should be such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)";
-            return self.error(offset, "without", expected);
+            let expected = "such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)";
+            return self.report(offset, "without", Problem::Expected(expected.into()));
         };
         for field in fields {
             self.insert(Key::new(section, &name, field), None, offset);
@@ -188,7 +191,7 @@
     fn insert(&mut self, key: Key, value: Option<Value>, offset: usize) {
         if self.patch.change.contains(&key) {
             let path = format!("{}.{}", key.section.name(), key.field.name());
-            self.error(offset, &path, format!("stands here a second time for {:?}", key.name));
+            self.report(offset, &path, format!("stands here a second time for {:?}", key.name));
         }
         self.patch.places.insert(key.clone(), Place::of_offset(self.text, offset));
         self.patch.change.insert(key, value);
@@ -224,9 +227,9 @@
 }
 
 /// What a field takes, for messages.
-fn expected(field: Field) -> String {
+fn expected(field: Field) -> Problem {
     let (range, unit) = (field.range(), if field.is_time() { "ms" } else { "" });
-    format!("should be from {}{unit} to {}{unit}", range.start(), range.end())
+    Problem::Expected(format!("from {}{unit} to {}{unit}", range.start(), range.end()))
 }
 
 /// The number that a word stands for, times in ms. Times need a unit, or it would be open which one was meant.
--- a/crates/config-rollout/src/validation.rs
+++ b/crates/config-rollout/src/validation.rs
@@ -3,8 +3,8 @@
 use crate::content::Content;
 use crate::key::{Field, Key, Section};
 use crate::setting::ValidationError;
+use puffinladder_settings::{parse_policy_config, ConfigError};
 use serde_json::{Map, Value as Json};
-use thiserror::Error;
 
 /// Judges a whole content.
 pub trait ContentValidator {
@@ -28,35 +28,23 @@
     }
 }
 
-/// The settings with which a server starts and which contents overlay; `puffinladder-charter` reads both.
+/// The settings with which a server starts and which contents overlay; `puffinladder-settings` parses both.
 #[derive(Clone, Debug)]
 pub struct BaseSettings {
     settings: Map<String, Json>,
 }
 
-/// Why a text can't serve as base settings.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum BaseSettingsError {
-    /// The settings are missing a key, or a value is out of range.
-    #[error("{0}")]
-    Invalid(String),
-    /// The text is JSON, but not an object.
-    #[error("start text is not a JSON object")]
-    NotAnObject,
-}
-
 impl BaseSettings {
-    /// `text` is JSON as `read_terms` takes it: the `settings` of a server's start text, or all of an adapter's.
-    pub fn new(text: &[u8]) -> Result<BaseSettings, BaseSettingsError> {
-        puffinladder_charter::read_terms(text)
-            .map_err(|error| BaseSettingsError::Invalid(error.to_string()))?;
+    /// `text` is JSON as [`parse_policy_config`] takes it: the `settings` of a server's start text, or all of an adapter's.
+    pub fn new(text: &[u8]) -> Result<BaseSettings, ConfigError> {
+        parse_policy_config(text)?;
         match serde_json::from_slice(text) {
             Ok(Json::Object(settings)) => Ok(BaseSettings { settings }),
-            _ => Err(BaseSettingsError::NotAnObject),
+            _ => Err(ConfigError::NotAnObject),
         }
     }
 
-    /// The settings with a content overlaid, as JSON that `read_terms` takes. An error where the base settings lack the route that a
+    /// The settings with a content overlaid, as JSON that [`parse_policy_config`] takes. An error where the base settings lack the route that a
     /// key names, or have something else in its place.
     pub fn overlay(&self, content: &Content) -> Result<Vec<u8>, ValidationError> {
         let mut settings = self.settings.clone();
@@ -111,8 +99,7 @@
         content.check()?;
         let settings = self.overlay(content)?;
         // The check above covers keys and ranges; an error here concerns the settings as a whole and names its place itself.
-        puffinladder_charter::read_terms(&settings)
-            .map_err(|error| ValidationError::whole(error.to_string()))?;
+        parse_policy_config(&settings).map_err(|error| ValidationError::whole(error.to_string()))?;
         Ok(())
     }
 }
--- a/crates/config-rollout/src/validation/tests.rs
+++ b/crates/config-rollout/src/validation/tests.rs
@@ -13,32 +13,35 @@
     BaseSettings::new(START.as_bytes()).unwrap()
 }
 
-fn under(change: Change) -> Content {
+fn content_of(change: Change) -> Content {
     Content::default().after(&change).unwrap()
 }
 
 #[test]
-fn a_content_lies_over_the_start_text_and_reads_as_terms() {
+fn a_content_overlays_the_base_settings_and_is_parsed() {
     let change = Change::default()
         .set(Key::tenant("acme"), 25.0)
         .set(Key::tenant("new"), 7.0)
         .set(Key::route("orders", Field::LatencyObjective), 300.0)
         .set(Key::limit(Field::Servers), 9.0)
         .set(Key::new(Section::Limit, FLEET, Field::MaxRetryAfter), 5000.0);
-    let content = under(change);
+    let content = content_of(change);
     start().validate(&content).unwrap();
-    let terms = puffinladder_charter::read_terms(&start().overlay(&content).unwrap()).unwrap();
-    assert_eq!(terms.customers, ["acme", "new"]);
-    assert_eq!((terms.charter.tenants[0].quota, terms.charter.tenants[1].quota), (25.0, 7.0));
-    assert_eq!((terms.charter.classes[0].latency_objective, terms.charter.classes[0].timeout), (0.3, 0.9));
-    assert_eq!((terms.charter.servers, terms.charter.max_retry_after), (9.0, 5.0));
+    let config = parse_policy_config(&start().overlay(&content).unwrap()).unwrap();
+    assert_eq!(config.tenant_names, ["acme", "new"]);
+    assert_eq!((config.settings.tenants[0].quota, config.settings.tenants[1].quota), (25.0, 7.0));
+    assert_eq!(
+        (config.settings.classes[0].latency_objective, config.settings.classes[0].timeout),
+        (0.3, 0.9)
+    );
+    assert_eq!((config.settings.servers, config.settings.max_retry_after), (9.0, 5.0));
     // The empty content is the start text.
-    let terms = puffinladder_charter::read_terms(&start().overlay(&Content::default()).unwrap()).unwrap();
-    assert_eq!(terms, puffinladder_charter::read_terms(START.as_bytes()).unwrap());
+    let config = parse_policy_config(&start().overlay(&Content::default()).unwrap()).unwrap();
+    assert_eq!(config, parse_policy_config(START.as_bytes()).unwrap());
 }
 
 #[test]
-fn every_field_is_one_that_the_charter_reads() {
+fn every_field_is_one_that_the_policy_settings_have() {
     for field in Field::ALL {
         let key = match field.section() {
             Section::Tenant => Key::new(Section::Tenant, "acme", field),
@@ -47,17 +50,17 @@
         };
         let range = field.range();
         let read = |value: f64| {
-            let content = under(Change::default().set(key.clone(), value));
+            let content = content_of(Change::default().set(key.clone(), value));
             start().validate(&content).unwrap();
-            puffinladder_charter::read_terms(&start().overlay(&content).unwrap()).unwrap()
+            parse_policy_config(&start().overlay(&content).unwrap()).unwrap()
         };
         assert_ne!(read(*range.start()), read(*range.end()), "{key} changes nothing");
     }
 }
 
 #[test]
-fn what_the_charter_refuses_names_the_key_and_the_cause() {
-    let content = under(Change::default().set(Key::route("nowhere", Field::LatencyObjective), 5.0));
+fn what_the_policy_settings_reject_names_the_key_and_the_cause() {
+    let content = content_of(Change::default().set(Key::route("nowhere", Field::LatencyObjective), 5.0));
     let wrong = start().validate(&content).unwrap_err();
     assert_eq!(wrong.to_string(), "route \"nowhere\" promise: the start text has no route of that name");
     // A start text that is another at this server: what it lacks is named here.
--- a/crates/server/src/lifecycle/logging.rs
+++ b/crates/server/src/lifecycle/logging.rs
@@ -2,7 +2,7 @@
 
 use super::error::StartError;
 use crate::limits::Limits;
-use puffinladder_charter::settings::{Log, LogFormat};
+use puffinladder_settings::{LogFormat, LogSettings};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
@@ -43,7 +43,7 @@
 }
 
 /// Starts logging to standard error. `RUST_LOG` wins over the settings' filter.
-pub fn start(limits: &Limits, log: &Log) -> Result<(), StartError> {
+pub fn start(limits: &Limits, log: &LogSettings) -> Result<(), StartError> {
     let (queue, lines) = sync_channel::<Vec<u8>>(limits.max_queued_log_lines);
     let writer = thread::Builder::new().name("log".into()).stack_size(limits.thread_stack_bytes);
     writer.spawn(move || write_lines(lines)).map_err(StartError::Thread)?;
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -23,14 +23,14 @@
 use crate::wire::registry::RegistryReporter;
 use crate::wire::store::StoreClient;
 use puffinladder::{AdmissionPolicy, PolicySettings};
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use std::sync::atomic::AtomicUsize;
 use std::sync::Arc;
 
 /// The parts of one server.
 pub struct Server {
     /// As read at start; of its peers those in `addresses` are in force.
-    pub config: Arc<Warrant>,
+    pub config: Arc<ServerConfig>,
     /// The peers' addresses.
     pub addresses: Arc<PeerAddresses>,
     /// Sizes, counts and times.
@@ -57,7 +57,7 @@
 
 impl Server {
     /// Builds a server; nothing of it runs yet.
-    pub fn new(config: Warrant, limits: Limits, log: RequestLog) -> Server {
+    pub fn new(config: ServerConfig, limits: Limits, log: RequestLog) -> Server {
         let (config, limits, clock) = (Arc::new(config), Arc::new(limits), Arc::<Clock>::default());
         let addresses = Arc::new(PeerAddresses::new(config.peers));
         let faults = Arc::new(FaultLog::new(clock.clone(), limits.clone()));
@@ -69,7 +69,7 @@
             clock: clock.clone(),
             limits: limits.clone(),
             faults: faults.clone(),
-            max_idle: config.terms.charter.idle_timeout,
+            max_idle: config.policy.settings.idle_timeout,
             unsent: AtomicUsize::new(0),
         })));
         let requests = Arc::new(RequestContext {
@@ -158,7 +158,7 @@
     }
 }
 
-fn new_dispatcher(config: &Warrant, limits: &Limits, log: RequestLog) -> Dispatcher {
+fn new_dispatcher(config: &ServerConfig, limits: &Limits, log: RequestLog) -> Dispatcher {
     let keys = IdempotencyKeys::new(KeyBounds {
         max_keys: limits.max_keys,
         max_result_bytes: limits.max_result_bytes,
@@ -167,7 +167,7 @@
     });
     // Keys lie in this process, within `limits.max_keys`: the machine's memory, which the policy guards, is charged
     // nothing for them.
-    let settings = PolicySettings { key_memory: 0.0, ..config.terms.charter.clone() };
+    let settings = PolicySettings { key_memory: 0.0, ..config.policy.settings.clone() };
     let policy = AdmissionPolicy::new(&settings, config.seed);
     Dispatcher::new(policy, keys, settings.idle_timeout, log)
 }
