--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -86,29 +86,23 @@
     ["config", "control", "keeper", "steward-quota", "steward-turns", "steward-gather", "archive"];
 
 fn count(block: &Block, key: &'static str, range: std::ops::RangeInclusive<usize>) -> f64 {
-    needed(block, key);
+    block.require(key);
     block.count(key, *range.start(), range) as f64
 }
 
-fn needed(block: &Block, key: &'static str) {
-    if !block.has(key) {
-        block.report(key, "should be given");
-    }
-}
-
 fn share(block: &Block, key: &'static str) -> f64 {
-    needed(block, key);
+    block.require(key);
     // A day has 1440 minutes: the busiest has its even part at the least.
     block.number(key, 1.0 / 1440.0, 1.0 / 1440.0..=1.0)
 }
 
 fn span(block: &Block, key: &'static str, range: std::ops::RangeInclusive<f64>) -> f64 {
-    needed(block, key);
+    block.require(key);
     block.duration(key, *range.start(), range)
 }
 
 fn name(block: &Block, key: &'static str) -> String {
-    needed(block, key);
+    block.require(key);
     let text = block.text(key).unwrap_or_default();
     if text.chars().count() > LONGEST_NAME || text.chars().any(unfit) {
         block.report(key, format!("should be {LONGEST_NAME} letters at the most, without | < >"));
@@ -155,7 +149,7 @@
 
 fn budget(block: &Block) -> Budget {
     for key in ["cpu", "memory", "bytes"] {
-        needed(block, key);
+        block.require(key);
     }
     Budget {
         cpu: block.number("cpu", 1.0, 0.0001..=1024.0),
@@ -165,7 +159,7 @@
 }
 
 fn machine(block: &Block) -> Machine {
-    needed(block, "memory");
+    block.require("memory");
     let told = Machine {
         name: name(block, "name"),
         region: name(block, "region"),
--- a/crates/proving/src/schedule.rs
+++ b/crates/proving/src/schedule.rs
@@ -348,9 +348,7 @@
     };
     let what = block.choice("do", What::Pause, &WORDS);
     for key in ["at", "do", "who"] {
-        if !block.has(key) {
-            block.report(key, "should be given");
-        }
+        block.require(key);
     }
     let usual = match what {
         What::Slow => 0.1,
--- a/crates/settings/src/settings/tests.rs
+++ b/crates/settings/src/settings/tests.rs
@@ -24,10 +24,14 @@
     assert_eq!(settings.publish.as_ref().unwrap().control_addresses.len(), 2);
     assert_eq!(parse_settings("shown", &settings.to_string()).unwrap(), settings);
     let wrong = "(control (xds \"here\") (heartbeat 2s) (gone 500ms)) (publish (control 5))";
-    let said: Vec<String> =
-        parse_settings("f", wrong).unwrap_err().diagnostics().iter().map(|f| f.key.clone()).collect();
+    let reported: Vec<String> = parse_settings("f", wrong)
+        .unwrap_err()
+        .diagnostics()
+        .iter()
+        .map(|diagnostic| diagnostic.key.clone())
+        .collect();
     assert_eq!(
-        said,
+        reported,
         [
             "control.reports",
             "control.xds",
@@ -42,9 +46,9 @@
 #[test]
 fn every_fault_is_named_with_its_place_in_one_reading() {
     let text = "(log (format yaml))\n(trace\n  (block-rows many)\n  (file-spam 1h)\n  (file-span 90)\n  (sample 1) (sample 2))\nstray";
-    let said: Vec<String> =
+    let reported: Vec<String> =
         parse_settings("f.scm", text).unwrap_err().diagnostics().iter().map(Diagnostic::to_string).collect();
-    let wanted = [
+    let expected = [
         "f.scm:1:14: log.format: should be one of text, json",
         "f.scm:2:1: trace.folder: should be given",
         "f.scm:3:15: trace.block-rows: should be a whole number from 16 to 65536",
@@ -53,23 +57,26 @@
         "f.scm:6:14: trace.sample: stands here a second time",
         "f.scm:7:1: should be a list that begins with a key",
     ];
-    assert_eq!(said, wanted);
+    assert_eq!(reported, expected);
 }
 
 #[test]
 fn a_text_that_cannot_be_read_says_where() {
     for (text, place) in [("(log", "1:5"), ("(a))", "1:4"), ("(a \"x", "1:6"), ("(a \"\\q\")", "1:6")] {
-        let faults = parse_settings("f", text).unwrap_err();
+        let error = parse_settings("f", text).unwrap_err();
         assert!(
-            faults.diagnostics().iter().any(|f| f.to_string().starts_with(&format!("f:{place}: "))),
-            "{text}: {faults:?}"
+            error
+                .diagnostics()
+                .iter()
+                .any(|diagnostic| diagnostic.to_string().starts_with(&format!("f:{place}: "))),
+            "{text}: {error:?}"
         );
     }
     assert!(parse_settings("f", &"(".repeat(1_000_000)).is_err());
 }
 
 #[test]
-fn keepers_stewards_and_archives_read_as_they_are_shown() {
+fn lease_stores_workers_and_trace_stores_read_as_they_are_shown() {
     let text = "(keeper (number 1) (listen \"127.0.0.1:0\") (folder \"k\") (peers \"1=127.0.0.1:1\" \"2=127.0.0.2:1\")
               (duty (name \"gather\") (parts 16) (zone \"a\")) (duty (name \"turns\")) (term 1s))
             (steward (name \"s1\") (folder \"s\") (holds \"x\" \"y\") (keepers \"1=127.0.0.1:1\") (gather (traces \"/t\") (archive \"127.0.0.9:1\") (parts 16))
@@ -89,8 +96,12 @@
     let wrong =
         "(keeper (listen \"127.0.0.1:0\") (peers \"one\" \"2=127.0.0.2:1\" \"2=127.0.0.3:1\") (stall 1s)
             (duty (name \"a\")) (duty (name \"a\"))) (steward (gather (parts 0)) (quota (customer (name \"a\"))))";
-    let said: Vec<String> =
-        parse_settings("f", wrong).unwrap_err().diagnostics().iter().map(|f| f.key.clone()).collect();
+    let reported: Vec<String> = parse_settings("f", wrong)
+        .unwrap_err()
+        .diagnostics()
+        .iter()
+        .map(|diagnostic| diagnostic.key.clone())
+        .collect();
     for key in [
         "keeper.number",
         "keeper.folder",
@@ -101,7 +112,7 @@
         "steward.folder",
         "steward.keepers",
     ] {
-        assert!(said.iter().any(|one| one == key), "{key}: {said:?}");
+        assert!(reported.iter().any(|one| one == key), "{key}: {reported:?}");
     }
     for key in [
         "steward.gather.traces",
@@ -111,6 +122,6 @@
         "steward.quota.servers",
         "steward.quota.customer.rate",
     ] {
-        assert!(said.iter().any(|one| one == key), "{key}: {said:?}");
+        assert!(reported.iter().any(|one| one == key), "{key}: {reported:?}");
     }
 }
--- a/crates/settings/src/sexpr/quantity.rs
+++ b/crates/settings/src/sexpr/quantity.rs
@@ -1,29 +1,40 @@
 //! Numbers with units.
 
-/// A unit and its size in the first unit of its list.
-pub(super) type Unit = (&'static str, f64);
+/// A unit of a quantity.
+#[derive(Clone, Copy)]
+pub(super) struct Unit {
+    /// How it is written behind a number.
+    name: &'static str,
+    /// Its size in the base unit, which is the first of its list.
+    size: f64,
+}
+
+const fn unit(name: &'static str, size: f64) -> Unit {
+    Unit { name, size }
+}
 
 /// A number without a unit.
-pub(super) const PLAIN: &[Unit] = &[("", 1.0)];
+pub(super) const PLAIN: &[Unit] = &[unit("", 1.0)];
 /// Units of time, in seconds.
-pub(super) const DURATION: &[Unit] = &[("s", 1.0), ("ms", 1e-3), ("us", 1e-6), ("m", 60.0), ("h", 3600.0)];
+pub(super) const DURATION: &[Unit] =
+    &[unit("s", 1.0), unit("ms", 1e-3), unit("us", 1e-6), unit("m", 60.0), unit("h", 3600.0)];
 /// Units of size, in bytes.
-pub(super) const BYTES: &[Unit] = &[("B", 1.0), ("KB", 1024.0), ("MB", 1_048_576.0), ("GB", 1_073_741_824.0)];
+pub(super) const BYTES: &[Unit] =
+    &[unit("B", 1.0), unit("KB", 1024.0), unit("MB", 1_048_576.0), unit("GB", 1_073_741_824.0)];
 
-/// A number and its unit, in the first of the units.
+/// A number and its unit, in the base unit.
 pub(super) fn parse_quantity(word: &str, units: &[Unit]) -> Option<f64> {
     let end = word.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(word.len());
-    let (number, unit) = word.split_at(end);
-    let size = units.iter().find(|(name, _)| *name == unit)?.1;
-    let value = number.parse::<f64>().ok()? * size;
+    let (number, name) = word.split_at(end);
+    let unit = units.iter().find(|unit| unit.name == name)?;
+    let value = number.parse::<f64>().ok()? * unit.size;
     value.is_finite().then_some(value)
 }
 
-/// A value in the largest unit that it fills at least once, or in the first of the units where it fills none that is larger.
+/// A value in the largest unit that it fills at least once. The base unit always fits.
 pub(super) fn format_quantity(value: f64, units: &[Unit]) -> String {
     let base = units[0];
-    let fits = |unit: &&Unit| value >= unit.1 || unit.1 == base.1;
-    let largest = units.iter().filter(fits).max_by(|a, b| a.1.total_cmp(&b.1));
-    let (name, size) = largest.unwrap_or(&base);
-    format!("{}{name}", value / size)
+    let fits = |unit: &&Unit| value >= unit.size || unit.size == base.size;
+    let largest = units.iter().filter(fits).max_by(|a, b| a.size.total_cmp(&b.size)).unwrap_or(&base);
+    format!("{}{}", value / largest.size, largest.name)
 }
--- a/crates/settings/tests/golden_config.rs
+++ b/crates/settings/tests/golden_config.rs
@@ -114,32 +114,32 @@
 
 #[test]
 fn a_full_server_configuration_reads_as_its_literal_values() {
-    let warrant = parse_server_config(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
-    assert_eq!(warrant.name, "edge-7.a_b");
-    assert_eq!(warrant.listen.to_string(), "127.0.0.1:4100");
+    let config = parse_server_config(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    assert_eq!(config.name, "edge-7.a_b");
+    assert_eq!(config.listen.to_string(), "127.0.0.1:4100");
     assert_eq!(
-        warrant.peers,
+        config.peers,
         Peers {
             agent: "127.0.0.2:6100".parse().unwrap(),
             registry: "[::1]:8500".parse().unwrap(),
             store: Some("127.0.0.3:7700".parse().unwrap()),
         }
     );
-    assert_eq!(warrant.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!((warrant.shutdown_timeout, warrant.memory_mb, warrant.max_sockets), (1.5, 192.5, 1024));
-    assert_eq!(warrant.policy, full_policy_config());
+    assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!((config.shutdown_timeout, config.memory_mb, config.max_sockets), (1.5, 192.5, 1024));
+    assert_eq!(config.policy, full_policy_config());
 }
 
 #[test]
 fn absent_keys_read_as_their_defaults() {
-    let terms = parse_policy_config(LEAST.as_bytes()).unwrap();
+    let policy = parse_policy_config(LEAST.as_bytes()).unwrap();
     let product = RequestClass {
         latency_objective: 1.0,
         timeout: 2.0,
         priority_weight: 1.0,
         ..RequestClass::default()
     };
-    let charter = PolicySettings {
+    let settings = PolicySettings {
         servers: 1.0,
         cores: 2.0,
         memory: 1000.0,
@@ -150,22 +150,17 @@
     };
     let products = vec![String::new()];
     assert_eq!(
-        terms,
-        PolicyConfig {
-            settings: charter,
-            gauges: Vec::new(),
-            class_names: products,
-            tenant_names: Vec::new()
-        }
+        policy,
+        PolicyConfig { settings, gauges: Vec::new(), class_names: products, tenant_names: Vec::new() }
     );
 
     let text = format!(
         r#"{{"agent": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "7", "stop_ms": 0, "store": null,
             "limits": {{"memory_mb": 16, "sockets": 64}}, "settings": {LEAST}}}"#
     );
-    let warrant = parse_server_config(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
-    assert_eq!((warrant.name.as_str(), warrant.listen.to_string().as_str()), ("other", "127.0.0.9:9"));
-    assert_eq!((warrant.peers.store, warrant.seed, warrant.shutdown_timeout), (None, 7, 0.0));
+    let config = parse_server_config(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
+    assert_eq!((config.name.as_str(), config.listen.to_string().as_str()), ("other", "127.0.0.9:9"));
+    assert_eq!((config.peers.store, config.seed, config.shutdown_timeout), (None, 7, 0.0));
 }
 
 #[test]
@@ -198,12 +193,12 @@
     // Without the flag no time is heeded, and another word than "work" counts by txn.
     let limits =
         LEAST.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
-    let charter = parse_policy_config(limits.as_bytes()).unwrap().settings;
-    assert_eq!((charter.max_retry_after, charter.weight_per_work), (0.0, false));
+    let settings = parse_policy_config(limits.as_bytes()).unwrap().settings;
+    assert_eq!((settings.max_retry_after, settings.weight_per_work), (0.0, false));
 }
 
 #[test]
-fn faults_of_terms_are_worded_as_they_are() {
+fn faults_of_policy_configurations_are_worded_as_they_are() {
     let cases = [
         (r#""Servers": 1,"#, "", "start text: Servers should be given"),
         (r#""Servers": 1,"#, r#""Servers": null,"#, "start text: Servers should be given"),
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -299,13 +299,13 @@
         ]),
     ];
     for (text, messages) in cases {
-        let said: Vec<String> = parse_settings("f.scm", text)
+        let reported: Vec<String> = parse_settings("f.scm", text)
             .unwrap_err()
             .diagnostics()
             .iter()
             .map(ToString::to_string)
             .collect();
-        assert_eq!(said, messages, "{text}");
+        assert_eq!(reported, messages, "{text}");
     }
     let deep = parse_settings("f.scm", &"(".repeat(100)).unwrap_err();
     assert_eq!(deep.diagnostics()[0].to_string(), "f.scm:1:65: too long, or lists nested too deeply");
@@ -314,8 +314,8 @@
 #[test]
 fn a_fault_gives_file_line_column_and_key_one_by_one() {
     let error = parse_settings("f.scm", "(log\n  (format yaml))").unwrap_err();
-    let faults = error.diagnostics();
-    assert_eq!(faults.len(), 1);
-    assert_eq!((faults[0].file.as_str(), faults[0].line, faults[0].column), ("f.scm", 2, 11));
-    assert_eq!(faults[0].key, "log.format");
+    let diagnostics = error.diagnostics();
+    assert_eq!(diagnostics.len(), 1);
+    assert_eq!((diagnostics[0].file.as_str(), diagnostics[0].line, diagnostics[0].column), ("f.scm", 2, 11));
+    assert_eq!(diagnostics[0].key, "log.format");
 }
