--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -17,9 +17,9 @@
 /// Seconds over which that mean is taken at least.
 const SHORTEST_MEAN: f64 = 0.1;
 /// Share to which a failed or slow call cuts the window: a usual step.
-const CUT: f64 = 0.7;
+const WINDOW_CUT: f64 = 0.7;
 /// Rise of a call's time over its base that counts as slow: past mere chance.
-const SLOW_RISE: f64 = 2.5;
+const SLOW_CALL_RISE: f64 = 2.5;
 /// How many calls may be open, and what is known of those that were.
 pub(super) struct CallWindow {
     window: f64,
@@ -37,6 +37,7 @@
 }
 
 impl CallWindow {
+    /// The window at the start, for what the settings say of the downstream.
     pub fn new(settings: &PolicySettings) -> CallWindow {
         let share = settings.call_concurrency_share;
         let (window, most, least) = if settings.downstream == Downstream::SharedDependency {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Calls that may be open.
     pub fn window(&self) -> f64 {
         self.window
     }
@@ -69,6 +71,7 @@
         (open + self.lingering.len()) as f64
     }
 
+    /// Takes in how many calls were open for the time that has passed.
     pub fn update_mean(&mut self, elapsed: f64, open: usize) {
         let occupied = self.occupied(open);
         self.mean_open += (occupied - self.mean_open) * (elapsed / self.averaging).min(1.0);
@@ -85,20 +88,22 @@
         self.lingering.push_back(now + linger);
     }
 
+    /// Takes in how long a completed call took, in seconds.
     pub fn learn_time(&mut self, duration: f64) {
         let weight = if duration < self.base_time { NEW_SAMPLE } else { 1.0 / BASE_RUNS };
         self.base_time = moving_average(self.base_time, duration, weight);
         self.time = moving_average(self.time, duration, NEW_SAMPLE);
     }
 
-    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or rejected.
+    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or
+    /// rejected.
     pub fn adapt(&mut self, now: f64, outcome: Outcome) {
-        if outcome == Outcome::Completed && self.time <= SLOW_RISE * self.base_time {
+        if outcome == Outcome::Completed && self.time <= SLOW_CALL_RISE * self.base_time {
             self.window += (1.0 / self.window).min(self.window);
         } else if !matches!(outcome, Outcome::Failed | Outcome::ConnectionLost)
             && now - self.cut_at > self.time
         {
-            self.window *= CUT;
+            self.window *= WINDOW_CUT;
             self.cut_at = now;
         }
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -26,6 +26,7 @@
 }
 
 impl RunAges {
+    /// Adds an open run and the seconds that it usually takes.
     pub fn add(&mut self, now: f64, began: f64, usual: f64) {
         self.age = self.age + now - began;
         self.usual += usual;
@@ -46,24 +47,28 @@
 }
 
 impl Slowdown {
+    /// By the runs that finished of late.
     pub fn by_finished_runs(&self) -> f64 {
         self.by_finished_runs
     }
 
+    /// By the age of the runs that are open.
     pub fn by_open_runs(&self) -> f64 {
         self.by_open_runs
     }
 
+    /// By whichever shows more.
     pub fn rise(&self) -> f64 {
         self.by_finished_runs.max(self.by_open_runs)
     }
 
+    /// Takes in a finished run that took so many times its usual time.
     pub fn learn_run(&mut self, times_usual: f64) {
         self.by_finished_runs = moving_average(self.by_finished_runs, times_usual, NEW_SAMPLE_QUICK);
     }
 
-    /// Open runs are on average as old as a run takes. Where most are far older the machine has slowed or hangs,
-    /// which finished runs tell only later; a few long ones that pin their slots don't count.
+    /// Open runs are on average as old as a run takes. Where most are far older the machine has slowed or
+    /// hangs, which finished runs tell only later; a few long ones that pin their slots don't count.
     pub fn compare_ages(&mut self, ages: &RunAges, running: usize, cores: f64) {
         let hangs = 2 * ages.old > running && running as f64 >= cores;
         self.by_open_runs = if hangs { ages.age / ages.usual } else { 1.0 };
@@ -87,9 +92,9 @@
         }
     }
 
-    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded too
-    /// late, so the server leaves the list for a while, then tries again. Judged by its runs against their base,
-    /// never by load, or a crowded fleet would list itself out.
+    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded
+    /// too late, so the server leaves the list for a while, then tries again. Judged by its runs against
+    /// their base, never by load, or a crowded fleet would list itself out.
     pub fn step(&mut self, now: f64, run_time_rise: f64, out: &mut impl Decisions) {
         match self.off_since {
             None if now - self.sound_at > SLOW_FOR => {
@@ -115,11 +120,13 @@
 }
 
 impl Keepalive {
+    /// The keepalive that the settings name, until connections crowd.
     pub fn new(settings: &PolicySettings) -> Keepalive {
         let connections = CONNECTIONS_PER_REQUEST * settings.cores * settings.overload_multiple;
         Keepalive { span: settings.idle_timeout, most: settings.idle_timeout, connections }
     }
 
+    /// The keepalive, in seconds.
     pub fn span(&self) -> f64 {
         self.span
     }
