--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -37,6 +37,7 @@
 }
 
 impl CallWindow {
+    /// The window at the start, for what the settings say of the downstream.
     pub fn new(settings: &PolicySettings) -> CallWindow {
         let share = settings.call_concurrency_share;
         let (window, most, least) = if settings.downstream == Downstream::SharedDependency {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Calls that may be open.
     pub fn window(&self) -> f64 {
         self.window
     }
@@ -69,6 +71,7 @@
         (open + self.lingering.len()) as f64
     }
 
+    /// Takes in how many calls were open for the time that has passed.
     pub fn update_mean(&mut self, elapsed: f64, open: usize) {
         let occupied = self.occupied(open);
         self.mean_open += (occupied - self.mean_open) * (elapsed / self.averaging).min(1.0);
@@ -85,13 +88,15 @@
         self.lingering.push_back(now + linger);
     }
 
+    /// Takes in how long a completed call took, in seconds.
     pub fn learn_time(&mut self, duration: f64) {
         let weight = if duration < self.base_time { NEW_SAMPLE } else { 1.0 / BASE_RUNS };
         self.base_time = moving_average(self.base_time, duration, weight);
         self.time = moving_average(self.time, duration, NEW_SAMPLE);
     }
 
-    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or rejected.
+    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or
+    /// rejected.
     pub fn adapt(&mut self, now: f64, outcome: Outcome) {
         if outcome == Outcome::Completed && self.time <= SLOW_CALL_RISE * self.base_time {
             self.window += (1.0 / self.window).min(self.window);
