--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! `puffinladder keeper`, `duties`, `steward` and `archive`: one owner at a time for work on behalf of the fleet.
+//! `puffinladder keeper`, `duties`, `worker` and `trace-store`: one owner at a time for work on behalf of the fleet.
 
-pub mod archive;
 pub mod duties;
 pub mod keeper;
-pub mod steward;
+pub mod trace_store;
+pub mod worker;
 
 use crate::say::{Done, Wrong};
 use puffinladder_leases::words::Events;
-use puffinladder_trace_store::store::Planted;
+use puffinladder_trace_store::injected_bug::InjectedBug;
 use puffinladder_transport::Clock;
 use serde::{de::DeserializeOwned, Serialize};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// ms that a keeper's syncs take longer.
     pub sync_pause: Arc<AtomicU64>,
     /// A bug in the archive that the checkers must find.
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedBug>,
 }
 
 impl Ground {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -70,10 +70,12 @@
     Keeper(fleet::keeper::Line),
     /// Who owns what for the fleet; move and pause it
     Duties(fleet::duties::Line),
-    /// Do for the fleet what the keepers grant
-    Steward(fleet::steward::Line),
-    /// Take gathered traces in, each piece once
-    Archive(fleet::archive::Line),
+    /// Run the fleet's tasks that the lease store grants
+    #[command(alias = "steward")]
+    Worker(fleet::worker::Line),
+    /// Store collected traces, each block once
+    #[command(alias = "archive")]
+    TraceStore(fleet::trace_store::Line),
     /// Play many servers or callers in one process, for their control traffic
     Hollow(hollow::Line),
     /// Start many processes, put faults between them, and check what they did
@@ -113,8 +115,8 @@
         Command::Control(line) => control::run(line),
         Command::Keeper(line) => fleet::keeper::run(line),
         Command::Duties(line) => fleet::duties::run(line),
-        Command::Steward(line) => fleet::steward::run(line),
-        Command::Archive(line) => fleet::archive::run(line),
+        Command::Worker(line) => fleet::worker::run(line),
+        Command::TraceStore(line) => fleet::trace_store::run(line),
         Command::Hollow(line) => hollow::run(line),
         Command::Prove(line) => prove::run(line),
         Command::Trace { command } => trace::run(command),
--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -8,7 +8,8 @@
 use puffinladder_proving::process::{News, Process};
 use puffinladder_proving::schedule::{Fault, Schedule, What, Who};
 use puffinladder_transport::Clock;
-use puffinladder_worker::serve as steward;
+use puffinladder_worker::config::WorkerConfig;
+use puffinladder_worker::service::{self, RunningWorker};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -143,18 +144,18 @@
     let begun = Instant::now();
     let mut stewards = Vec::new();
     for one in 0..count {
-        let setup = steward::Setup {
+        let setup = WorkerConfig {
             name: format!("n{one}"),
             zone: format!("z{}", one % 3),
             incarnation: 1,
-            keepers: all.clone(),
-            gather: None,
-            desk: None,
-            holds: vec!["load".into()],
+            replicas: all.clone(),
+            collection: None,
+            reporting: None,
+            held_tasks: vec!["load".into()],
             clock: Clock::system(),
             events: Events(false),
         };
-        stewards.push(steward::start(setup).await.map_err(Wrong::Failed)?);
+        stewards.push(service::start(setup).await.map_err(|e| Wrong::Failed(e.to_string()))?);
     }
     let keepers_at: Vec<SocketAddr> = all.values().copied().collect();
     let even = loop {
@@ -210,7 +211,7 @@
         even.0,
         even.1,
     );
-    stewards.into_iter().for_each(steward::Running::kill);
+    stewards.into_iter().for_each(RunningWorker::kill);
     drop(keepers);
     drain.abort();
     Ok(row)
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -5,7 +5,7 @@
 mod seat;
 
 use crate::control;
-use crate::fleet::{archive, keeper, steward, Ground};
+use crate::fleet::{keeper, trace_store, worker, Ground};
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand, ValueEnum};
@@ -17,7 +17,7 @@
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::Schedule;
 use puffinladder_proving::shrink::shrink;
-use puffinladder_trace_store::store::Planted;
+use puffinladder_trace_store::injected_bug::InjectedBug;
 use puffinladder_transport::Clock;
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
@@ -37,7 +37,7 @@
     keep: Option<PathBuf>,
     /// Plant a bug in the archive, which the checkers must find: forgets-epochs, two-steps
     #[arg(long, value_name = "BUG")]
-    plant: Option<Planted>,
+    plant: Option<InjectedBug>,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -87,7 +87,7 @@
         shrink: usize,
         /// Plant a bug in the archive
         #[arg(long, value_name = "BUG")]
-        plant: Option<Planted>,
+        plant: Option<InjectedBug>,
         #[command(flatten)]
         size: Size,
     },
@@ -132,7 +132,7 @@
         wall: f64,
         /// A bug that the checkers must find
         #[arg(long)]
-        plant: Option<Planted>,
+        plant: Option<InjectedBug>,
         /// s until a control service forgets a silent server
         #[arg(long, default_value_t = 60.0)]
         forget: f64,
@@ -182,13 +182,13 @@
 }
 
 /// How the ground starts the processes: as this program's hidden command.
-fn ground(folder: PathBuf, keep: bool, plant: Option<Planted>) -> Done<Setup> {
+fn ground(folder: PathBuf, keep: bool, plant: Option<InjectedBug>) -> Done<Setup> {
     let path = std::env::current_exe()?;
     let program = Program { path, before: vec!["prove".into(), "part".into()] };
     Ok(Setup { program, folder, keep, planted: plant })
 }
 
-fn one(path: &Path, keep: Option<PathBuf>, plant: Option<Planted>) -> Done {
+fn one(path: &Path, keep: Option<PathBuf>, plant: Option<InjectedBug>) -> Done {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| Wrong::Failed(format!("{name}: {e}")))?;
     let schedule = Schedule::read(&name, &text).map_err(|faults| {
@@ -233,7 +233,7 @@
     jobs: usize,
     failed: PathBuf,
     tries: usize,
-    plant: Option<Planted>,
+    plant: Option<InjectedBug>,
     size: &Schedule,
 ) -> Done {
     let setup = ground(failed, false, plant)?;
@@ -316,7 +316,7 @@
         }
         Kind::Steward => {
             let told = serve::section(&name, "steward", settings.steward)?;
-            runtime.block_on(steward::serve_duties(&told, ground))
+            runtime.block_on(worker::run_service(&told, ground))
         }
         Kind::Control => {
             let told = serve::section(&name, "control", settings.control)?;
@@ -325,7 +325,7 @@
         Kind::Seat => runtime.block_on(seat::sit(seat, ground)),
         Kind::Archive => {
             let told = serve::section(&name, "archive", settings.archive)?;
-            runtime.block_on(archive::keep(&told, ground))
+            runtime.block_on(trace_store::run_service(&told, ground))
         }
     }
 }
--- a/crates/cli/tests/line.rs
+++ b/crates/cli/tests/line.rs
@@ -128,6 +128,21 @@
     assert!(out.status.success() && out.stderr.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
 }
 
+#[test]
+fn renamed_commands_go_by_both_names() {
+    let folder = tempfile::tempdir().unwrap();
+    std::fs::write(folder.path().join("none.scm"), "(log)").unwrap();
+    for (new, old, rest, section) in [
+        ("worker", "steward", "--settings none.scm", "steward"),
+        ("trace-store", "archive", "--settings none.scm", "archive"),
+        ("trace-store", "archive", "export --settings none.scm out.trace", "archive"),
+    ] {
+        let says = |command: &str| fails(folder.path(), &format!("{command} {rest}"), 2);
+        assert_eq!(says(new), format!("puffinladder: none.scm: has no ({section} ...)\n"));
+        assert_eq!(says(old), says(new));
+    }
+}
+
 #[test]
 fn keepers_stewards_and_archives_say_what_is_wrong_with_file_line_and_key() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/cli/tests/proving.rs
+++ b/crates/cli/tests/proving.rs
@@ -7,7 +7,7 @@
 use puffinladder_proving::ground::{play, Run, Setup};
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::{Schedule, Who};
-use puffinladder_trace_store::store::Planted;
+use puffinladder_trace_store::injected_bug::InjectedBug;
 use std::path::Path;
 
 fn setup(folder: &Path) -> Setup {
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_fence_that_is_kept_in_memory_only_is_found_out() {
-    let run = run(&read(HELD), |setup| setup.planted = Some(Planted::ForgetsEpochs));
+    let run = run(&read(HELD), |setup| setup.planted = Some(InjectedBug::ForgetsEpochs));
     let found = |what: &String| what.contains("had been seen");
     assert!(run.failures.iter().any(found), "{:?}", run.failures);
     if let Some(folder) = run.folder {
@@ -96,7 +96,7 @@
         kills.join(" ")
     );
     assert_eq!(run(&read(&story), |_| {}).failures, Vec::<String>::new());
-    let run = run(&read(&story), |setup| setup.planted = Some(Planted::TwoSteps));
+    let run = run(&read(&story), |setup| setup.planted = Some(InjectedBug::TwoSteps));
     assert!(run.failures.iter().any(|what| what.contains("are missing")), "{:?}", run.failures);
     if let Some(folder) = run.folder {
         std::fs::remove_dir_all(folder).unwrap();
--- a/crates/gauging/src/archive.rs
+++ b/crates/gauging/src/archive.rs
@@ -12,7 +12,7 @@
 use puffinladder_trace::merge::Blocks;
 use puffinladder_trace::row::Names;
 use puffinladder_trace::synth::{Maker, Record, Synth};
-use puffinladder_trace_store::words::{Answer, Ask};
+use puffinladder_trace_store::protocol::{Request, Response};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -65,9 +65,10 @@
 }
 
 async fn blocks(archive: SocketAddr) -> Option<u64> {
-    let asked = puffinladder_transport::request(archive, &Ask::Status, Duration::from_secs(2), 1 << 20).await;
+    let asked =
+        puffinladder_transport::request(archive, &Request::Status, Duration::from_secs(2), 1 << 20).await;
     match asked {
-        Ok(Some(Answer::Status { blocks, .. })) => Some(blocks),
+        Ok(Some(Response::Status { blocks, .. })) => Some(blocks),
         _ => None,
     }
 }
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -10,7 +10,8 @@
 use crate::{count, pass, Counted, Gauge, Sizes, Taken};
 use puffinladder_leases::words::{Events, Status};
 use puffinladder_transport::Clock;
-use puffinladder_worker::serve as steward;
+use puffinladder_worker::config::WorkerConfig;
+use puffinladder_worker::service::{self, RunningWorker};
 use std::time::{Duration, Instant};
 
 /// Most parts of an instance over an even load, once they are levelled.
@@ -19,11 +20,11 @@
 const CALM: Duration = Duration::from_millis(2500);
 
 /// Ends its instances when it is dropped.
-struct Instances(Vec<steward::Running>);
+struct Instances(Vec<RunningWorker>);
 
 impl Drop for Instances {
     fn drop(&mut self) {
-        self.0.drain(..).for_each(steward::Running::kill);
+        self.0.drain(..).for_each(RunningWorker::kill);
     }
 }
 
@@ -37,18 +38,18 @@
     let mut keepers = Keepers::start(gauge, folder.path(), &duties).await?;
     let mut all = Instances(Vec::new());
     for one in 0..instances {
-        let setup = steward::Setup {
+        let setup = WorkerConfig {
             name: format!("n{one}"),
             zone: format!("z{}", one % 3),
             incarnation: 1,
-            keepers: keepers.reached(),
-            gather: None,
-            desk: None,
-            holds: vec!["load".into()],
+            replicas: keepers.reached(),
+            collection: None,
+            reporting: None,
+            held_tasks: vec!["load".into()],
             clock: Clock::system(),
             events: Events(false),
         };
-        all.0.push(steward::start(setup).await?);
+        all.0.push(service::start(setup).await.map_err(|e| e.to_string())?);
     }
     level(&mut keepers, instances, parts).await?;
     let leader = keepers.leader().await?;
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -11,8 +11,8 @@
 use crate::schedule::{Fault, Schedule, Way, What, Who};
 use puffinladder_leases::table::{Command, Row};
 use puffinladder_leases::words::{Answer, Ask, Event};
-use puffinladder_trace_store::store::Planted;
-use puffinladder_trace_store::words as archive;
+use puffinladder_trace_store::injected_bug::InjectedBug;
+use puffinladder_trace_store::protocol as trace_store;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -59,7 +59,7 @@
     pub folder: PathBuf,
     pub keep: bool,
     /// A bug planted in the archive, which the checkers must find.
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedBug>,
 }
 
 /// What came of a run.
@@ -758,12 +758,12 @@
         let at = self.parts[&Who::Archive].listen;
         let (mut last, mut moved) = (0, self.now());
         loop {
-            let status: Option<archive::Answer> = ask(at, &archive::Ask::Status).await;
-            if let Some(archive::Answer::Status { done, blocks, .. }) = status {
+            let status: Option<trace_store::Response> = ask(at, &trace_store::Request::Status).await;
+            if let Some(trace_store::Response::Status { complete_files, blocks, .. }) = status {
                 if blocks != last {
                     (last, moved) = (blocks, self.now());
                 }
-                if done as u64 == self.files {
+                if complete_files as u64 == self.files {
                     return Ok(());
                 }
             }
@@ -827,7 +827,8 @@
     let (store, _) = puffinladder_trace_store::store::Store::open(&folder.join("archive"), u64::MAX)
         .map_err(|e| e.to_string())?;
     let into = folder.join("export.trace");
-    let met = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})?;
+    let met = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})
+        .map_err(|e| e.to_string())?;
     let rows = Rows::read(&into)?;
     let _ = std::fs::remove_file(into);
     Ok((rows, met.doubled))
--- /dev/null
+++ b/crates/trace-store/src/injected_bug.rs
@@ -0,0 +1,40 @@
+//! Bugs that the fault tests inject into a trace store, to show that their checkers find them.
+
+use std::fmt;
+use std::str::FromStr;
+use thiserror::Error;
+
+/// A bug to be injected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InjectedBug {
+    /// Epochs are held in memory only, and lost with the process.
+    ForgetsEpochs,
+    /// A decision and its block are written in two transactions.
+    TwoSteps,
+}
+
+/// A text names no [`InjectedBug`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("should be forgets-epochs or two-steps")]
+pub struct UnknownBug;
+
+impl FromStr for InjectedBug {
+    type Err = UnknownBug;
+
+    fn from_str(text: &str) -> Result<InjectedBug, UnknownBug> {
+        match text {
+            "forgets-epochs" => Ok(InjectedBug::ForgetsEpochs),
+            "two-steps" => Ok(InjectedBug::TwoSteps),
+            _ => Err(UnknownBug),
+        }
+    }
+}
+
+impl fmt::Display for InjectedBug {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        out.write_str(match self {
+            InjectedBug::ForgetsEpochs => "forgets-epochs",
+            InjectedBug::TwoSteps => "two-steps",
+        })
+    }
+}
--- /dev/null
+++ b/crates/trace-store/src/requests.rs
@@ -0,0 +1,127 @@
+//! Answers to requests. What a request changes is applied to the index at once, so that the next request is judged by it, and collected to be committed; no
+//! response may be sent before that.
+
+use crate::index::{Decision, TraceIndex};
+use crate::protocol::{BlockId, FileId, PutOutcome, Request, Response};
+use crate::store::PendingWrite;
+use base64::prelude::{Engine as _, BASE64_STANDARD};
+use puffinladder_leases::assign::part_of;
+use puffinladder_leases::fence::Verdict;
+use puffinladder_leases::words::Event;
+use puffinladder_leases::{Duty, Epoch};
+
+/// A response, and the event that goes with it.
+pub(crate) struct Reply {
+    pub response: Response,
+    pub event: Option<Event>,
+}
+
+impl From<Response> for Reply {
+    fn from(response: Response) -> Reply {
+        Reply { response, event: None }
+    }
+}
+
+/// Handles requests one by one.
+pub(crate) struct RequestHandler {
+    index: TraceIndex,
+    /// Blocks that were stored, evicted ones included.
+    stored_blocks: u64,
+    pending_writes: Vec<PendingWrite>,
+}
+
+impl RequestHandler {
+    pub fn new(index: TraceIndex) -> RequestHandler {
+        let stored_blocks = index.files().map(|(_, progress)| progress.blocks).sum();
+        RequestHandler { index, stored_blocks, pending_writes: Vec::new() }
+    }
+
+    /// Files that are known, evicted ones included.
+    pub fn known_files(&self) -> usize {
+        self.index.files().count()
+    }
+
+    /// What is to be committed before the requests handled so far are answered.
+    pub fn take_pending_writes(&mut self) -> Vec<PendingWrite> {
+        std::mem::take(&mut self.pending_writes)
+    }
+
+    pub fn handle(&mut self, request: Request) -> Reply {
+        match request {
+            Request::Announce { task, epoch, parts } => self.announce(task, epoch, parts),
+            Request::Put { task, epoch, number, id, block } => match decode_block(&block) {
+                Ok(block) => self.put(task, epoch, number, &id, block),
+                Err(reason) => Response::Failed(format!("the block: {reason}")).into(),
+            },
+            Request::Status => self.status().into(),
+        }
+    }
+
+    fn announce(&mut self, task: Duty, epoch: Epoch, parts: u32) -> Reply {
+        let Decision { outcome: verdict, update } = self.index.announce(&task, epoch);
+        if let Some(update) = update {
+            self.index.apply(&update, 0);
+            tracing::info!("{task}: epoch {epoch} begins");
+            self.pending_writes.push(PendingWrite { update, block: Vec::new() });
+        }
+        let number = self.index.fence_state(&task).number;
+        let belongs_to_part = |file: &FileId| part_of(&task.name, &file.server, parts) == task.part;
+        let progress = if verdict.stands() {
+            let files = self.index.files().filter(|(file, _)| belongs_to_part(file));
+            files.map(|(file, progress)| (file.clone(), *progress)).collect()
+        } else {
+            Vec::new()
+        };
+        let event = Event::Judged { duty: task, epoch, number, piece: None, verdict };
+        Reply { response: Response::Announced { verdict, number, progress }, event: Some(event) }
+    }
+
+    fn put(&mut self, task: Duty, epoch: Epoch, number: u64, id: &BlockId, block: Vec<u8>) -> Reply {
+        let bytes = block.len() as u64;
+        let Decision { outcome, update } = self.index.put(&task, epoch, number, id, bytes);
+        if let Some(update) = update {
+            self.index.apply(&update, bytes);
+            self.stored_blocks += u64::from(!block.is_empty());
+            self.pending_writes.push(PendingWrite { update, block });
+        }
+        if let PutOutcome::Fence(Verdict::Late { seen }) = outcome {
+            tracing::warn!("{task}: rejected an effect of epoch {epoch}, which epoch {seen} has superseded");
+        }
+        let event = match outcome {
+            PutOutcome::Fence(verdict) => {
+                let piece = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
+                Some(Event::Judged { duty: task, epoch, number, piece, verdict })
+            }
+            _ => None,
+        };
+        Reply { response: Response::Put(outcome), event }
+    }
+
+    fn status(&self) -> Response {
+        Response::Status {
+            files: self.known_files(),
+            complete_files: self.index.files().filter(|(_, progress)| progress.complete).count(),
+            blocks: self.stored_blocks,
+            bytes: self.index.bytes(),
+            rejected: self.index.rejected(),
+        }
+    }
+}
+
+/// The bytes of a block, which has to be complete and unchanged. One without bytes stands for one that its server can't read.
+fn decode_block(text: &str) -> Result<Vec<u8>, InvalidBlock> {
+    let block = BASE64_STANDARD.decode(text)?;
+    if !block.is_empty() {
+        puffinladder_trace::file::unpack(block.clone()).map_err(|bad| InvalidBlock::Damaged(bad.0))?;
+    }
+    Ok(block)
+}
+
+/// Why a block is rejected before it is judged.
+#[derive(Debug, thiserror::Error)]
+enum InvalidBlock {
+    #[error("{0}")]
+    Encoding(#[from] base64::DecodeError),
+    #[error("{0}")]
+    Damaged(&'static str),
+}
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -1,171 +1,128 @@
-//! The archive on sockets. A thread owns core and disk: all pieces that wait are judged one by one, written with one sync, and only then
-//! answered. A disk that fails ends the process, since what it knows is then ahead of what is kept.
+//! The trace store as a process. One thread owns index and database: all requests that wait are judged one by one, written with one sync, and only then
+//! answered. A disk that fails ends the process, since its index is then ahead of what is stored.
 
-use crate::core::{Core, Write};
-use crate::store::{Planted, Store};
-use crate::words::{Answer, Ask, Outcome, Source, LINE};
-use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_leases::assign::part_of;
-use puffinladder_leases::fence::Verdict;
+use crate::index::TraceIndex;
+use crate::injected_bug::InjectedBug;
+use crate::protocol::{Request, Response, MAX_LINE_BYTES};
+use crate::requests::RequestHandler;
+use crate::store::{Store, StoreError};
 use puffinladder_leases::words::{Event, Events};
-use puffinladder_transport::{bind, write_line, LineReader, RunningService, TransportError};
+use puffinladder_transport::{listen, write_line, LineReader, RunningService, TransportError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
 
+/// How a trace store is set up.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ServiceConfig {
+    /// Where it listens; port 0 lets the system choose one.
     pub listen: SocketAddr,
+    /// The folder of its database.
     pub folder: PathBuf,
-    pub most_bytes: u64,
-    pub most_connections: usize,
+    /// Bytes that the stored blocks may take.
+    pub max_bytes: u64,
+    /// Connections that may be open at once.
+    pub max_connections: usize,
+    /// Where it tells what it does.
     pub events: Events,
     /// For tests: a bug that the checkers must find.
-    pub planted: Option<Planted>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
-/// Pieces that wait for the disk, and that one sync takes.
-const WAITING: usize = 256;
-const TOGETHER: usize = 64;
-const SILENT: Duration = Duration::from_secs(120);
-const UNREAD: Duration = Duration::from_secs(5);
+/// Why a trace store can't start.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub enum StartError {
+    /// Its database can't be opened.
+    Store(#[from] StoreError),
+    /// It can't listen.
+    Listen(#[from] std::io::Error),
+}
+
+/// Requests that wait for the database; past them connections are read no further.
+const MAX_WAITING_REQUESTS: usize = 256;
+/// Requests that one sync covers: a bound on how long the first of them waits.
+const MAX_BATCH: usize = 64;
+/// A connection without a request for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// A connection that does not read a response for so long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-struct Heard {
-    ask: Ask,
-    back: oneshot::Sender<Answer>,
+/// A request, and the connection that waits for its response.
+struct PendingRequest {
+    request: Request,
+    respond_to: oneshot::Sender<Response>,
 }
 
-pub async fn start(setup: Setup) -> Result<RunningService<String>, String> {
-    let (mut store, core) = Store::open(&setup.folder, setup.most_bytes).map_err(|e| e.to_string())?;
-    store.plant(setup.planted);
-    let (listener, listen) = bind("archive", setup.listen).await.map_err(|e| e.to_string())?;
+/// Starts a trace store; it listens when this returns.
+pub async fn start(config: ServiceConfig) -> Result<RunningService<StoreError>, StartError> {
+    let (mut store, index) = Store::open(&config.folder, config.max_bytes)?;
+    store.inject_bug(config.injected_bug);
     let (stop, stopped) = watch::channel(false);
-    let (asks, heard) = mpsc::channel(WAITING);
-    let serve = puffinladder_transport::serve_connections(
-        listener,
-        "archive",
-        setup.most_connections,
-        stopped,
-        move |stream, _| converse(stream, asks.clone()),
-    );
-    // The desk ends once nobody can ask any more.
-    tokio::spawn(serve);
-    setup.events.tell(&Event::Ready { listen: listen.to_string() });
-    tracing::info!("archive listens on {listen}, {} files known", core.files().count());
-    let desk = tokio::task::spawn_blocking(move || work(core, store, heard, setup.events));
-    Ok(RunningService::new(listen, stop, desk))
+    let (requests, queue) = mpsc::channel(MAX_WAITING_REQUESTS);
+    // The main task ends once no connection can send a request any more.
+    let handle = move |stream, _| handle_connection(stream, requests.clone());
+    let address = listen("trace store", config.listen, config.max_connections, stopped, handle).await?;
+    config.events.tell(&Event::Ready { listen: address.to_string() });
+    tracing::info!("trace store listens on {address}, {} files known", index.files().count());
+    let main_task = tokio::task::spawn_blocking(move || run(index, store, queue, config.events));
+    Ok(RunningService::new(address, stop, main_task))
 }
 
-async fn converse(stream: TcpStream, asks: mpsc::Sender<Heard>) -> Result<(), TransportError> {
-    let (from, mut to) = stream.into_split();
-    let mut lines = LineReader::new(from, LINE);
-    while let Some(ask) = lines.read_within(SILENT).await? {
-        let (back, answer) = oneshot::channel();
-        if asks.send(Heard { ask, back }).await.is_err() {
+async fn handle_connection(
+    stream: TcpStream,
+    requests: mpsc::Sender<PendingRequest>,
+) -> Result<(), TransportError> {
+    let (reader, mut writer) = stream.into_split();
+    let mut lines = LineReader::new(reader, MAX_LINE_BYTES);
+    while let Some(request) = lines.read_within(IDLE_TIMEOUT).await? {
+        let (respond_to, response) = oneshot::channel();
+        if requests.send(PendingRequest { request, respond_to }).await.is_err() {
             return Ok(());
         }
-        let Ok(answer) = answer.await else { return Ok(()) };
-        write_line(&mut to, &answer, UNREAD).await?;
+        let Ok(response) = response.await else { return Ok(()) };
+        write_line(&mut writer, &response, WRITE_TIMEOUT).await?;
     }
     Ok(())
 }
 
-fn work(
-    mut core: Core,
+/// Answers requests until no connection can send one any more, or the database fails.
+fn run(
+    index: TraceIndex,
     mut store: Store,
-    mut heard: mpsc::Receiver<Heard>,
+    mut queue: mpsc::Receiver<PendingRequest>,
     events: Events,
-) -> Result<(), String> {
-    let mut blocks = core.files().map(|(_, taken)| taken.blocks).sum();
-    while let Some(first) = heard.blocking_recv() {
-        let mut batch = vec![first];
-        while batch.len() < TOGETHER {
-            let Ok(next) = heard.try_recv() else { break };
-            batch.push(next);
-        }
-        let (mut writes, mut answers) = (Vec::new(), Vec::new());
-        for Heard { ask, back } in batch {
-            let answer = judge(&mut core, &mut writes, &mut blocks, ask);
-            answers.push((back, answer));
+) -> Result<(), StoreError> {
+    let mut handler = RequestHandler::new(index);
+    while let Some(first) = queue.blocking_recv() {
+        let mut replies = Vec::new();
+        for PendingRequest { request, respond_to } in batch(first, &mut queue) {
+            replies.push((respond_to, handler.handle(request)));
         }
+        let writes = handler.take_pending_writes();
         if !writes.is_empty() {
-            store.keep(&writes).map_err(|e| e.to_string())?;
+            store.commit(&writes)?;
         }
-        for (back, (answer, event)) in answers {
-            if let Some(event) = event {
+        for (respond_to, reply) in replies {
+            if let Some(event) = reply.event {
                 events.tell(&event);
             }
-            let _ = back.send(answer);
+            let _ = respond_to.send(reply.response);
         }
     }
-    tracing::info!("ends with {} files", core.files().count());
+    tracing::info!("ends with {} files", handler.known_files());
     Ok(())
 }
 
-/// What becomes of one line; it is answered once the writes are on disk.
-fn judge(
-    core: &mut Core,
-    writes: &mut Vec<(Write, Vec<u8>)>,
-    blocks: &mut u64,
-    ask: Ask,
-) -> (Answer, Option<Event>) {
-    match ask {
-        Ask::Announce { duty, epoch, parts } => {
-            let (verdict, write) = core.announce(&duty, epoch);
-            if let Some(write) = write {
-                core.note(&write, 0);
-                tracing::info!("{duty}: epoch {epoch} begins");
-                writes.push((write, Vec::new()));
-            }
-            let number = core.seen(&duty).number;
-            let mine = |source: &Source| part_of(&duty.name, &source.server, parts) == duty.part;
-            let taken = core
-                .files()
-                .filter(|(source, _)| mine(source))
-                .map(|(source, taken)| (source.clone(), *taken));
-            let taken = if verdict.stands() { taken.collect() } else { Vec::new() };
-            let event = Event::Judged { duty, epoch, number, piece: None, verdict };
-            (Answer::Begun { verdict, number, taken }, Some(event))
-        }
-        Ask::Put { duty, epoch, number, piece, block } => {
-            let block = match BASE64_STANDARD.decode(block) {
-                Ok(block) => block,
-                Err(e) => return (Answer::Failed(format!("the block: {e}")), None),
-            };
-            if !block.is_empty() {
-                if let Err(bad) = puffinladder_trace::file::unpack(block.clone()) {
-                    return (Answer::Failed(format!("the block: {}", bad.0)), None);
-                }
-            }
-            let (outcome, write) = core.put(&duty, epoch, number, &piece, block.len() as u64);
-            if let Some(write) = write {
-                core.note(&write, block.len() as u64);
-                *blocks += u64::from(!block.is_empty());
-                writes.push((write, block));
-            }
-            if let Outcome::Fence(Verdict::Late { seen }) = outcome {
-                tracing::warn!(
-                    "{duty}: an effect of epoch {epoch} came late and was refused, {seen} has been here"
-                );
-            }
-            let name = format!("{}/{}#{}", piece.source.server, piece.source.file, piece.place);
-            let event = match outcome {
-                Outcome::Fence(verdict) => {
-                    Some(Event::Judged { duty, epoch, number, piece: Some(name), verdict })
-                }
-                _ => None,
-            };
-            (Answer::Put(outcome), event)
-        }
-        Ask::Status => {
-            let files = core.files().count();
-            let done = core.files().filter(|(_, taken)| taken.done).count();
-            (
-                Answer::Status { files, done, blocks: *blocks, bytes: core.bytes(), refused: core.refused },
-                None,
-            )
-        }
+/// The first request, and those that wait behind it already.
+fn batch(first: PendingRequest, queue: &mut mpsc::Receiver<PendingRequest>) -> Vec<PendingRequest> {
+    let mut batch = vec![first];
+    while batch.len() < MAX_BATCH {
+        let Ok(next) = queue.try_recv() else { break };
+        batch.push(next);
     }
+    batch
 }
--- a/crates/trace-store/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -1,281 +1,357 @@
-//! The archive's disk. A block, what is taken of its file and the epoch it came under are written in one transaction, so that no crash leaves one
-//! of them without the others.
+//! The trace store's database. A block, the progress of its file and the epoch that it came under are written in one transaction, so that no crash leaves one of
+//! them without the others. The names of the database, its tables and its keys are older than the names here.
 
-use crate::core::{Core, Write};
-use crate::words::{Source, Taken};
+use crate::index::{IndexUpdate, IndexedFile, StoredBlock, TraceIndex};
+use crate::injected_bug::InjectedBug;
+use crate::protocol::{FileId, FileProgress};
 use puffinladder_leases::fence::Seen;
 use puffinladder_leases::Duty;
-use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
+use redb::{
+    Builder, Database, DatabaseError, Range, ReadableDatabase, ReadableTable, Table, TableDefinition,
+    WriteTransaction,
+};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 use thiserror::Error;
 
+/// The database's name in the store's folder.
+pub const DATABASE_FILE: &str = "archive.redb";
+/// The version of the stored form, kept under [`SCHEMA_KEY`].
+const SCHEMA_VERSION: u32 = 1;
+const SCHEMA_KEY: &str = "schema";
+/// A small cache, in bytes: blocks are written once and read by an export alone.
+const CACHE_BYTES: usize = 16 << 20;
+/// Between the two transactions of [`InjectedBug::TwoSteps`]: long enough for a kill to fall between them.
+const TWO_STEPS_PAUSE: Duration = Duration::from_millis(20);
+
+/// A task's name and part.
+type TaskKey = (&'static str, u32);
+/// A file's server and name.
+type FileKey = (&'static str, &'static str);
+/// A file's server and name, and the position of a block in it.
+type BlockKey = (&'static str, &'static str, u64);
+
 const FACTS: TableDefinition<&str, u32> = TableDefinition::new("facts");
-const FENCE: TableDefinition<(&str, u32), &[u8]> = TableDefinition::new("fence");
-const FILES: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("files");
-const BLOCKS: TableDefinition<(&str, &str, u64), &[u8]> = TableDefinition::new("blocks");
-const SCHEMA: u32 = 1;
-const CACHE: usize = 16 << 20;
-type Any = Box<dyn std::error::Error>;
+const FENCE: TableDefinition<TaskKey, &[u8]> = TableDefinition::new("fence");
+const FILES: TableDefinition<FileKey, &[u8]> = TableDefinition::new("files");
+const BLOCKS: TableDefinition<BlockKey, &[u8]> = TableDefinition::new("blocks");
 
+/// Why a trace store can't be opened, read or written.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum StoreError {
+    /// Another process has the database open.
     #[error("{0}: another process has it open")]
-    Taken(PathBuf),
-    #[error("{path}: written as version {found}, this program reads version {SCHEMA}")]
-    Schema { path: PathBuf, found: u32 },
-    #[error("{path}: {what}")]
-    Store { path: PathBuf, what: String },
+    AlreadyOpen(PathBuf),
+    /// Another version of this program has written the database.
+    #[error("{path}: written as version {found}, this program reads version {SCHEMA_VERSION}")]
+    UnsupportedSchema {
+        /// The database.
+        path: PathBuf,
+        /// Its version.
+        found: u32,
+    },
+    /// The database or its disk failed.
+    #[error("{path}: {source}")]
+    Storage {
+        /// The database.
+        path: PathBuf,
+        /// What failed.
+        source: Box<StorageFailure>,
+    },
 }
 
-/// A file as it is kept.
-#[derive(Default, Serialize, Deserialize)]
-struct Kept {
-    taken: Taken,
-    bytes: u64,
-    /// Counts the files that were done.
-    order: u64,
+/// What failed in the database.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub enum StorageFailure {
+    /// The store's folder can't be created.
+    Folder(std::io::Error),
+    /// The database can't be opened.
+    Open(DatabaseError),
+    /// No transaction can be begun.
+    Transaction(#[from] redb::TransactionError),
+    /// A table can't be opened.
+    Table(#[from] redb::TableError),
+    /// Rows can't be read or written.
+    Rows(#[from] redb::StorageError),
+    /// A transaction can't be made durable.
+    Commit(#[from] redb::CommitError),
+    /// A stored value can't be read, or a value can't be written in the stored form.
+    Encoding(#[from] postcard::Error),
 }
 
-/// Bugs that the proving ground plants, and must find out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// Epochs are kept in memory only.
-    ForgetsEpochs,
-    /// What was judged is written first, and the block after it.
-    TwoSteps,
+/// An update of the index, with the block that belongs to it: empty for an announcement and for a block without bytes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PendingWrite {
+    /// The update.
+    pub update: IndexUpdate,
+    /// The block as it stands in its file.
+    pub block: Vec<u8>,
 }
 
-impl std::str::FromStr for Planted {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Planted, String> {
-        match text {
-            "forgets-epochs" => Ok(Planted::ForgetsEpochs),
-            "two-steps" => Ok(Planted::TwoSteps),
-            _ => Err("should be forgets-epochs or two-steps".into()),
-        }
-    }
+/// The stored form of what is known of a file. It is positional: fields are never added, removed or reordered.
+#[derive(Default, Serialize, Deserialize)]
+struct StoredFile {
+    progress: FileProgress,
+    /// Of its blocks that are stored now.
+    bytes: u64,
+    /// How many files were complete with this one, 0 until it is.
+    completion: u64,
 }
 
-impl std::fmt::Display for Planted {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        out.write_str(match self {
-            Planted::ForgetsEpochs => "forgets-epochs",
-            Planted::TwoSteps => "two-steps",
-        })
-    }
+/// Which rows of a [`PendingWrite`] a transaction writes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Rows {
+    All,
+    /// The fence and the files' progress: half of [`InjectedBug::TwoSteps`].
+    Decisions,
+    /// The blocks: the other half.
+    Blocks,
 }
 
+/// An open trace store.
 pub struct Store {
-    db: Database,
+    database: Database,
     path: PathBuf,
-    orders: u64,
-    planted: Option<Planted>,
+    /// How many files were completed so far.
+    completions: u64,
+    injected_bug: Option<InjectedBug>,
 }
 
 impl Store {
-    /// Opens the archive in a folder, and begins one where there is none.
-    pub fn open(folder: &Path, most: u64) -> Result<(Store, Core), Fault> {
-        let path = folder.join("archive.redb");
-        let failed = |what: String| Fault::Store { path: path.clone(), what };
-        std::fs::create_dir_all(folder).map_err(|e| failed(e.to_string()))?;
+    /// Opens the store in a folder, which is created where there is none, and reads its index. Blocks may take `max_bytes`.
+    pub fn open(folder: &Path, max_bytes: u64) -> Result<(Store, TraceIndex), StoreError> {
+        let path = folder.join(DATABASE_FILE);
+        std::fs::create_dir_all(folder).map_err(|e| storage_error(&path, StorageFailure::Folder(e)))?;
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE);
-        let db = builder.create(&path).map_err(|e| match e {
-            DatabaseError::DatabaseAlreadyOpen => Fault::Taken(path.clone()),
-            e => failed(e.to_string()),
+        builder.set_cache_size(CACHE_BYTES);
+        let database = builder.create(&path).map_err(|e| match e {
+            DatabaseError::DatabaseAlreadyOpen => StoreError::AlreadyOpen(path.clone()),
+            e => storage_error(&path, StorageFailure::Open(e)),
         })?;
-        let mut store = Store { db, path: path.clone(), orders: 0, planted: None };
-        match store.schema().map_err(|e| failed(e.to_string()))? {
-            SCHEMA => {}
-            found => return Err(Fault::Schema { path, found }),
+        let mut store = Store { database, path, completions: 0, injected_bug: None };
+        match store.ensure_schema().map_err(|e| store.error(e))? {
+            SCHEMA_VERSION => {}
+            found => return Err(StoreError::UnsupportedSchema { path: store.path, found }),
         }
-        let core = store.read(most).map_err(|e| failed(e.to_string()))?;
-        Ok((store, core))
+        let index = store.read_index(max_bytes).map_err(|e| store.error(e))?;
+        Ok((store, index))
+    }
+
+    /// Makes it misbehave, for tests of the checkers that must notice.
+    pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
+        self.injected_bug = bug;
     }
 
-    pub fn plant(&mut self, planted: Option<Planted>) {
-        self.planted = planted;
+    fn error(&self, failure: StorageFailure) -> StoreError {
+        storage_error(&self.path, failure)
     }
 
-    fn schema(&self) -> Result<u32, Any> {
-        let tx = self.db.begin_write()?;
+    /// Creates what is missing of the tables, and returns the version of the stored form.
+    fn ensure_schema(&self) -> Result<u32, StorageFailure> {
+        let transaction = self.database.begin_write()?;
         let found = {
-            let mut facts = tx.open_table(FACTS)?;
-            let found = facts.get("schema")?.map(|value| value.value());
+            let mut facts = transaction.open_table(FACTS)?;
+            let found = facts.get(SCHEMA_KEY)?.map(|value| value.value());
             if found.is_none() {
-                facts.insert("schema", SCHEMA)?;
+                facts.insert(SCHEMA_KEY, SCHEMA_VERSION)?;
             }
-            tx.open_table(FENCE)?;
-            tx.open_table(FILES)?;
-            tx.open_table(BLOCKS)?;
-            found.unwrap_or(SCHEMA)
+            Tables::open(&transaction)?;
+            found.unwrap_or(SCHEMA_VERSION)
         };
-        tx.commit()?;
+        transaction.commit()?;
         Ok(found)
     }
 
-    fn read(&mut self, most: u64) -> Result<Core, Any> {
-        let tx = self.db.begin_read()?;
-        let mut seen = Vec::new();
-        for row in tx.open_table(FENCE)?.iter()? {
+    fn read_index(&mut self, max_bytes: u64) -> Result<TraceIndex, StorageFailure> {
+        let transaction = self.database.begin_read()?;
+        let mut fence = Vec::new();
+        for row in transaction.open_table(FENCE)?.iter()? {
             let (key, value) = row?;
             let (name, part) = key.value();
-            seen.push((Duty::new(name, part), decode::<Seen>(value.value())?));
+            fence.push((Duty::new(name, part), decode::<Seen>(value.value())?));
         }
-        let mut files: Vec<(u64, Source, Taken, u64)> = Vec::new();
-        for row in tx.open_table(FILES)?.iter()? {
+        let mut files: Vec<(u64, IndexedFile)> = Vec::new();
+        for row in transaction.open_table(FILES)?.iter()? {
             let (key, value) = row?;
-            let (server, file) = key.value();
-            let kept: Kept = decode(value.value())?;
-            let source = Source { server: server.into(), file: file.into() };
-            files.push((kept.order, source, kept.taken, kept.bytes));
-            self.orders = self.orders.max(kept.order);
+            let StoredFile { progress, bytes, completion } = decode(value.value())?;
+            files.push((completion, IndexedFile { id: file_id(key.value()), progress, bytes }));
+            self.completions = self.completions.max(completion);
         }
-        files.sort_by_key(|(order, ..)| *order);
-        let files = files.into_iter().map(|(_, source, taken, bytes)| (source, taken, bytes));
-        Ok(Core::new(most, seen, files))
+        files.sort_by_key(|(completion, _)| *completion);
+        Ok(TraceIndex::new(max_bytes, fence, files.into_iter().map(|(_, file)| file)))
     }
 
-    /// Brings these to disk together, with one sync. When it fails none of them may be taken for written.
-    pub fn keep(&mut self, writes: &[(Write, Vec<u8>)]) -> Result<(), Fault> {
-        let written = match self.planted {
-            Some(Planted::TwoSteps) => self.write(writes, true, false).and_then(|()| {
-                std::thread::sleep(std::time::Duration::from_millis(20));
-                self.write(writes, false, true)
-            }),
-            _ => self.write(writes, true, true),
+    /// Makes these durable together, with one sync. After a failure none of them may be taken for written.
+    pub fn commit(&mut self, writes: &[PendingWrite]) -> Result<(), StoreError> {
+        let written = match self.injected_bug {
+            Some(InjectedBug::TwoSteps) => self.write_in_two_steps(writes),
+            _ => self.write(writes, Rows::All),
         };
-        written.map_err(|e| Fault::Store { path: self.path.clone(), what: e.to_string() })
+        written.map_err(|e| self.error(e))
     }
 
-    /// What was judged, the blocks, or both.
-    fn write(&mut self, writes: &[(Write, Vec<u8>)], judged: bool, with_blocks: bool) -> Result<(), Any> {
-        let tx = self.db.begin_write()?;
+    fn write_in_two_steps(&mut self, writes: &[PendingWrite]) -> Result<(), StorageFailure> {
+        self.write(writes, Rows::Decisions)?;
+        std::thread::sleep(TWO_STEPS_PAUSE);
+        self.write(writes, Rows::Blocks)
+    }
+
+    fn write(&mut self, writes: &[PendingWrite], rows: Rows) -> Result<(), StorageFailure> {
+        let transaction = self.database.begin_write()?;
         {
-            let mut fence = tx.open_table(FENCE)?;
-            let mut files = tx.open_table(FILES)?;
-            let mut blocks = tx.open_table(BLOCKS)?;
-            for (write, block) in writes {
-                let seen = postcard::to_allocvec(&write.seen)?;
-                if judged && self.planted != Some(Planted::ForgetsEpochs) {
-                    fence.insert((write.duty.name.as_str(), write.duty.part), seen.as_slice())?;
+            let mut tables = Tables::open(&transaction)?;
+            let writes_fence = rows != Rows::Blocks && self.injected_bug != Some(InjectedBug::ForgetsEpochs);
+            for PendingWrite { update, block } in writes {
+                if writes_fence {
+                    tables.put_fence(&update.task, update.fence)?;
                 }
-                if let Some(Source { server, file }) = &write.unknown {
-                    let (server, file) = (server.as_str(), file.as_str());
-                    blocks.retain_in((server, file, 0)..=(server, file, u64::MAX), |_, _| false)?;
-                    files.remove((server, file))?;
+                if let Some(file) = &update.dropped {
+                    tables.drop_file(file)?;
                 }
-                for Source { server, file } in &write.forget {
-                    let (server, file) = (server.as_str(), file.as_str());
-                    blocks.retain_in((server, file, 0)..=(server, file, u64::MAX), |_, _| false)?;
-                    let kept = files.get((server, file))?.map(|v| decode::<Kept>(v.value())).transpose()?;
-                    let kept = postcard::to_allocvec(&Kept { bytes: 0, ..kept.unwrap_or_default() })?;
-                    files.insert((server, file), kept.as_slice())?;
+                for file in &update.evicted {
+                    tables.evict_file(file)?;
                 }
-                let Some((Source { server, file }, place, taken)) = &write.piece else { continue };
-                let key = (server.as_str(), file.as_str());
-                if with_blocks && !block.is_empty() {
-                    blocks.insert((key.0, key.1, *place), block.as_slice())?;
+                let Some(stored) = &update.block else { continue };
+                if rows != Rows::Decisions && !block.is_empty() {
+                    tables.put_block(stored, block)?;
                 }
-                if !judged {
-                    continue;
+                if rows != Rows::Blocks {
+                    self.completions += u64::from(stored.progress.complete);
+                    tables.put_progress(stored, block.len() as u64, self.completions)?;
                 }
-                let before = files.get(key)?.map(|value| decode::<Kept>(value.value())).transpose()?;
-                let bytes = before.map_or(0, |kept| kept.bytes) + block.len() as u64;
-                self.orders += u64::from(taken.done);
-                let order = if taken.done { self.orders } else { 0 };
-                let kept = postcard::to_allocvec(&Kept { taken: *taken, bytes, order })?;
-                files.insert(key, kept.as_slice())?;
             }
         }
-        Ok(tx.commit()?)
+        Ok(transaction.commit()?)
     }
 
     /// All files that have blocks, in the order of their names.
-    pub fn files(&self) -> Result<Vec<Source>, Fault> {
-        let read = || -> Result<Vec<Source>, Any> {
-            let tx = self.db.begin_read()?;
-            let mut all = Vec::new();
-            for row in tx.open_table(FILES)?.iter()? {
-                let (key, value) = row?;
-                let (server, file) = key.value();
-                if decode::<Kept>(value.value())?.bytes > 0 {
-                    all.push(Source { server: server.into(), file: file.into() });
-                }
+    pub fn files(&self) -> Result<Vec<FileId>, StoreError> {
+        self.read_files().map_err(|e| self.error(e))
+    }
+
+    fn read_files(&self) -> Result<Vec<FileId>, StorageFailure> {
+        let transaction = self.database.begin_read()?;
+        let mut files = Vec::new();
+        for row in transaction.open_table(FILES)?.iter()? {
+            let (key, value) = row?;
+            if decode::<StoredFile>(value.value())?.bytes > 0 {
+                files.push(file_id(key.value()));
             }
-            Ok(all)
-        };
-        read().map_err(|e| Fault::Store { path: self.path.clone(), what: e.to_string() })
+        }
+        Ok(files)
     }
 
-    /// Hands out the blocks of a file, one after the other.
-    pub fn blocks(
+    /// Hands out the blocks of a file, one after the other, until one can't be read or `each` fails.
+    pub fn for_each_block<E: From<StoreError>>(
         &self,
-        source: &Source,
-        mut each: impl FnMut(Vec<u8>) -> Result<(), String>,
-    ) -> Result<(), Fault> {
-        let (server, file) = (source.server.as_str(), source.file.as_str());
-        let mut read = || -> Result<(), Any> {
-            let tx = self.db.begin_read()?;
-            let table = tx.open_table(BLOCKS)?;
-            for row in table.range((server, file, 0)..=(server, file, u64::MAX))? {
-                each(row?.1.value().to_vec())?;
-            }
-            Ok(())
-        };
-        read().map_err(|e| Fault::Store { path: self.path.clone(), what: e.to_string() })
+        file: &FileId,
+        mut each: impl FnMut(Vec<u8>) -> Result<(), E>,
+    ) -> Result<(), E> {
+        for row in self.read_blocks(file).map_err(|e| self.error(e))? {
+            let (_, block) = row.map_err(|e| self.error(e.into()))?;
+            each(block.value().to_vec())?;
+        }
+        Ok(())
+    }
+
+    fn read_blocks(&self, file: &FileId) -> Result<Range<'static, BlockKey, &'static [u8]>, StorageFailure> {
+        let (server, name) = file_key(file);
+        let transaction = self.database.begin_read()?;
+        let blocks = transaction.open_table(BLOCKS)?;
+        Ok(blocks.range((server, name, 0)..=(server, name, u64::MAX))?)
     }
 }
 
-fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Any> {
-    Ok(postcard::from_bytes(bytes)?)
+/// The tables that a transaction writes.
+struct Tables<'transaction> {
+    fence: Table<'transaction, TaskKey, &'static [u8]>,
+    files: Table<'transaction, FileKey, &'static [u8]>,
+    blocks: Table<'transaction, BlockKey, &'static [u8]>,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::words::Piece;
+impl Tables<'_> {
+    fn open(transaction: &WriteTransaction) -> Result<Tables<'_>, StorageFailure> {
+        Ok(Tables {
+            fence: transaction.open_table(FENCE)?,
+            files: transaction.open_table(FILES)?,
+            blocks: transaction.open_table(BLOCKS)?,
+        })
+    }
 
-    fn piece(file: &str, place: u64, last: bool) -> Piece {
-        Piece { source: Source { server: "n1".into(), file: file.into() }, place, last }
+    fn put_fence(&mut self, task: &Duty, fence: Seen) -> Result<(), StorageFailure> {
+        let value = postcard::to_allocvec(&fence)?;
+        self.fence.insert((task.name.as_str(), task.part), value.as_slice())?;
+        Ok(())
     }
 
-    #[test]
-    fn what_was_kept_is_judged_by_after_a_restart() {
-        let folder = tempfile::tempdir().unwrap();
-        let duty = Duty::new("gather", 3);
-        let (mut store, mut core) = Store::open(folder.path(), 100).unwrap();
-        assert!(matches!(Store::open(folder.path(), 100), Err(Fault::Taken(_))));
-        let writes = [core.announce(&duty, 7).1.unwrap()];
-        core.note(&writes[0], 0);
-        store.keep(&[(writes[0].clone(), Vec::new())]).unwrap();
-        for (number, (place, last)) in [(0, false), (1, true)].into_iter().enumerate() {
-            let (_, write) = core.put(&duty, 7, number as u64 + 1, &piece("a", place, last), 40);
-            let write = write.unwrap();
-            core.note(&write, 40);
-            store.keep(&[(write, vec![place as u8; 40])]).unwrap();
-        }
-        drop(store);
-        let (mut store, mut core) = Store::open(folder.path(), 100).unwrap();
-        assert_eq!((core.seen(&duty), core.bytes()), (Seen { epoch: 7, number: 2 }, 80));
-        assert!(core.put(&duty, 6, 1, &piece("b", 0, true), 1).1.is_none());
-        // The next one needs room: the oldest whole file goes, also from the disk.
-        let write = core.put(&duty, 7, 3, &piece("b", 0, true), 40).1.unwrap();
-        core.note(&write, 40);
-        store.keep(&[(write, vec![9; 40])]).unwrap();
-        let mut seen = Vec::new();
-        for source in store.files().unwrap() {
-            store
-                .blocks(&source, |block| {
-                    seen.push((source.file.clone(), block[0]));
-                    Ok(())
-                })
-                .unwrap();
-        }
-        assert_eq!(seen, [("b".to_string(), 9)]);
-        drop(store);
-        let (_, core) = Store::open(folder.path(), 100).unwrap();
-        assert!(core.files().any(|(source, taken)| source.file == "a" && taken.done) && core.bytes() == 40);
+    /// Removes a file's blocks and all that is known of it.
+    fn drop_file(&mut self, file: &FileId) -> Result<(), StorageFailure> {
+        self.remove_blocks(file)?;
+        self.files.remove(file_key(file))?;
+        Ok(())
+    }
+
+    /// Removes a file's blocks; its progress stays known.
+    fn evict_file(&mut self, file: &FileId) -> Result<(), StorageFailure> {
+        self.remove_blocks(file)?;
+        let stored = self.file(file)?.unwrap_or_default();
+        self.put_file(file, &StoredFile { bytes: 0, ..stored })
+    }
+
+    fn remove_blocks(&mut self, file: &FileId) -> Result<(), StorageFailure> {
+        let (server, name) = file_key(file);
+        self.blocks.retain_in((server, name, 0)..=(server, name, u64::MAX), |_, _| false)?;
+        Ok(())
+    }
+
+    fn put_block(&mut self, stored: &StoredBlock, block: &[u8]) -> Result<(), StorageFailure> {
+        let (server, name) = file_key(&stored.file);
+        self.blocks.insert((server, name, stored.position), block)?;
+        Ok(())
+    }
+
+    /// Notes that a file has a block of so many bytes more. `completions` counts the complete files, this one included where it is complete.
+    fn put_progress(
+        &mut self,
+        stored: &StoredBlock,
+        block_bytes: u64,
+        completions: u64,
+    ) -> Result<(), StorageFailure> {
+        let progress = stored.progress;
+        let bytes = self.file(&stored.file)?.map_or(0, |file| file.bytes) + block_bytes;
+        let completion = if progress.complete { completions } else { 0 };
+        self.put_file(&stored.file, &StoredFile { progress, bytes, completion })
+    }
+
+    fn file(&self, file: &FileId) -> Result<Option<StoredFile>, StorageFailure> {
+        let value = self.files.get(file_key(file))?;
+        value.map(|value| decode(value.value())).transpose()
+    }
+
+    fn put_file(&mut self, file: &FileId, stored: &StoredFile) -> Result<(), StorageFailure> {
+        let value = postcard::to_allocvec(stored)?;
+        self.files.insert(file_key(file), value.as_slice())?;
+        Ok(())
     }
 }
+
+fn storage_error(path: &Path, failure: StorageFailure) -> StoreError {
+    StoreError::Storage { path: path.into(), source: Box::new(failure) }
+}
+
+fn file_key(file: &FileId) -> (&str, &str) {
+    (&file.server, &file.name)
+}
+
+fn file_id((server, name): (&str, &str)) -> FileId {
+    FileId { server: server.into(), name: name.into() }
+}
+
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StorageFailure> {
+    Ok(postcard::from_bytes(bytes)?)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -3,12 +3,12 @@
 
 use puffinladder_leases::fence::{Seen, Verdict};
 use puffinladder_leases::Duty;
-use puffinladder_trace_store::store::Store;
-use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken};
+use puffinladder_trace_store::protocol::{BlockId, FileId, FileProgress, PutOutcome, Request, Response};
+use puffinladder_trace_store::store::{Store, StoreError};
 use std::fmt::Debug;
 
-fn source(server: &str, file: &str) -> Source {
-    Source { server: server.into(), file: file.into() }
+fn file(server: &str, name: &str) -> FileId {
+    FileId { server: server.into(), name: name.into() }
 }
 
 /// The stored folder holds: task gather/0 at epoch 7 after 4 effects, gather/3 at epoch 12 after 1; n1/a.trace complete but evicted, n1/b.trace complete
@@ -18,25 +18,26 @@
     let folder = tempfile::tempdir().unwrap();
     let stored = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/archive.redb");
     std::fs::copy(stored, folder.path().join("archive.redb")).unwrap();
-    let (store, core) = Store::open(folder.path(), 100).unwrap();
-    assert_eq!(core.seen(&Duty::new("gather", 0)), Seen { epoch: 7, number: 4 });
-    assert_eq!(core.seen(&Duty::new("gather", 3)), Seen { epoch: 12, number: 1 });
-    assert_eq!(core.seen(&Duty::new("gather", 1)), Seen { epoch: 0, number: 0 });
-    assert_eq!(core.bytes(), 95);
-    let files: Vec<(Source, Taken)> = core.files().map(|(source, taken)| (source.clone(), *taken)).collect();
+    let (store, index) = Store::open(folder.path(), 100).unwrap();
+    assert_eq!(index.fence_state(&Duty::new("gather", 0)), Seen { epoch: 7, number: 4 });
+    assert_eq!(index.fence_state(&Duty::new("gather", 3)), Seen { epoch: 12, number: 1 });
+    assert_eq!(index.fence_state(&Duty::new("gather", 1)), Seen { epoch: 0, number: 0 });
+    assert_eq!(index.bytes(), 95);
+    let files: Vec<(FileId, FileProgress)> =
+        index.files().map(|(file, progress)| (file.clone(), *progress)).collect();
     let wanted = [
-        (source("n1", "a.trace"), Taken { blocks: 2, done: true }),
-        (source("n1", "b.trace"), Taken { blocks: 2, done: true }),
-        (source("n2", "c.trace"), Taken { blocks: 1, done: false }),
+        (file("n1", "a.trace"), FileProgress { blocks: 2, complete: true }),
+        (file("n1", "b.trace"), FileProgress { blocks: 2, complete: true }),
+        (file("n2", "c.trace"), FileProgress { blocks: 1, complete: false }),
     ];
     assert_eq!(files, wanted);
-    assert_eq!(store.files().unwrap(), [source("n1", "b.trace"), source("n2", "c.trace")]);
+    assert_eq!(store.files().unwrap(), [file("n1", "b.trace"), file("n2", "c.trace")]);
     let mut blocks = Vec::new();
     for file in store.files().unwrap() {
         store
-            .blocks(&file, |block| {
+            .for_each_block(&file, |block| {
                 blocks.push(block);
-                Ok(())
+                Ok::<(), StoreError>(())
             })
             .unwrap();
     }
@@ -56,46 +57,49 @@
 fn every_request_has_its_line() {
     same(
         r#"{"announce":{"duty":{"name":"gather","part":3},"epoch":7,"parts":4}}"#,
-        Ask::Announce { duty: Duty::new("gather", 3), epoch: 7, parts: 4 },
+        Request::Announce { task: Duty::new("gather", 3), epoch: 7, parts: 4 },
     );
     same(
         r#"{"put":{"duty":{"name":"gather","part":3},"epoch":7,"number":2,"piece":{"source":{"server":"n1","file":"a.trace"},"place":5,"last":true},"block":"AQI="}}"#,
-        Ask::Put {
-            duty: Duty::new("gather", 3),
+        Request::Put {
+            task: Duty::new("gather", 3),
             epoch: 7,
             number: 2,
-            piece: Piece { source: source("n1", "a.trace"), place: 5, last: true },
+            id: BlockId { file: file("n1", "a.trace"), position: 5, last: true },
             block: "AQI=".into(),
         },
     );
-    same(r#""status""#, Ask::Status);
+    same(r#""status""#, Request::Status);
 }
 
 #[test]
 fn every_response_has_its_line() {
     same(
         r#"{"begun":{"verdict":"New","number":2,"taken":[[{"server":"n1","file":"a.trace"},{"blocks":5,"done":true}]]}}"#,
-        Answer::Begun {
+        Response::Announced {
             verdict: Verdict::New,
             number: 2,
-            taken: vec![(source("n1", "a.trace"), Taken { blocks: 5, done: true })],
+            progress: vec![(file("n1", "a.trace"), FileProgress { blocks: 5, complete: true })],
         },
     );
-    same(r#"{"put":{"fence":"New"}}"#, Answer::Put(Outcome::Fence(Verdict::New)));
-    same(r#"{"put":{"fence":"Repeat"}}"#, Answer::Put(Outcome::Fence(Verdict::Repeat)));
-    same(r#"{"put":{"fence":{"Late":{"seen":8}}}}"#, Answer::Put(Outcome::Fence(Verdict::Late { seen: 8 })));
+    same(r#"{"put":{"fence":"New"}}"#, Response::Put(PutOutcome::Fence(Verdict::New)));
+    same(r#"{"put":{"fence":"Repeat"}}"#, Response::Put(PutOutcome::Fence(Verdict::Repeat)));
+    same(
+        r#"{"put":{"fence":{"Late":{"seen":8}}}}"#,
+        Response::Put(PutOutcome::Fence(Verdict::Late { seen: 8 })),
+    );
     same(
         r#"{"put":{"fence":{"Gap":{"expected":1}}}}"#,
-        Answer::Put(Outcome::Fence(Verdict::Gap { expected: 1 })),
+        Response::Put(PutOutcome::Fence(Verdict::Gap { expected: 1 })),
     );
     same(
         r#"{"put":{"elsewhere":{"blocks":1,"done":false}}}"#,
-        Answer::Put(Outcome::Elsewhere(Taken { blocks: 1, done: false })),
+        Response::Put(PutOutcome::UnexpectedBlock(FileProgress { blocks: 1, complete: false })),
     );
-    same(r#"{"put":"full"}"#, Answer::Put(Outcome::Full));
+    same(r#"{"put":"full"}"#, Response::Put(PutOutcome::Full));
     same(
         r#"{"status":{"files":3,"done":2,"blocks":9,"bytes":100,"refused":1}}"#,
-        Answer::Status { files: 3, done: 2, blocks: 9, bytes: 100, refused: 1 },
+        Response::Status { files: 3, complete_files: 2, blocks: 9, bytes: 100, rejected: 1 },
     );
-    same(r#"{"failed":"the block: torn"}"#, Answer::Failed("the block: torn".into()));
+    same(r#"{"failed":"the block: torn"}"#, Response::Failed("the block: torn".into()));
 }
--- /dev/null
+++ b/crates/worker/src/collection/tests.rs
@@ -0,0 +1,72 @@
+use super::*;
+
+fn file(server: &str, name: &str) -> FileId {
+    FileId { server: server.into(), name: name.into() }
+}
+
+fn finished(server: &str, names: &[&str]) -> Vec<TraceFile> {
+    names.iter().map(|name| TraceFile { id: file(server, name), finished: true }).collect()
+}
+
+const COMPLETE: FileProgress = FileProgress { blocks: 3, complete: true };
+
+#[test]
+fn servers_take_turns_and_their_oldest_files_come_first() {
+    let mut plan = CollectionPlan::default();
+    let all = [finished("n1", &["b", "a", "c"]), finished("n2", &["x"])].concat();
+    plan.set_files(all.clone());
+    let mut order = Vec::new();
+    while let Some((next, position)) = plan.next_block(0.0) {
+        assert_eq!(position, 0);
+        order.push(format!("{}{}", next.server, next.name));
+        plan.record_progress(&next, COMPLETE);
+    }
+    assert_eq!(order, ["n1a", "n2x", "n1b", "n1c"]);
+    plan.set_files(all);
+    assert!(!plan.has_work(0.0), "all of it is stored");
+}
+
+#[test]
+fn a_successor_goes_on_after_what_the_trace_store_has() {
+    let mut plan = CollectionPlan::default();
+    plan.reset([(file("n1", "a"), FileProgress { blocks: 2, complete: false }), (file("n1", "b"), COMPLETE)]);
+    plan.set_files(finished("n1", &["a", "b"]));
+    assert_eq!(plan.next_block(0.0), Some((file("n1", "a"), 2)));
+    plan.record_progress(&file("n1", "a"), COMPLETE);
+    assert_eq!(plan.next_block(0.0), None);
+}
+
+#[test]
+fn a_file_that_cannot_be_read_comes_later_each_time_and_holds_up_no_other() {
+    let mut plan = CollectionPlan::default();
+    plan.set_files(finished("n1", &["a", "b"]));
+    assert!(plan.back_off(0.0, &file("n1", "a")) && !plan.back_off(1.0, &file("n1", "a")));
+    assert_eq!(plan.next_block(2.9), Some((file("n1", "b"), 0)));
+    plan.record_progress(&file("n1", "b"), COMPLETE);
+    assert_eq!((plan.next_block(2.9), plan.has_work(2.9)), (None, false));
+    assert_eq!(plan.next_block(3.0), Some((file("n1", "a"), 0)));
+    for number in 0..MAX_UNREADABLE + 5 {
+        plan.back_off(0.0, &file("n2", &number.to_string()));
+    }
+    assert_eq!(plan.unreadable.len(), MAX_UNREADABLE);
+}
+
+#[test]
+fn the_newest_file_is_left_to_its_writer_until_it_is_sealed() {
+    let files = vec![("n1-2".to_string(), false), ("n1-1".to_string(), false), ("n1-3".to_string(), false)];
+    let finished_now =
+        |files: Vec<(String, bool)>| mark_finished("n1", files).iter().filter(|file| file.finished).count();
+    assert_eq!(finished_now(files.clone()), 2, "its writer was killed, and began others since");
+    let sealed = files.into_iter().map(|(name, _)| (name, true)).collect();
+    assert_eq!(finished_now(sealed), 3);
+}
+
+#[test]
+fn each_server_belongs_to_one_part() {
+    let mut counts = [0; 8];
+    for at in 0..800 {
+        counts[part_of(&format!("n{at}"), 8) as usize] += 1;
+    }
+    assert!(counts.iter().all(|n| (60..140).contains(n)), "{counts:?}");
+    assert_eq!(part_of("n1", 0), 0);
+}
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The forms that outlive a worker: the file of its incarnation, as version 1 wrote it. The literals below never change with the code.
 
-use puffinladder_worker::life;
+use puffinladder_worker::incarnation;
 use std::fs;
 use std::path::Path;
 
@@ -9,9 +9,9 @@
     let folder = tempfile::tempdir().unwrap();
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/life");
     fs::copy(stored, folder.path().join("life")).unwrap();
-    assert_eq!(life::next(folder.path(), 1.0).unwrap(), 1_700_000_000_000_124);
+    assert_eq!(incarnation::next(folder.path(), 1.0).unwrap(), 1_700_000_000_000_124);
     assert_eq!(fs::read_to_string(folder.path().join("life")).unwrap(), "1700000000000124\n");
-    assert_eq!(life::next(folder.path(), 1_800_000_000.5).unwrap(), 1_800_000_000_500_000);
+    assert_eq!(incarnation::next(folder.path(), 1_800_000_000.5).unwrap(), 1_800_000_000_500_000);
     assert_eq!(fs::read_to_string(folder.path().join("life")).unwrap(), "1800000000500000\n");
     assert!(!folder.path().join("life.new").exists());
 }
