--- a/crates/cli/src/fleet/trace_store.rs
+++ b/crates/cli/src/fleet/trace_store.rs
@@ -4,7 +4,7 @@
 use crate::say::{bar, step, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
-use puffinladder_charter::fleet::Archive as TraceStoreSettings;
+use puffinladder_settings::TraceStoreSettings;
 use puffinladder_trace_store::export::export;
 use puffinladder_trace_store::protocol::{Request, Response};
 use puffinladder_trace_store::serve::{start, ServiceConfig};
@@ -56,14 +56,14 @@
     match line.command {
         None => {
             let (name, settings) = serve::settings(line.settings)?;
-            let section = serve::section(&name, SECTION, settings.archive.clone())?;
+            let section = serve::section(&name, SECTION, settings.trace_store.clone())?;
             serve::log(&settings);
             serve::runtime()?.block_on(run_service(&section, &Ground::usual(line.events)))
         }
         Some(Command::Status { at }) => serve::runtime()?.block_on(print_status(at)),
         Some(Command::Export { settings, into }) => {
             let (name, settings) = serve::settings(settings)?;
-            let section = serve::section(&name, SECTION, settings.archive)?;
+            let section = serve::section(&name, SECTION, settings.trace_store)?;
             export_trace(&section, &into)
         }
     }
@@ -73,9 +73,9 @@
 pub async fn run_service(settings: &TraceStoreSettings, ground: &Ground) -> Done {
     let config = ServiceConfig {
         listen: settings.listen,
-        folder: (&settings.folder).into(),
-        max_bytes: settings.most_bytes,
-        max_connections: settings.most_connections,
+        folder: (&settings.directory).into(),
+        max_bytes: settings.max_bytes,
+        max_connections: settings.max_connections,
         events: ground.events,
         injected_bug: ground.planted,
     };
@@ -98,11 +98,11 @@
 }
 
 fn export_trace(settings: &TraceStoreSettings, into: &Path) -> Done {
-    let folder = Path::new(&settings.folder);
+    let folder = Path::new(&settings.directory);
     if !folder.join(DATABASE_FILE).exists() {
-        return Err(Wrong::Failed(format!("{}: there is no archive", settings.folder)));
+        return Err(Wrong::Failed(format!("{}: there is no archive", settings.directory)));
     }
-    let (store, _) = Store::open(folder, settings.most_bytes).map_err(|e| failed(e.to_string()))?;
+    let (store, _) = Store::open(folder, settings.max_bytes).map_err(|e| failed(e.to_string()))?;
     let made = (Clock::system().unix_time() * MICROSECONDS) as i64;
     let rows = bar("rows");
     let merged = export(&store, into, made, &mut step(&rows)).map_err(|e| failed(e.to_string()))?;
--- a/crates/cli/src/fleet/worker.rs
+++ b/crates/cli/src/fleet/worker.rs
@@ -4,10 +4,10 @@
 use crate::say::Done;
 use crate::serve;
 use clap::Args;
-use puffinladder_charter::fleet::{Gather, Steward as WorkerSettings};
 use puffinladder_leases::desk;
 use puffinladder_leases::turns::Rules;
 use puffinladder_leases::words::Event;
+use puffinladder_settings::{TraceCollectionSettings, WorkerSettings};
 use puffinladder_worker::config::{CollectionConfig, ReportingConfig, WorkerConfig};
 use puffinladder_worker::incarnation;
 use puffinladder_worker::service::start;
@@ -39,23 +39,23 @@
 
 pub fn run(line: Line) -> Done {
     let (name, settings) = serve::settings(line.settings)?;
-    let section = serve::section(&name, SECTION, settings.steward.clone())?;
+    let section = serve::section(&name, SECTION, settings.worker.clone())?;
     serve::log(&settings);
     serve::runtime()?.block_on(run_service(&section, &Ground::usual(line.events)))
 }
 
 /// Runs a worker until it is stopped, or a later incarnation of it has spoken.
 pub async fn run_service(settings: &WorkerSettings, ground: &Ground) -> Done {
-    let next = incarnation::next(Path::new(&settings.folder), ground.clock.unix_time());
+    let next = incarnation::next(Path::new(&settings.directory), ground.clock.unix_time());
     let incarnation = next.map_err(|e| failed(e.to_string()))?;
     let config = WorkerConfig {
         name: settings.name.clone(),
         zone: settings.zone.clone(),
         incarnation,
-        replicas: settings.keepers.clone(),
-        collection: settings.gather.as_ref().map(collection_config),
-        reporting: settings.listen.map(|listen| reporting_config(settings, listen)),
-        held_tasks: settings.holds.clone(),
+        replicas: settings.lease_stores.clone(),
+        collection: settings.trace_collection.as_ref().map(collection_config),
+        reporting: settings.report_listen.map(|listen| reporting_config(settings, listen)),
+        held_tasks: settings.idle_tasks.clone(),
         clock: ground.clock.clone(),
         events: ground.events,
     };
@@ -72,30 +72,30 @@
     }
 }
 
-fn collection_config(settings: &Gather) -> CollectionConfig {
+fn collection_config(settings: &TraceCollectionSettings) -> CollectionConfig {
     CollectionConfig {
-        traces: (&settings.traces).into(),
-        trace_store: settings.archive,
+        traces: (&settings.traces_directory).into(),
+        trace_store: settings.trace_store,
         parts: settings.parts as u32,
-        list_interval: settings.every,
-        max_step: settings.step,
+        list_interval: settings.scan_interval,
+        max_step: settings.max_step_duration,
     }
 }
 
 fn reporting_config(settings: &WorkerSettings, listen: SocketAddr) -> ReportingConfig {
-    let (quota, turns) = (settings.quota.as_ref(), settings.turns.as_ref());
+    let (quota, turns) = (settings.quota.as_ref(), settings.drain_slots.as_ref());
     let turn_rules = turns.map_or_else(Default::default, |turns| Rules {
-        most: turns.most,
-        zone_share: turns.zone_share,
-        span: turns.span,
-        silent: turns.silent,
+        most: turns.max_draining,
+        zone_share: turns.max_zone_share,
+        span: turns.slot_duration,
+        silent: turns.silence_timeout,
         drift: MAX_CLOCK_DRIFT,
     });
     let coordinator = desk::Told {
-        customers: quota.map(|quota| quota.customers.clone()).unwrap_or_default(),
+        customers: quota.map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
         servers: quota.map_or(1, |quota| quota.servers),
         parts: quota.map_or(1, |quota| quota.parts as u32),
-        span: quota.map_or(UNUSED_SPAN, |quota| quota.span),
+        span: quota.map_or(UNUSED_SPAN, |quota| quota.share_duration),
         drift: MAX_CLOCK_DRIFT,
         turns: turn_rules,
     };
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,7 +17,7 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use puffinladder_charter::settings::LogFormat;
+use puffinladder_settings::LogFormat;
 use say::Wrong;
 use std::io::Write;
 use std::path::PathBuf;
@@ -109,7 +109,7 @@
                 Format::Json => LogFormat::Json,
             });
             let options = puffinladder_server::Options { config, settings, log_format, log_filter: log };
-            puffinladder_server::run(&options).map_err(Wrong::Failed)
+            puffinladder_server::run(&options).map_err(|e| Wrong::Failed(e.to_string()))
         }
         Command::Check { file } => check::check(&file),
         Command::Control(line) => control::run(line),
--- /dev/null
+++ b/crates/server/src/wire/gateway/mod.rs
@@ -0,0 +1,8 @@
+//! Connections of gateways, as those see them who answer on them or close them.
+
+pub mod connection;
+pub mod connections;
+mod tags;
+
+#[cfg(test)]
+mod tests;
