--- a/crates/cli/src/control/bench.rs
+++ b/crates/cli/src/control/bench.rs
@@ -61,7 +61,7 @@
 /// could not route at all. A decision's age is at the most the bound less what is left of its lease.
 async fn staleness(
     fleet: &[Proxy],
-    all: &mut [Report],
+    all: &mut [LoadReport],
     stream: &mut TcpStream,
     begun: Instant,
 ) -> Done<String> {
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -9,7 +9,6 @@
 use crate::say::{Done, Wrong};
 use crate::serve::runtime;
 use clap::{Args, Subcommand};
-use puffinladder_charter::settings::Control as Told;
 use puffinladder_control::fleet::{FleetConfig, FleetView, ReportOutcome};
 use puffinladder_control::plan::Planner;
 use puffinladder_control::report::LoadReport;
@@ -18,6 +17,7 @@
 use puffinladder_control::service::{PlanSchedule, ServiceConfig};
 use puffinladder_control::stream::LeaseConfig;
 use puffinladder_leases::words::Event;
+use puffinladder_settings::ControlSettings as Told;
 use std::io::Write;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
@@ -82,35 +82,35 @@
 
 fn setup(told: &Told) -> ServeConfig {
     let fleet = FleetConfig {
-        fresh_for: told.fresh,
-        expired_after: told.gone,
-        panic_threshold: told.panic,
-        max_servers: told.most_servers,
+        fresh_for: told.fresh_for,
+        expired_after: told.gone_after,
+        panic_threshold: told.panic_threshold,
+        max_servers: told.max_servers,
         ..FleetConfig::default()
     };
     let lease = LeaseConfig {
-        max_decision_age: told.bound,
-        heartbeat_interval: told.heartbeat,
+        max_decision_age: told.max_staleness,
+        heartbeat_interval: told.heartbeat_interval,
         ..LeaseConfig::default()
     };
     let service = ServiceConfig {
         fleet,
         lease,
-        subsets: SubsetConfig { size: told.subset, ..SubsetConfig::default() },
-        schedule: PlanSchedule { interval: told.plan_every, ..PlanSchedule::default() },
+        subsets: SubsetConfig { size: told.subset_size, ..SubsetConfig::default() },
+        schedule: PlanSchedule { interval: told.plan_interval, ..PlanSchedule::default() },
     };
-    let tls = told.tls.as_ref().map(|(certificate, key, clients)| TlsConfig {
-        certificate: certificate.into(),
-        key: key.into(),
-        client_authorities: clients.as_ref().map(Into::into),
+    let tls = told.tls.as_ref().map(|tls| TlsConfig {
+        certificate: (&tls.certificate).into(),
+        key: (&tls.key).into(),
+        client_authorities: tls.client_authority.as_ref().map(Into::into),
     });
     ServeConfig {
         service,
-        xds: told.xds,
-        reports: told.reports,
-        debug: told.debug,
-        snapshot: told.snapshot.as_ref().map(Into::into),
-        max_proxies: told.most_proxies,
+        xds: told.xds_listen,
+        reports: told.report_listen,
+        debug: told.debug_listen,
+        snapshot: told.snapshot_file.as_ref().map(Into::into),
+        max_proxies: told.max_proxies,
         tls,
     }
 }
--- a/crates/control/src/plan/tests.rs
+++ b/crates/control/src/plan/tests.rs
@@ -133,13 +133,8 @@
 }
 
 fn zoned(zone: &str, name: &str, offered: f64) -> LoadReport {
-    let class = ClassLoad {
-        product: "p".into(),
-        customer: "k".into(),
-        priority_weight: 1.0,
-        offered,
-        rejected: 0.0,
-    };
+    let class =
+        ClassLoad { product: "p".into(), customer: "k".into(), priority_weight: 1.0, offered, rejected: 0.0 };
     LoadReport { zone: zone.into(), classes: vec![class], ..report(name, 0, 0.0) }
 }
 
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -1,7 +1,7 @@
 //! Reports of servers: a TCP connection each, one JSON object a line, nothing back. A server that finds no service goes on without.
 
 use super::handle::{Message, ServiceHandle};
-use puffinladder_transport::{Fault, Lines};
+use puffinladder_transport::{LineReader, TransportError};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -24,17 +24,24 @@
             Ok(())
         }
     };
-    puffinladder_transport::serve(listener, "reports", MAX_CONNECTIONS, stopped, handle_connection).await;
+    puffinladder_transport::serve_connections(
+        listener,
+        "reports",
+        MAX_CONNECTIONS,
+        stopped,
+        handle_connection,
+    )
+    .await;
 }
 
-async fn read_reports(stream: TcpStream, service: &ServiceHandle) -> Result<(), Fault> {
-    let mut lines = Lines::new(stream, MAX_REPORT_BYTES);
+async fn read_reports(stream: TcpStream, service: &ServiceHandle) -> Result<(), TransportError> {
+    let mut lines = LineReader::new(stream, MAX_REPORT_BYTES);
     // Dropped before the socket is: whoever sees the connection end sees the count without it.
     let _connection = service.traffic.report_connection();
     let mut counted = 0;
-    while let Some(report) = lines.within(IDLE_TIMEOUT).await? {
-        service.traffic.report_bytes.add(lines.bytes() - counted);
-        counted = lines.bytes();
+    while let Some(report) = lines.read_within(IDLE_TIMEOUT).await? {
+        service.traffic.report_bytes.add(lines.bytes_read() - counted);
+        counted = lines.bytes_read();
         service.send(Message::Report(report)).await;
     }
     Ok(())
--- a/crates/hollow/tests/peers.rs
+++ b/crates/hollow/tests/peers.rs
@@ -70,7 +70,9 @@
         let seen = running.handle.query(|core, now| (core.proxy_statuses(now), core.plan_version())).await;
         let Some((seen, serial)) = seen else { return false };
         seen.len() == 4
-            && seen.iter().all(|s| s.in_sync && s.zone == "zone-1" && s.rejected == 0 && s.last_rejection.is_none())
+            && seen
+                .iter()
+                .all(|s| s.in_sync && s.zone == "zone-1" && s.rejected == 0 && s.last_rejection.is_none())
             && seen.iter().all(|s| s.acked == seen[0].acked)
             && all.iter().all(|(hollow, real)| {
                 let latest = Some((serial.epoch, serial.number));
@@ -122,8 +124,8 @@
             let (from, mut to) = stream.into_split();
             let (heard, mut answer) = (heard.clone(), answer.resubscribe());
             tokio::spawn(async move {
-                let mut lines = puffinladder_transport::Lines::new(from, 1 << 20);
-                while let Ok(Some(report)) = lines.next().await {
+                let mut lines = puffinladder_transport::LineReader::new(from, 1 << 20);
+                while let Ok(Some(report)) = lines.read().await {
                     let _ = heard.send(report).await;
                 }
             });
@@ -157,7 +159,7 @@
         for duty in [&quota, &turn] {
             for reply in desk.plan(now, duty) {
                 turns.extend(reply.turn.as_ref().map(|_| reply.server.clone()));
-                let _ = answers.send(puffinladder_transport::line(&reply).unwrap());
+                let _ = answers.send(puffinladder_transport::encode_line(&reply).unwrap());
             }
         }
         if holds.len() == 5 {
--- a/crates/server/tests/publish.rs
+++ b/crates/server/tests/publish.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_control_service_hears_what_was_asked_declined_and_run_and_of_the_drain_before_it() {
+fn a_control_service_hears_what_was_asked_rejected_and_run_and_of_the_drain_before_it() {
     let folder = tempfile::tempdir().unwrap();
     let control = TcpListener::bind("127.0.0.1:0").unwrap();
     let town = town(folder.path(), &control.local_addr().unwrap().to_string());
@@ -57,7 +57,7 @@
         report.service_time > 0.0
             && report.service_time < 1.0
             && report.sequence > first.sequence
-            && report.created_at > first.made
+            && report.created_at > first.created_at
     );
     assert_eq!((report.classes[0].product.as_str(), report.classes[0].customer.as_str()), ("quote", "acme"));
     assert!(report.classes[0].offered > 0.0 && report.concurrency_limit >= 1.0);
