--- a/crates/config-rollout/src/content/tests.rs
+++ b/crates/config-rollout/src/content/tests.rs
@@ -10,13 +10,13 @@
 fn a_change_is_made_whole_or_not_at_all() {
     let base = Content::default().after(&one(Key::tenant("a"), 1.0)).unwrap();
     let change = one(Key::tenant("a"), 2.0).set(Key::tenant("b"), f64::NAN);
-    let wrong = base.after(&change).unwrap_err();
-    assert_eq!(wrong.key, Some(Key::tenant("b")));
+    let error = base.after(&change).unwrap_err();
+    assert_eq!(error.key, Some(Key::tenant("b")));
     assert_eq!(base.get(&Key::tenant("a")), Some(1.0));
 }
 
 #[test]
-fn what_no_server_could_read_is_refused_with_its_key() {
+fn what_no_server_could_read_is_rejected_with_its_key() {
     let long = "x".repeat(MAX_NAME_BYTES + 1);
     let cases = [
         (one(Key::tenant(""), 1.0), "a name should have"),
@@ -30,9 +30,9 @@
         (one(Key::route("a", Field::LatencyObjective), 0.0), "should be from 0.001 to"),
     ];
     for (change, what) in cases {
-        let wrong = change.check().unwrap_err();
-        assert!(wrong.reason.starts_with(what) && wrong.key.is_some(), "{wrong}");
-        assert!(Content::default().after(&change).is_err(), "{wrong}");
+        let error = change.check().unwrap_err();
+        assert!(error.reason.starts_with(what) && error.key.is_some(), "{error}");
+        assert!(Content::default().after(&change).is_err(), "{error}");
     }
 }
 
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -237,7 +237,7 @@
         messages.iter().filter(|outgoing| is_chunk(outgoing)).map(|outgoing| &outgoing.server).collect();
     assert_eq!(to, ["n1"]);
     apply(&mut history, Command::Revert { epoch, author: "o".into(), number, cause: "it fell".into() });
-    // n1 has not said that it got it: the reverted version is not sent again.
+    // n1 has not acknowledged it: the reverted version is not sent again.
     assert!(names.iter().all(|name| distributor.receive(1.5, &ack(name, 2, last))));
     let messages = distributor.poll(2.0, &history, 0.0);
     let next_messages = distributor.poll(2.1, &history, 0.0);
@@ -277,11 +277,11 @@
 #[test]
 fn settings_that_could_not_be_kept_are_rejected() {
     assert_eq!(DistributorSettings::default().check(), Ok(()));
-    let wrong = [
+    let invalid = [
         DistributorSettings { burst: 100.0, ..DistributorSettings::default() },
         DistributorSettings { rate: 0.0, ..DistributorSettings::default() },
         DistributorSettings { retry_timeout: f64::NAN, ..DistributorSettings::default() },
         DistributorSettings { catch_up_slots: 0, ..DistributorSettings::default() },
     ];
-    assert!(wrong.iter().all(|settings| settings.check().is_err()));
+    assert!(invalid.iter().all(|settings| settings.check().is_err()));
 }
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -9,22 +9,22 @@
 
 mod last_good;
 mod partial_bodies;
+mod receive;
 mod version_log;
 
 pub use last_good::LastGoodError;
+pub use receive::{MessageError, Received};
 
-use crate::change::Change;
 use crate::content::Content;
 use crate::digest::{Digest, Seal, VersionId};
-use crate::messages::{Acknowledgement, Chunk, DistributorMessage, TransferId, MAX_BODY_BYTES};
+use crate::messages::Acknowledgement;
 use crate::validation::ContentValidator;
 use last_good::LastGoodWriter;
-use partial_bodies::{Extended, PartialBodies};
+use partial_bodies::PartialBodies;
 use puffinladder_leases::sent::Sent;
 use puffinladder_leases::Owner;
 use std::io;
 use std::sync::Arc;
-use thiserror::Error;
 use version_log::VersionLog;
 
 /// Time between two acknowledgements where nothing happens, s.
@@ -58,46 +58,6 @@
     pub other: Digest,
 }
 
-/// What came of a message from a distributor.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Received {
-    /// A version is complete and checked, and waits to be activated.
-    Staged(VersionId),
-    /// More of the body is to come.
-    Incomplete,
-    /// Known already, or older than what is staged or active.
-    Outdated,
-    /// Something before it is missing: bytes of the body, or the version to which it is a change.
-    Gap,
-    /// The message is not valid, or its version is rejected.
-    Invalid(MessageError),
-}
-
-/// What is wrong with a message from a distributor.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum MessageError {
-    /// A number, length or tag in it is not valid; which one.
-    #[error("invalid field: {0}")]
-    InvalidField(&'static str),
-    /// The body of that version can't be decoded or applied.
-    #[error("the body of version {0} can't be read")]
-    Undecodable(u64),
-    /// The content of that version has another digest.
-    #[error("the digest of version {0} is not that of its content")]
-    WrongDigest(u64),
-    /// Another content is known under that number.
-    #[error("version {}: here with digest {}, sent with {}", .0.number, .0.known, .0.other)]
-    Conflict(Conflict),
-    /// The server's own checks, or its host, rejected the version.
-    #[error("version {number} rejected: {cause}")]
-    Rejected {
-        /// The version.
-        number: u64,
-        /// Why, for people.
-        cause: String,
-    },
-}
-
 /// Events counted since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
@@ -144,7 +104,7 @@
     version_log: VersionLog,
     counters: FollowerCounters,
     healthy: bool,
-    /// The version that it should have, as it was last told.
+    /// The version that it should have, as the last target message had it.
     target: Option<VersionId>,
     /// Until when the active version is known to be the right one.
     fresh_until: Option<f64>,
@@ -270,7 +230,7 @@
         self.healthy = healthy;
     }
 
-    /// There is a new connection to a distributor, which is told at once where this server stands.
+    /// There is a new connection to a distributor, which is sent an acknowledgement at once.
     pub fn connected(&mut self) {
         self.ack_urgent = true;
     }
@@ -280,136 +240,11 @@
         self.fresh_until.map(|fresh_until| (now - fresh_until).max(0.0))
     }
 
-    /// The version that the server should have, as it was last told.
+    /// The version that the server should have, as the last target message had it.
     pub fn target(&self) -> Option<VersionId> {
         self.target
     }
 
-    /// Takes a message from a distributor in.
-    pub fn receive(&mut self, message: &DistributorMessage, validator: &dyn ContentValidator) -> Received {
-        match message {
-            DistributorMessage::Chunk(chunk) => self.receive_chunk(chunk, validator),
-            DistributorMessage::Target { target, age, acknowledged, tag } => {
-                self.receive_target(*target, *age, *acknowledged, *tag)
-            }
-        }
-    }
-
-    fn receive_target(&mut self, target: VersionId, age: f64, acknowledged: u64, tag: u64) -> Received {
-        if !(age >= 0.0 && age.is_finite()) {
-            return self.invalid_field("an age");
-        }
-        if tag != self.seal.tag(&self.server.instance, target, age, acknowledged) {
-            return self.invalid_field("its tag");
-        }
-        if let Some(conflict) = self.find_conflict(target) {
-            return Received::Invalid(MessageError::Conflict(conflict));
-        }
-        self.target = Some(target);
-        // A canary may be ahead of the version that it is told.
-        if self.active.version.number < target.number {
-            return Received::Gap;
-        }
-        // A message that answers no known acknowledgement says nothing of its age.
-        if let Some(sent) = self.sent_acks.at(acknowledged) {
-            self.fresh_until = Some(self.fresh_until.unwrap_or(f64::MIN).max(sent - age));
-        }
-        Received::Outdated
-    }
-
-    fn receive_chunk(&mut self, chunk: &Chunk, validator: &dyn ContentValidator) -> Received {
-        self.counters.chunks += 1;
-        if let Err(field) = check_bounds(chunk) {
-            return self.invalid_field(field);
-        }
-        let TransferId { base, target, .. } = chunk.transfer;
-        if let Some(conflict) = self.find_conflict(target) {
-            return Received::Invalid(MessageError::Conflict(conflict));
-        }
-        if target.number <= self.newest().version.number {
-            self.counters.outdated += 1;
-            // The sender does not know where this server stands.
-            self.ack_urgent = true;
-            return Received::Outdated;
-        }
-        if let Some(cause) = self.version_log.rejection_cause(target) {
-            self.ack_urgent = true;
-            return Received::Invalid(MessageError::Rejected { number: target.number, cause });
-        }
-        if base.is_some_and(|base| self.base_content(base).is_none()) {
-            return self.gap();
-        }
-        match self.partial_bodies.extend(chunk) {
-            Extended::Gap => self.gap(),
-            Extended::Incomplete => Received::Incomplete,
-            Extended::Complete(body) => self.stage(chunk.transfer, &body, validator),
-        }
-    }
-
-    fn invalid_field(&mut self, field: &'static str) -> Received {
-        self.counters.invalid += 1;
-        Received::Invalid(MessageError::InvalidField(field))
-    }
-
-    fn gap(&mut self) -> Received {
-        self.counters.gaps += 1;
-        self.ack_urgent = true;
-        Received::Gap
-    }
-
-    /// Records and returns the conflict where another content is known under this number.
-    fn find_conflict(&mut self, version: VersionId) -> Option<Conflict> {
-        let conflict = self.version_log.record_conflict(version)?;
-        self.counters.conflicts += 1;
-        self.ack_urgent = true;
-        Some(conflict)
-    }
-
-    fn record_rejection(&mut self, version: VersionId, cause: String) -> Received {
-        let cause = self.version_log.record_rejection(version, cause);
-        self.counters.rejected += 1;
-        self.ack_urgent = true;
-        Received::Invalid(MessageError::Rejected { number: version.number, cause })
-    }
-
-    /// The content to which a change may be applied: the active or the staged one.
-    fn base_content(&self, base: VersionId) -> Option<&Content> {
-        let candidates = [Some(&self.active), self.staged.as_ref()];
-        candidates.into_iter().flatten().find(|held| held.version == base).map(|held| &*held.content)
-    }
-
-    /// Decodes and checks a complete body, and stages its content.
-    fn stage(&mut self, transfer: TransferId, body: &[u8], validator: &dyn ContentValidator) -> Received {
-        let version = transfer.target;
-        self.ack_urgent = true;
-        let Some(content) = self.decode(transfer.base, body) else {
-            self.counters.undecodable += 1;
-            return Received::Invalid(MessageError::Undecodable(version.number));
-        };
-        if self.seal.digest(version.number, &content) != version.digest {
-            self.counters.wrong_digests += 1;
-            return Received::Invalid(MessageError::WrongDigest(version.number));
-        }
-        // Its digest is right, so another content under this number is a conflict from here on, even if this one is rejected.
-        self.version_log.record_digest(version);
-        if let Err(error) = validator.validate(&content) {
-            return self.record_rejection(version, error.to_string());
-        }
-        self.staged = Some(VersionedContent { version, content: Arc::new(content) });
-        self.partial_bodies.drop_up_to(version.number);
-        Received::Staged(version)
-    }
-
-    fn decode(&self, base: Option<VersionId>, body: &[u8]) -> Option<Content> {
-        match base {
-            None => postcard::from_bytes::<Content>(body).ok().filter(|content| content.check().is_ok()),
-            Some(base) => {
-                let change = postcard::from_bytes::<Change>(body).ok()?;
-                self.base_content(base)?.after(&change).ok()
-            }
-        }
-    }
-
     /// When the next acknowledgement is due; soon after an event.
     pub fn ack_due(&self) -> f64 {
         let Some(last_ack) = self.last_ack else { return f64::MIN };
@@ -444,21 +279,5 @@
     }
 }
 
-/// Names the field of a chunk that can't be true.
-fn check_bounds(chunk: &Chunk) -> Result<(), &'static str> {
-    let (total, offset) = (chunk.transfer.total_bytes as usize, chunk.offset as usize);
-    if total == 0 || total > MAX_BODY_BYTES {
-        return Err("a body's length");
-    }
-    let end = offset.checked_add(chunk.bytes.len());
-    if chunk.bytes.is_empty() || end.is_none_or(|end| end > total) {
-        return Err("a place in its body");
-    }
-    if chunk.transfer.base.is_some_and(|base| base.number >= chunk.transfer.target.number) {
-        return Err("a change that leads back");
-    }
-    Ok(())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/config-rollout/src/follower/last_good.rs
+++ b/crates/config-rollout/src/follower/last_good.rs
@@ -27,19 +27,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LastGoodError {
     /// The bytes are no stored version.
-    #[error("its last good version can't be read: {0}")]
+    #[error("the last good version can't be read: {0}")]
     Decode(postcard::Error),
     /// It was written by another release of the program.
-    #[error("its last good version has format {0}, not {FORMAT}")]
+    #[error("the last good version has format {0}, not {FORMAT}")]
     Format(u32),
     /// Its digest is not that of its content.
-    #[error("its last good version is not what its digest says")]
+    #[error("the last good version has another digest than its content")]
     WrongDigest,
     /// A key or value is out of bounds.
     #[error("{0}")]
     OutOfBounds(ValidationError),
     /// The server's own checks reject it.
-    #[error("its last good version is rejected: {0}")]
+    #[error("the last good version is rejected: {0}")]
     Rejected(ValidationError),
 }
 
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -1,7 +1,11 @@
 use super::partial_bodies::MAX_BODIES;
 use super::*;
+use crate::change::Change;
 use crate::key::Key;
-use crate::messages::{encode_change, encode_content, TransferProgress, MAX_CHUNK_BYTES};
+use crate::messages::{
+    encode_change, encode_content, Chunk, DistributorMessage, TransferId, TransferProgress, MAX_BODY_BYTES,
+    MAX_CHUNK_BYTES,
+};
 use crate::setting::ValidationError;
 use crate::validation::BoundsValidator;
 
@@ -64,7 +68,7 @@
     assert!(!follower.activated(1.2, next.version), "twice");
     assert_eq!(follower.acknowledge(1.3).unwrap().active, line[1].0);
     assert_eq!(follower.staged(), None);
-    // The next one may come before the last is in force, and takes its place.
+    // The next one may come before the last is active, and takes its place.
     follower.receive(&step(&line, 1, 2), &BoundsValidator);
     assert_eq!(follower.staged().unwrap().version, line[2].0);
 }
@@ -104,9 +108,9 @@
         let received = follower.receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::Conflict(_))), "{received:?}");
     }
-    let told = DistributorMessage::target(&seal(), "n1", transfer.target, 0.0, 1);
+    let target = DistributorMessage::target(&seal(), "n1", transfer.target, 0.0, 1);
     assert!(matches!(
-        follower.receive(&told, &BoundsValidator),
+        follower.receive(&target, &BoundsValidator),
         Received::Invalid(MessageError::Conflict(_))
     ));
     assert_eq!(follower.conflicts().count(), 1, "the same one is kept once");
@@ -258,7 +262,7 @@
     let (again, started_with) =
         Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
     assert_eq!((started_with, again.active().version), (StartedWith::LastGood(line[1].0), line[1].0));
-    // A full disk is told of and tried again.
+    // A full disk is reported and tried again.
     assert!(follower.save(2.5).is_some());
     follower.save_finished(2.5, Err(io::Error::other("no space left")));
     assert_eq!(follower.acknowledge(2.6).unwrap().save_error.as_deref(), Some("no space left"));
@@ -311,7 +315,7 @@
     };
     assert_eq!(follower.age(5.0), None);
     let first = follower.acknowledge(5.0).unwrap().sequence;
-    // Whenever it is read, it answers what was said at 5.
+    // Whenever it is read, it answers what was acknowledged at 5.
     follower.receive(&target(0, 0.5, first), &BoundsValidator);
     assert_eq!(follower.age(5.0), Some(0.5));
     assert_eq!(follower.age(9.0), Some(4.5));
@@ -334,7 +338,7 @@
     // A distributor that is cut off makes nothing younger.
     follower.receive(&target(0, 7.0, second), &BoundsValidator);
     assert_eq!(follower.age(9.0), Some(4.5));
-    // What is told to be newer than what is in force makes it no younger either.
+    // A target newer than what is active makes it no younger either.
     assert_eq!(follower.receive(&target(1, 0.0, second), &BoundsValidator), Received::Gap);
     assert_eq!(follower.age(9.0), Some(4.5));
 }
--- a/crates/config-rollout/src/history.rs
+++ b/crates/config-rollout/src/history.rs
@@ -1,4 +1,4 @@
-//! The one line of versions that the lease-store replicas agree on. Each replica applies the same log entries in the same order and comes
+//! The one sequence of versions that the lease-store replicas agree on. Each replica applies the same log entries in the same order and comes
 //! to the same history; an entry takes effect completely or not at all.
 //!
 //! A put names the version that its author saw, so that what was checked is what comes to be. An accepted version is not yet released:
--- a/crates/config-rollout/src/history/tests.rs
+++ b/crates/config-rollout/src/history/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn of_two_writers_at_once_one_is_told_what_he_missed() {
+fn of_two_writers_at_once_one_learns_what_he_missed() {
     let mut history = history();
     let (ann, mut bob) = (put(&history, 1, "a", 1.0), put(&history, 1, "a", 2.0));
     bob.author = "bob".into();
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn checks_come_before_the_line_and_bounds_stand_in_it() {
+fn checks_come_before_the_log_and_bounds_are_enforced_in_it() {
     let history = history();
-    let refuse = |_: &Content| Err(ValidationError::whole("the charter says no"));
+    let reject = |_: &Content| Err(ValidationError::whole("the charter says no"));
     let fine = put(&history, 1, "a", 1.0);
-    assert!(matches!(history.check_put(&fine, &refuse), Err(Rejection::Invalid(_))));
+    assert!(matches!(history.check_put(&fine, &reject), Err(Rejection::Invalid(_))));
     assert_eq!(history.check_put(&fine, &BoundsValidator).unwrap().number, 1);
     let mut other = history.clone();
     assert_eq!(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn any_two_known_versions_differ_by_what_is_told() {
+fn any_two_retained_versions_differ_by_their_diff() {
     let mut history = history();
     for at in 0..9u32 {
         accept(&mut history, ["a", "b", "c"][at as usize % 3], f64::from(at));
@@ -169,29 +169,29 @@
 }
 
 #[test]
-fn a_trial_is_of_one_version_and_is_released_or_taken_back_once() {
+fn a_canary_phase_is_of_one_version_and_is_released_or_reverted_once() {
     let mut history = history();
     accept(&mut history, "a", 1.0);
     release(&mut history);
     accept(&mut history, "a", 2.0);
     accept(&mut history, "b", 3.0);
     let canaries = |name: &str| BTreeSet::from([name.to_string()]);
-    let trial = |number, name| Command::StartCanary { epoch: 1, number, canaries: canaries(name) };
-    assert!(apply(&mut history, trial(1, "n1")).is_err(), "released already");
-    assert!(apply(&mut history, trial(4, "n1")).is_err(), "not there");
-    apply(&mut history, trial(2, "n1")).unwrap();
-    assert!(matches!(apply(&mut history, trial(3, "n1")), Err(Rejection::NotOnCanaries { .. })));
-    apply(&mut history, trial(2, "n2")).unwrap();
+    let start_canary = |number, name| Command::StartCanary { epoch: 1, number, canaries: canaries(name) };
+    assert!(apply(&mut history, start_canary(1, "n1")).is_err(), "released already");
+    assert!(apply(&mut history, start_canary(4, "n1")).is_err(), "not there");
+    apply(&mut history, start_canary(2, "n1")).unwrap();
+    assert!(matches!(apply(&mut history, start_canary(3, "n1")), Err(Rejection::NotOnCanaries { .. })));
+    apply(&mut history, start_canary(2, "n2")).unwrap();
     let target = |history: &History| ["n1", "n2", "n3"].map(|server| history.state().target(server));
     assert_eq!(target(&history), [2, 2, 1]);
     assert!(apply(&mut history, Command::Release { epoch: 1, number: 3 }).is_err());
-    let back = Command::Revert { epoch: 1, author: "o".into(), number: 2, cause: "n1 fell".into() };
-    let Ok(Outcome::Reverted(head)) = apply(&mut history, back.clone()) else { panic!() };
+    let revert = Command::Revert { epoch: 1, author: "o".into(), number: 2, cause: "n1 fell".into() };
+    let Ok(Outcome::Reverted(head)) = apply(&mut history, revert.clone()) else { panic!() };
     assert_eq!((head.number, target(&history)), (4, [4, 4, 4]));
     assert_eq!(history.content_at(4), history.content_at(1), "what was put on it goes too");
     let RevertedCanary { number, last, cause, .. } = &history.state().reverted[0];
     assert_eq!((*number, *last, cause.as_str()), (2, 3, "n1 fell"));
-    assert_eq!(apply(&mut history, back), Ok(Outcome::AlreadyApplied(head)));
+    assert_eq!(apply(&mut history, revert), Ok(Outcome::AlreadyApplied(head)));
     assert_eq!(
         apply(&mut history, Command::Release { epoch: 1, number: 4 }),
         Ok(Outcome::AlreadyApplied(head))
@@ -220,17 +220,17 @@
 #[test]
 fn a_snapshot_is_the_history_and_any_change_of_a_byte_is_found_or_harmless() {
     let history = busy();
-    let kept = history.snapshot();
-    assert_eq!(History::restore(Seal::keyed([5; 32]), &kept).unwrap(), history);
-    assert!(History::restore(Seal::keyed([6; 32]), &kept).is_err(), "of another fleet");
-    for cut in 0..kept.len() {
-        assert!(History::restore(Seal::keyed([5; 32]), &kept[..cut]).is_err(), "cut at {cut}");
+    let snapshot = history.snapshot();
+    assert_eq!(History::restore(Seal::keyed([5; 32]), &snapshot).unwrap(), history);
+    assert!(History::restore(Seal::keyed([6; 32]), &snapshot).is_err(), "of another fleet");
+    for cut in 0..snapshot.len() {
+        assert!(History::restore(Seal::keyed([5; 32]), &snapshot[..cut]).is_err(), "cut at {cut}");
     }
-    for at in 0..kept.len() {
+    for at in 0..snapshot.len() {
         for bit in [1, 0x80] {
-            let mut torn = kept.clone();
+            let mut torn = snapshot.clone();
             torn[at] ^= bit;
-            // Authors, times and the stage are not under the digest; what is in force is.
+            // Authors, times and the state of the rollout are not under the digest; the content is.
             if let Ok(read) = History::restore(Seal::keyed([5; 32]), &torn) {
                 assert_eq!((read.head(), read.content()), (history.head(), history.content()), "byte {at}");
             }
@@ -239,22 +239,22 @@
 }
 
 #[test]
-fn a_replica_takes_news_whole_and_in_order() {
+fn a_replica_takes_updates_whole_and_in_order() {
     let mut history = busy();
     let mut replica = History::restore(Seal::keyed([5; 32]), &history.snapshot()).unwrap();
     let old = history.update_since(history.head()).unwrap();
     apply(&mut history, Command::Release { epoch: 1, number: 8 }).unwrap();
     accept(&mut history, "d", 4.0);
-    let news = history.update_since(replica.head()).unwrap();
-    let mut torn = news.clone();
+    let update = history.update_since(replica.head()).unwrap();
+    let mut torn = update.clone();
     torn.versions[0].digest = Digest([1; 32]);
     let before = replica.clone();
     assert!(replica.apply_update(torn).is_err());
     assert_eq!(replica, before);
-    assert_eq!(replica.apply_update(news.clone()), Ok(true));
+    assert_eq!(replica.apply_update(update.clone()), Ok(true));
     assert_eq!((replica.head(), replica.state()), (history.head(), history.state()));
     assert_eq!(replica.apply_update(old), Ok(false), "older than what it has");
-    assert_eq!(replica.apply_update(news), Ok(false));
+    assert_eq!(replica.apply_update(update), Ok(false));
     // Behind the checkpoint a snapshot is needed.
     let fresh = History::new(Seal::keyed([5; 32]), RetentionLimits::default());
     assert_eq!(history.update_since(fresh.head()), None);
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,6 +1,6 @@
 //! Rollout of configuration to every server of the fleet (`docs/config.md`).
 //!
-//! - [`history`]: the line of versions that the lease-store replicas apply from their log;
+//! - [`history`]: the sequence of versions that the lease-store replicas apply from their log;
 //! - [`distributor`]: sends each server what it lacks, as a change or as whole content;
 //! - [`follower`]: a server's side, which activates a version as a whole or not at all;
 //! - [`rollout`]: run by the lease holder of [`TASK`], which has a few canaries go first and knows which server has what active.
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn said(text: &str) -> Vec<String> {
+fn messages(text: &str) -> Vec<String> {
     Patch::read("f.scm", text).unwrap_err().iter().map(Diagnostic::to_string).collect()
 }
 
@@ -34,9 +34,9 @@
         "f.scm:7:10: without: should be such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)",
         "f.scm:8:1: tenant: changes nothing",
     ];
-    let said = said(text);
+    let messages = messages(text);
     for one in wanted {
-        assert!(said.iter().any(|said| said == one), "{one}\n{said:#?}");
+        assert!(messages.iter().any(|message| message == one), "{one}\n{messages:#?}");
     }
 }
 
@@ -45,13 +45,13 @@
     let patch =
         Patch::read("f.scm", "(tenant (name \"a\") (quota 1))\n\n  (route (name \"nowhere\") (promise 5s))")
             .unwrap();
-    let wrong = ValidationError::at(&Key::route("nowhere", Field::LatencyObjective), "no such route");
-    assert_eq!(patch.locate(&wrong).to_string(), "f.scm:3:27: route \"nowhere\" promise: no such route");
+    let error = ValidationError::at(&Key::route("nowhere", Field::LatencyObjective), "no such route");
+    assert_eq!(patch.locate(&error).to_string(), "f.scm:3:27: route \"nowhere\" promise: no such route");
     assert_eq!(patch.locate(&ValidationError::whole("too large")).to_string(), "f.scm:1:1: too large");
 }
 
 #[test]
-fn a_hostile_text_is_refused() {
+fn a_hostile_text_is_rejected() {
     for text in [
         "(",
         "(tenant",
@@ -60,13 +60,13 @@
         "(tenant (name \"a\") (quota 1e999))",
         "(limit (name \"x\") (servers 2))",
     ] {
-        assert!(!said(text).is_empty(), "{text}");
+        assert!(!messages(text).is_empty(), "{text}");
     }
     assert!(Patch::read("f", &" ".repeat(MAX_TEXT_BYTES + 1)).is_err());
     assert!(Patch::read("f", &"(".repeat(100_000)).is_err());
     let many: String =
         (0..CHANGE_KEYS_AND_ONE).map(|at| format!("(tenant (name \"{at}\") (quota 1))")).collect();
-    assert!(said(&many)[0].contains("a change has"));
+    assert!(messages(&many)[0].contains("a change has"));
 }
 
 const CHANGE_KEYS_AND_ONE: usize = crate::change::MAX_CHANGE_KEYS + 1;
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -37,7 +37,7 @@
     watch: Option<CanaryWatch>,
     last_proposal: Option<Proposal>,
     superseded: bool,
-    /// There was no room for a server, so nothing can be said of all of them.
+    /// There was no room for a server, so nothing is known of all of them.
     overflowed: bool,
 }
 
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -35,7 +35,7 @@
     Passed,
     /// Not yet. A quiet one may have crashed: whether it did is known once it counts as silent.
     Waiting { quiet: bool },
-    /// Gone, never heard here, or cut off with its zone: nothing can be said of the version.
+    /// Gone, never heard here, or cut off with its zone: it shows nothing of the version.
     Lost,
     /// It failed, for this cause.
     Failed(String),
--- a/crates/config-rollout/src/rollout/server.rs
+++ b/crates/config-rollout/src/rollout/server.rs
@@ -16,7 +16,7 @@
     /// Since when, as heard here.
     active_since: f64,
     pub(super) last_heard: f64,
-    /// When it last said that it is healthy, if that is its last word.
+    /// When it last reported to be healthy; none if it has reported otherwise since.
     last_healthy: Option<f64>,
     pub(super) healthy: bool,
     pub(super) rejected: Option<RejectedVersion>,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Whether it said that it is healthy once the active version had been active for that time. An earlier word does not count: the
+    /// Whether it reported to be healthy once the active version had been active for that time. An earlier report does not count: the
     /// server may have crashed after it.
     pub(super) fn is_proven(&self, observation_time: f64) -> bool {
         self.last_healthy.is_some_and(|healthy| {
--- a/crates/config-rollout/src/rollout/settings.rs
+++ b/crates/config-rollout/src/rollout/settings.rs
@@ -8,7 +8,7 @@
 const MAX_CANARIES_PER_DRAW: usize = MAX_CANARIES / 4;
 /// Longest time that a setting may have, s: an hour.
 const MAX_TIME: f64 = 3600.0;
-/// Acknowledgement intervals without a word before a server may count as silent.
+/// Acknowledgement intervals without a report before a server may count as silent.
 const MIN_SILENT_INTERVALS: f64 = 2.0;
 
 /// Times and bounds of a rollout.
@@ -22,7 +22,7 @@
     pub patience: f64,
     /// Time without an acknowledgement after which a server counts as silent, s.
     pub silence_timeout: f64,
-    /// Time for which a new lease holder listens before it says anything of all servers, or draws canaries, s.
+    /// Time for which a new lease holder listens before it judges all servers, or draws canaries, s.
     pub learning_time: f64,
     /// Time after which a command that shows no effect is proposed again, s.
     pub repeat_interval: f64,
--- a/crates/config-rollout/src/rollout/status.rs
+++ b/crates/config-rollout/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! What the lease holder can say of the rollout.
+//! What the lease holder reports of the rollout.
 
 use super::server::Server;
 use super::RolloutController;
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -7,7 +7,7 @@
 use puffinladder_leases::Owner;
 use std::collections::BTreeSet;
 
-/// An owner, its history, and servers that speak four times a second.
+/// A lease holder, its history, and servers that acknowledge in each step.
 struct Fleet {
     now: f64,
     history: History,
@@ -262,11 +262,11 @@
 
 #[test]
 fn settings_that_could_not_be_kept_are_rejected() {
-    let wrong = [
+    let invalid = [
         RolloutSettings { canaries: 0, ..RolloutSettings::default() },
         RolloutSettings { canaries: 60, ..RolloutSettings::default() },
         RolloutSettings { silence_timeout: 1.0, ..RolloutSettings::default() },
         RolloutSettings { observation_time: f64::NAN, ..RolloutSettings::default() },
     ];
-    assert!(wrong.iter().all(|settings| settings.check().is_err()));
+    assert!(invalid.iter().all(|settings| settings.check().is_err()));
 }
--- a/crates/config-rollout/src/validation/tests.rs
+++ b/crates/config-rollout/src/validation/tests.rs
@@ -61,8 +61,8 @@
 #[test]
 fn what_the_policy_settings_reject_names_the_key_and_the_cause() {
     let content = content_of(Change::default().set(Key::route("nowhere", Field::LatencyObjective), 5.0));
-    let wrong = start().validate(&content).unwrap_err();
-    assert_eq!(wrong.to_string(), "route \"nowhere\" promise: the start text has no route of that name");
+    let error = start().validate(&content).unwrap_err();
+    assert_eq!(error.to_string(), "route \"nowhere\" promise: the start text has no route of that name");
     // A start text that is another at this server: what it lacks is named here.
     let broken = START.replace("\"Cpus\": 2,", "");
     assert!(BaseSettings::new(broken.as_bytes()).is_err());
--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -352,7 +352,7 @@
     history.apply(&LogEntry { at: 1.5, command }).expect("accepted");
 }
 
-/// A history with a checkpoint, every kind of version, a trial under transfer and one that was taken back.
+/// A history with a checkpoint, every kind of version, a canary phase under way and one that was reverted.
 fn history() -> History {
     let mut history = History::new(seal(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     let canaries = canaries();
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -1,5 +1,5 @@
-//! Two writers, one server, one trial, explored exhaustively: every order of puts, of what the owner says, of pieces that come late, doubled
-//! or never, and of a restart from a disk that is behind.
+//! Two writers, one server, one canary phase, explored exhaustively: every order of puts, of commands of the lease holder, of chunks that come
+//! late, doubled or never, and of a restart from a disk that is behind.
 
 use puffinladder_config_rollout::follower::{Follower, PROBATION};
 use puffinladder_config_rollout::history::{
@@ -16,16 +16,16 @@
 use std::hash::{Hash, Hasher};
 
 const VERSIONS: u64 = 3;
-const MAIL: usize = 2;
+const MAX_IN_TRANSIT: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
-    /// A writer's change is taken on whatever head there is.
+    /// A writer's change is accepted on whatever head there is.
     NoCompare,
-    /// The server puts in force what it holds the first time, and again when it comes again.
-    Back,
-    /// What is ready counts as in force.
+    /// The server activates what it receives, and again when it comes again.
+    Downgrade,
+    /// What is staged counts as active.
     EarlyAck,
 }
 
@@ -33,19 +33,19 @@
 struct State {
     history: History,
     /// The head that each writer saw last.
-    views: [VersionId; 2],
-    /// Contents that writers were told are accepted, by number.
+    seen_heads: [VersionId; 2],
+    /// Versions of which writers know that they were accepted.
     accepted: Vec<(VersionId, Key, f64)>,
     follower: Follower,
-    module: VersionId,
-    /// In this life.
+    active: VersionId,
+    /// The highest version that was active in this incarnation.
     highest: u64,
-    acked: VersionId,
+    acknowledged: VersionId,
     disk: Option<Vec<u8>>,
-    mail: Vec<DistributorMessage>,
+    in_transit: Vec<DistributorMessage>,
     restarts: u8,
     missed: bool,
-    back: bool,
+    out_of_order: bool,
 }
 
 impl Eq for State {}
@@ -57,29 +57,29 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Deed {
-    Look(usize),
+enum Action {
+    ReadHead(usize),
     Put(usize),
-    Try,
+    StartCanary,
     Release,
-    TakeBack,
-    /// The distributor sends what leads from there to the target.
-    Send,
-    SendWhole,
+    Revert,
+    /// The distributor sends the change from the acknowledged version to the target.
+    SendChange,
+    SendWholeContent,
     /// It arrives, and may arrive again.
     Deliver(usize),
     Lose(usize),
-    /// A round of the module.
-    Round,
+    /// A round of the host.
+    Activate,
     Save,
-    Acknowledgement,
+    Acknowledge,
     Restart,
 }
 
 struct Small(Bug);
 
-fn start(life: u64, disk: Option<&[u8]>) -> Follower {
-    Follower::start(Owner::new("n", life), "", Seal::default(), disk, &BoundsValidator).0
+fn start(incarnation: u64, disk: Option<&[u8]>) -> Follower {
+    Follower::start(Owner::new("n", incarnation), "", Seal::default(), disk, &BoundsValidator).0
 }
 
 fn apply(state: &mut State, command: Command) -> Result<Outcome, Rejection> {
@@ -88,58 +88,64 @@
 
 impl Model for Small {
     type State = State;
-    type Action = Deed;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let history = History::new(Seal::default(), RetentionLimits::default());
         let (follower, head) = (start(1, None), history.head());
         vec![State {
             history,
-            views: [head; 2],
+            seen_heads: [head; 2],
             accepted: Vec::new(),
             follower,
-            module: head,
+            active: head,
             highest: 0,
-            acked: head,
+            acknowledged: head,
             disk: None,
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             restarts: 0,
             missed: false,
-            back: false,
+            out_of_order: false,
         }]
     }
 
-    fn actions(&self, state: &State, deeds: &mut Vec<Deed>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for at in 0..2 {
-            if state.views[at] != state.history.head() {
-                deeds.push(Deed::Look(at));
+            if state.seen_heads[at] != state.history.head() {
+                actions.push(Action::ReadHead(at));
             }
             if state.history.head().number < VERSIONS {
-                deeds.push(Deed::Put(at));
+                actions.push(Action::Put(at));
             }
         }
-        deeds.extend([Deed::Try, Deed::Release, Deed::TakeBack, Deed::Send, Deed::SendWhole]);
-        deeds.extend((0..state.mail.len()).flat_map(|at| [Deed::Deliver(at), Deed::Lose(at)]));
-        deeds.extend([Deed::Round, Deed::Save, Deed::Acknowledgement]);
+        actions.extend([
+            Action::StartCanary,
+            Action::Release,
+            Action::Revert,
+            Action::SendChange,
+            Action::SendWholeContent,
+        ]);
+        actions.extend((0..state.in_transit.len()).flat_map(|at| [Action::Deliver(at), Action::Lose(at)]));
+        actions.extend([Action::Activate, Action::Save, Action::Acknowledge]);
         if state.restarts == 0 {
-            deeds.push(Deed::Restart);
+            actions.push(Action::Restart);
         }
     }
 
-    fn next_state(&self, last: &State, deed: Deed) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         let head = state.history.head();
-        let trial = state.history.state().canary.as_ref().map(|trial| trial.number);
-        match deed {
-            Deed::Look(at) => state.views[at] = head,
-            Deed::Put(at) => {
+        let canary = state.history.state().canary_number();
+        match action {
+            Action::ReadHead(at) => state.seen_heads[at] = head,
+            Action::Put(at) => {
                 let (key, value) = (Key::tenant(["a", "b"][at]), (head.number + 1) as f64);
                 let change = Change::default().set(key.clone(), value);
-                let mut base = state.views[at];
+                let mut base = state.seen_heads[at];
                 if self.0 == Bug::NoCompare {
                     base = head;
                 }
-                let saw = state.views[at];
+                let saw = state.seen_heads[at];
                 let put = PutRequest {
                     base,
                     author: ["ann", "bob"][at].into(),
@@ -149,84 +155,84 @@
                 };
                 match apply(&mut state, Command::Put(put)) {
                     // He believes that nothing came between what he saw and his own.
-                    Ok(Outcome::Accepted(new)) if new.number != saw.number + 1 => state.back = true,
+                    Ok(Outcome::Accepted(new)) if new.number != saw.number + 1 => state.out_of_order = true,
                     Ok(Outcome::Accepted(new)) => state.accepted.push((new, key, value)),
                     Err(Rejection::MissedVersions { .. }) => state.missed = true,
                     _ => return None,
                 }
             }
-            Deed::Try => {
+            Action::StartCanary => {
                 let number = head.number;
-                if trial.is_some() || number <= state.history.state().released {
+                if canary.is_some() || number <= state.history.state().released {
                     return None;
                 }
                 let canaries = BTreeSet::from(["n".to_string()]);
                 apply(&mut state, Command::StartCanary { epoch: 1, number, canaries }).ok()?;
             }
-            Deed::Release => {
-                apply(&mut state, Command::Release { epoch: 1, number: trial? }).ok()?;
+            Action::Release => {
+                apply(&mut state, Command::Release { epoch: 1, number: canary? }).ok()?;
             }
-            Deed::TakeBack => {
+            Action::Revert => {
                 let (author, cause) = ("o".into(), "it fell".into());
-                apply(&mut state, Command::Revert { epoch: 1, author, number: trial?, cause }).ok()?;
+                apply(&mut state, Command::Revert { epoch: 1, author, number: canary?, cause }).ok()?;
             }
-            Deed::Send | Deed::SendWhole => {
-                if state.mail.len() >= MAIL {
+            Action::SendChange | Action::SendWholeContent => {
+                if state.in_transit.len() >= MAX_IN_TRANSIT {
                     return None;
                 }
                 let to = state.history.version_id(state.history.state().target("n"))?;
-                if to.number <= state.acked.number {
+                if to.number <= state.acknowledged.number {
                     return None;
                 }
-                let (from, body) = match deed {
-                    Deed::Send => {
-                        let change = state.history.combined_change(state.acked.number, to.number)?;
-                        (Some(state.acked), encode_change(&change))
+                let (from, body) = match action {
+                    Action::SendChange => {
+                        let change = state.history.combined_change(state.acknowledged.number, to.number)?;
+                        (Some(state.acknowledged), encode_change(&change))
                     }
                     _ => (None, encode_content(&state.history.content_at(to.number)?)),
                 };
                 let transfer = TransferId { base: from, target: to, total_bytes: body.len() as u32 };
                 let message = DistributorMessage::Chunk(Chunk { transfer, offset: 0, bytes: body });
-                if state.mail.contains(&message) {
+                if state.in_transit.contains(&message) {
                     return None;
                 }
-                state.mail.push(message);
+                state.in_transit.push(message);
             }
-            Deed::Deliver(at) => {
-                let message = state.mail[at].clone();
+            Action::Deliver(at) => {
+                let message = state.in_transit[at].clone();
                 state.follower.receive(&message, &BoundsValidator);
-                if self.0 == Bug::Back {
+                if self.0 == Bug::Downgrade {
                     if let DistributorMessage::Chunk(piece) = &message {
-                        state.module = piece.transfer.target;
-                        state.back |= state.module.number < state.highest;
+                        state.active = piece.transfer.target;
+                        state.out_of_order |= state.active.number < state.highest;
                     }
                 }
             }
-            Deed::Lose(at) => drop(state.mail.remove(at)),
-            Deed::Round => {
+            Action::Lose(at) => drop(state.in_transit.remove(at)),
+            Action::Activate => {
                 let head = state.follower.staged()?.version;
-                state.back |= head.number <= state.highest && state.highest > 0;
-                (state.module, state.highest) = (head, head.number);
+                state.out_of_order |= head.number <= state.highest && state.highest > 0;
+                (state.active, state.highest) = (head, head.number);
                 state.follower.activated(0.0, head);
             }
-            Deed::Save => {
+            Action::Save => {
                 state.disk = Some(state.follower.save(PROBATION)?);
                 state.follower.save_finished(PROBATION, Ok(()));
             }
-            Deed::Acknowledgement => {
+            Action::Acknowledge => {
                 let held = state.follower.staged().filter(|_| self.0 == Bug::EarlyAck);
                 let now = held.map_or(state.follower.active().version, |held| held.version);
-                if state.acked == now {
+                if state.acknowledged == now {
                     return None;
                 }
-                state.acked = now;
-                state.back |= now != state.module;
+                state.acknowledged = now;
+                state.out_of_order |= now != state.active;
             }
-            Deed::Restart => {
+            Action::Restart => {
                 state.restarts += 1;
                 state.follower = start(2, state.disk.as_deref());
-                state.module = state.follower.active().version;
-                (state.acked, state.highest) = (state.module, state.module.number);
+                state.active = state.follower.active().version;
+                (state.acknowledged, state.highest) = (state.active, state.active.number);
             }
         }
         Some(state)
@@ -234,11 +240,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("in order", |_, state: &State| !state.back),
-            Property::always("in force is what the line has", |_, state: &State| {
+            Property::always("in order", |_, state: &State| !state.out_of_order),
+            Property::always("active is what the history has", |_, state: &State| {
                 let content = &state.follower.active().content;
-                let right: Option<Content> = state.history.content_at(state.module.number);
-                state.history.contains(state.module) && right.as_ref() == Some(&**content)
+                let right: Option<Content> = state.history.content_at(state.active.number);
+                state.history.contains(state.active) && right.as_ref() == Some(&**content)
             }),
             Property::always("accepted stays", |_, state: &State| {
                 let kept = |head: &VersionId, key: &Key, value: f64| {
@@ -248,12 +254,12 @@
                 };
                 state.accepted.iter().all(|(head, key, value)| kept(head, key, *value))
             }),
-            Property::sometimes("one is told that he missed something", |_, state: &State| state.missed),
-            Property::sometimes("the last version is in force", |_, state: &State| {
-                state.module.number == VERSIONS
+            Property::sometimes("an author learns that he missed a version", |_, state: &State| state.missed),
+            Property::sometimes("the last version is active", |_, state: &State| {
+                state.active.number == VERSIONS
             }),
-            Property::sometimes("a version is taken back", |_, state: &State| {
-                !state.history.state().reverted.is_empty() && state.module.number > 1
+            Property::sometimes("a version is reverted", |_, state: &State| {
+                !state.history.state().reverted.is_empty() && state.active.number > 1
             }),
         ]
     }
@@ -268,12 +274,12 @@
 
 #[test]
 fn planted_bugs_have_a_shortest_way_to_harm() {
-    for bug in [Bug::NoCompare, Bug::Back, Bug::EarlyAck] {
+    for bug in [Bug::NoCompare, Bug::Downgrade, Bug::EarlyAck] {
         let harmed = HasDiscoveries::AnyFailures;
         let checker = Small(bug).checker().target_max_depth(11).finish_when(harmed).spawn_bfs().join();
-        let harm = ["in order", "in force is what the line has", "accepted stays"];
+        let harm = ["in order", "active is what the history has", "accepted stays"];
         let path = harm.iter().find_map(|harm| checker.discovery(harm));
         let path = path.unwrap_or_else(|| panic!("{bug:?} does no harm"));
-        println!("{bug:?}: harm after {} deeds", path.into_actions().len());
+        println!("{bug:?}: harm after {} actions", path.into_actions().len());
     }
 }
