--- a/crates/config-rollout/src/key.rs
+++ b/crates/config-rollout/src/key.rs
@@ -70,23 +70,24 @@
     LatencyObjective,
     /// Factor by which the latency objective of a route may be stretched.
     #[serde(rename = "PromiseStretch")]
-    LatencyObjectiveStretch,
+    ObjectiveStretch,
     /// Time after which the caller of a route has given up, ms.
     #[serde(rename = "GiveUp")]
-    Expiry,
+    Timeout,
     /// Priority weight of a route.
     #[serde(rename = "Importance")]
     PriorityWeight,
-    /// Share of its value that a response still has between the latency objective and the expiry.
-    LateShare,
+    /// Fraction of its priority weight that a response still has between the latency objective and the timeout.
+    #[serde(rename = "LateShare")]
+    LateWeightFraction,
     /// Time for which a route's idempotency keys are remembered, ms.
     #[serde(rename = "Window")]
-    DeduplicationWindow,
+    DedupWindow,
     /// Servers in the fleet.
     Servers,
-    /// Factor on the priority weight of requests above their tenant's quota.
+    /// Fraction of their priority weight that requests above their tenant's quota have.
     #[serde(rename = "OverShareWorth")]
-    OverQuotaWeight,
+    OverQuotaFraction,
     /// Longest `Retry-After` that a server may announce, ms.
     MaxRetryAfter,
 }
@@ -117,13 +118,13 @@
     pub const ALL: [Field; 10] = [
         Field::Quota,
         Field::LatencyObjective,
-        Field::LatencyObjectiveStretch,
-        Field::Expiry,
+        Field::ObjectiveStretch,
+        Field::Timeout,
         Field::PriorityWeight,
-        Field::LateShare,
-        Field::DeduplicationWindow,
+        Field::LateWeightFraction,
+        Field::DedupWindow,
         Field::Servers,
-        Field::OverQuotaWeight,
+        Field::OverQuotaFraction,
         Field::MaxRetryAfter,
     ];
 
@@ -132,15 +133,15 @@
         match self {
             Field::Quota => FieldSpec::new(Tenant, "quota", "QuotaRps", 0.0..=1e9),
             Field::LatencyObjective => FieldSpec::new(Route, "promise", "Promise", MIN_TIME_MS..=MAX_TIME_MS),
-            Field::LatencyObjectiveStretch => {
-                FieldSpec::new(Route, "promise-stretch", "AimStretch", 0.0..=1e6)
-            }
-            Field::Expiry => FieldSpec::new(Route, "give-up", "GiveUp", MIN_TIME_MS..=MAX_TIME_MS),
+            Field::ObjectiveStretch => FieldSpec::new(Route, "promise-stretch", "AimStretch", 0.0..=1e6),
+            Field::Timeout => FieldSpec::new(Route, "give-up", "GiveUp", MIN_TIME_MS..=MAX_TIME_MS),
             Field::PriorityWeight => FieldSpec::new(Route, "importance", "Importance", 0.0..=1e9),
-            Field::LateShare => FieldSpec::new(Route, "late-share", "LateShare", 0.0..=1.0),
-            Field::DeduplicationWindow => FieldSpec::new(Route, "window", "DedupWindow", 0.0..=MAX_WINDOW_MS),
+            Field::LateWeightFraction => FieldSpec::new(Route, "late-share", "LateShare", 0.0..=1.0),
+            Field::DedupWindow => FieldSpec::new(Route, "window", "DedupWindow", 0.0..=MAX_WINDOW_MS),
             Field::Servers => FieldSpec::new(Limit, "servers", "Servers", 1.0..=1e6),
-            Field::OverQuotaWeight => FieldSpec::new(Limit, "over-share-worth", "OverShareWorth", 0.0..=1.0),
+            Field::OverQuotaFraction => {
+                FieldSpec::new(Limit, "over-share-worth", "OverShareWorth", 0.0..=1.0)
+            }
             Field::MaxRetryAfter => {
                 FieldSpec::new(Limit, "max-retry-after", "MaxRetryAfter", 0.0..=MAX_TIME_MS)
             }
@@ -169,10 +170,7 @@
 
     /// Whether the field is a time, which operators write with a unit.
     pub fn is_time(self) -> bool {
-        matches!(
-            self,
-            Field::LatencyObjective | Field::Expiry | Field::DeduplicationWindow | Field::MaxRetryAfter
-        )
+        matches!(self, Field::LatencyObjective | Field::Timeout | Field::DedupWindow | Field::MaxRetryAfter)
     }
 }
 
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -12,10 +12,10 @@
     let wanted = Change::default()
         .set(Key::tenant("acme"), 120.0)
         .set(Key::route("orders", Field::LatencyObjective), 800.0)
-        .set(Key::route("orders", Field::Expiry), 2000.0)
+        .set(Key::route("orders", Field::Timeout), 2000.0)
         .set(Key::limit(Field::MaxRetryAfter), 5000.0)
         .remove(Key::tenant("old"))
-        .remove(Key::route("orders", Field::LateShare))
+        .remove(Key::route("orders", Field::LateWeightFraction))
         .remove(Key::limit(Field::Servers));
     assert_eq!(patch.change, wanted);
 }
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -22,7 +22,9 @@
     }
     for at in 0..ROUTES {
         let name = format!("service-{:03}/route-{at:04}", at % 230);
-        for field in [Field::LatencyObjective, Field::Expiry, Field::PriorityWeight, Field::LateShare] {
+        for field in
+            [Field::LatencyObjective, Field::Timeout, Field::PriorityWeight, Field::LateWeightFraction]
+        {
             change = change.set(Key::route(&name, field), 0.5);
         }
     }
