--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -9,8 +9,6 @@
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand, ValueEnum};
-use puffinladder_trace_store::store::Planted;
-use puffinladder_transport::Clock;
 use puffinladder_leases::words::Events;
 use puffinladder_proving::check::Counts;
 use puffinladder_proving::ground::{play, Run, Setup};
@@ -19,6 +17,8 @@
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::Schedule;
 use puffinladder_proving::shrink::shrink;
+use puffinladder_trace_store::store::Planted;
+use puffinladder_transport::Clock;
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -336,8 +336,8 @@
         let Some((what, value)) = line.split_once(' ') else { continue };
         let Ok(value) = value.parse::<f64>() else { continue };
         match what {
-            "rate" => ground.clock.pace(value),
-            "wall" => ground.clock.step(value),
+            "rate" => ground.clock.set_rate(value),
+            "wall" => ground.clock.set_wall_offset(value),
             "sync" => ground.sync_pause.store(value as u64, Ordering::Relaxed),
             _ => {}
         }
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -9,10 +9,10 @@
 use crate::relay::Relay;
 use crate::rows::{write, Rows};
 use crate::schedule::{Fault, Schedule, Way, What, Who};
-use puffinladder_trace_store::store::Planted;
-use puffinladder_trace_store::words as archive;
 use puffinladder_leases::table::{Command, Row};
 use puffinladder_leases::words::{Answer, Ask, Event};
+use puffinladder_trace_store::store::Planted;
+use puffinladder_trace_store::words as archive;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -836,7 +836,7 @@
 /// Asks one process one thing, within a bound.
 pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
     let wait = Duration::from_secs(1);
-    let asked = puffinladder_transport::ask(at, what, wait, 64 << 20);
+    let asked = puffinladder_transport::request(at, what, wait, 64 << 20);
     tokio::time::timeout(wait, asked).await.ok()?.ok().flatten()
 }
 
