--- a/crates/cli/src/capacity/bounds.rs
+++ b/crates/cli/src/capacity/bounds.rs
@@ -2,7 +2,7 @@
 
 use puffinladder_capacity::reckon::Bound;
 use puffinladder_charter::settings::read_settings;
-use puffinladder_leases::{desk, table};
+use puffinladder_leases::{coordination, table};
 
 pub fn of_the_code() -> Vec<Bound> {
     let bound = |role: &str, size: &str, most: usize, named: &str| Bound {
@@ -12,8 +12,13 @@
         named: named.into(),
     };
     let mut bounds = vec![
-        bound("steward-quota", "customers", desk::CUSTOMERS, "CUSTOMERS of crates/leases/src/desk.rs"),
-        bound("keeper", "instances", table::INSTANCES, "INSTANCES of crates/leases/src/table.rs"),
+        bound(
+            "steward-quota",
+            "customers",
+            coordination::MAX_TENANTS,
+            "CUSTOMERS of crates/leases/src/desk.rs",
+        ),
+        bound("keeper", "instances", table::MAX_INSTANCES, "INSTANCES of crates/leases/src/table.rs"),
     ];
     // What holds where a control service's settings say nothing.
     let usual = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\"))";
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -16,7 +16,7 @@
 use puffinladder_control::serve::{start, Setup, Tls};
 use puffinladder_control::stream::Lease;
 use puffinladder_control::view::{Bounds, Report, Verdict, Views};
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
 use std::io::Write;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
@@ -132,7 +132,7 @@
     let mut term = signal(SignalKind::terminate())?;
     let running = start(setup).await?;
     let debug = running.debug.map_or(String::new(), |debug| debug.to_string());
-    ground.events.tell(&Event::Ready { listen: format!("{} {} {debug}", running.xds, running.reports) });
+    ground.events.emit(&Event::Ready { listen: format!("{} {} {debug}", running.xds, running.reports) });
     term.recv().await;
     running.stop().await;
     Ok(())
--- a/crates/cli/src/fleet/duties.rs
+++ b/crates/cli/src/fleet/duties.rs
@@ -5,9 +5,9 @@
 use crate::say::{Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand};
-use puffinladder_leases::table::{Command as Order, Row, Seat};
-use puffinladder_leases::words::{Answer, Ask};
-use puffinladder_leases::Duty;
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest};
+use puffinladder_leases::table::{Command as Order, InstanceRow, LeaseRow};
+use puffinladder_leases::Task;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -60,21 +60,19 @@
         Command::Move { part, to } => {
             let wrong = || Wrong::Asked(format!("{part:?}: should be a duty and a part, such as gather/3"));
             let (name, number) = part.rsplit_once('/').ok_or_else(wrong)?;
-            let duty = Duty::new(name, number.parse().map_err(|_| wrong())?);
-            runtime.block_on(tell_leader(at, &Ask::Command(Order::Move { duty, to })))
-        }
-        Command::Pause { duty } => {
-            runtime.block_on(tell_leader(at, &Ask::Command(Order::Pause { duty, paused: true })))
-        }
-        Command::Resume { duty } => {
-            runtime.block_on(tell_leader(at, &Ask::Command(Order::Pause { duty, paused: false })))
+            let duty = Task::new(name, number.parse().map_err(|_| wrong())?);
+            runtime.block_on(tell_leader(at, &ReplicaRequest::Command(Order::Move { task: duty, to })))
         }
+        Command::Pause { duty } => runtime
+            .block_on(tell_leader(at, &ReplicaRequest::Command(Order::Pause { task: duty, paused: true }))),
+        Command::Resume { duty } => runtime
+            .block_on(tell_leader(at, &ReplicaRequest::Command(Order::Pause { task: duty, paused: false }))),
     }
 }
 
-async fn duties(at: &[SocketAddr]) -> Done<(Vec<Row>, Vec<Seat>, f64)> {
-    match ask_leader(at, &Ask::Duties).await? {
-        Answer::Duties { rows, seats, at } => Ok((rows, seats, at)),
+async fn duties(at: &[SocketAddr]) -> Done<(Vec<LeaseRow>, Vec<InstanceRow>, f64)> {
+    match ask_leader(at, &ReplicaRequest::Tasks).await? {
+        ReplicaReply::Tasks { leases: rows, instances: seats, at } => Ok((rows, seats, at)),
         other => Err(failed(format!("the keeper says {other:?}"))),
     }
 }
@@ -89,29 +87,40 @@
     if as_json {
         return json(&(rows, seats));
     }
-    let mut of: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
-    rows.iter().for_each(|row| of.entry(&row.duty.name).or_default().push(row));
+    let mut of: BTreeMap<&str, Vec<&LeaseRow>> = BTreeMap::new();
+    rows.iter().for_each(|row| of.entry(&row.task.name).or_default().push(row));
     let mut out = vec![["duty", "parts", "owned", "on the move", "paused"].map(String::from).to_vec()];
     for (name, rows) in of {
-        let count = |fit: &dyn Fn(&Row) -> bool| rows.iter().filter(|row| fit(row)).count().to_string();
+        let count = |fit: &dyn Fn(&LeaseRow) -> bool| rows.iter().filter(|row| fit(row)).count().to_string();
         let paused = if rows.iter().any(|row| row.paused) { "yes" } else { "no" };
-        let (owned, moving) = (count(&|row| row.owner.is_some()), count(&|row| row.back));
+        let (owned, moving) = (count(&|row| row.holder.is_some()), count(&|row| row.revoked));
         out.push(vec![name.into(), rows.len().to_string(), owned, moving, paused.into()]);
     }
     out.push(vec![]);
     out.push(["instance", "zone", "has", "leaves", "session ends in", "rests"].map(String::from).to_vec());
     for seat in seats {
-        let leaves = if seat.leaving { "yes" } else { "no" };
-        let rests = if seat.rests > 0.0 { format!("{:.0}s", seat.rests) } else { "no".into() };
-        let left = format!("{:.1}s", seat.left);
-        out.push(vec![seat.owner.to_string(), seat.zone, seat.has.to_string(), leaves.into(), left, rests]);
+        let leaves = if seat.draining { "yes" } else { "no" };
+        let rests = if seat.penalty_remaining > 0.0 {
+            format!("{:.0}s", seat.penalty_remaining)
+        } else {
+            "no".into()
+        };
+        let left = format!("{:.1}s", seat.session_remaining);
+        out.push(vec![
+            seat.holder.to_string(),
+            seat.zone,
+            seat.parts.to_string(),
+            leaves.into(),
+            left,
+            rests,
+        ]);
     }
     print(&out)
 }
 
 async fn show(at: &[SocketAddr], duty: &str, as_json: bool) -> Done {
     let (rows, _, now) = duties(at).await?;
-    let rows: Vec<Row> = rows.into_iter().filter(|row| row.duty.name == duty).collect();
+    let rows: Vec<LeaseRow> = rows.into_iter().filter(|row| row.task.name == duty).collect();
     if rows.is_empty() {
         return Err(Wrong::Asked(format!("no duty {duty:?} is declared")));
     }
@@ -120,14 +129,14 @@
     }
     let mut out = vec![["part", "owner", "epoch", "for", ""].map(String::from).to_vec()];
     for row in rows {
-        let note = match (row.paused, row.back) {
+        let note = match (row.paused, row.revoked) {
             (true, _) => "paused",
             (_, true) => "taken back",
             _ => "",
         };
-        let owner = row.owner.map_or("nobody".into(), |owner| owner.to_string());
+        let owner = row.holder.map_or("nobody".into(), |owner| owner.to_string());
         let since = format!("{:.1}s", now - row.since);
-        out.push(vec![row.duty.to_string(), owner, row.epoch.to_string(), since, note.into()]);
+        out.push(vec![row.task.to_string(), owner, row.epoch.to_string(), since, note.into()]);
     }
     print(&out)
 }
--- a/crates/cli/src/fleet/keeper.rs
+++ b/crates/cli/src/fleet/keeper.rs
@@ -8,8 +8,8 @@
 use puffinladder_lease_store::core::Terms;
 use puffinladder_lease_store::serve::{start, Setup};
 use puffinladder_lease_store::store::Store;
-use puffinladder_leases::table::{Declared, Rules};
-use puffinladder_leases::words::{Answer, Ask, Status};
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, ReplicaStatus};
+use puffinladder_leases::table::{LeaseRules, TaskDeclaration};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -87,10 +87,10 @@
         Some(Command::Status { at, json }) => serve::runtime()?.block_on(status(&at, json)),
         Some(Command::Add { number, address, at }) => {
             let address = address.to_string();
-            serve::runtime()?.block_on(tell_leader(&at, &Ask::Add { number, address }))
+            serve::runtime()?.block_on(tell_leader(&at, &ReplicaRequest::AddReplica { number, address }))
         }
         Some(Command::Remove { number, at }) => {
-            serve::runtime()?.block_on(tell_leader(&at, &Ask::Remove { number }))
+            serve::runtime()?.block_on(tell_leader(&at, &ReplicaRequest::RemoveReplica { number }))
         }
     }
 }
@@ -104,19 +104,19 @@
 }
 
 pub fn terms(told: &Told) -> Terms {
-    let rules = Rules {
+    let rules = LeaseRules {
         term: told.term,
         drift: told.drift,
-        stall: told.stall,
-        barred: told.barred,
-        flaps: told.flaps,
-        flap_span: told.flap_span,
-        flap_rest: told.flap_rest,
-        panic: told.panic,
-        calm: told.calm,
-        moves: told.moves,
+        stall_timeout: told.stall,
+        exclusion_period: told.barred,
+        max_flaps: told.flaps,
+        flap_window: told.flap_span,
+        flap_penalty: told.flap_rest,
+        panic_window: told.panic,
+        settle_time: told.calm,
+        max_moves: told.moves,
     };
-    let declared = |duty: &puffinladder_charter::fleet::Duty| Declared {
+    let declared = |duty: &puffinladder_charter::fleet::Duty| TaskDeclaration {
         name: duty.name.clone(),
         parts: duty.parts as u32,
         zone: duty.zone.clone(),
@@ -183,12 +183,12 @@
     .into()];
     let mut reached = 0;
     for &at in at {
-        match ask::<_, Answer>(at, &Ask::Status).await {
-            Ok(Answer::Status(status)) if json => {
+        match ask::<_, ReplicaReply>(at, &ReplicaRequest::Status).await {
+            Ok(ReplicaReply::Status(status)) if json => {
                 reached += 1;
                 println!("{}", serde_json::to_string(&status).map_err(std::io::Error::from)?);
             }
-            Ok(Answer::Status(status)) => {
+            Ok(ReplicaReply::Status(status)) => {
                 reached += 1;
                 rows.push(row(at, &status));
             }
@@ -208,14 +208,14 @@
     Ok(())
 }
 
-fn row(at: SocketAddr, status: &Status) -> Vec<String> {
+fn row(at: SocketAddr, status: &ReplicaStatus) -> Vec<String> {
     let list = |numbers: &[u64]| numbers.iter().map(u64::to_string).collect::<Vec<_>>().join(",");
-    let is = match (status.leads, status.leader) {
+    let is = match (status.is_leader, status.leader) {
         (true, _) => "leads".to_string(),
         (_, Some(leader)) => format!("follows {leader}"),
         _ => "finds no leader".to_string(),
     };
-    let is = if status.slow { format!("{is}, slow disk") } else { is };
+    let is = if status.slow_disk { format!("{is}, slow disk") } else { is };
     vec![
         at.to_string(),
         status.number.to_string(),
@@ -227,18 +227,18 @@
         list(&status.learners),
         status.instances.to_string(),
         status.last_epoch.to_string(),
-        format!("{:.0}s", status.up),
+        format!("{:.0}s", status.uptime),
     ]
 }
 
 /// Asks whoever leads: each in turn, and whomever one of them names. Tries for a while, since they may be electing.
-pub async fn ask_leader(at: &[SocketAddr], what: &Ask) -> Done<Answer> {
+pub async fn ask_leader(at: &[SocketAddr], what: &ReplicaRequest) -> Done<ReplicaReply> {
     let until = std::time::Instant::now() + std::time::Duration::from_secs(5);
     let mut last = "no keeper was named".to_string();
     loop {
         for &at in at {
-            match ask::<_, Answer>(at, what).await {
-                Ok(Answer::Elsewhere { leader, .. }) => {
+            match ask::<_, ReplicaReply>(at, what).await {
+                Ok(ReplicaReply::NotLeader { leader, .. }) => {
                     last = leader.map_or("nobody leads".into(), |number| {
                         format!("keeper {number} leads, none of these does")
                     });
@@ -254,10 +254,10 @@
     }
 }
 
-pub async fn tell_leader(at: &[SocketAddr], what: &Ask) -> Done {
+pub async fn tell_leader(at: &[SocketAddr], what: &ReplicaRequest) -> Done {
     match ask_leader(at, what).await? {
-        Answer::Done => Ok(()),
-        Answer::Failed(what) => Err(failed(what)),
+        ReplicaReply::Done => Ok(()),
+        ReplicaReply::Failed(what) => Err(failed(what)),
         other => Err(failed(format!("the keeper says {other:?}"))),
     }
 }
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 pub mod steward;
 
 use crate::say::{Done, Wrong};
-use puffinladder_leases::words::Events;
+use puffinladder_leases::protocol::EventSink;
 use puffinladder_trace_store::store::Planted;
 use puffinladder_transport::Clock;
 use serde::{de::DeserializeOwned, Serialize};
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct Ground {
     pub clock: Clock,
-    pub events: Events,
+    pub events: EventSink,
     /// ms that a keeper's syncs take longer.
     pub sync_pause: Arc<AtomicU64>,
     /// A bug in the archive that the checkers must find.
@@ -28,7 +28,12 @@
 
 impl Ground {
     pub fn usual(events: bool) -> Ground {
-        Ground { clock: Clock::system(), events: Events(events), sync_pause: Arc::default(), planted: None }
+        Ground {
+            clock: Clock::system(),
+            events: EventSink(events),
+            sync_pause: Arc::default(),
+            planted: None,
+        }
     }
 }
 
--- a/crates/cli/src/fleet/steward.rs
+++ b/crates/cli/src/fleet/steward.rs
@@ -5,7 +5,7 @@
 use crate::serve;
 use clap::Args;
 use puffinladder_charter::fleet::Steward as Told;
-use puffinladder_leases::desk;
+use puffinladder_leases::coordination;
 use puffinladder_worker::haul;
 use puffinladder_worker::life;
 use puffinladder_worker::serve::{start, Reported, Setup};
@@ -47,19 +47,19 @@
     let drift = 0.02;
     let desk = told.listen.map(|listen| Reported {
         listen,
-        told: desk::Told {
-            customers: told.quota.as_ref().map(|quota| quota.customers.clone()).unwrap_or_default(),
-            servers: told.quota.as_ref().map_or(1, |quota| quota.servers),
-            parts: told.quota.as_ref().map_or(1, |quota| quota.parts as u32),
-            span: told.quota.as_ref().map_or(2.0, |quota| quota.span),
-            drift,
-            turns: told.turns.as_ref().map_or_else(Default::default, |turns| {
-                puffinladder_leases::turns::Rules {
-                    most: turns.most,
-                    zone_share: turns.zone_share,
-                    span: turns.span,
-                    silent: turns.silent,
-                    drift,
+        told: coordination::CoordinatorSettings {
+            tenant_quotas: told.quota.as_ref().map(|quota| quota.customers.clone()).unwrap_or_default(),
+            server_count: told.quota.as_ref().map_or(1, |quota| quota.servers),
+            quota_parts: told.quota.as_ref().map_or(1, |quota| quota.parts as u32),
+            quota_validity: told.quota.as_ref().map_or(2.0, |quota| quota.span),
+            max_clock_drift: drift,
+            drain_rules: told.turns.as_ref().map_or_else(Default::default, |turns| {
+                puffinladder_leases::drain::DrainRules {
+                    max_unavailable: turns.most,
+                    max_zone_fraction: turns.zone_share,
+                    slot_duration: turns.span,
+                    report_timeout: turns.silent,
+                    max_clock_drift: drift,
                 }
             }),
         },
@@ -81,7 +81,7 @@
     tracing::info!("steward {}, life {incarnation}", told.name);
     let mut running = start(setup).await.map_err(failed)?;
     let listen = running.listen.map_or(String::new(), |at| at.to_string());
-    ground.events.tell(&puffinladder_leases::words::Event::Ready { listen });
+    ground.events.emit(&puffinladder_leases::protocol::Event::Ready { listen });
     match serve::until_told(running.ended()).await? {
         Some(()) => Err(failed(format!("steward {}: a later life of it has spoken", told.name))),
         None => {
--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -2,7 +2,7 @@
 
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
-use puffinladder_leases::words::{Answer, Ask, Event, Events, Status};
+use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest, ReplicaStatus};
 use puffinladder_proving::ground::{ask, ask_leader, play, Setup};
 use puffinladder_proving::measure::{gaps, quantile};
 use puffinladder_proving::process::{News, Process};
@@ -100,9 +100,9 @@
     Some((ticks / 100.0, pages * 4096.0 / 1e6))
 }
 
-async fn status(at: SocketAddr) -> Option<Status> {
-    match ask(at, &Ask::Status).await? {
-        Answer::Status(status) => Some(*status),
+async fn status(at: SocketAddr) -> Option<ReplicaStatus> {
+    match ask(at, &ReplicaRequest::Status).await? {
+        ReplicaReply::Status(status) => Some(*status),
         _ => None,
     }
 }
@@ -152,7 +152,7 @@
             desk: None,
             holds: vec!["load".into()],
             clock: Clock::system(),
-            events: Events(false),
+            events: EventSink(false),
         };
         stewards.push(steward::start(setup).await.map_err(Wrong::Failed)?);
     }
@@ -164,18 +164,20 @@
             )));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let Some(Answer::Duties { rows, seats, .. }) = ask_leader(&keepers_at, &Ask::Duties).await else {
+        let Some(ReplicaReply::Tasks { leases: rows, instances: seats, .. }) =
+            ask_leader(&keepers_at, &ReplicaRequest::Tasks).await
+        else {
             continue;
         };
-        let owned = rows.iter().filter(|row| row.owner.is_some()).count();
+        let owned = rows.iter().filter(|row| row.holder.is_some()).count();
         let (most, least) =
-            (seats.iter().map(|seat| seat.has).max(), seats.iter().map(|seat| seat.has).min());
+            (seats.iter().map(|seat| seat.parts).max(), seats.iter().map(|seat| seat.parts).min());
         let bound = (1.25 * parts as f64 / count as f64).ceil() as usize;
         if owned == parts
             && seats.len() == count
             && most <= Some(bound)
             && least > Some(0)
-            && !rows.iter().any(|row| row.back)
+            && !rows.iter().any(|row| row.revoked)
         {
             break (most.unwrap_or(0), least.unwrap_or(0));
         }
@@ -184,7 +186,7 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     let mut lead = None;
     for (place, &at) in keepers_at.iter().enumerate() {
-        if status(at).await.is_some_and(|status| status.leads) {
+        if status(at).await.is_some_and(|status| status.is_leader) {
             lead = Some((place, at));
         }
     }
@@ -196,8 +198,9 @@
     tokio::time::sleep(Duration::from_secs_f64(span)).await;
     let then = (look().ok_or_else(missing)?, status(at).await);
     let counted = |what: &str| {
-        let of =
-            |status: &Option<Status>| status.as_ref().and_then(|s| s.counts.get(what).copied()).unwrap_or(0);
+        let of = |status: &Option<ReplicaStatus>| {
+            status.as_ref().and_then(|s| s.counts.get(what).copied()).unwrap_or(0)
+        };
         of(&then.1).saturating_sub(of(&before.1)) as f64 / span
     };
     let ((keeper, memory), own) = (then.0 .0, then.0 .1 .0 - before.0 .1 .0);
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -9,7 +9,7 @@
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand, ValueEnum};
-use puffinladder_leases::words::Events;
+use puffinladder_leases::protocol::EventSink;
 use puffinladder_proving::check::Counts;
 use puffinladder_proving::ground::{play, Run, Setup};
 use puffinladder_proving::measure::quantile;
@@ -175,7 +175,7 @@
         (Some(Command::Part { kind, settings, found, join, rate, wall, plant, forget, seat }), _) => {
             let clock = Clock::skewed(rate, wall);
             let ground =
-                Ground { clock, events: Events(true), sync_pause: Default::default(), planted: plant };
+                Ground { clock, events: EventSink(true), sync_pause: Default::default(), planted: plant };
             part(kind, settings, found, join, forget, &seat, &ground)
         }
     }
--- a/crates/cli/src/prove/seat.rs
+++ b/crates/cli/src/prove/seat.rs
@@ -4,9 +4,9 @@
 use crate::fleet::Ground;
 use crate::say::Done;
 use clap::Args;
-use puffinladder_leases::desk::{Reply, Report, Seat};
-use puffinladder_leases::turns::Go;
-use puffinladder_leases::words::Event;
+use puffinladder_leases::coordination::{CoordinatorReply, QuotaClient, ServerReport};
+use puffinladder_leases::drain::{DrainDecision, DrainTiming};
+use puffinladder_leases::protocol::Event;
 use puffinladder_transport::{connect, write_line, LineReader};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,7 +46,11 @@
 }
 
 /// Keeps a connection to one steward: the latest report goes out, answers come in.
-async fn link(at: SocketAddr, mut reports: watch::Receiver<Report>, replies: mpsc::Sender<Reply>) {
+async fn link(
+    at: SocketAddr,
+    mut reports: watch::Receiver<ServerReport>,
+    replies: mpsc::Sender<CoordinatorReply>,
+) {
     loop {
         if let Ok(stream) = connect(at).await {
             let (from, mut to) = stream.into_split();
@@ -62,7 +66,7 @@
                             break;
                         }
                     }
-                    reply = lines.read::<Reply>() => match reply {
+                    reply = lines.read::<CoordinatorReply>() => match reply {
                         Ok(Some(reply)) => drop(replies.send(reply).await),
                         _ => break,
                     },
@@ -76,40 +80,49 @@
 pub async fn sit(told: &Told, ground: &Ground) -> Done {
     let clock = &ground.clock;
     let customers = [(CUSTOMER.to_string(), told.quota)].into();
-    let mut seat = Seat::new(&told.name, told.life, &told.zone, &customers, told.seats);
+    let mut seat = QuotaClient::new(&told.name, told.life, &told.zone, &customers, told.seats);
     let equal = told.quota / told.seats as f64;
-    let (reports, latest) = watch::channel(Report::default());
+    let (reports, latest) = watch::channel(ServerReport::default());
     let (replies, mut answers) = mpsc::channel(64);
     for at in &told.stewards {
         tokio::spawn(link(*at, latest.clone(), replies.clone()));
     }
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-    ground.events.tell(&Event::Ready { listen: String::new() });
+    ground.events.emit(&Event::Ready { listen: String::new() });
     let (mut reported, mut gone, mut goes) = (f64::MIN, None, None);
     loop {
         tokio::select! {
-            Some(reply) = answers.recv() => drop(seat.take(clock.now(), &reply)),
-            _ = term.recv() => seat.leave(clock.now(), PATIENCE, f64::MAX, told.drain),
+            Some(reply) = answers.recv() => drop(seat.handle_reply(clock.now(), &reply)),
+            _ = term.recv() => {
+                let timing = DrainTiming { max_wait: PATIENCE, killed_at: f64::MAX, drain_duration: told.drain };
+                seat.start_draining(clock.now(), timing)
+            }
             () = tokio::time::sleep(Duration::from_secs_f64(LOOK)) => {}
         }
         let now = clock.now();
-        let (rate, until) = (seat.rate(now, CUSTOMER).unwrap_or(equal), seat.until(now, CUSTOMER));
+        let (rate, until) = (seat.rate(now, CUSTOMER).unwrap_or(equal), seat.valid_until(now, CUSTOMER));
         if goes != Some((rate, until)) {
             goes = Some((rate, until));
             let at = machine();
             // By the machine's clock, however fast this process's own runs.
             let until = until.map(|until| at + clock.sleep_duration(until - now).as_secs_f64());
-            ground.events.tell(&Event::Goes { customer: CUSTOMER.into(), rate, equal, at, until });
+            ground.events.emit(&Event::QuotaApplied {
+                tenant: CUSTOMER.into(),
+                rate,
+                equal_share: equal,
+                at,
+                valid_until: until,
+            });
         }
         if now - reported >= EVERY {
             reported = now;
-            reports.send_replace(seat.report(now, |_| told.demand));
+            reports.send_replace(seat.next_report(now, |_| told.demand));
         }
-        let go = seat.go(now).filter(|go| *go != Go::Wait);
+        let go = seat.drain_decision(now).filter(|go| *go != DrainDecision::Wait);
         if let (Some(go), None) = (go, gone) {
             gone = Some(now);
-            let by = if let Go::Turn(epoch) = go { Some(epoch) } else { None };
-            ground.events.tell(&Event::Leaves { zone: told.zone.clone(), by });
+            let by = if let DrainDecision::WithSlot(epoch) = go { Some(epoch) } else { None };
+            ground.events.emit(&Event::ServerDraining { zone: told.zone.clone(), slot_epoch: by });
         }
         if gone.is_some_and(|since| now - since >= told.drain) {
             return Ok(());
--- a/crates/cli/tests/proving.rs
+++ b/crates/cli/tests/proving.rs
@@ -2,8 +2,8 @@
 //! checked by the proving ground itself; each story says beside that what it was about.
 
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::table::What;
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
+use puffinladder_leases::table::ChangeKind;
 use puffinladder_proving::ground::{play, Run, Setup};
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::{Schedule, Who};
@@ -41,7 +41,7 @@
 
 /// Times at which an instance stood down, and from what.
 fn downs(run: &Run, who: Who, why: &str) -> usize {
-    let down = |event: &Event| matches!(event, Event::Down { why: of, .. } if of == why);
+    let down = |event: &Event| matches!(event, Event::LeaseEnded { reason: of, .. } if of == why);
     run.history.told().filter(|(entry, event)| entry.who == who.to_string() && down(event)).count()
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn bytes_held_back_while_the_fence_starts_anew_are_refused_by_its_next_life() {
     let run = holds(HELD);
-    let late = |event: &Event| matches!(event, Event::Judged { verdict: Verdict::Late { .. }, .. });
+    let late = |event: &Event| matches!(event, Event::EffectChecked { verdict: Verdict::Stale { .. }, .. });
     assert!(run.history.told().any(|(entry, event)| entry.life == 2 && late(event)), "{:?}", run.counts);
 }
 
@@ -148,7 +148,7 @@
            (fault (at 1s) (do kill) (who \"k1\") (span 3s)) (fault (at 1s) (do kill) (who \"k2\") (span 3s)))",
     );
     let given = |from: f64, to: f64| {
-        let given = |event: &Event| matches!(event, Event::Change(c) if c.what == What::Given);
+        let given = |event: &Event| matches!(event, Event::Change(c) if c.kind == ChangeKind::Granted);
         run.history.told().filter(|(entry, event)| given(event) && entry.at > from && entry.at < to).count()
     };
     assert_eq!(given(1.2, 3.9), 0);
@@ -182,7 +182,7 @@
            (fault (at 3s) (do kill) (who \"s3\") (span 200ms)))",
     );
     let lives = run.history.told().filter_map(|(_, event)| match event {
-        Event::Begin { owner, .. } if owner.instance == "s1" => Some(owner.incarnation),
+        Event::LeaseStarted { holder: owner, .. } if owner.instance == "s1" => Some(owner.incarnation),
         _ => None,
     });
     let lives: std::collections::BTreeSet<u64> = lives.collect();
@@ -211,7 +211,7 @@
     );
     assert!(run.counts.parts > 50, "{:?}", run.counts);
     let most = run.history.told().filter_map(|(entry, event)| match event {
-        Event::Goes { rate, .. } if entry.who == "n1" => Some(*rate),
+        Event::QuotaApplied { rate, .. } if entry.who == "n1" => Some(*rate),
         _ => None,
     });
     assert!(most.fold(0.0, f64::max) > 40.0, "more than twice the equal share");
--- a/crates/config-rollout/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -8,7 +8,7 @@
 use crate::history::History;
 use crate::seal::Head;
 use crate::words::{self, Ack, Piece, Tell, Way, PIECE};
-use puffinladder_leases::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, SeededRandom};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -365,7 +365,9 @@
         };
         let mut new: Vec<String> = self.servers.iter().filter_map(lacking).collect();
         new.sort_by_cached_key(|name| {
-            let seed = name.bytes().fold(self.seed, |seed, byte| Shuffle::new(seed ^ u64::from(byte)).draw());
+            let seed = name
+                .bytes()
+                .fold(self.seed, |seed, byte| SeededRandom::new(seed ^ u64::from(byte)).next_u64());
             (seed, name.clone())
         });
         for name in new {
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -2,7 +2,7 @@
 use crate::content::{Change, Key};
 use crate::history::{Command, Entry, Limits, Origin, Put};
 use crate::seal::Seal;
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 fn apply(history: &mut History, command: Command) {
@@ -25,7 +25,7 @@
 }
 
 fn ack(name: &str, serial: u64, holds: Head) -> Ack {
-    Ack { owner: Owner::new(name, 1), serial, in_force: holds, holds, healthy: true, ..Ack::default() }
+    Ack { owner: HolderId::new(name, 1), serial, in_force: holds, holds, healthy: true, ..Ack::default() }
 }
 
 /// A history of one large version and a few small ones.
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -12,8 +12,8 @@
 use crate::content::{Change, Content};
 use crate::seal::{Digest, Head, Seal};
 use crate::words::{Ack, Piece, Refused, Tell, Way, BODY};
-use puffinladder_leases::sent::Sent;
-use puffinladder_leases::Owner;
+use puffinladder_leases::sent_times::SentTimes;
+use puffinladder_leases::HolderId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -120,7 +120,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Follower {
-    me: Owner,
+    me: HolderId,
     zone: String,
     seal: Seal,
     in_force: Held,
@@ -144,7 +144,7 @@
     target: Option<Head>,
     /// Until when what is in force is known to be what it should be.
     fresh: Option<f64>,
-    sent: Sent,
+    sent: SentTimes,
     acked: Option<f64>,
     urgent: bool,
 }
@@ -161,7 +161,7 @@
 impl Follower {
     /// Begins with what its disk holds, or with its start file, without waiting for anybody.
     pub fn start(
-        me: Owner,
+        me: HolderId,
         zone: &str,
         seal: Seal,
         disk: Option<&[u8]>,
@@ -195,14 +195,14 @@
             healthy: true,
             target: None,
             fresh: None,
-            sent: Sent::after(0, SENT),
+            sent: SentTimes::new(0, SENT),
             acked: None,
             urgent: true,
         };
         (follower, began)
     }
 
-    pub fn me(&self) -> &Owner {
+    pub fn me(&self) -> &HolderId {
         &self.me
     }
     pub fn works_by(&self) -> &Held {
@@ -320,7 +320,7 @@
         self.target = Some(head);
         if self.in_force.head.number >= head.number {
             // An answer to nothing that is known to have been sent says nothing of its age.
-            if let Some(sent) = self.sent.at(serial) {
+            if let Some(sent) = self.sent.sent_at(serial) {
                 self.fresh = Some(self.fresh.unwrap_or(f64::MIN).max(sent - age));
             }
             return Heard::Old;
@@ -490,7 +490,7 @@
             return None;
         }
         (self.acked, self.urgent) = (Some(now), false);
-        let serial = self.sent.send(now);
+        let serial = self.sent.record(now);
         Some(Ack {
             owner: self.me.clone(),
             zone: self.zone.clone(),
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn fresh() -> Follower {
-    Follower::start(Owner::new("n1", 1), "east", seal(), None, &Shape).0
+    Follower::start(HolderId::new("n1", 1), "east", seal(), None, &Shape).0
 }
 
 /// A line of versions, each of one change.
@@ -213,7 +213,7 @@
     assert_eq!(follower.save(GOOD + 9.0), None, "one write at a time");
     follower.saved(GOOD, Ok(()));
     assert_eq!(follower.kept(), Some(line[1].0));
-    let (again, began) = Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &Shape);
+    let (again, began) = Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &Shape);
     assert_eq!((began, again.works_by().head), (Began::LastGood(line[1].0), line[1].0));
     // A full disk is told of and tried again.
     assert!(follower.save(2.5).is_some());
@@ -238,7 +238,7 @@
     follower.hear(&step(&line, 0, 5), &Shape);
     follower.in_force(0.0, line[5].0);
     let disk = follower.save(GOOD).unwrap();
-    let start = |disk: &[u8]| Follower::start(Owner::new("n1", 2), "east", seal(), Some(disk), &Shape);
+    let start = |disk: &[u8]| Follower::start(HolderId::new("n1", 2), "east", seal(), Some(disk), &Shape);
     for at in 0..disk.len() {
         let mut torn = disk.clone();
         torn[at] ^= 1;
@@ -249,7 +249,7 @@
         }
     }
     let never = |_: &Content| Err(Wrong::whole("no longer fit"));
-    let (again, began) = Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &never);
+    let (again, began) = Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &never);
     assert!(matches!(began, Began::StartFile(Some(why)) if why.contains("no longer fit")));
     assert_eq!(again.works_by().head.number, 0);
 }
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -7,7 +7,7 @@
 use crate::history::{Command, History, CANARIES};
 use crate::seal::Head;
 use crate::words::Ack;
-use puffinladder_leases::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, SeededRandom};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -138,7 +138,7 @@
     epoch: Epoch,
     author: String,
     rules: Rules,
-    chance: Shuffle,
+    chance: SeededRandom,
     began: f64,
     servers: BTreeMap<String, Server>,
     watch: Option<Watch>,
@@ -156,7 +156,7 @@
             epoch,
             author: author.into(),
             rules,
-            chance: Shuffle::new(seed),
+            chance: SeededRandom::new(seed),
             began: now,
             servers: BTreeMap::new(),
             watch: None,
@@ -389,9 +389,9 @@
         while drawn.len() < count && !order.is_empty() {
             let mut round = order.clone();
             while drawn.len() < count && !round.is_empty() {
-                let zone = round.swap_remove(self.chance.below(round.len()));
+                let zone = round.swap_remove(self.chance.next_index(round.len()));
                 if let Some(names) = zones.get_mut(&zone).filter(|names| !names.is_empty()) {
-                    drawn.insert(names.swap_remove(self.chance.below(names.len())));
+                    drawn.insert(names.swap_remove(self.chance.next_index(names.len())));
                 }
             }
             order.retain(|zone| zones.get(zone).is_some_and(|names| !names.is_empty()));
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -3,7 +3,7 @@
 use crate::history::{Entry, Limits, Origin, Put};
 use crate::seal::Seal;
 use crate::words::Refused;
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 
 /// An owner, its history, and servers that speak four times a second.
 struct Fleet {
@@ -25,7 +25,7 @@
         rules.check().unwrap();
         let ack = |at: usize| {
             let (name, head) = (format!("n{at:02}"), history.head());
-            let owner = Owner::new(&name, 1);
+            let owner = HolderId::new(&name, 1);
             let zone = format!("z{}", at % 3);
             (name, (Ack { owner, zone, in_force: head, holds: head, healthy: true, ..Ack::default() }, true))
         };
--- a/crates/config-rollout/src/words.rs
+++ b/crates/config-rollout/src/words.rs
@@ -3,7 +3,7 @@
 
 use crate::content::{Change, Content};
 use crate::seal::{Digest, Head, Seal};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Bytes of a body in one piece, and of a whole body at the most: what no content needs more than.
@@ -46,7 +46,7 @@
 /// From a server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ack {
-    pub owner: Owner,
+    pub owner: HolderId,
     #[serde(default)]
     pub zone: String,
     /// Rises with every one of this incarnation.
--- a/crates/config-rollout/tests/schedules.rs
+++ b/crates/config-rollout/tests/schedules.rs
@@ -16,7 +16,7 @@
 use puffinladder_config_rollout::rollout::{Rollout, Rules};
 use puffinladder_config_rollout::words::{Ack, Piece, Tell, Way};
 use puffinladder_config_rollout::{Change, Content, Digest, Field, Head, Key, Seal, Section, Wrong};
-use puffinladder_leases::{Epoch, Owner};
+use puffinladder_leases::{Epoch, HolderId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -236,7 +236,7 @@
         for at in 0..count {
             let (region, zone) = (at % 2, at % 6);
             let name = format!("n{at:02}");
-            let me = Owner::new(&name, 1);
+            let me = HolderId::new(&name, 1);
             let (follower, _) = Follower::start(me, &format!("z{zone}"), world.seal.clone(), None, &local);
             let module = (follower.works_by().head, follower.works_by().content.clone());
             world.hosts.push(Host {
@@ -452,7 +452,7 @@
         host.down = self.t + wait;
         host.falls = None;
         host.half = None;
-        let me = Owner::new(&host.name, host.life);
+        let me = HolderId::new(&host.name, host.life);
         let (follower, began) = Follower::start(me, &host.zone, seal, host.disk.as_deref(), &local);
         host.follower = follower;
         let held = host.follower.works_by();
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -5,7 +5,7 @@
 use puffinladder_config_rollout::history::{Command, Entry, History, Limits, Origin, Put};
 use puffinladder_config_rollout::words::{body_of_change, body_of_content, Ack, Piece, Tell, Way};
 use puffinladder_config_rollout::{Change, Content, Field, Head, Key, Seal};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 const TENANTS: u32 = 15_000;
@@ -40,7 +40,7 @@
     let one = Change::default().set(Key::tenant("tenant-00042"), 120.0);
     let small = line(Some(head), Head { number: head.number + 1, ..head }, body_of_change(&one));
     let target = Tell::target(&seal, "server-0042", head, 0.125, 123_456).bytes();
-    let owner = Owner::new("server-0042", 17);
+    let owner = HolderId::new("server-0042", 17);
     let ack = Ack {
         owner,
         zone: "zone-3".into(),
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -6,7 +6,7 @@
 use puffinladder_config_rollout::history::{Command, Done, Entry, History, Limits, Origin, Put, Refusal};
 use puffinladder_config_rollout::words::{body_of_change, body_of_content, Piece, Tell, Way};
 use puffinladder_config_rollout::{Change, Content, Head, Key, Seal};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -75,7 +75,7 @@
 struct Small(Bug);
 
 fn start(life: u64, disk: Option<&[u8]>) -> Follower {
-    Follower::start(Owner::new("n", life), "", Seal::default(), disk, &Shape).0
+    Follower::start(HolderId::new("n", life), "", Seal::default(), disk, &Shape).0
 }
 
 fn apply(state: &mut State, command: Command) -> Result<Done, Refusal> {
--- a/crates/gauging/src/fleet.rs
+++ b/crates/gauging/src/fleet.rs
@@ -3,8 +3,8 @@
 use crate::child::{until, Child};
 use crate::meter::{Meter, Passed};
 use crate::Gauge;
-use puffinladder_leases::table::{Row, Seat};
-use puffinladder_leases::words::{Answer, Ask, Status};
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, ReplicaStatus};
+use puffinladder_leases::table::{InstanceRow, LeaseRow};
 use puffinladder_proving::ground::{ask, ask_leader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -65,9 +65,9 @@
         format!("(keepers {})", all.join(" "))
     }
 
-    pub async fn status(&self, place: usize) -> Option<Status> {
-        match ask(*self.at.get(place)?, &Ask::Status).await? {
-            Answer::Status(status) => Some(*status),
+    pub async fn status(&self, place: usize) -> Option<ReplicaStatus> {
+        match ask(*self.at.get(place)?, &ReplicaRequest::Status).await? {
+            ReplicaReply::Status(status) => Some(*status),
             _ => None,
         }
     }
@@ -77,7 +77,8 @@
         let at = self.at.clone();
         let leads = async || {
             for (place, at) in at.iter().enumerate() {
-                if matches!(ask(*at, &Ask::Status).await, Some(Answer::Status(status)) if status.leads) {
+                if matches!(ask(*at, &ReplicaRequest::Status).await, Some(ReplicaReply::Status(status)) if status.is_leader)
+                {
                     return Some(place);
                 }
             }
@@ -87,9 +88,9 @@
     }
 
     /// Who owns what and who is there, from the one that leads.
-    pub async fn duties(&self) -> Option<(Vec<Row>, Vec<Seat>)> {
-        match ask_leader(&self.at, &Ask::Duties).await? {
-            Answer::Duties { rows, seats, .. } => Some((rows, seats)),
+    pub async fn duties(&self) -> Option<(Vec<LeaseRow>, Vec<InstanceRow>)> {
+        match ask_leader(&self.at, &ReplicaRequest::Tasks).await? {
+            ReplicaReply::Tasks { leases: rows, instances: seats, .. } => Some((rows, seats)),
             _ => None,
         }
     }
@@ -97,8 +98,10 @@
     /// Waits until every part is owned.
     pub async fn all_owned(&mut self) -> Result<(), String> {
         let at = self.at.clone();
-        let owned = async || match ask_leader(&at, &Ask::Duties).await? {
-            Answer::Duties { rows, .. } => rows.iter().all(|row| row.owner.is_some()).then_some(()),
+        let owned = async || match ask_leader(&at, &ReplicaRequest::Tasks).await? {
+            ReplicaReply::Tasks { leases: rows, .. } => {
+                rows.iter().all(|row| row.holder.is_some()).then_some(())
+            }
             _ => None,
         };
         until("all parts to be owned", &mut self.children.iter_mut().collect::<Vec<_>>(), owned).await
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Keepers;
 use crate::meter::Passed;
 use crate::{count, pass, Counted, Gauge, Sizes, Taken};
-use puffinladder_leases::words::{Events, Status};
+use puffinladder_leases::protocol::{EventSink, ReplicaStatus};
 use puffinladder_transport::Clock;
 use puffinladder_worker::serve as steward;
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
             desk: None,
             holds: vec!["load".into()],
             clock: Clock::system(),
-            events: Events(false),
+            events: EventSink(false),
         };
         all.0.push(steward::start(setup).await?);
     }
@@ -63,7 +63,7 @@
     let before = look(&keepers).await?;
     let span = pass(gauge.span).await;
     let after = look(&keepers).await?;
-    if !after.1.leads || after.1.term != before.1.term {
+    if !after.1.is_leader || after.1.term != before.1.term {
         return Err(keepers.children[leader].fault("lost the lead while it was measured"));
     }
     let mut taken = Taken::of("keeper", span);
@@ -73,7 +73,7 @@
     taken.put("received", rate(|all| all.there));
     taken.put("messages_sent", rate(|all| all.lines_back));
     taken.put("messages_received", rate(|all| all.lines_there));
-    let syncs = |status: &Status| status.counts.get("syncs").copied();
+    let syncs = |status: &ReplicaStatus| status.counts.get("syncs").copied();
     let rose = syncs(&after.1).zip(syncs(&before.1)).map(|(now, then)| now.saturating_sub(then) as f64);
     taken.put_known("syncs", rose.map(|rose| rose / span));
     Ok(vec![taken])
@@ -96,8 +96,8 @@
             return None;
         }
         let (rows, seats) = keepers.duties().await?;
-        let owned = rows.len() == parts && rows.iter().all(|row| row.owner.is_some() && !row.back);
-        let even = seats.len() == instances && seats.iter().all(|seat| seat.has > 0 && seat.has <= most);
+        let owned = rows.len() == parts && rows.iter().all(|row| row.holder.is_some() && !row.revoked);
+        let even = seats.len() == instances && seats.iter().all(|seat| seat.parts > 0 && seat.parts <= most);
         (owned && even).then_some(())
     };
     let found =
--- a/crates/gauging/src/seats.rs
+++ b/crates/gauging/src/seats.rs
@@ -1,7 +1,7 @@
 //! Servers as a steward sees them: each a connection that reports four times a second and takes what comes back, all decided by the server's own side of
 //! the two duties ([`Seat`]). Tasks of this process.
 
-use puffinladder_leases::desk::{Reply, Seat};
+use puffinladder_leases::coordination::{CoordinatorReply, QuotaClient};
 use puffinladder_transport::{connect, write_line, LineReader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
         let counts = Arc::<Counts>::default();
         let mut tasks = JoinSet::new();
         for at in 0..count {
-            let seat = Seat::new(&format!("n{at:05}"), 1, &format!("z{}", at % 6), customers, count);
+            let seat = QuotaClient::new(&format!("n{at:05}"), 1, &format!("z{}", at % 6), customers, count);
             // Spread over the time between two reports, as a fleet's are.
             let first = EVERY.mul_f64(at as f64 / count as f64);
             tasks.spawn(sit(steward, seat, at, first, counts.clone()));
@@ -64,7 +64,7 @@
     }
 }
 
-async fn sit(steward: SocketAddr, mut seat: Seat, at: usize, first: Duration, counts: Arc<Counts>) {
+async fn sit(steward: SocketAddr, mut seat: QuotaClient, at: usize, first: Duration, counts: Arc<Counts>) {
     tokio::time::sleep(first).await;
     let add = |counter: &AtomicU64, by: u64| {
         counter.fetch_add(by, Ordering::Relaxed);
@@ -83,18 +83,18 @@
                     // What customers ask for goes up and down, and differs between servers.
                     let turn = number + at as u64;
                     let demand = |customer: &str| ((customer.len() as u64 + turn) % 7) as f64;
-                    let report = seat.report(begun.elapsed().as_secs_f64(), demand);
+                    let report = seat.next_report(begun.elapsed().as_secs_f64(), demand);
                     let Ok(bytes) = write_line(&mut to, &report, UNREAD).await else { break };
                     add(&counts.sent, bytes);
                     add(&counts.reports, 1);
                     add(&counts.heard, u64::from(number == 4));
                 }
-                reply = lines.read::<Reply>() => {
+                reply = lines.read::<CoordinatorReply>() => {
                     let Ok(Some(reply)) = reply else { break };
                     add(&counts.received, lines.bytes_read() - read);
                     read = lines.bytes_read();
                     add(&counts.replies, 1);
-                    if seat.take(begun.elapsed().as_secs_f64(), &reply) && !answered {
+                    if seat.handle_reply(begun.elapsed().as_secs_f64(), &reply) && !answered {
                         answered = true;
                         add(&counts.answered, 1);
                     }
--- a/crates/gauging/src/steward.rs
+++ b/crates/gauging/src/steward.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Keepers;
 use crate::seats::{Figures, Seats};
 use crate::{count, pass, Counted, Gauge, Sizes, Taken};
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/hollow/src/callers.rs
+++ b/crates/hollow/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::counts::{Counts, Held, Way};
 use crate::{draw, starts};
 use hdrhistogram::Histogram;
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use puffinladder_proxy::{Acked, Event, Proxy, TYPES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -186,7 +186,7 @@
                 Proxy::new(&node, &service, &draw::zone(number, told.zones), told.incremental).heard(ears);
             all.push(Caller { proxy: proxy.clone(), stands });
             let control = told.control.clone();
-            let mut chance = Shuffle::new(told.seed ^ (number as u64 + 1) << 20);
+            let mut chance = SeededRandom::new(told.seed ^ (number as u64 + 1) << 20);
             tasks.spawn(async move {
                 sleep(start).await;
                 let mut last = PAUSE;
@@ -194,7 +194,7 @@
                 for at in (0..control.len()).cycle().skip(number % control.len().max(1)) {
                     let begun = Instant::now();
                     let _ = proxy.follow(control[at]).await;
-                    last = pause(if begun.elapsed() > STOOD { PAUSE } else { last }, chance.unit());
+                    last = pause(if begun.elapsed() > STOOD { PAUSE } else { last }, chance.next_unit());
                     sleep(last).await;
                 }
             });
--- a/crates/hollow/src/draw.rs
+++ b/crates/hollow/src/draw.rs
@@ -1,6 +1,6 @@
 //! What hollow servers are called and what they say, by a seed: no I/O, no clock.
 
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use puffinladder_reports::{Class, State};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Traffic {
     load: Load,
-    chance: Shuffle,
+    chance: SeededRandom,
     /// Part of a request that the spans so far left over.
     left: f64,
     limit: f64,
@@ -91,7 +91,7 @@
 
 impl Traffic {
     pub fn new(load: Load, seed: u64) -> Traffic {
-        Traffic { load, chance: Shuffle::new(seed), left: 0.0, limit: 4.0, said: None }
+        Traffic { load, chance: SeededRandom::new(seed), left: 0.0, limit: 4.0, said: None }
     }
 
     /// What happened in the `span` seconds since the last report. Few customers ask for most: those with low numbers.
@@ -118,15 +118,15 @@
         let mut pairs: BTreeMap<(usize, usize), (u32, u32)> = BTreeMap::new();
         let mut settled = 0u32;
         for _ in 0..requests {
-            let skewed = chance.unit() * chance.unit();
+            let skewed = chance.next_unit() * chance.next_unit();
             let customer = ((skewed * self.load.customers as f64) as usize).min(self.load.customers - 1);
-            let pair = pairs.entry((chance.below(self.load.products), customer)).or_default();
-            let declined = chance.unit() < DECLINED;
+            let pair = pairs.entry((chance.next_index(self.load.products), customer)).or_default();
+            let declined = chance.next_unit() < DECLINED;
             pair.0 += 1;
             pair.1 += u32::from(declined);
             settled += u32::from(!declined);
         }
-        self.limit = (self.limit * (0.97 + 0.06 * chance.unit())).clamp(2.0, 16.0);
+        self.limit = (self.limit * (0.97 + 0.06 * chance.next_unit())).clamp(2.0, 16.0);
         let class = |(&(product, customer), &(asked, declined)): (&(usize, usize), &(u32, u32))| Class {
             product,
             customer,
@@ -135,10 +135,10 @@
         };
         State {
             limit: self.limit,
-            running: chance.below(self.limit as usize + 1),
-            takes: if settled > 0 { 0.008 + 0.01 * chance.unit() } else { 0.0 },
-            pressure: 0.3 * chance.unit(),
-            retry_after: 0.25 + 0.5 * chance.unit(),
+            running: chance.next_index(self.limit as usize + 1),
+            takes: if settled > 0 { 0.008 + 0.01 * chance.next_unit() } else { 0.0 },
+            pressure: 0.3 * chance.next_unit(),
+            retry_after: 0.25 + 0.5 * chance.next_unit(),
             healthy: true,
             leaving: None,
             settled: f64::from(settled) / span,
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -12,12 +12,12 @@
 pub mod seats;
 pub mod servers;
 
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use std::time::Duration;
 
 /// When each of `count` starts, over `within`: evenly, each somewhere in its own piece of the span. A start of all at once would
 /// measure the start.
 pub fn starts(count: usize, within: Duration, seed: u64) -> Vec<Duration> {
-    let mut chance = Shuffle::new(seed);
-    (0..count).map(|at| within.mul_f64((at as f64 + chance.unit()) / count as f64)).collect()
+    let mut chance = SeededRandom::new(seed);
+    (0..count).map(|at| within.mul_f64((at as f64 + chance.next_unit()) / count as f64)).collect()
 }
--- a/crates/hollow/src/seats.rs
+++ b/crates/hollow/src/seats.rs
@@ -2,9 +2,9 @@
 //! of them owns the duty answers.
 
 use crate::counts::{Counts, Way};
-use puffinladder_leases::desk::{Reply, Seat};
-use puffinladder_leases::turns::Go;
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::coordination::{CoordinatorReply, QuotaClient};
+use puffinladder_leases::drain::{DrainDecision, DrainTiming};
+use puffinladder_leases::SeededRandom;
 use puffinladder_transport::{connect, encode_line, Clock, LineReader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 pub async fn link(
     at: SocketAddr,
     mut reports: watch::Receiver<Arc<Vec<u8>>>,
-    replies: mpsc::Sender<Reply>,
+    replies: mpsc::Sender<CoordinatorReply>,
     counts: Arc<Counts>,
 ) {
     let mut way = Way::default();
@@ -69,7 +69,7 @@
                         counts.sent.add(report.len() as u64);
                         counts.messages_sent.add(1);
                     }
-                    reply = lines.read::<Reply>() => {
+                    reply = lines.read::<CoordinatorReply>() => {
                         let Ok(Some(reply)) = reply else { break };
                         counts.received.add(lines.bytes_read() - before);
                         counts.messages_received.add(1);
@@ -94,9 +94,9 @@
     leaves: &mut watch::Receiver<bool>,
 ) {
     let quotas: BTreeMap<String, f64> = customers.iter().map(|name| (name.clone(), told.quota)).collect();
-    let mut seat = Seat::new(&told.server, told.incarnation, &told.zone, &quotas, told.fleet);
+    let mut seat = QuotaClient::new(&told.server, told.incarnation, &told.zone, &quotas, told.fleet);
     drop(quotas);
-    let mut chance = Shuffle::new(told.incarnation);
+    let mut chance = SeededRandom::new(told.incarnation);
     let (clock, every) = (Clock::system(), told.every.as_secs_f64());
     let (reports, latest) = watch::channel(Arc::default());
     let (replies, mut answers) = mpsc::channel(WAITING);
@@ -110,20 +110,20 @@
         if now >= due {
             due = now + every;
             // Most customers ask one server for little at a time.
-            let demand = told.quota / told.fleet.max(1) as f64 * 1.5 * chance.unit();
-            if let Ok(report) = encode_line(&seat.report(now, |_| demand)) {
+            let demand = told.quota / told.fleet.max(1) as f64 * 1.5 * chance.next_unit();
+            if let Ok(report) = encode_line(&seat.next_report(now, |_| demand)) {
                 reports.send_replace(Arc::new(report));
             }
         }
-        if told_to && seat.go(now).is_none_or(|go| go != Go::Wait) {
+        if told_to && seat.drain_decision(now).is_none_or(|go| go != DrainDecision::Wait) {
             return;
         }
         let until = if told_to { due.min(now + LOOK) } else { due };
         tokio::select! {
-            Some(reply) = answers.recv() => drop(seat.take(clock.now(), &reply)),
+            Some(reply) = answers.recv() => drop(seat.handle_reply(clock.now(), &reply)),
             _ = leaves.wait_for(|leave| *leave), if !told_to => {
                 told_to = true;
-                seat.leave(clock.now(), told.patience, f64::MAX, DRAIN);
+                seat.start_draining(clock.now(), DrainTiming { max_wait: told.patience, killed_at: f64::MAX, drain_duration: DRAIN });
             }
             () = sleep(clock.sleep_duration(until - now)) => {}
         }
--- a/crates/hollow/tests/peers.rs
+++ b/crates/hollow/tests/peers.rs
@@ -5,8 +5,8 @@
 use common::{any, service, some_callers, some_servers, until};
 use puffinladder_hollow::callers::{self, Callers, Lags};
 use puffinladder_hollow::servers::{self, Servers};
-use puffinladder_leases::desk::{Desk, Report, QUOTA};
-use puffinladder_leases::{turns, Duty};
+use puffinladder_leases::coordination::{QuotaCoordinator, ServerReport, QUOTA_TASK};
+use puffinladder_leases::{drain, Task};
 use puffinladder_proxy::{Acked, Proxy};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -100,22 +100,28 @@
     let steward = listener.local_addr().unwrap();
     let told = servers::Told { stewards: vec![steward], ..some_servers(5, &[any()]) };
     // Who has left and does not come back counts as away: all may be.
-    let rules = turns::Rules { most: 5, zone_share: 1.0, span: 0.5, ..turns::Rules::default() };
+    let rules = drain::DrainRules {
+        max_unavailable: 5,
+        max_zone_fraction: 1.0,
+        slot_duration: 0.5,
+        ..drain::DrainRules::default()
+    };
     let customers = (0..20).map(|at| (puffinladder_hollow::draw::customer(at), 100.0)).collect();
-    let told_desk = puffinladder_leases::desk::Told {
-        customers,
-        servers: 5,
-        parts: 1,
-        span: 2.0,
-        drift: 0.02,
-        turns: rules,
+    let told_desk = puffinladder_leases::coordination::CoordinatorSettings {
+        tenant_quotas: customers,
+        server_count: 5,
+        quota_parts: 1,
+        quota_validity: 2.0,
+        max_clock_drift: 0.02,
+        drain_rules: rules,
     };
-    let mut desk = Desk::new(told_desk);
-    let (quota, turn) = (Duty::new(QUOTA, 0), Duty::new(puffinladder_leases::desk::TURNS, 0));
-    desk.begin(0.0, &quota, 3);
-    desk.begin(0.0, &turn, 3);
+    let mut desk = QuotaCoordinator::new(told_desk);
+    let (quota, turn) =
+        (Task::new(QUOTA_TASK, 0), Task::new(puffinladder_leases::coordination::DRAIN_TASK, 0));
+    desk.start_lease(0.0, &quota, 3);
+    desk.start_lease(0.0, &turn, 3);
     // All connections of the steward, read and answered by one task.
-    let (heard, mut reports) = tokio::sync::mpsc::channel::<Report>(64);
+    let (heard, mut reports) = tokio::sync::mpsc::channel::<ServerReport>(64);
     let (answers, answer) = tokio::sync::broadcast::channel::<Vec<u8>>(4096);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -150,13 +156,13 @@
             continue;
         };
         let (report, now) = (report.unwrap(), begun.elapsed().as_secs_f64());
-        desk.hear(now, &report).unwrap();
-        if report.asked.len() == 20 && report.asked.iter().all(|asked| asked.holds.is_some()) {
+        desk.handle_report(now, &report).unwrap();
+        if report.demands.len() == 20 && report.demands.iter().all(|asked| asked.current.is_some()) {
             holds.insert(report.server.clone());
         }
         for duty in [&quota, &turn] {
-            for reply in desk.plan(now, duty) {
-                turns.extend(reply.turn.as_ref().map(|_| reply.server.clone()));
+            for reply in desk.plan_replies(now, duty) {
+                turns.extend(reply.drain_slot.as_ref().map(|_| reply.server.clone()));
                 let _ = answers.send(puffinladder_transport::encode_line(&reply).unwrap());
             }
         }
--- a/crates/lease-store/src/core.rs
+++ b/crates/lease-store/src/core.rs
@@ -5,10 +5,12 @@
 use crate::log::{Disk, Kept, Log, Save, Shot, Torn, Vote};
 use crate::members::{Change as Turnover, Members, Seat, Unfit};
 use protobuf::Message as _;
-use puffinladder_leases::pace::Pace;
-use puffinladder_leases::table::{Change, Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_leases::words::Status;
-use puffinladder_leases::Owner;
+use puffinladder_leases::protocol::ReplicaStatus;
+use puffinladder_leases::table::{
+    Change, Command, LeaseRequest, LeaseResponse, LeaseRules, LeaseTable, LogEntry, TaskDeclaration,
+};
+use puffinladder_leases::table_clock::TableClock;
+use puffinladder_leases::HolderId;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfChangeV2, EntryType, Message};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -18,8 +20,8 @@
 /// What the keepers agree to keep to; the same at all of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
-    pub rules: Rules,
-    pub duties: Vec<Declared>,
+    pub rules: LeaseRules,
+    pub duties: Vec<TaskDeclaration>,
     /// Ticks until a keeper that hears no leader stands for election, at the least; each one's own place is added, three
     /// ticks apart, so that two seldom stand at once.
     pub patience: usize,
@@ -31,7 +33,7 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { rules: Rules::default(), duties: Vec::new(), patience: 10, beat: 0.1, compact: 4096 }
+        Terms { rules: LeaseRules::default(), duties: Vec::new(), patience: 10, beat: 0.1, compact: 4096 }
     }
 }
 
@@ -81,7 +83,7 @@
     /// To be on disk, in this order; then [`Core::saved`].
     pub saves: Vec<Save>,
     /// To instances, only from the keeper that leads.
-    pub told: Vec<Told>,
+    pub told: Vec<LeaseResponse>,
     /// To operators: what came of a command.
     pub done: Vec<(u64, Result<(), String>)>,
     /// Reads that may be answered from the table now.
@@ -109,11 +111,11 @@
     id: u64,
     terms: Terms,
     node: RawNode<Log>,
-    table: Table,
+    table: LeaseTable,
     applied: u64,
     /// While it leads and has applied all that was agreed before.
     lead: Option<Lead>,
-    lines: BTreeMap<Owner, Said>,
+    lines: BTreeMap<HolderId, LeaseRequest>,
     unsaved: VecDeque<Unsaved>,
     commands: Vec<Waiting>,
     reads: Vec<(u64, u64)>,
@@ -128,13 +130,13 @@
 /// What a snapshot holds.
 #[derive(Default, Serialize, Deserialize)]
 struct State {
-    table: Table,
+    table: LeaseTable,
     members: Members,
 }
 
 struct Lead {
     term: u64,
-    pace: Pace,
+    pace: TableClock,
     beat_at: f64,
     under_way: usize,
 }
@@ -187,7 +189,7 @@
     pub fn id(&self) -> u64 {
         self.id
     }
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &LeaseTable {
         &self.table
     }
     pub fn applied(&self) -> u64 {
@@ -220,11 +222,11 @@
     }
 
     /// How it is, without what only its host knows.
-    pub fn status(&self, now: f64) -> Status {
-        Status {
+    pub fn status(&self, now: f64) -> ReplicaStatus {
+        ReplicaStatus {
             number: self.id,
             leader: self.leader(),
-            leads: self.leads(),
+            is_leader: self.leads(),
             term: self.term(),
             applied: self.applied,
             log_entries: self.log_len(),
@@ -232,9 +234,9 @@
             learners: self.learners(),
             retired: self.members.retired.iter().copied().collect(),
             last_epoch: self.table.last_epoch(),
-            instances: self.table.instances(),
-            slow: self.slow(now),
-            ..Status::default()
+            instances: self.table.session_count(),
+            slow_disk: self.slow(now),
+            ..ReplicaStatus::default()
         }
     }
 
@@ -286,10 +288,10 @@
         let waits = !self.lines.is_empty();
         let Some(lead) = &mut self.lead else { return };
         // Looked at before time moves: after a pause of this process the lines that waited come first.
-        let may = lead.pace.look(now, waits);
+        let may = lead.pace.may_advance(now, waits);
         if may && now >= lead.beat_at && lead.under_way < UNDER_WAY {
             lead.beat_at = now + self.terms.beat;
-            self.propose(now, Command::Time, Vec::new());
+            self.propose(now, Command::AdvanceTime, Vec::new());
         }
     }
 
@@ -370,14 +372,14 @@
     }
 
     /// An instance's line. A later one of the same life takes its place: it tells all that the earlier told.
-    pub fn say(&mut self, said: Said) -> Result<(), Refusal> {
+    pub fn say(&mut self, said: LeaseRequest) -> Result<(), Refusal> {
         self.leading()?;
-        if self.lines.len() >= puffinladder_leases::table::INSTANCES {
+        if self.lines.len() >= puffinladder_leases::table::MAX_INSTANCES {
             return Err(Refusal::Full);
         }
-        let newer = |old: &Said| old.serial >= said.serial;
-        if !self.lines.get(&said.owner).is_some_and(newer) {
-            self.lines.insert(said.owner.clone(), said);
+        let newer = |old: &LeaseRequest| old.serial >= said.serial;
+        if !self.lines.get(&said.holder).is_some_and(newer) {
+            self.lines.insert(said.holder.clone(), said);
         }
         Ok(())
     }
@@ -445,14 +447,14 @@
         while !self.lines.is_empty() && self.lead.as_ref().is_some_and(|lead| lead.under_way < UNDER_WAY) {
             let batch =
                 std::iter::from_fn(|| self.lines.pop_first()).take(BATCH).map(|(_, said)| said).collect();
-            self.propose(now, Command::Say(batch), Vec::new());
+            self.propose(now, Command::Renew(batch), Vec::new());
         }
     }
 
     /// Whether it was taken: not where too much is unagreed. Lines come again, and time too.
     fn propose(&mut self, now: f64, command: Command, context: Vec<u8>) -> bool {
         let Some(lead) = &mut self.lead else { return false };
-        let entry = Entry { at: lead.pace.stamp(now), command };
+        let entry = LogEntry { at: lead.pace.stamp(now), command };
         let Ok(data) = postcard::to_allocvec(&entry) else { return false };
         let taken = self.node.propose(context, data).is_ok();
         lead.under_way += usize::from(taken);
@@ -522,7 +524,7 @@
             EntryType::EntryNormal if entry.data.is_empty() => {
                 // The first entry of a leader's term: all that was agreed before it has been applied.
                 if entry.term == self.term() && self.node.raft.state == StateRole::Leader {
-                    let pace = Pace::lead(self.table.now(), now);
+                    let pace = TableClock::start(self.table.now(), now);
                     self.lead = Some(Lead { term: entry.term, pace, beat_at: now, under_way: 0 });
                     self.declare(now);
                 }
@@ -534,15 +536,17 @@
                     lead.under_way = lead.under_way.saturating_sub(1);
                 }
                 // An entry that can't be read changes nothing, at all keepers alike.
-                let Ok(read) = postcard::from_bytes::<Entry>(&entry.data) else { return Ok(()) };
+                let Ok(read) = postcard::from_bytes::<LogEntry>(&entry.data) else { return Ok(()) };
                 let outcome = self.table.apply(&read);
                 self.out.changes.extend(outcome.changes);
                 if leads {
-                    self.out.told.extend(outcome.told);
+                    self.out.told.extend(outcome.responses);
                     if let Ok(token) = entry.context[..].try_into() {
                         let token = u64::from_le_bytes(token);
                         self.commands.retain(|one| one.token != token);
-                        self.out.done.push((token, outcome.fault.map_or(Ok(()), Err)));
+                        self.out
+                            .done
+                            .push((token, outcome.error.map_or(Ok(()), |error| Err(error.to_string()))));
                     }
                 }
             }
@@ -575,8 +579,8 @@
         let Terms { rules, duties, .. } = &self.terms;
         let mut sorted = duties.clone();
         sorted.sort_by(|a, b| a.name.cmp(&b.name));
-        if *self.table.rules() != *rules || self.table.declared() != sorted {
-            let command = Command::Declare { rules: rules.clone(), duties: duties.clone() };
+        if *self.table.rules() != *rules || self.table.declarations() != sorted {
+            let command = Command::Declare { rules: rules.clone(), tasks: duties.clone() };
             self.propose(now, command, Vec::new());
         }
     }
--- a/crates/lease-store/src/serve.rs
+++ b/crates/lease-store/src/serve.rs
@@ -7,9 +7,9 @@
 use crate::members::Change as Turnover;
 use crate::store::Store;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_leases::table::{Told, What};
-use puffinladder_leases::words::{Answer, Ask, Event, Events, LINE};
-use puffinladder_leases::Owner;
+use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest, MAX_LINE_BYTES};
+use puffinladder_leases::table::{ChangeKind, LeaseResponse};
+use puffinladder_leases::HolderId;
 use puffinladder_transport::{connect, encode_line, listen, write_line, Clock, LineReader, RunningService};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     pub tick: f64,
     pub most_connections: usize,
     pub clock: Clock,
-    pub events: Events,
+    pub events: EventSink,
     /// ms that each sync takes longer: for tests.
     pub sync_pause: Arc<AtomicU64>,
 }
@@ -52,8 +52,8 @@
 const AGAIN: Duration = Duration::from_millis(100);
 
 struct Heard {
-    ask: Ask,
-    back: mpsc::Sender<Answer>,
+    ask: ReplicaRequest,
+    back: mpsc::Sender<ReplicaReply>,
 }
 
 /// Starts a keeper from its disk; it listens when this returns.
@@ -65,7 +65,7 @@
     let handle = move |stream, _| converse(stream, asks.clone());
     let listening = listen("keeper", setup.listen, setup.most_connections, stopped.clone(), handle);
     let listen = listening.await.map_err(|e| e.to_string())?;
-    setup.events.tell(&Event::Ready { listen: listen.to_string() });
+    setup.events.emit(&Event::Ready { listen: listen.to_string() });
     tracing::info!("keeper {number} listens on {listen}");
     let desk = tokio::spawn(Desk::new(setup, core, store).work(heard, stopped));
     Ok(RunningService::new(listen, stop, desk))
@@ -79,7 +79,7 @@
     let (from, to) = stream.into_split();
     let (back, answers) = mpsc::channel(ANSWERS);
     let writer = tokio::spawn(answer(to, answers));
-    let mut lines = LineReader::new(from, LINE);
+    let mut lines = LineReader::new(from, MAX_LINE_BYTES);
     let ended = loop {
         match lines.read_within(SILENT).await {
             Ok(Some(ask)) => {
@@ -96,7 +96,7 @@
     ended
 }
 
-async fn answer(mut to: OwnedWriteHalf, mut answers: mpsc::Receiver<Answer>) {
+async fn answer(mut to: OwnedWriteHalf, mut answers: mpsc::Receiver<ReplicaReply>) {
     while let Some(answer) = answers.recv().await {
         if write_line(&mut to, &answer, UNREAD).await.is_err() {
             return;
@@ -130,7 +130,9 @@
                 continue;
             }
         }
-        let Ok(bytes) = encode_line(&Ask::Peer(BASE64_STANDARD.encode(&message))) else { continue };
+        let Ok(bytes) = encode_line(&ReplicaRequest::PeerMessage(BASE64_STANDARD.encode(&message))) else {
+            continue;
+        };
         if let Some(open) = &mut stream {
             let written = tokio::time::timeout(UNREAD, open.write_all(&bytes)).await;
             if !matches!(written, Ok(Ok(()))) {
@@ -152,9 +154,9 @@
     store: Option<Store>,
     peers: BTreeMap<u64, Peer>,
     /// The connection that an instance was heard on last.
-    instances: BTreeMap<Owner, mpsc::Sender<Answer>>,
+    instances: BTreeMap<HolderId, mpsc::Sender<ReplicaReply>>,
     /// Operators that wait, by token.
-    waiting: BTreeMap<u64, mpsc::Sender<Answer>>,
+    waiting: BTreeMap<u64, mpsc::Sender<ReplicaReply>>,
     tokens: u64,
     led: bool,
     counts: BTreeMap<String, u64>,
@@ -239,17 +241,23 @@
         }
     }
 
-    fn heed(&mut self, now: f64, ask: Ask, back: mpsc::Sender<Answer>, stopped: &watch::Receiver<bool>) {
+    fn heed(
+        &mut self,
+        now: f64,
+        ask: ReplicaRequest,
+        back: mpsc::Sender<ReplicaReply>,
+        stopped: &watch::Receiver<bool>,
+    ) {
         match ask {
-            Ask::Say(said) => {
+            ReplicaRequest::Renew(said) => {
                 self.count("lines", 1);
-                let owner = said.owner.clone();
+                let owner = said.holder.clone();
                 match self.core.say(said) {
                     Ok(()) => drop(self.instances.insert(owner, back)),
                     Err(refusal) => self.refuse(refusal, &back),
                 }
             }
-            Ask::Peer(text) => {
+            ReplicaRequest::PeerMessage(text) => {
                 self.count("messages", 1);
                 let read = BASE64_STANDARD.decode(text).map_err(|e| e.to_string());
                 if let Err(what) = read.and_then(|bytes| self.core.hear(&bytes)) {
@@ -257,32 +265,45 @@
                     tracing::debug!("from a peer: {what}");
                 }
             }
-            Ask::Status => {
+            ReplicaRequest::Status => {
                 let (up, mut counts) = (now, self.counts.clone());
                 counts.insert("syncs".into(), self.syncs.load(Ordering::Relaxed));
-                let status = puffinladder_leases::words::Status { up, counts, ..self.core.status(now) };
-                let _ = back.try_send(Answer::Status(Box::new(status)));
+                let status = puffinladder_leases::protocol::ReplicaStatus {
+                    uptime: up,
+                    counts,
+                    ..self.core.status(now)
+                };
+                let _ = back.try_send(ReplicaReply::Status(Box::new(status)));
             }
-            Ask::Duties => {
+            ReplicaRequest::Tasks => {
                 let token = self.token();
                 match self.core.read(token) {
                     Ok(()) => drop(self.waiting.insert(token, back)),
                     Err(refusal) => self.refuse(refusal, &back),
                 }
             }
-            Ask::Command(command) => {
+            ReplicaRequest::Command(command) => {
                 let token = self.token();
                 match self.core.command(now, token, command) {
                     Ok(()) => drop(self.waiting.insert(token, back)),
                     Err(refusal) => self.refuse(refusal, &back),
                 }
             }
-            Ask::Add { number, address } => self.turn_over(Turnover::Add { number, address }, back, stopped),
-            Ask::Remove { number } => self.turn_over(Turnover::Remove(number), back, stopped),
+            ReplicaRequest::AddReplica { number, address } => {
+                self.turn_over(Turnover::Add { number, address }, back, stopped)
+            }
+            ReplicaRequest::RemoveReplica { number } => {
+                self.turn_over(Turnover::Remove(number), back, stopped)
+            }
         }
     }
 
-    fn turn_over(&mut self, change: Turnover, back: mpsc::Sender<Answer>, stopped: &watch::Receiver<bool>) {
+    fn turn_over(
+        &mut self,
+        change: Turnover,
+        back: mpsc::Sender<ReplicaReply>,
+        stopped: &watch::Receiver<bool>,
+    ) {
         let token = self.token();
         match self.core.change(token, change) {
             Ok(()) => drop(self.waiting.insert(token, back)),
@@ -298,14 +319,14 @@
         self.tokens
     }
 
-    fn refuse(&mut self, refusal: Refusal, back: &mpsc::Sender<Answer>) {
+    fn refuse(&mut self, refusal: Refusal, back: &mpsc::Sender<ReplicaReply>) {
         self.count("refused", 1);
         let answer = match refusal {
             Refusal::NotLeading(leader) => {
                 let address = leader.and_then(|number| self.core.members().joined.get(&number).cloned());
-                Answer::Elsewhere { leader, address }
+                ReplicaReply::NotLeader { leader, address }
             }
-            other => Answer::Failed(other.to_string()),
+            other => ReplicaReply::Failed(other.to_string()),
         };
         let _ = back.try_send(answer);
     }
@@ -339,39 +360,43 @@
         }
         for (token, done) in out.done {
             if let Some(back) = self.waiting.remove(&token) {
-                let _ = back.try_send(done.map_or_else(Answer::Failed, |()| Answer::Done));
+                let _ = back.try_send(done.map_or_else(ReplicaReply::Failed, |()| ReplicaReply::Done));
             }
         }
         for token in out.read {
             if let Some(back) = self.waiting.remove(&token) {
                 let table = self.core.table();
-                let duties = Answer::Duties { rows: table.rows(), seats: table.seats(), at: table.now() };
+                let duties = ReplicaReply::Tasks {
+                    leases: table.lease_rows(),
+                    instances: table.instance_rows(),
+                    at: table.now(),
+                };
                 let _ = back.try_send(duties);
             }
         }
         for change in out.changes {
-            let what = match change.what {
-                What::Given => "given to",
-                What::TakenBack => "taken back from",
-                What::Ended => "no longer of",
+            let what = match change.kind {
+                ChangeKind::Granted => "given to",
+                ChangeKind::Revoked => "taken back from",
+                ChangeKind::Ended => "no longer of",
             };
-            self.count(&format!("changes-{:?}-{:?}", change.what, change.cause).to_lowercase(), 1);
+            self.count(&change.counter_name(), 1);
             if self.core.leads() {
                 tracing::info!(
                     "{} {what} {}, epoch {}: {}",
-                    change.duty,
-                    change.owner,
+                    change.task,
+                    change.holder,
                     change.epoch,
                     change.cause
                 );
             }
-            self.setup.events.tell(&Event::Change(change));
+            self.setup.events.emit(&Event::Change(change));
         }
         let leads = self.core.leads();
         if leads && !self.led {
             let (keeper, term) = (self.core.id(), self.core.term());
             tracing::info!("keeper {keeper} leads, term {term}");
-            self.setup.events.tell(&Event::Leads { keeper, term });
+            self.setup.events.emit(&Event::BecameLeader { replica: keeper, term });
             self.count("led", 1);
         }
         if self.led && !leads {
@@ -381,17 +406,17 @@
             // Operators' commands have been answered above; what waits still are reads.
             let waiting = std::mem::take(&mut self.waiting).into_values();
             for back in std::mem::take(&mut self.instances).into_values().chain(waiting) {
-                let _ = back.try_send(Answer::Elsewhere { leader, address: None });
+                let _ = back.try_send(ReplicaReply::NotLeader { leader, address: None });
             }
         }
         self.led = leads;
         true
     }
 
-    fn tell(&mut self, told: Told) {
-        let owner = told.owner.clone();
+    fn tell(&mut self, told: LeaseResponse) {
+        let owner = told.holder.clone();
         self.count("told", 1);
-        let sent = self.instances.get(&owner).map(|back| back.try_send(Answer::Told(told)));
+        let sent = self.instances.get(&owner).map(|back| back.try_send(ReplicaReply::Lease(told)));
         if matches!(sent, Some(Err(mpsc::error::TrySendError::Closed(_)))) {
             self.instances.remove(&owner);
         }
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -7,8 +7,8 @@
 use puffinladder_lease_store::members::{Change, Members};
 use puffinladder_lease_store::serve::{start, Setup};
 use puffinladder_lease_store::store::Store;
-use puffinladder_leases::table::Declared;
-use puffinladder_leases::words::{Answer, Ask, Event, Events};
+use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest};
+use puffinladder_leases::table::TaskDeclaration;
 use puffinladder_transport::{connect, Clock};
 use serde::{de::DeserializeOwned, Serialize};
 use std::path::PathBuf;
@@ -65,8 +65,8 @@
 
 fn terms() -> Terms {
     let duties = vec![
-        Declared { name: "gather".into(), parts: 2, zone: None },
-        Declared { name: "quota".into(), parts: 1, zone: Some("z1".into()) },
+        TaskDeclaration { name: "gather".into(), parts: 2, zone: None },
+        TaskDeclaration { name: "quota".into(), parts: 1, zone: Some("z1".into()) },
     ];
     Terms { duties, compact: 1000, ..Terms::default() }
 }
@@ -104,7 +104,7 @@
     assert_eq!(hex(&written), hex(&bytes(SNAPSHOT)));
     core.pump(100.0).unwrap();
     assert_eq!((core.applied(), core.term(), core.voters()), (29, 2, vec![1]));
-    assert_eq!(serde_json::to_string(&core.table().rows()).unwrap(), ROWS);
+    assert_eq!(serde_json::to_string(&core.table().lease_rows()).unwrap(), ROWS);
     assert_eq!(core.table().last_epoch(), 3);
     assert_eq!(serde_json::to_string(core.members()).unwrap(), r#"{"joined":{},"retired":[2]}"#);
 }
@@ -145,7 +145,7 @@
 
 #[test]
 fn every_line_to_a_replica_reads_as_it_did() {
-    lines::<Ask>(&[
+    lines::<ReplicaRequest>(&[
         concat!(
             r#"{"say":{"owner":{"instance":"s1","incarnation":2},"zone":"z1","serial":3,"wants":["gather"],"leaving":true,"#,
             r#""marks":[{"duty":{"name":"gather","part":1},"epoch":4,"done":5,"work":true}],"#,
@@ -169,7 +169,7 @@
 
 #[test]
 fn every_line_from_a_replica_reads_as_it_did() {
-    lines::<Answer>(&[
+    lines::<ReplicaReply>(&[
         concat!(
             r#"{"told":{"owner":{"instance":"s1","incarnation":1},"serial":3,"term":2.0,"version":4,"#,
             r#""grants":[{"duty":{"name":"gather","part":0},"epoch":1,"back":false}],"refused":null}}"#
@@ -227,7 +227,7 @@
         tick: 0.01,
         most_connections: 4,
         clock: Clock::system(),
-        events: Events(false),
+        events: EventSink(false),
         sync_pause: Default::default(),
     };
     let running = start(setup, store, &disk).await.unwrap();
--- a/crates/lease-store/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -4,9 +4,9 @@
 
 use puffinladder_lease_store::core::{Core, Out, Terms};
 use puffinladder_lease_store::log::{Disk, Save};
-use puffinladder_leases::holder::{Act, Holder, Stage};
-use puffinladder_leases::table::{Change, Declared, Said, Told, What};
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
+use puffinladder_leases::table::{Change, ChangeKind, LeaseRequest, LeaseResponse, TaskDeclaration};
+use puffinladder_leases::{Epoch, HolderId, Task};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 }
 
 struct Instance {
-    holder: Holder,
+    holder: LeaseHolder,
     name: String,
     life: u64,
     offset: f64,
@@ -48,8 +48,8 @@
 
 enum Mail {
     Peer(usize, usize, Vec<u8>),
-    Line(usize, usize, Said),
-    Told(Told),
+    Line(usize, usize, LeaseRequest),
+    Told(LeaseResponse),
 }
 
 struct World {
@@ -62,21 +62,21 @@
     posted: u64,
     /// Each change as the first keeper to apply it saw it.
     history: Vec<Change>,
-    given: BTreeMap<Epoch, (Duty, Owner)>,
+    given: BTreeMap<Epoch, (Task, HolderId)>,
     leaders: BTreeMap<u64, usize>,
     acts: u64,
 }
 
 fn terms() -> Terms {
     let duties = vec![
-        Declared { name: "gather".into(), parts: 4, zone: None },
-        Declared { name: "quota".into(), parts: 1, zone: None },
+        TaskDeclaration { name: "gather".into(), parts: 4, zone: None },
+        TaskDeclaration { name: "quota".into(), parts: 1, zone: None },
     ];
     Terms { duties, compact: 200, ..Terms::default() }
 }
 
-fn holder(name: &str, life: u64) -> Holder {
-    Holder::new(Owner::new(name, life), "", ["gather", "quota"].map(String::from), 2.0)
+fn holder(name: &str, life: u64) -> LeaseHolder {
+    LeaseHolder::new(HolderId::new(name, life), "", ["gather", "quota"].map(String::from), 2.0)
 }
 
 impl World {
@@ -166,8 +166,12 @@
             let states: Vec<_> = self.keepers.iter().map(state).collect();
             return Err(format!("nobody leads after calm: {states:?}"));
         };
-        if let Some(row) = leader.table().rows().iter().find(|row| row.owner.is_none()) {
-            return Err(format!("{} has no owner after calm: {:?}", row.duty, leader.table().seats()));
+        if let Some(row) = leader.table().lease_rows().iter().find(|row| row.holder.is_none()) {
+            return Err(format!(
+                "{} has no owner after calm: {:?}",
+                row.task,
+                leader.table().instance_rows()
+            ));
         }
         let longest = self.keepers.iter().filter_map(|k| k.core.as_ref()).map(Core::log_len).max();
         if longest > Some(600) {
@@ -249,7 +253,7 @@
                 }
                 Mail::Told(told) => {
                     let Some(instance) =
-                        self.instances.iter_mut().find(|one| one.name == told.owner.instance)
+                        self.instances.iter_mut().find(|one| one.name == told.holder.instance)
                     else {
                         continue;
                     };
@@ -259,11 +263,11 @@
                     }
                     instance.answered = t;
                     let now = instance.offset + instance.rate * t;
-                    let acts = instance.holder.told(now, &told);
+                    let acts = instance.holder.handle_response(now, &told);
                     for act in acts {
                         self.acts += 1;
-                        if let Act::Yield(duty, epoch) = act {
-                            instance.holder.ended(&duty, epoch);
+                        if let HolderAction::Release(duty, epoch) = act {
+                            instance.holder.release(&duty, epoch);
                         }
                     }
                 }
@@ -324,16 +328,16 @@
     /// What a keeper applied must be what the others applied.
     fn learn(&mut self, at: usize, changes: Vec<Change>) -> Result<(), String> {
         for change in changes {
-            let what = (change.epoch, change.what);
-            let place = self.history.iter().rposition(|old| (old.epoch, old.what) == what);
+            let what = (change.epoch, change.kind);
+            let place = self.history.iter().rposition(|old| (old.epoch, old.kind) == what);
             match place {
                 Some(place) if self.history[place] != change => {
                     return Err(format!("keeper {at} saw {change:?}, others {:?}", self.history[place]));
                 }
                 Some(_) => {}
                 None => {
-                    if change.what == What::Given {
-                        let owner = (change.duty.clone(), change.owner.clone());
+                    if change.kind == ChangeKind::Granted {
+                        let owner = (change.task.clone(), change.holder.clone());
                         if let Some(other) = self.given.insert(change.epoch, owner) {
                             return Err(format!(
                                 "epoch {} was given twice, first as {other:?}",
@@ -356,23 +360,23 @@
             return;
         }
         let now = instance.offset + instance.rate * t;
-        instance.holder.look(now);
+        instance.holder.expire(now);
         if t - instance.answered > 0.7 {
             // Nobody answers there: the next one may know better.
             (instance.to, instance.answered) = ((instance.to + 1) % keepers, t);
         }
-        if let Some(said) = instance.holder.ask(now) {
+        if let Some(said) = instance.holder.next_request(now) {
             let to = instance.to;
             self.post(Mail::Line(at, to, said));
         }
     }
 
     fn check(&self) -> Result<(), String> {
-        let mut seen: BTreeMap<&Duty, (usize, Epoch)> = BTreeMap::new();
+        let mut seen: BTreeMap<&Task, (usize, Epoch)> = BTreeMap::new();
         for (at, instance) in self.instances.iter().enumerate() {
             let now = instance.offset + instance.rate * self.t;
-            for (duty, epoch) in instance.holder.holds() {
-                if instance.holder.stage(now, duty) == Stage::Down {
+            for (duty, epoch) in instance.holder.leases() {
+                if instance.holder.stage(now, duty) == LeaseStage::Ended {
                     continue;
                 }
                 if let Some(other) = seen.insert(duty, (at, epoch)) {
@@ -382,7 +386,7 @@
                         (at, epoch)
                     ));
                 }
-                if self.given.get(&epoch) != Some(&(duty.clone(), instance.holder.me().clone())) {
+                if self.given.get(&epoch) != Some(&(duty.clone(), instance.holder.id().clone())) {
                     return Err(format!("{:.2}: epoch {epoch} of {duty} was not given so", self.t));
                 }
             }
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,163 +1,129 @@
-//! Where an effect lands. A fence keeps the highest epoch that it has seen of each duty and the number of the last effect
-//! under it; it belongs into the same store as the effects, and [`Fence::take`] into the same transaction as the
-//! effect, so that no check outlives what it was made for.
+//! The check where an effect is stored. A fence keeps the highest epoch that it has seen of each task and the number of
+//! the last effect under it. It belongs into the same store as the effects, and [`Fence::check_and_record`] into the
+//! same transaction as the effect, so that no check outlives the state that it was made on.
 
-use crate::{Duty, Epoch};
+use crate::{Epoch, Task};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What was seen of one duty.
+#[cfg(test)]
+mod tests;
+
+/// What a fence has seen of one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct FenceRecord {
+    /// The highest epoch.
     pub epoch: Epoch,
-    /// Of the last effect under that epoch; the first has 1, none has 0.
+    /// The number of the last effect under that epoch: the first has 1; 0 if there was none.
     pub number: u64,
 }
 
 /// What becomes of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is to be done now, together with what [`Fence::take`] noted.
+    /// It is to be applied now, together with what [`Fence::check_and_record`] recorded.
     New,
-    /// It was done before under this epoch; its owner missed the answer.
-    Repeat,
-    /// A later owner has been here, or was announced.
-    Late { seen: Epoch },
-    /// One before it is missing: done out of order, an owner that dies would leave a hole.
-    Gap { expected: u64 },
+    /// It was applied before under this epoch; its holder missed the response.
+    #[serde(rename = "Repeat")]
+    Duplicate,
+    /// A later holder has announced itself or stored an effect.
+    #[serde(rename = "Late")]
+    Stale {
+        /// The epoch of that holder.
+        #[serde(rename = "seen")]
+        latest: Epoch,
+    },
+    /// An earlier effect is missing: applied out of order, a holder that dies would leave a hole.
+    Gap {
+        /// The number that would be accepted.
+        expected: u64,
+    },
 }
 
 impl Verdict {
-    /// Whether its owner may go on: what it asked for stands.
-    pub fn stands(self) -> bool {
-        matches!(self, Verdict::New | Verdict::Repeat)
+    /// Whether the effect is applied, now or before, so that its holder may go on.
+    pub fn is_applied(self) -> bool {
+        matches!(self, Verdict::New | Verdict::Duplicate)
     }
 }
 
+/// The highest epoch and last effect of each task at one store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    seen: BTreeMap<Duty, Seen>,
+    #[serde(rename = "seen")]
+    records: BTreeMap<Task, FenceRecord>,
 }
 
 impl Fence {
-    /// A fence that was kept somewhere; of a duty named twice the higher counts.
-    pub fn restore(kept: impl IntoIterator<Item = (Duty, Seen)>) -> Fence {
+    /// A fence from stored records; of two records of a task the higher counts.
+    pub fn from_records(stored: impl IntoIterator<Item = (Task, FenceRecord)>) -> Fence {
         let mut fence = Fence::default();
-        for (duty, seen) in kept {
-            let known = fence.seen.entry(duty).or_default();
-            if (seen.epoch, seen.number) > (known.epoch, known.number) {
-                *known = seen;
+        for (task, record) in stored {
+            let known = fence.records.entry(task).or_default();
+            if (record.epoch, record.number) > (known.epoch, known.number) {
+                *known = record;
             }
         }
         fence
     }
 
-    pub fn seen(&self, duty: &Duty) -> Seen {
-        self.seen.get(duty).copied().unwrap_or_default()
+    /// The record of a task; all zero if it was never seen.
+    pub fn record(&self, task: &Task) -> FenceRecord {
+        self.records.get(task).copied().unwrap_or_default()
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&Duty, &Seen)> {
-        self.seen.iter()
+    /// All records, in the order of the tasks.
+    pub fn records(&self) -> impl Iterator<Item = (&Task, &FenceRecord)> {
+        self.records.iter()
     }
 
-    /// Judges an effect without noting it; for looks only, since between a look and an effect another may come.
-    pub fn judge(&self, duty: &Duty, epoch: Epoch, number: u64) -> Verdict {
-        let seen = self.seen(duty);
-        if epoch < seen.epoch || epoch == 0 {
-            return Verdict::Late { seen: seen.epoch };
+    /// Checks an effect without recording it; for inspection only, since another effect may come between a check and
+    /// the effect.
+    pub fn check(&self, task: &Task, epoch: Epoch, number: u64) -> Verdict {
+        let record = self.record(task);
+        if epoch < record.epoch || epoch == 0 {
+            return Verdict::Stale { latest: record.epoch };
         }
-        let last = if epoch > seen.epoch { 0 } else { seen.number };
+        let last = if epoch > record.epoch { 0 } else { record.number };
         match number {
             0 => Verdict::Gap { expected: last + 1 },
-            _ if number <= last => Verdict::Repeat,
+            _ if number <= last => Verdict::Duplicate,
             _ if number == last + 1 => Verdict::New,
             _ => Verdict::Gap { expected: last + 1 },
         }
     }
 
-    /// Judges an effect and notes it if it is new. What is noted must become durable with the effect or not at all.
-    pub fn take(&mut self, duty: &Duty, epoch: Epoch, number: u64) -> Verdict {
-        let verdict = self.judge(duty, epoch, number);
+    /// Checks an effect and records it if it is new. The record must become durable together with the effect or not
+    /// at all.
+    pub fn check_and_record(&mut self, task: &Task, epoch: Epoch, number: u64) -> Verdict {
+        let verdict = self.check(task, epoch, number);
         if verdict == Verdict::New {
-            self.seen.insert(duty.clone(), Seen { epoch, number });
+            self.records.insert(task.clone(), FenceRecord { epoch, number });
         }
         verdict
     }
 
-    /// Notes what is durable already.
-    pub fn keep(&mut self, duty: &Duty, seen: Seen) {
-        self.seen.insert(duty.clone(), seen);
+    /// Records what is durable already.
+    pub fn insert(&mut self, task: &Task, record: FenceRecord) {
+        self.records.insert(task.clone(), record);
     }
 
-    /// A fence that knows this one duty, to ask what would become of something.
-    pub fn clone_of(&self, duty: &Duty) -> Fence {
-        Fence::restore([(duty.clone(), self.seen(duty))])
+    /// A fence that knows this one task only, to find out what would become of an effect.
+    pub fn restricted_to(&self, task: &Task) -> Fence {
+        Fence::from_records([(task.clone(), self.record(task))])
     }
 
-    /// A new owner shows its epoch before its first effect, so that nothing of the old one lands from here on. Says
-    /// whether it may begin.
-    pub fn announce(&mut self, duty: &Duty, epoch: Epoch) -> Verdict {
-        let seen = self.seen(duty);
-        if epoch == 0 || epoch < seen.epoch {
-            return Verdict::Late { seen: seen.epoch };
+    /// A new holder announces its epoch before its first effect, so that no effect of a former holder is accepted from
+    /// here on. The verdict says whether it may begin.
+    pub fn announce(&mut self, task: &Task, epoch: Epoch) -> Verdict {
+        let record = self.record(task);
+        if epoch == 0 || epoch < record.epoch {
+            return Verdict::Stale { latest: record.epoch };
         }
-        if epoch == seen.epoch {
-            return Verdict::Repeat;
+        if epoch == record.epoch {
+            return Verdict::Duplicate;
         }
-        self.seen.insert(duty.clone(), Seen { epoch, number: 0 });
+        self.records.insert(task.clone(), FenceRecord { epoch, number: 0 });
         Verdict::New
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn duty() -> Duty {
-        Duty::new("gather", 3)
-    }
-
-    #[test]
-    fn effects_of_an_epoch_land_once_and_in_order() {
-        let mut fence = Fence::default();
-        assert_eq!(fence.take(&duty(), 5, 1), Verdict::New);
-        assert_eq!(fence.take(&duty(), 5, 1), Verdict::Repeat);
-        assert_eq!(fence.take(&duty(), 5, 3), Verdict::Gap { expected: 2 });
-        assert_eq!(fence.take(&duty(), 5, 2), Verdict::New);
-        assert_eq!(fence.take(&duty(), 5, 1), Verdict::Repeat);
-        assert_eq!(fence.seen(&duty()), Seen { epoch: 5, number: 2 });
-    }
-
-    #[test]
-    fn a_late_owner_is_refused_for_good_also_by_a_fence_that_was_kept_and_restored() {
-        let mut fence = Fence::default();
-        fence.take(&duty(), 5, 1);
-        assert_eq!(fence.announce(&duty(), 6), Verdict::New);
-        assert_eq!(fence.take(&duty(), 5, 2), Verdict::Late { seen: 6 });
-        let kept: Vec<_> = fence.all().map(|(duty, seen)| (duty.clone(), *seen)).collect();
-        let mut fence = Fence::restore(kept);
-        assert_eq!(fence.take(&duty(), 5, 2), Verdict::Late { seen: 6 });
-        assert_eq!(fence.take(&duty(), 6, 1), Verdict::New);
-        assert_eq!(fence.take(&Duty::new("gather", 4), 5, 1), Verdict::New, "another part is another matter");
-    }
-
-    #[test]
-    fn a_new_epoch_begins_at_one_and_no_epoch_is_none() {
-        let mut fence = Fence::default();
-        assert_eq!(fence.take(&duty(), 5, 2), Verdict::Gap { expected: 1 });
-        assert_eq!(fence.take(&duty(), 0, 1), Verdict::Late { seen: 0 });
-        fence.take(&duty(), 5, 1);
-        assert_eq!(fence.take(&duty(), 9, 2), Verdict::Gap { expected: 1 });
-        assert_eq!(fence.seen(&duty()).epoch, 5, "a refused effect moves nothing");
-        assert_eq!(fence.take(&duty(), 9, 0), Verdict::Gap { expected: 1 });
-    }
-
-    #[test]
-    fn of_two_kept_records_the_higher_counts() {
-        let (low, high) = (Seen { epoch: 2, number: 9 }, Seen { epoch: 3, number: 0 });
-        for kept in [[low, high], [high, low]] {
-            let fence = Fence::restore(kept.map(|seen| (duty(), seen)));
-            assert_eq!(fence.seen(&duty()), high);
-        }
-    }
-}
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,476 +1,399 @@
-//! What an instance knows of its own grants. Its host sends what [`Holder::ask`] gives, hands in what comes back, and before every
-//! step of a duty asks [`Holder::may`]. Times are s by the instance's own monotonic clock.
+//! What an instance knows of its own leases. Its host sends what [`LeaseHolder::next_request`] gives, passes in the
+//! responses, and asks [`LeaseHolder::begin_step`] before every step of a task. Times are seconds by the instance's own
+//! monotonic clock.
 //!
-//! The term counts from when a line was sent: whatever the network did to it, the keepers count from later. A process that was stopped
-//! finds out at its first look, since every look compares the clock with what the last answered line allows.
+//! The term counts from when a request was sent: whatever the network did to it, the lease store counts from later. A
+//! process that was stopped finds out at its first check, since every check compares the clock with what the last
+//! answered request allows.
 
-use crate::sent::Sent;
-use crate::table::{Granted, Mark, Refused, Said, Told};
-use crate::{Duty, Epoch, Owner};
+mod action;
+#[cfg(test)]
+mod tests;
+
+pub use action::{EndReason, HolderAction, LeaseStage, StepPermit};
+
+use crate::sent_times::SentTimes;
+use crate::table::{Lease, LeaseRequest, LeaseResponse, Progress, Rejection};
+use crate::{Epoch, HolderId, LeaseId, Task};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of the term after which a line is due; four may fail before a grant runs out.
-pub const RENEW: f64 = 0.2;
-/// Share of the term left under which no new step is begun.
-pub const DOUBT: f64 = 0.25;
-/// Lines that may be unanswered and still be counted from; older answers come too late to matter.
-const SENT: usize = 64;
+/// Fraction of the term after which a request is due; four may fail before a lease expires.
+pub const RENEWAL_FRACTION: f64 = 0.2;
+/// Fraction of the term left below which no new step begins.
+pub const EXPIRY_MARGIN_FRACTION: f64 = 0.25;
+/// Requests whose send times are kept until they are answered; older responses come too late to matter.
+const MAX_PENDING_REQUESTS: usize = 64;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// It may begin steps.
-    Holds,
-    /// The term has run low: the step under way may end, no new one begins.
-    Doubts,
-    /// Taken back: as soon as no step is under way it is handed over.
-    Yields,
-    /// Ended; what is still under way here lands at no fence.
-    Down,
+#[derive(Clone, Debug, PartialEq)]
+struct HeldLease {
+    epoch: Epoch,
+    /// Revoked: valid until then at the latest, whatever later responses allow.
+    revoked_until: Option<f64>,
+    /// A step is running.
+    busy: bool,
+    steps_done: u64,
+    has_work: bool,
+    progress_report: ProgressReport,
 }
 
+/// Whether the progress of a lease has to be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// The term ran out unanswered, or this process stood still.
-    TermOver,
-    /// Handed over as asked.
-    HandedOver,
-    /// The keepers no longer list it: it ran out there.
-    Unlisted,
-    /// A later incarnation has spoken.
-    Superseded,
-    /// A fence has seen a later epoch.
-    Fenced,
+enum ProgressReport {
+    /// The lease store has the latest.
+    Acknowledged,
+    /// It goes into the next request.
+    Due,
+    /// It goes into every request until the one of this serial number is answered.
+    Pending { serial: u64 },
 }
 
-/// What the host is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Begin with a duty under this epoch.
-    Begin(Duty, Epoch),
-    /// End the step under way, begin none, then call [`Holder::ended`].
-    Yield(Duty, Epoch),
-    /// Drop it at once.
-    StandDown(Duty, Epoch, Why),
+/// The latest response that was accepted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct Acknowledged {
+    /// The serial number of the request that it answered.
+    serial: u64,
+    /// The version of the list of leases.
+    version: u64,
 }
 
+/// One incarnation of an instance with its leases.
 #[derive(Clone, Debug, PartialEq)]
-struct Held {
-    epoch: Epoch,
-    /// Taken back: believed in until then at the latest, whatever later answers allow.
-    back: Option<f64>,
-    /// A step is under way.
-    busy: bool,
-    done: u64,
-    work: bool,
-    /// Its mark is to be told: in the next line, or again until the line of that serial is answered.
-    news: Option<u64>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
-    me: Owner,
+pub struct LeaseHolder {
+    id: HolderId,
     zone: String,
-    wants: BTreeSet<String>,
-    leaving: bool,
-    sent: Sent,
-    /// Until when the last answered line allows to believe in grants.
-    until: f64,
+    /// Names of the tasks that it can run.
+    tasks: BTreeSet<String>,
+    draining: bool,
+    requests: SentTimes,
+    /// Until when the last answered request allows to rely on leases.
+    valid_until: f64,
     term: f64,
-    /// The answer that was taken last.
-    heard: (u64, u64),
-    held: BTreeMap<Duty, Held>,
-    given: Vec<(Duty, Epoch)>,
-    /// Dropped in the middle of a step: not given back before the step has ended, since an effect may be on its way.
-    lingers: BTreeSet<(Duty, Epoch)>,
-    asked: Option<f64>,
+    acknowledged: Acknowledged,
+    held: BTreeMap<Task, HeldLease>,
+    /// Ended here; reported until the lease store no longer lists them.
+    released: Vec<LeaseId>,
+    /// Dropped in the middle of a step: not released before the step has ended, since an effect may be on its way.
+    lingering: BTreeSet<LeaseId>,
+    last_request: Option<f64>,
     urgent: bool,
-    over: Option<Refused>,
+    rejection: Option<Rejection>,
 }
 
-impl Holder {
-    /// `term` is a guess until an answer tells it; it only paces the first lines.
-    pub fn new(me: Owner, zone: &str, wants: impl IntoIterator<Item = String>, term: f64) -> Holder {
-        Holder {
-            me,
+impl LeaseHolder {
+    /// A holder without a lease that can run the tasks of these names. `term` (s) is a guess until a response gives it;
+    /// it only paces the first requests.
+    pub fn new(id: HolderId, zone: &str, tasks: impl IntoIterator<Item = String>, term: f64) -> LeaseHolder {
+        LeaseHolder {
+            id,
             zone: zone.into(),
-            wants: wants.into_iter().collect(),
-            leaving: false,
-            sent: Sent::after(0, SENT),
-            until: f64::MIN,
+            tasks: tasks.into_iter().collect(),
+            draining: false,
+            requests: SentTimes::new(0, MAX_PENDING_REQUESTS),
+            valid_until: f64::MIN,
             term,
-            heard: (0, 0),
+            acknowledged: Acknowledged::default(),
             held: BTreeMap::new(),
-            given: Vec::new(),
-            lingers: BTreeSet::new(),
-            asked: None,
+            released: Vec::new(),
+            lingering: BTreeSet::new(),
+            last_request: None,
             urgent: true,
-            over: None,
+            rejection: None,
         }
     }
 
-    pub fn me(&self) -> &Owner {
-        &self.me
+    /// The instance and its incarnation.
+    pub fn id(&self) -> &HolderId {
+        &self.id
     }
-    /// Why the keepers will have nothing more of this incarnation, if so.
-    pub fn refused(&self) -> Option<Refused> {
-        self.over
+
+    /// Why the lease store rejects this incarnation, if it does.
+    pub fn rejection(&self) -> Option<Rejection> {
+        self.rejection
     }
-    pub fn leaving(&self) -> bool {
-        self.leaving
+
+    /// Whether it releases all its leases to shut down.
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
-    pub fn holds(&self) -> impl Iterator<Item = (&Duty, Epoch)> {
-        self.held.iter().map(|(duty, held)| (duty, held.epoch))
+
+    /// The leases that it holds, by task. Whether one is still valid is for [`LeaseHolder::stage`] to say.
+    pub fn leases(&self) -> impl Iterator<Item = (&Task, Epoch)> {
+        self.held.iter().map(|(task, lease)| (task, lease.epoch))
     }
 
-    /// The instance drains: everything is handed over.
-    pub fn leave(&mut self) {
-        self.urgent |= !self.leaving;
-        self.leaving = true;
+    /// The instance shuts down: all leases are to be released.
+    pub fn start_draining(&mut self) {
+        self.urgent |= !self.draining;
+        self.draining = true;
     }
 
-    /// The next line is due at once: a keeper that may have heard none is spoken to.
-    pub fn hurry(&mut self) {
+    /// The next request is due at once: a replica that may have received none is connected.
+    pub fn renew_now(&mut self) {
         self.urgent = true;
     }
 
-    /// Whether anything that was given back is not known to be heard.
-    pub fn owes(&self) -> bool {
-        !self.given.is_empty() || !self.lingers.is_empty()
+    /// Whether any lease was released without the lease store having confirmed it.
+    pub fn has_pending_releases(&self) -> bool {
+        !self.released.is_empty() || !self.lingering.is_empty()
     }
 
-    /// When the next line is due; at once after news.
-    pub fn due(&self) -> f64 {
-        match self.asked {
-            Some(asked) if !self.urgent => asked + RENEW * self.term,
+    /// When the next request is due (s); at once after something to report.
+    pub fn next_renewal(&self) -> f64 {
+        match self.last_request {
+            Some(last_request) if !self.urgent => last_request + RENEWAL_FRACTION * self.term,
             _ => f64::MIN,
         }
     }
 
-    /// The line to send now, if one is due. It is to be sent at once: the term counts from `now`. What was given up or done is told again
-    /// until an answer shows that it was heard.
-    pub fn ask(&mut self, now: f64) -> Option<Said> {
-        if now < self.due() || self.over == Some(Refused::Superseded) {
+    /// The request to send now, if one is due. It is to be sent at once, since the term counts from `now`. Releases and
+    /// progress are repeated until a response shows that they arrived.
+    pub fn next_request(&mut self, now: f64) -> Option<LeaseRequest> {
+        if now < self.next_renewal() || self.rejection == Some(Rejection::Superseded) {
             return None;
         }
-        (self.asked, self.urgent) = (Some(now), false);
-        let serial = self.sent.send(now);
-        let mut marks = Vec::new();
-        for (duty, held) in &mut self.held {
-            if let Some(told) = &mut held.news {
-                *told = if *told == 0 { serial } else { *told };
-                marks.push(Mark { duty: duty.clone(), epoch: held.epoch, done: held.done, work: held.work });
-            }
-        }
-        Some(Said {
-            owner: self.me.clone(),
+        self.last_request = Some(now);
+        self.urgent = false;
+        let serial = self.requests.record(now);
+        Some(LeaseRequest {
+            holder: self.id.clone(),
             zone: self.zone.clone(),
             serial,
-            wants: self.wants.clone(),
-            leaving: self.leaving,
-            marks,
-            given: self.given.clone(),
-            knows: self.heard.1,
+            tasks: self.tasks.clone(),
+            draining: self.draining,
+            progress: self.report_progress(serial),
+            released: self.released.clone(),
+            known_version: self.acknowledged.version,
         })
     }
 
-    /// Takes in what a keeper told, however late or often it comes.
-    pub fn told(&mut self, now: f64, told: &Told) -> Vec<Act> {
-        let mut acts = self.look(now);
-        if told.owner != self.me {
-            return acts;
+    /// The progress that goes into the request of this serial number.
+    fn report_progress(&mut self, serial: u64) -> Vec<Progress> {
+        let mut progress = Vec::new();
+        for (task, lease) in &mut self.held {
+            if lease.progress_report == ProgressReport::Acknowledged {
+                continue;
+            }
+            if lease.progress_report == ProgressReport::Due {
+                lease.progress_report = ProgressReport::Pending { serial };
+            }
+            progress.push(Progress {
+                task: task.clone(),
+                epoch: lease.epoch,
+                steps_done: lease.steps_done,
+                has_work: lease.has_work,
+            });
+        }
+        progress
+    }
+
+    /// Takes a response of the lease store, however late or often it arrives, and returns what the host is to do.
+    pub fn handle_response(&mut self, now: f64, response: &LeaseResponse) -> Vec<HolderAction> {
+        let mut actions = self.expire(now);
+        if response.holder != self.id {
+            return actions;
         }
-        if let Some(refused) = told.refused {
-            self.over = Some(refused);
-            if refused == Refused::Superseded {
-                acts.extend(self.all_down(Why::Superseded));
+        if let Some(rejection) = response.rejection {
+            self.rejection = Some(rejection);
+            if rejection == Rejection::Superseded {
+                actions.extend(self.drop_all(EndReason::Superseded));
             }
-            return acts;
+            return actions;
         }
-        // An answer to a line that was never sent, or older than what is known, says nothing.
-        if told.serial > self.sent.last() || (told.serial, told.version) < self.heard {
-            return acts;
+        let received = Acknowledged { serial: response.serial, version: response.version };
+        // A response to a request that was never sent, or older than what is known, says nothing.
+        if response.serial > self.requests.last_number() || received < self.acknowledged {
+            return actions;
         }
-        self.over = None;
-        let sent = self.sent.at(told.serial);
-        let before = self.until;
-        // Without the list only that much is known: nothing changed since the version that was told along.
-        let whole = told.grants.is_some() || told.version == self.heard.1;
-        if !whole {
+        self.rejection = None;
+        // Without the list it is complete only if nothing changed since the version that came along.
+        let complete = response.leases.is_some() || response.version == self.acknowledged.version;
+        if !complete {
             self.urgent = true;
-            return acts;
-        }
-        if let Some(at) = sent.filter(|_| told.term.is_finite() && told.term > 0.0) {
-            self.term = told.term;
-            self.until = self.until.max(at + told.term);
+            return actions;
         }
-        if told.serial > self.heard.0 {
-            // That line was heard with all it said.
-            for held in self.held.values_mut() {
-                held.news = held.news.filter(|line| *line == 0 || *line > told.serial);
-            }
+        let valid_before = self.valid_until;
+        self.extend_validity(response);
+        self.acknowledge_progress(response.serial);
+        self.acknowledged = received;
+        if let Some(leases) = &response.leases {
+            actions.extend(self.apply_list(now, valid_before, leases));
         }
-        self.heard = (told.serial, told.version);
-        if let Some(grants) = &told.grants {
-            acts.extend(self.list(now, before, grants));
+        actions
+    }
+
+    /// The term counts from when the answered request was sent.
+    fn extend_validity(&mut self, response: &LeaseResponse) {
+        let valid_term = response.term.is_finite() && response.term > 0.0;
+        if let Some(sent_at) = self.requests.sent_at(response.serial).filter(|_| valid_term) {
+            self.term = response.term;
+            self.valid_until = self.valid_until.max(sent_at + response.term);
         }
-        acts
     }
 
-    /// Takes the keepers' list: what is missing there has ended, what is new begins.
-    fn list(&mut self, now: f64, before: f64, grants: &[Granted]) -> Vec<Act> {
-        let mut acts = Vec::new();
-        let listed: BTreeMap<&Duty, &Granted> = grants.iter().map(|grant| (&grant.duty, grant)).collect();
-        let gone = |duty: &Duty, held: &Held| listed.get(duty).is_none_or(|grant| grant.epoch != held.epoch);
-        let ended: Vec<Duty> = self.held.iter().filter(|(d, h)| gone(d, h)).map(|(d, _)| d.clone()).collect();
-        for duty in ended {
-            acts.extend(self.down(&duty, Why::Unlisted));
+    /// The request of this serial number arrived with all the progress in it.
+    fn acknowledge_progress(&mut self, answered: u64) {
+        if answered <= self.acknowledged.serial {
+            return;
         }
-        self.given.retain(|(duty, epoch)| listed.get(duty).is_some_and(|grant| grant.epoch == *epoch));
-        for (duty, grant) in listed {
-            if self.lingers.contains(&(duty.clone(), grant.epoch)) {
-                continue;
-            }
-            let given = self.given.iter().any(|(old, epoch)| old == duty && *epoch == grant.epoch);
-            match self.held.get_mut(duty) {
-                Some(held) if grant.back && held.back.is_none() => {
-                    held.back = Some(before);
-                    acts.push(Act::Yield(duty.clone(), grant.epoch));
-                }
-                Some(_) => {}
-                None if given || grant.back || now >= self.until => {
-                    // Known to be over, or never begun: given back as soon as a line goes out.
-                    if !given {
-                        self.given.push((duty.clone(), grant.epoch));
-                        self.urgent = true;
-                    }
-                }
-                None => {
-                    let held = Held {
-                        epoch: grant.epoch,
-                        back: None,
-                        busy: false,
-                        done: 0,
-                        work: false,
-                        news: None,
-                    };
-                    self.held.insert(duty.clone(), held);
-                    acts.push(Act::Begin(duty.clone(), grant.epoch));
-                }
+        for lease in self.held.values_mut() {
+            if matches!(lease.progress_report, ProgressReport::Pending { serial } if serial <= answered) {
+                lease.progress_report = ProgressReport::Acknowledged;
             }
         }
-        acts
-    }
-
-    /// Looks at the clock: what has run out is dropped.
-    pub fn look(&mut self, now: f64) -> Vec<Act> {
-        let over = |held: &Held| now >= self.end_of(held);
-        let ended: Vec<Duty> =
-            self.held.iter().filter(|(_, h)| over(h)).map(|(duty, _)| duty.clone()).collect();
-        ended.iter().filter_map(|duty| self.down(duty, Why::TermOver)).collect()
-    }
-
-    /// Until when a grant may be believed in.
-    fn end_of(&self, held: &Held) -> f64 {
-        held.back.map_or(self.until, |back| back.min(self.until))
     }
 
-    pub fn stage(&self, now: f64, duty: &Duty) -> Stage {
-        let Some(held) = self.held.get(duty) else { return Stage::Down };
-        match self.end_of(held) - now {
-            left if left <= 0.0 => Stage::Down,
-            _ if held.back.is_some() || self.leaving => Stage::Yields,
-            left if left < DOUBT * self.term => Stage::Doubts,
-            _ => Stage::Holds,
+    /// Takes the lease store's list: what is missing there has ended, what is new starts. Revoked leases are valid until
+    /// `valid_before`, the end of validity before this response.
+    fn apply_list(&mut self, now: f64, valid_before: f64, leases: &[Lease]) -> Vec<HolderAction> {
+        let mut actions = Vec::new();
+        let listed: BTreeMap<&Task, &Lease> = leases.iter().map(|lease| (&lease.task, lease)).collect();
+        let is_listed =
+            |task: &Task, epoch: Epoch| listed.get(task).is_some_and(|lease| lease.epoch == epoch);
+        let missing = self.held.iter().filter(|(task, held)| !is_listed(task, held.epoch));
+        let missing: Vec<Task> = missing.map(|(task, _)| task.clone()).collect();
+        for task in missing {
+            actions.extend(self.drop_lease(&task, EndReason::NotListed));
+        }
+        self.released.retain(|lease| is_listed(&lease.task, lease.epoch));
+        for lease in listed.into_values() {
+            actions.extend(self.apply_lease(now, valid_before, lease));
         }
+        actions
     }
 
-    /// Begins a step, if one may begin now: its epoch, and until when it may be believed in. Steps are bounded: one that would last longer
-    /// than what is left must not begin.
-    pub fn may(&mut self, now: f64, duty: &Duty) -> Option<(Epoch, f64)> {
-        if self.stage(now, duty) != Stage::Holds {
+    fn apply_lease(&mut self, now: f64, valid_before: f64, lease: &Lease) -> Option<HolderAction> {
+        let id = LeaseId::new(lease.task.clone(), lease.epoch);
+        if self.lingering.contains(&id) {
             return None;
         }
-        let held = self.held.get_mut(duty).filter(|held| !held.busy)?;
-        held.busy = true;
-        Some((held.epoch, self.until))
+        if let Some(held) = self.held.get_mut(&lease.task) {
+            if !lease.revoked || held.revoked_until.is_some() {
+                return None;
+            }
+            held.revoked_until = Some(valid_before);
+            return Some(HolderAction::Release(id.task, id.epoch));
+        }
+        let released = self.released.contains(&id);
+        if released || lease.revoked || now >= self.valid_until {
+            // Known to be over, or never started: released with the next request.
+            if !released {
+                self.released.push(id);
+                self.urgent = true;
+            }
+            return None;
+        }
+        self.held.insert(id.task.clone(), HeldLease::new(id.epoch));
+        Some(HolderAction::Start(id.task, id.epoch))
+    }
+
+    /// Drops the leases that have expired at `now`.
+    pub fn expire(&mut self, now: f64) -> Vec<HolderAction> {
+        let expired = self.held.iter().filter(|(_, lease)| now >= self.end_of(lease));
+        let expired: Vec<Task> = expired.map(|(task, _)| task.clone()).collect();
+        expired.iter().filter_map(|task| self.drop_lease(task, EndReason::TermExpired)).collect()
+    }
+
+    /// Until when a lease may be relied on.
+    fn end_of(&self, lease: &HeldLease) -> f64 {
+        lease.revoked_until.map_or(self.valid_until, |revoked_until| revoked_until.min(self.valid_until))
+    }
+
+    /// How far a lease may be relied on at `now`.
+    pub fn stage(&self, now: f64, task: &Task) -> LeaseStage {
+        let Some(lease) = self.held.get(task) else { return LeaseStage::Ended };
+        let left = self.end_of(lease) - now;
+        if left <= 0.0 {
+            LeaseStage::Ended
+        } else if lease.revoked_until.is_some() || self.draining {
+            LeaseStage::Releasing
+        } else if left < EXPIRY_MARGIN_FRACTION * self.term {
+            LeaseStage::Expiring
+        } else {
+            LeaseStage::Active
+        }
     }
 
-    /// A step is over; `progress` says whether it got anything done, `work` whether there is more. Acts on what waited for its end.
-    pub fn stepped(&mut self, now: f64, duty: &Duty, epoch: Epoch, progress: bool, work: bool) -> Vec<Act> {
-        let acts = self.look(now);
-        if let Some(held) = self.held.get_mut(duty).filter(|held| held.epoch == epoch) {
-            held.busy = false;
-            held.done += u64::from(progress);
-            if progress || work != held.work {
-                held.news = Some(0);
-            }
-            held.work = work;
-        } else if self.lingers.remove(&(duty.clone(), epoch)) {
-            self.given.push((duty.clone(), epoch));
+    /// Begins a step, if one may begin now. A step that would last longer than the lease is valid must not begin.
+    pub fn begin_step(&mut self, now: f64, task: &Task) -> Option<StepPermit> {
+        if self.stage(now, task) != LeaseStage::Active {
+            return None;
+        }
+        let lease = self.held.get_mut(task).filter(|lease| !lease.busy)?;
+        lease.busy = true;
+        Some(StepPermit { epoch: lease.epoch, valid_until: self.valid_until })
+    }
+
+    /// A step is over; `progress` says whether it got anything done, `has_work` whether there is more. Returns what
+    /// became due meanwhile.
+    pub fn finish_step(
+        &mut self,
+        now: f64,
+        task: &Task,
+        epoch: Epoch,
+        progress: bool,
+        has_work: bool,
+    ) -> Vec<HolderAction> {
+        let actions = self.expire(now);
+        let id = LeaseId::new(task.clone(), epoch);
+        if let Some(lease) = self.held.get_mut(task).filter(|lease| lease.epoch == epoch) {
+            lease.finish_step(progress, has_work);
+        } else if self.lingering.remove(&id) {
+            self.released.push(id);
             self.urgent = true;
         }
-        acts
+        actions
     }
 
-    /// The host has ended a duty as asked: no effect of it is on its way. It is handed over with the next line, which is due at once.
-    pub fn ended(&mut self, duty: &Duty, epoch: Epoch) -> Option<Act> {
-        self.held.get(duty).filter(|held| held.epoch == epoch && !held.busy)?;
-        self.down(duty, Why::HandedOver)
+    /// The host has stopped a task as asked: no effect of it is on its way. The lease is released with the next request,
+    /// which is due at once.
+    pub fn release(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
+        self.held.get(task).filter(|lease| lease.epoch == epoch && !lease.busy)?;
+        self.drop_lease(task, EndReason::Released)
     }
 
-    /// A fence refused this epoch: another has the duty, whatever is believed here.
-    pub fn fenced(&mut self, duty: &Duty, epoch: Epoch) -> Option<Act> {
-        self.held.get(duty).filter(|held| held.epoch == epoch)?;
-        self.down(duty, Why::Fenced)
+    /// A fence rejected this epoch: another instance holds the task, whatever is known here.
+    pub fn handle_fenced(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
+        self.held.get(task).filter(|lease| lease.epoch == epoch)?;
+        self.drop_lease(task, EndReason::Fenced)
     }
 
-    fn down(&mut self, duty: &Duty, why: Why) -> Option<Act> {
-        let held = self.held.remove(duty)?;
-        let grant = (duty.clone(), held.epoch);
-        if held.busy {
-            self.lingers.insert(grant);
-        } else if why != Why::Unlisted {
-            // Should the keepers still list it when they are heard again, it is not picked up anew under the old epoch.
-            self.given.push(grant);
+    fn drop_lease(&mut self, task: &Task, reason: EndReason) -> Option<HolderAction> {
+        let lease = self.held.remove(task)?;
+        let id = LeaseId::new(task.clone(), lease.epoch);
+        if lease.busy {
+            self.lingering.insert(id);
+        } else if reason != EndReason::NotListed {
+            // Should the lease store still list it later, it is not started again under the old epoch.
+            self.released.push(id);
             self.urgent = true;
         }
-        Some(Act::StandDown(duty.clone(), held.epoch, why))
+        Some(HolderAction::Stop(task.clone(), lease.epoch, reason))
     }
 
-    fn all_down(&mut self, why: Why) -> Vec<Act> {
-        let all: Vec<Duty> = self.held.keys().cloned().collect();
-        all.iter().filter_map(|duty| self.down(duty, why)).collect()
+    fn drop_all(&mut self, reason: EndReason) -> Vec<HolderAction> {
+        let tasks: Vec<Task> = self.held.keys().cloned().collect();
+        tasks.iter().filter_map(|task| self.drop_lease(task, reason)).collect()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const TERM: f64 = 2.0;
-
-    fn duty(part: u32) -> Duty {
-        Duty::new("gather", part)
-    }
-
-    fn holder() -> Holder {
-        Holder::new(Owner::new("n1", 7), "east", ["gather".to_string()], TERM)
-    }
-
-    fn told(serial: u64, version: u64, grants: &[(u32, Epoch, bool)]) -> Told {
-        let grant = |(part, epoch, back): &(u32, Epoch, bool)| Granted {
-            duty: duty(*part),
-            epoch: *epoch,
-            back: *back,
-        };
-        Told {
-            owner: Owner::new("n1", 7),
-            serial,
-            term: TERM,
-            version,
-            grants: Some(grants.iter().map(grant).collect()),
-            refused: None,
+impl HeldLease {
+    fn new(epoch: Epoch) -> HeldLease {
+        HeldLease {
+            epoch,
+            revoked_until: None,
+            busy: false,
+            steps_done: 0,
+            has_work: false,
+            progress_report: ProgressReport::Acknowledged,
         }
     }
 
-    /// One that holds part 0 under epoch 5 by a line that was sent at 100.
-    fn owner() -> Holder {
-        let mut holder = holder();
-        assert_eq!(holder.ask(100.0).unwrap().serial, 1);
-        assert_eq!(holder.told(100.4, &told(1, 3, &[(0, 5, false)])), [Act::Begin(duty(0), 5)]);
-        holder
-    }
-
-    #[test]
-    fn the_term_counts_from_when_the_line_was_sent() {
-        let mut holder = owner();
-        assert_eq!(holder.may(100.5, &duty(0)), Some((5, 102.0)));
-        assert_eq!(holder.stage(101.6, &duty(0)), Stage::Doubts);
-        assert_eq!(holder.stage(102.0, &duty(0)), Stage::Down);
-        // It was stopped in the middle of a step, and finds out at its first look.
-        assert_eq!(holder.look(500.0), [Act::StandDown(duty(0), 5, Why::TermOver)]);
-        assert_eq!(holder.may(500.0, &duty(0)), None);
-    }
-
-    #[test]
-    fn what_was_under_way_when_a_grant_ended_is_handed_back_only_once_it_has_ended() {
-        let mut holder = owner();
-        holder.may(100.5, &duty(0)).unwrap();
-        holder.look(103.0);
-        assert!(holder.ask(103.0).unwrap().given.is_empty(), "an effect is on its way");
-        // The keepers still list it: it is not begun anew under the old epoch.
-        assert!(holder.told(103.1, &told(2, 4, &[(0, 5, false)])).is_empty());
-        holder.stepped(103.2, &duty(0), 5, true, true);
-        assert_eq!(holder.ask(103.2).unwrap().given, [(duty(0), 5)]);
-    }
-
-    #[test]
-    fn a_grant_taken_back_ends_with_the_term_before_the_news_whatever_is_renewed() {
-        let mut holder = owner();
-        holder.may(100.5, &duty(0)).unwrap();
-        holder.ask(101.0).unwrap();
-        let acts = holder.told(101.1, &told(2, 4, &[(0, 5, true), (1, 6, false)]));
-        assert_eq!(acts, [Act::Yield(duty(0), 5), Act::Begin(duty(1), 6)]);
-        assert_eq!(holder.may(101.2, &duty(0)), None, "no new step");
-        assert_eq!(
-            (holder.stage(101.9, &duty(0)), holder.stage(102.0, &duty(0))),
-            (Stage::Yields, Stage::Down)
-        );
-        assert_eq!(holder.stage(102.0, &duty(1)), Stage::Holds);
-        assert_eq!(holder.ended(&duty(0), 5), None, "its step is still under way");
-        holder.stepped(101.5, &duty(0), 5, true, false);
-        assert_eq!(holder.ended(&duty(0), 5), Some(Act::StandDown(duty(0), 5, Why::HandedOver)));
-        assert_eq!(holder.ask(101.5).unwrap().given, [(duty(0), 5)], "at once");
-    }
-
-    #[test]
-    fn old_answers_foreign_ones_and_those_to_lines_never_sent_change_nothing() {
-        let mut holder = owner();
-        holder.ask(101.0).unwrap();
-        holder.told(101.1, &told(2, 6, &[(0, 5, false)]));
-        let foreign = Told { owner: Owner::new("n1", 6), ..told(2, 9, &[]) };
-        for answer in [told(1, 5, &[]), told(2, 5, &[]), told(9, 9, &[]), foreign] {
-            assert!(holder.told(101.2, &answer).is_empty(), "{answer:?}");
+    fn finish_step(&mut self, progress: bool, has_work: bool) {
+        self.busy = false;
+        self.steps_done += u64::from(progress);
+        if progress || has_work != self.has_work {
+            self.progress_report = ProgressReport::Due;
         }
-        assert_eq!(holder.stage(102.6, &duty(0)), Stage::Doubts, "by the line that was sent at 101");
-    }
-
-    #[test]
-    fn an_answer_without_the_list_renews_only_what_is_known() {
-        let mut holder = owner();
-        assert_eq!(holder.ask(101.0).unwrap().knows, 3);
-        let short = |version| Told { grants: None, ..told(2, version, &[]) };
-        assert!(holder.told(101.1, &short(8)).is_empty());
-        assert_eq!(
-            holder.stage(102.0, &duty(0)),
-            Stage::Down,
-            "what changed is not known, so nothing is renewed"
-        );
-        assert!(holder.told(101.1, &short(3)).is_empty());
-        assert_eq!(holder.stage(102.0, &duty(0)), Stage::Holds);
-    }
-
-    #[test]
-    fn marks_are_told_until_they_were_heard() {
-        let mut holder = owner();
-        holder.may(100.5, &duty(0)).unwrap();
-        holder.stepped(100.6, &duty(0), 5, true, true);
-        let mark = Mark { duty: duty(0), epoch: 5, done: 1, work: true };
-        assert_eq!(holder.ask(101.0).unwrap().marks, std::slice::from_ref(&mark));
-        assert_eq!(holder.ask(101.5).unwrap().marks, [mark], "the first line may be lost");
-        holder.told(101.6, &told(2, 3, &[(0, 5, false)]));
-        assert!(holder.ask(102.0).unwrap().marks.is_empty());
-    }
-
-    #[test]
-    fn a_fence_that_knows_better_ends_it_and_a_later_life_ends_all() {
-        let mut holder = owner();
-        holder.may(100.5, &duty(0)).unwrap();
-        assert_eq!(holder.fenced(&duty(0), 4), None, "that was another grant");
-        assert_eq!(holder.fenced(&duty(0), 5), Some(Act::StandDown(duty(0), 5, Why::Fenced)));
-        let mut holder = owner();
-        let refused = Told { refused: Some(Refused::Superseded), grants: None, ..told(2, 0, &[]) };
-        assert_eq!(holder.told(100.6, &refused), [Act::StandDown(duty(0), 5, Why::Superseded)]);
-        assert_eq!(holder.ask(109.0), None);
+        self.has_work = has_work;
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,66 +1,25 @@
-//! One owner at a time for work on behalf of the fleet (`docs/owners.md`).
+//! Leases on the fleet's background tasks: at most one holder at a time, with fencing (`docs/leases.md`).
 //!
-//! A [`table`] of grants is what the keepers replicate; a [`holder`] is what an instance knows of its own; a
-//! [`fence`] stands where an effect lands. None of them does I/O or reads a clock: times come in as seconds, each of them
-//! by whoever's clock it is said to be.
+//! A [`table`] of leases is the state that the replicas of the lease store agree on; a [`holder`] is what an
+//! instance knows of its own leases; a [`fence`] stands where an effect is stored and rejects effects of former
+//! holders. Nothing here does I/O or reads a clock: times are passed in as seconds, each by the clock that the
+//! function names.
+#![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod assign;
-pub mod desk;
+pub mod assignment;
+pub mod coordination;
+pub mod drain;
 pub mod fence;
 pub mod holder;
-pub mod pace;
+mod identity;
+pub mod protocol;
 pub mod quota;
-pub mod route;
-pub mod sent;
-pub mod shuffle;
+pub mod random;
+pub mod replica_selector;
+pub mod sent_times;
 pub mod table;
-pub mod turns;
-pub mod words;
+pub mod table_clock;
 
-pub use shuffle::Shuffle;
-
-use serde::{Deserialize, Serialize};
-use std::fmt;
-
-/// One life of one instance. A restart under the same name is another owner and inherits nothing.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Owner {
-    pub instance: String,
-    /// Rises with every start of the instance.
-    pub incarnation: u64,
-}
-
-/// A part of a duty; duties that can't be parted have part 0 alone.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Duty {
-    pub name: String,
-    pub part: u32,
-}
-
-/// The number of a grant: a later grant of a duty has a higher one, and none is given twice.
-pub type Epoch = u64;
-
-impl Duty {
-    pub fn new(name: &str, part: u32) -> Duty {
-        Duty { name: name.into(), part }
-    }
-}
-
-impl Owner {
-    pub fn new(instance: &str, incarnation: u64) -> Owner {
-        Owner { instance: instance.into(), incarnation }
-    }
-}
-
-impl fmt::Display for Duty {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{}/{}", self.name, self.part)
-    }
-}
-
-impl fmt::Display for Owner {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{}#{}", self.instance, self.incarnation)
-    }
-}
+pub use identity::{Epoch, HolderId, LeaseId, Task};
+pub use random::SeededRandom;
--- /dev/null
+++ b/crates/leases/src/random.rs
@@ -0,0 +1,37 @@
+//! Reproducible random numbers: the same sequence for the same seed, from the hash that also ranks parts, so that
+//! modules without I/O need no source of entropy.
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// Bits of precision of a double; more would be rounded.
+const MANTISSA_BITS: u32 = 53;
+
+/// A seeded sequence of random numbers. Not for secrets.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SeededRandom {
+    seed: u64,
+    drawn: u64,
+}
+
+impl SeededRandom {
+    /// The sequence of this seed, from its start.
+    pub fn new(seed: u64) -> SeededRandom {
+        SeededRandom { seed, drawn: 0 }
+    }
+
+    /// The next number, uniform over all values.
+    pub fn next_u64(&mut self) -> u64 {
+        self.drawn += 1;
+        xxh3_64_with_seed(&self.drawn.to_le_bytes(), self.seed)
+    }
+
+    /// The next number, uniform in [0, 1).
+    pub fn next_unit(&mut self) -> f64 {
+        (self.next_u64() >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
+    }
+
+    /// The next index below `count`, uniform; 0 if `count` is 0.
+    pub fn next_index(&mut self, count: usize) -> usize {
+        ((self.next_unit() * count as f64) as usize).min(count.saturating_sub(1))
+    }
+}
--- /dev/null
+++ b/crates/leases/src/table/views.rs
@@ -0,0 +1,133 @@
+//! What operators and the lease store's replicas read from the table.
+
+use super::state::{ActiveLease, PartState, Session};
+use super::{Lease, LeaseRules, LeaseTable, TaskDeclaration};
+use crate::{Epoch, HolderId, Task};
+use serde::{Deserialize, Serialize};
+
+/// A part as operators see it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct LeaseRow {
+    /// The part.
+    #[serde(rename = "duty")]
+    pub task: Task,
+    /// Its holder, if it is leased.
+    #[serde(rename = "owner")]
+    pub holder: Option<HolderId>,
+    /// The fencing token; 0 if it is vacant.
+    pub epoch: Epoch,
+    /// When the lease began, s by the table's time; 0 if it is vacant.
+    pub since: f64,
+    /// The lease is to be released.
+    #[serde(rename = "back")]
+    pub revoked: bool,
+    /// The task is paused.
+    pub paused: bool,
+}
+
+/// An instance as operators see it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct InstanceRow {
+    /// The instance and its incarnation.
+    #[serde(rename = "owner")]
+    pub holder: HolderId,
+    /// The instance's zone.
+    pub zone: String,
+    /// How many leases it holds.
+    #[serde(rename = "has")]
+    pub parts: usize,
+    /// It releases all its leases to shut down.
+    #[serde(rename = "leaving")]
+    pub draining: bool,
+    /// Time until its session expires, s.
+    #[serde(rename = "left")]
+    pub session_remaining: f64,
+    /// Time for which it is assigned nothing since it flapped, s.
+    #[serde(rename = "rests")]
+    pub penalty_remaining: f64,
+}
+
+impl LeaseTable {
+    /// The table's time, s.
+    pub fn now(&self) -> f64 {
+        self.now
+    }
+
+    /// The rules in force.
+    pub fn rules(&self) -> &LeaseRules {
+        &self.rules
+    }
+
+    /// The latest epoch that was issued.
+    pub fn last_epoch(&self) -> Epoch {
+        self.last_epoch
+    }
+
+    /// The declared tasks, by name.
+    pub fn declarations(&self) -> Vec<TaskDeclaration> {
+        self.tasks.values().map(|task| task.declaration.clone()).collect()
+    }
+
+    /// How many sessions there are.
+    pub fn session_count(&self) -> usize {
+        self.sessions.len()
+    }
+
+    /// Who holds a part now, by the table: the holder may know better that its lease is over.
+    pub fn holder(&self, task: &Task) -> Option<(&HolderId, Epoch)> {
+        self.lease(task).map(|lease| (&lease.holder, lease.epoch))
+    }
+
+    /// All parts with their leases.
+    pub fn lease_rows(&self) -> Vec<LeaseRow> {
+        let mut rows = Vec::new();
+        for (name, task) in &self.tasks {
+            for (number, part) in task.parts.iter().enumerate() {
+                rows.push(lease_row(Task::new(name, number as u32), part, task.paused));
+            }
+        }
+        rows
+    }
+
+    /// All instances with a session.
+    pub fn instance_rows(&self) -> Vec<InstanceRow> {
+        self.sessions.iter().map(|(holder, session)| self.instance_row(holder, session)).collect()
+    }
+
+    fn instance_row(&self, holder: &HolderId, session: &Session) -> InstanceRow {
+        let excluded_until = self.instances.get(&holder.instance).map(|history| history.excluded_until);
+        InstanceRow {
+            holder: holder.clone(),
+            zone: session.zone.clone(),
+            parts: session.leases.len(),
+            draining: session.draining,
+            session_remaining: (session.expires_at - self.now).max(0.0),
+            penalty_remaining: excluded_until.map_or(0.0, |until| (until - self.now).max(0.0)),
+        }
+    }
+
+    /// A session's leases, as its holder is to learn of them.
+    pub(super) fn leases_of(&self, session: &Session) -> Vec<Lease> {
+        let lease = |task: &Task| {
+            let lease = self.lease(task)?;
+            Some(Lease { task: task.clone(), epoch: lease.epoch, revoked: lease.is_revoked() })
+        };
+        session.leases.iter().filter_map(lease).collect()
+    }
+
+    pub(super) fn lease(&self, task: &Task) -> Option<&ActiveLease> {
+        self.tasks.get(&task.name)?.parts.get(task.part as usize)?.lease.as_ref()
+    }
+}
+
+fn lease_row(task: Task, part: &PartState, paused: bool) -> LeaseRow {
+    let lease = part.lease.as_ref();
+    LeaseRow {
+        task,
+        holder: lease.map(|lease| lease.holder.clone()),
+        epoch: lease.map_or(0, |lease| lease.epoch),
+        since: lease.map_or(0.0, |lease| lease.since),
+        revoked: lease.is_some_and(ActiveLease::is_revoked),
+        paused,
+    }
+}
--- a/crates/leases/tests/schedules.rs
+++ b/crates/leases/tests/schedules.rs
@@ -5,10 +5,12 @@
 //! A bug planted in the host has to be caught by the same schedules, or they prove nothing.
 
 use puffinladder_leases::fence::{Fence, Verdict};
-use puffinladder_leases::holder::{Act, Holder, Stage};
-use puffinladder_leases::pace::Pace;
-use puffinladder_leases::table::{Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
+use puffinladder_leases::table::{
+    Command, LeaseRequest, LeaseResponse, LeaseRules, LeaseTable, LogEntry, TaskDeclaration,
+};
+use puffinladder_leases::table_clock::TableClock;
+use puffinladder_leases::{Epoch, HolderId, Task};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -40,7 +42,7 @@
 /// An effect on its way to the fence.
 #[derive(Clone, Debug)]
 struct Effect {
-    duty: Duty,
+    duty: Task,
     epoch: Epoch,
     number: u64,
     row: u64,
@@ -62,7 +64,7 @@
 
 struct Host {
     name: String,
-    holder: Holder,
+    holder: LeaseHolder,
     /// Counts lives; the incarnation unless a bug keeps the old one.
     life: u64,
     offset: f64,
@@ -72,7 +74,7 @@
     mute: f64,
     deaf: f64,
     fenceless: f64,
-    works: BTreeMap<Duty, Work>,
+    works: BTreeMap<Task, Work>,
 }
 
 impl Host {
@@ -82,8 +84,8 @@
 }
 
 enum Mail {
-    Line(Said),
-    Told(usize, u64, Told),
+    Line(LeaseRequest),
+    Response(usize, u64, LeaseResponse),
     Effect(Effect),
     /// To the owner: what became of its effect, and how many rows stand.
     Answer(usize, u64, Effect, Verdict, u64),
@@ -96,21 +98,21 @@
     bug: Bug,
     t: f64,
     hosts: Vec<Host>,
-    table: Table,
-    pace: Pace,
+    table: LeaseTable,
+    pace: TableClock,
     /// The leader's clock, and until when it stands still; lines that wait for it.
     keeper: (f64, f64),
     stands: f64,
-    unread: VecDeque<Said>,
+    unread: VecDeque<LeaseRequest>,
     next_time: f64,
     mail: Vec<(f64, u64, Mail)>,
     posted: u64,
     fence: Fence,
     fence_down: f64,
     /// Rows as they landed: the duty's list, and whose life an epoch was at the fence.
-    rows: BTreeMap<Duty, Vec<u64>>,
-    lives: BTreeMap<(Duty, Epoch), (usize, u64)>,
-    highest: BTreeMap<Duty, Epoch>,
+    rows: BTreeMap<Task, Vec<u64>>,
+    lives: BTreeMap<(Task, Epoch), (usize, u64)>,
+    highest: BTreeMap<Task, Epoch>,
     late: u64,
     owners: u64,
 }
@@ -122,17 +124,17 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(2..6);
         let duties = [("gather", 4), ("quota", 1), ("turns", 1)];
-        let rules = Rules { stall: 20.0, ..Rules::default() };
-        let declared = |(name, parts): (&str, u32)| Declared { name: name.into(), parts, zone: None };
-        let command = Command::Declare { rules, duties: duties.map(declared).into() };
-        let mut table = Table::default();
-        assert_eq!(table.apply(&Entry { at: 0.0, command }).fault, None);
+        let rules = LeaseRules { stall_timeout: 20.0, ..LeaseRules::default() };
+        let declared = |(name, parts): (&str, u32)| TaskDeclaration { name: name.into(), parts, zone: None };
+        let command = Command::Declare { rules, tasks: duties.map(declared).into() };
+        let mut table = LeaseTable::default();
+        assert_eq!(table.apply(&LogEntry { at: 0.0, command }).error, None);
         let mut world = World {
             bug,
             t: 0.0,
             hosts: Vec::new(),
             table,
-            pace: Pace::lead(0.0, 0.0),
+            pace: TableClock::start(0.0, 0.0),
             keeper: (0.0, 1.0),
             stands: 0.0,
             unread: VecDeque::new(),
@@ -201,11 +203,11 @@
                 return Err(format!("{duty}: rows {rows:?}"));
             }
         }
-        for row in self.table.rows() {
-            let late = self.rows.get(&row.duty).map_or(0, Vec::len);
-            if row.owner.is_none() || late == 0 {
-                let (owner, seats) = (row.owner, self.table.seats());
-                return Err(format!("{} has {owner:?} and {late} rows after calm: {seats:?}", row.duty));
+        for row in self.table.lease_rows() {
+            let late = self.rows.get(&row.task).map_or(0, Vec::len);
+            if row.holder.is_none() || late == 0 {
+                let (owner, seats) = (row.holder, self.table.instance_rows());
+                return Err(format!("{} has {owner:?} and {late} rows after calm: {seats:?}", row.task));
             }
         }
         Ok(())
@@ -232,13 +234,14 @@
                 self.keeper = (self.rng.random_range(0.0..1e4), rate);
                 self.stands = t + self.rng.random_range(0.0..1.5);
                 self.unread.clear();
-                self.pace = Pace::lead(self.table.now(), self.keeper_clock());
+                self.pace = TableClock::start(self.table.now(), self.keeper_clock());
             }
             7 => self.stands = t + span,
             _ => {
                 self.fence_down = t + span / 4.0;
-                let kept: Vec<_> = self.fence.all().map(|(duty, seen)| (duty.clone(), *seen)).collect();
-                self.fence = if self.bug == Bug::Memory { Fence::default() } else { Fence::restore(kept) };
+                let kept: Vec<_> = self.fence.records().map(|(duty, seen)| (duty.clone(), *seen)).collect();
+                self.fence =
+                    if self.bug == Bug::Memory { Fence::default() } else { Fence::from_records(kept) };
             }
         }
     }
@@ -247,12 +250,12 @@
         let host = &mut self.hosts[at];
         host.life += 1;
         host.works.clear();
-        if self.bug != Bug::SameLife || host.holder.leaving() {
+        if self.bug != Bug::SameLife || host.holder.is_draining() {
             host.holder = holder(&host.name, host.life);
         } else {
             // It finds its grants again in what it wrote down, but no longer knows what it did under them.
-            let known: Vec<(Duty, Epoch)> =
-                host.holder.holds().map(|(duty, epoch)| (duty.clone(), epoch)).collect();
+            let known: Vec<(Task, Epoch)> =
+                host.holder.leases().map(|(duty, epoch)| (duty.clone(), epoch)).collect();
             for (duty, epoch) in known {
                 host.works.insert(duty, Work::new(epoch, epoch));
             }
@@ -271,27 +274,27 @@
         }
         let now = self.keeper_clock();
         let waits = !self.unread.is_empty();
-        let time = self.pace.look(now, waits) && self.t >= self.next_time;
-        let lines: Vec<Said> = self.unread.drain(..).collect();
+        let time = self.pace.may_advance(now, waits) && self.t >= self.next_time;
+        let lines: Vec<LeaseRequest> = self.unread.drain(..).collect();
         let mut commands = Vec::new();
         if !lines.is_empty() {
-            commands.push(Command::Say(lines));
+            commands.push(Command::Renew(lines));
         }
         if time {
             self.next_time = self.t + 0.1;
-            commands.push(Command::Time);
+            commands.push(Command::AdvanceTime);
         }
         for command in commands {
-            let entry = Entry { at: self.pace.stamp(now), command };
+            let entry = LogEntry { at: self.pace.stamp(now), command };
             let outcome = self.table.apply(&entry);
             self.owners += outcome.changes.len() as u64;
-            for told in outcome.told {
-                let Some(at) = self.hosts.iter().position(|host| host.name == told.owner.instance) else {
+            for told in outcome.responses {
+                let Some(at) = self.hosts.iter().position(|host| host.name == told.holder.instance) else {
                     continue;
                 };
-                let (delay, life) = (self.delay(), told.owner.incarnation);
+                let (delay, life) = (self.delay(), told.holder.incarnation);
                 if self.t >= self.hosts[at].deaf {
-                    self.post(delay, Mail::Told(at, life, told));
+                    self.post(delay, Mail::Response(at, life, told));
                 }
             }
         }
@@ -304,10 +307,10 @@
         for (when, number, mail) in due {
             match mail {
                 Mail::Line(said) => self.unread.push_back(said),
-                Mail::Told(at, life, mut told) => {
+                Mail::Response(at, life, mut told) => {
                     let host = &mut self.hosts[at];
                     if t < host.paused {
-                        self.mail.push((host.paused, number, Mail::Told(at, life, told)));
+                        self.mail.push((host.paused, number, Mail::Response(at, life, told)));
                         continue;
                     }
                     let now = host.clock(t);
@@ -315,7 +318,7 @@
                         // Half a term and more, as an answer may be late.
                         told.term += (when - t).abs() + 1.5;
                     }
-                    let acts = host.holder.told(now, &told);
+                    let acts = host.holder.handle_response(now, &told);
                     self.act(at, acts);
                 }
                 Mail::Effect(effect) => self.arrive(effect)?,
@@ -340,16 +343,16 @@
         let verdict = if effect.number == 0 {
             self.fence.announce(&effect.duty, effect.epoch)
         } else if self.bug == Bug::TwoSteps {
-            let verdict = self.fence.judge(&effect.duty, effect.epoch, effect.number);
+            let verdict = self.fence.check(&effect.duty, effect.epoch, effect.number);
             if verdict == Verdict::New {
                 self.post(1.0, Mail::Land(effect));
                 return Ok(());
             }
             verdict
         } else {
-            self.fence.take(&effect.duty, effect.epoch, effect.number)
+            self.fence.check_and_record(&effect.duty, effect.epoch, effect.number)
         };
-        if let Verdict::Late { .. } = verdict {
+        if let Verdict::Stale { .. } = verdict {
             self.late += 1;
         }
         if verdict == Verdict::New && effect.number > 0 {
@@ -361,7 +364,7 @@
 
     fn land(&mut self, effect: Effect) -> Found {
         if self.bug == Bug::TwoSteps {
-            self.fence.take(&effect.duty, effect.epoch, effect.number);
+            self.fence.check_and_record(&effect.duty, effect.epoch, effect.number);
         }
         let life = *self.lives.entry((effect.duty.clone(), effect.epoch)).or_insert(effect.from);
         if life != effect.from {
@@ -394,7 +397,7 @@
         let host = &mut self.hosts[at];
         let Some(work) = host.works.get_mut(&effect.duty).filter(|work| work.shown == effect.epoch) else {
             // Its duty is over here; the step is too.
-            let _ = host.holder.stepped(now, &effect.duty, effect.epoch, false, true);
+            let _ = host.holder.finish_step(now, &effect.duty, effect.epoch, false, true);
             return;
         };
         if work.waits.is_none() || effect.number != work.number + u64::from(work.rows.is_some()) {
@@ -403,26 +406,26 @@
         work.waits = None;
         let grant = work.grant;
         match verdict {
-            Verdict::New | Verdict::Repeat if effect.number == 0 => work.rows = Some(rows),
-            Verdict::New | Verdict::Repeat => {
+            Verdict::New | Verdict::Duplicate if effect.number == 0 => work.rows = Some(rows),
+            Verdict::New | Verdict::Duplicate => {
                 (work.number, work.rows) = (effect.number, Some(effect.row));
             }
-            Verdict::Late { .. } | Verdict::Gap { .. } => {
+            Verdict::Stale { .. } | Verdict::Gap { .. } => {
                 host.works.remove(&effect.duty);
-                let mut acts = host.holder.stepped(now, &effect.duty, grant, false, true);
-                acts.extend(host.holder.fenced(&effect.duty, grant));
+                let mut acts = host.holder.finish_step(now, &effect.duty, grant, false, true);
+                acts.extend(host.holder.handle_fenced(&effect.duty, grant));
                 return self.act(at, acts);
             }
         }
-        let acts = host.holder.stepped(now, &effect.duty, grant, true, true);
+        let acts = host.holder.finish_step(now, &effect.duty, grant, true, true);
         self.act(at, acts);
     }
 
-    fn act(&mut self, at: usize, acts: Vec<Act>) {
+    fn act(&mut self, at: usize, acts: Vec<HolderAction>) {
         for act in acts {
             let host = &mut self.hosts[at];
             match act {
-                Act::Begin(duty, epoch) => {
+                HolderAction::Start(duty, epoch) => {
                     let shown = if self.bug == Bug::ClockEpoch {
                         (1e7 + host.offset * 1e3 + self.t * 1e3) as u64
                     } else {
@@ -430,12 +433,12 @@
                     };
                     host.works.insert(duty, Work::new(shown, epoch));
                 }
-                Act::Yield(duty, _) => {
+                HolderAction::Release(duty, _) => {
                     if let Some(work) = host.works.get_mut(&duty) {
                         work.yields = true;
                     }
                 }
-                Act::StandDown(duty, epoch, _) => {
+                HolderAction::Stop(duty, epoch, _) => {
                     let goes_on = self.bug == Bug::GoesOn;
                     if host.works.get(&duty).is_some_and(|work| work.grant == epoch && !goes_on) {
                         host.works.remove(&duty);
@@ -452,43 +455,44 @@
             return Ok(());
         }
         let now = self.hosts[at].clock(t);
-        let acts = self.hosts[at].holder.look(now);
+        let acts = self.hosts[at].holder.expire(now);
         self.act(at, acts);
         // Drains come now and then, and end in a new life.
         if t < CALM && self.rng.random_bool(STEP / 40.0) {
-            self.hosts[at].holder.leave();
+            self.hosts[at].holder.start_draining();
         }
-        let empty = self.hosts[at].holder.holds().next().is_none();
-        if self.hosts[at].holder.leaving() && (empty && self.rng.random_bool(0.05) || t > CALM) {
+        let empty = self.hosts[at].holder.leases().next().is_none();
+        if self.hosts[at].holder.is_draining() && (empty && self.rng.random_bool(0.05) || t > CALM) {
             self.restart(at);
             return Ok(());
         }
-        if let Some(said) = self.hosts[at].holder.ask(now) {
+        if let Some(said) = self.hosts[at].holder.next_request(now) {
             let delay = self.delay();
             if t >= self.hosts[at].mute {
                 self.post(delay, Mail::Line(said));
             }
         }
-        let duties: Vec<Duty> = self.hosts[at].works.keys().cloned().collect();
+        let duties: Vec<Task> = self.hosts[at].works.keys().cloned().collect();
         for duty in duties {
             let host = &mut self.hosts[at];
             let (stage, life) = (host.holder.stage(now, &duty), host.life);
             let work = host.works.get_mut(&duty).expect("a duty just listed");
             if work.yields && work.waits.is_none() {
                 let epoch = work.grant;
-                let acts = host.holder.ended(&duty, epoch);
+                let acts = host.holder.release(&duty, epoch);
                 self.act(at, acts.into_iter().collect());
                 continue;
             }
             let again = work.waits.is_some_and(|since| t - since > 0.5);
-            if again && stage == Stage::Down && self.bug != Bug::GoesOn {
+            if again && stage == LeaseStage::Ended && self.bug != Bug::GoesOn {
                 continue;
             }
-            let goes_on = self.bug == Bug::GoesOn && stage == Stage::Down;
-            if !again && (work.waits.is_some() || !(goes_on || host.holder.may(now, &duty).is_some())) {
+            let goes_on = self.bug == Bug::GoesOn && stage == LeaseStage::Ended;
+            if !again && (work.waits.is_some() || !(goes_on || host.holder.begin_step(now, &duty).is_some()))
+            {
                 continue;
             }
-            if !again && stage == Stage::Down {
+            if !again && stage == LeaseStage::Ended {
                 return Err(format!("{t:.2}: {life} of {at} begins a step of {duty} without a grant"));
             }
             work.waits = Some(t);
@@ -506,22 +510,22 @@
 
     /// Nobody believes in what another believes in, and whoever believes is whom the table names.
     fn believers(&self) -> Found {
-        let mut seen: BTreeMap<&Duty, usize> = BTreeMap::new();
+        let mut seen: BTreeMap<&Task, usize> = BTreeMap::new();
         for (at, host) in self.hosts.iter().enumerate() {
             let now = host.clock(self.t);
-            for (duty, epoch) in host.holder.holds() {
-                if host.holder.stage(now, duty) == Stage::Down {
+            for (duty, epoch) in host.holder.leases() {
+                if host.holder.stage(now, duty) == LeaseStage::Ended {
                     continue;
                 }
                 if let Some(other) = seen.insert(duty, at) {
                     return Err(format!("{:.2}: {duty} is believed in by {other} and {at}", self.t));
                 }
-                let named = self.table.owner(duty).map(|(owner, epoch)| (owner.clone(), epoch));
-                if named != Some((host.holder.me().clone(), epoch)) {
+                let named = self.table.holder(duty).map(|(owner, epoch)| (owner.clone(), epoch));
+                if named != Some((host.holder.id().clone(), epoch)) {
                     return Err(format!(
                         "{:.2}: {duty} is {named:?}, believed in by {}",
                         self.t,
-                        host.holder.me()
+                        host.holder.id()
                     ));
                 }
             }
@@ -536,9 +540,9 @@
     }
 }
 
-fn holder(name: &str, life: u64) -> Holder {
+fn holder(name: &str, life: u64) -> LeaseHolder {
     let wants = ["gather", "quota", "turns"].map(String::from);
-    Holder::new(Owner::new(name, life), "east", wants, 2.0)
+    LeaseHolder::new(HolderId::new(name, life), "east", wants, 2.0)
 }
 
 #[test]
--- a/crates/leases/tests/small.rs
+++ b/crates/leases/tests/small.rs
@@ -2,9 +2,11 @@
 //! a few seconds of whole ones. Messages may lie on their way for good.
 
 use puffinladder_leases::fence::{Fence, Verdict};
-use puffinladder_leases::holder::{Act, Holder, Stage};
-use puffinladder_leases::table::{Command, Declared, Entry, Rules, Said, Table, Told};
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
+use puffinladder_leases::table::{
+    Command, LeaseRequest, LeaseResponse, LeaseRules, LeaseTable, LogEntry, TaskDeclaration,
+};
+use puffinladder_leases::{Epoch, HolderId, Task};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -24,8 +26,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Mail {
-    Line(Said),
-    Told(usize, Told),
+    Line(LeaseRequest),
+    Response(usize, LeaseResponse),
     Effect { who: usize, life: u64, epoch: Epoch, number: u64 },
 }
 
@@ -47,8 +49,8 @@
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     t: u8,
-    table: Table,
-    owners: [(Holder, u64, u64); 2],
+    table: LeaseTable,
+    owners: [(LeaseHolder, u64, u64); 2],
     mail: Vec<Mail>,
     fence: Fence,
     landed: Vec<(Epoch, u64, usize, u64)>,
@@ -68,12 +70,12 @@
 
 struct Small(Bug);
 
-fn duty() -> Duty {
-    Duty::new("gather", 0)
+fn duty() -> Task {
+    Task::new("gather", 0)
 }
 
-fn holder(at: usize, life: u64) -> Holder {
-    Holder::new(Owner::new(["a", "b"][at], life), "", ["gather".to_string()], 1.0)
+fn holder(at: usize, life: u64) -> LeaseHolder {
+    LeaseHolder::new(HolderId::new(["a", "b"][at], life), "", ["gather".to_string()], 1.0)
 }
 
 impl State {
@@ -90,17 +92,17 @@
     }
 
     fn apply(&mut self, command: Command) {
-        let out = self.table.apply(&Entry { at: self.now(), command });
-        for told in out.told {
-            let at = usize::from(told.owner.instance == "b");
-            if told.owner.incarnation == self.owners[at].1 {
-                self.post(Mail::Told(at, told));
+        let out = self.table.apply(&LogEntry { at: self.now(), command });
+        for told in out.responses {
+            let at = usize::from(told.holder.instance == "b");
+            if told.holder.incarnation == self.owners[at].1 {
+                self.post(Mail::Response(at, told));
             }
         }
     }
 
     fn believes(&self, at: usize) -> bool {
-        self.owners[at].0.stage(self.now(), &duty()) != Stage::Down
+        self.owners[at].0.stage(self.now(), &duty()) != LeaseStage::Ended
     }
 }
 
@@ -109,10 +111,17 @@
     type Action = Deed;
 
     fn init_states(&self) -> Vec<State> {
-        let rules = Rules { term: 1.0, drift: 0.0, stall: 100.0, flaps: 100, panic: 0.0, ..Rules::default() };
-        let duties = vec![Declared { name: "gather".into(), parts: 1, zone: None }];
-        let mut table = Table::default();
-        table.apply(&Entry { at: 0.0, command: Command::Declare { rules, duties } });
+        let rules = LeaseRules {
+            term: 1.0,
+            drift: 0.0,
+            stall_timeout: 100.0,
+            max_flaps: 100,
+            panic_window: 0.0,
+            ..LeaseRules::default()
+        };
+        let duties = vec![TaskDeclaration { name: "gather".into(), parts: 1, zone: None }];
+        let mut table = LeaseTable::default();
+        table.apply(&LogEntry { at: 0.0, command: Command::Declare { rules, tasks: duties } });
         let mut state = State {
             t: 0,
             table,
@@ -126,11 +135,11 @@
         };
         // Both are known, and the first of them owns.
         for at in 0..2 {
-            let said = state.owners[at].0.ask(0.0).expect("a first line");
-            state.apply(Command::Say(vec![said]));
+            let said = state.owners[at].0.next_request(0.0).expect("a first line");
+            state.apply(Command::Renew(vec![said]));
             for mail in std::mem::take(&mut state.mail) {
-                if let Mail::Told(at, told) = mail {
-                    state.owners[at].0.told(0.0, &told);
+                if let Mail::Response(at, told) = mail {
+                    state.owners[at].0.handle_response(0.0, &told);
                 }
             }
         }
@@ -160,14 +169,14 @@
         let now = state.now();
         match deed {
             Deed::Pass => state.t += 1,
-            Deed::Time => state.apply(Command::Time),
+            Deed::Time => state.apply(Command::AdvanceTime),
             Deed::Look(at) => {
                 if state.mail.len() >= MAIL {
                     return None;
                 }
                 let (holder, _, lines) = &mut state.owners[at];
-                holder.look(now);
-                let said = if *lines < LINES { holder.ask(now) } else { None };
+                holder.expire(now);
+                let said = if *lines < LINES { holder.next_request(now) } else { None };
                 *lines += u64::from(said.is_some());
                 if let Some(said) = said {
                     state.post(Mail::Line(said));
@@ -178,7 +187,7 @@
                     return None;
                 }
                 let (holder, life, _) = &mut state.owners[at];
-                let (epoch, _) = holder.may(now, &duty())?;
+                let epoch = holder.begin_step(now, &duty())?.epoch;
                 // One effect under each epoch is enough to be late with.
                 let (who, life, number) = (at, *life, 1);
                 let sent = state.landed.iter().any(|(of, ..)| *of == epoch);
@@ -188,26 +197,26 @@
                 state.post(Mail::Effect { who, life, epoch, number });
             }
             Deed::Deliver(place) => match state.mail.remove(place) {
-                Mail::Line(said) => state.apply(Command::Say(vec![said])),
-                Mail::Told(at, mut told) => {
+                Mail::Line(said) => state.apply(Command::Renew(vec![said])),
+                Mail::Response(at, mut told) => {
                     if self.0 == Bug::Receipt {
                         told.term += 1.0;
                     }
-                    let acts = state.owners[at].0.told(now, &told);
+                    let acts = state.owners[at].0.handle_response(now, &told);
                     for act in acts {
-                        if let Act::Yield(duty, epoch) = act {
-                            state.owners[at].0.ended(&duty, epoch);
+                        if let HolderAction::Release(duty, epoch) = act {
+                            state.owners[at].0.release(&duty, epoch);
                         }
                     }
                 }
                 Mail::Effect { who, life, epoch, number } => {
-                    match state.fence.take(&duty(), epoch, number) {
+                    match state.fence.check_and_record(&duty(), epoch, number) {
                         Verdict::New => state.landed.push((epoch, number, who, life)),
-                        Verdict::Late { .. } => state.late = true,
+                        Verdict::Stale { .. } => state.late = true,
                         _ => {}
                     }
                     if life == state.owners[who].1 {
-                        state.owners[who].0.stepped(now, &duty(), epoch, true, false);
+                        state.owners[who].0.finish_step(now, &duty(), epoch, true, false);
                     }
                 }
             },
@@ -218,8 +227,9 @@
             }
             Deed::RestartFence => {
                 state.fences += 1;
-                let kept: Vec<_> = state.fence.all().map(|(duty, seen)| (duty.clone(), *seen)).collect();
-                state.fence = if self.0 == Bug::Memory { Fence::default() } else { Fence::restore(kept) };
+                let kept: Vec<_> = state.fence.records().map(|(duty, seen)| (duty.clone(), *seen)).collect();
+                state.fence =
+                    if self.0 == Bug::Memory { Fence::default() } else { Fence::from_records(kept) };
             }
         }
         Some(state)
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -1,8 +1,10 @@
 //! What goes into the log and the snapshots of the lease store, byte by byte: postcard is positional, and files outlive the code.
 
-use puffinladder_leases::fence::{Fence, Seen, Verdict};
-use puffinladder_leases::table::{Command, Declared, Entry, Mark, Outcome, Rules, Said, Table};
-use puffinladder_leases::{Duty, Owner};
+use puffinladder_leases::fence::{Fence, FenceRecord, Verdict};
+use puffinladder_leases::table::{
+    Command, LeaseRequest, LeaseRules, LeaseTable, LogEntry, Outcome, Progress, TaskDeclaration,
+};
+use puffinladder_leases::{HolderId, LeaseId, Task};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -17,67 +19,73 @@
     assert_eq!(&postcard::from_bytes::<T>(&bytes).unwrap(), value);
 }
 
-fn duty(part: u32) -> Duty {
-    Duty::new("gather", part)
+fn duty(part: u32) -> Task {
+    Task::new("gather", part)
 }
 
-fn said(name: &str, serial: u64) -> Said {
+fn said(name: &str, serial: u64) -> LeaseRequest {
     let wants = ["gather".to_string(), "turns".to_string()].into();
-    Said { owner: Owner::new(name, 7), zone: "east".into(), serial, wants, ..Said::default() }
+    LeaseRequest {
+        holder: HolderId::new(name, 7),
+        zone: "east".into(),
+        serial,
+        tasks: wants,
+        ..LeaseRequest::default()
+    }
 }
 
-fn apply(table: &mut Table, at: f64, command: Command) -> Outcome {
-    table.apply(&Entry { at, command })
+fn apply(table: &mut LeaseTable, at: f64, command: Command) -> Outcome {
+    table.apply(&LogEntry { at, command })
 }
 
 /// The entries that led to the stored table.
-fn stored_table() -> Table {
-    let mut table = Table::default();
-    let rules = Rules { stall: 4.0, flaps: 1, panic: 0.0, ..Rules::default() };
+fn stored_table() -> LeaseTable {
+    let mut table = LeaseTable::default();
+    let rules = LeaseRules { stall_timeout: 4.0, max_flaps: 1, panic_window: 0.0, ..LeaseRules::default() };
     let duties = vec![
-        Declared { name: "gather".into(), parts: 3, zone: Some("east".into()) },
-        Declared { name: "turns".into(), parts: 1, zone: None },
+        TaskDeclaration { name: "gather".into(), parts: 3, zone: Some("east".into()) },
+        TaskDeclaration { name: "turns".into(), parts: 1, zone: None },
     ];
-    let out = apply(&mut table, 0.0, Command::Declare { rules, duties });
-    assert_eq!(out.fault, None);
-    apply(&mut table, 1.0, Command::Say(vec![said("a", 1), said("b", 1), said("c", 1)]));
-    let held = table.rows().into_iter().find(|row| row.duty.name == "gather").unwrap();
-    let name = held.owner.unwrap().instance;
-    let mark = Mark { duty: held.duty, epoch: held.epoch, done: 3, work: true };
+    let out = apply(&mut table, 0.0, Command::Declare { rules, tasks: duties });
+    assert_eq!(out.error, None);
+    apply(&mut table, 1.0, Command::Renew(vec![said("a", 1), said("b", 1), said("c", 1)]));
+    let held = table.lease_rows().into_iter().find(|row| row.task.name == "gather").unwrap();
+    let name = held.holder.unwrap().instance;
+    let mark = Progress { task: held.task, epoch: held.epoch, steps_done: 3, has_work: true };
     for step in 1..=6u32 {
         let at = 1.0 + f64::from(step);
         let serial = 1 + u64::from(step);
         let mut lines = vec![said("a", serial), said("b", serial)];
         for line in &mut lines {
-            if line.owner.instance == name {
-                line.marks = vec![mark.clone()];
+            if line.holder.instance == name {
+                line.progress = vec![mark.clone()];
             }
         }
-        apply(&mut table, at, Command::Say(lines));
-        apply(&mut table, at + 0.25, Command::Time);
+        apply(&mut table, at, Command::Renew(lines));
+        apply(&mut table, at + 0.25, Command::AdvanceTime);
     }
-    apply(&mut table, 7.5, Command::Move { duty: duty(2), to: "b".into() });
-    apply(&mut table, 7.75, Command::Pause { duty: "turns".into(), paused: true });
+    apply(&mut table, 7.5, Command::Move { task: duty(2), to: "b".into() });
+    apply(&mut table, 7.75, Command::Pause { task: "turns".into(), paused: true });
     table
 }
 
 #[test]
 fn entries_of_the_log() {
-    let rules = Rules::default();
-    let duties = vec![Declared { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
+    let rules = LeaseRules::default();
+    let duties = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
     let mut line = said("a", 4);
-    line.leaving = true;
-    line.marks = vec![Mark { duty: duty(1), epoch: 5, done: 6, work: true }];
-    line.given = vec![(duty(2), 8)];
-    line.knows = 9;
+    line.draining = true;
+    line.progress = vec![Progress { task: duty(1), epoch: 5, steps_done: 6, has_work: true }];
+    line.released = vec![LeaseId::new(duty(2), 8)];
+    line.known_version = 9;
     for (command, literal) in [
-        (Command::Time, "000000000000f83f00"),
-        (Command::Declare { rules, duties }, "000000000000f83f0100000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440000000000000004040010667617468657204010465617374"),
-        (Command::Say(vec![line]), "000000000000f83f02010161070465617374040206676174686572057475726e73010106676174686572010506010106676174686572020809"),
-        (Command::Pause { duty: "gather".into(), paused: true }, "000000000000f83f030667617468657201"),
-        (Command::Move { duty: duty(1), to: "b".into() }, "000000000000f83f0406676174686572010162"),
+        (Command::AdvanceTime, "000000000000f83f00"),
+        (Command::Declare { rules, tasks: duties }, "000000000000f83f0100000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440000000000000004040010667617468657204010465617374"),
+        (Command::Renew(vec![line]), "000000000000f83f02010161070465617374040206676174686572057475726e73010106676174686572010506010106676174686572020809"),
+        (Command::Pause { task: "gather".into(), paused: true }, "000000000000f83f030667617468657201"),
+        (Command::Move { task: duty(1), to: "b".into() }, "000000000000f83f0406676174686572010162"),
     ] {
-        assert_stored(&Entry { at: 1.5, command }, literal);
+        assert_stored(&LogEntry { at: 1.5, command }, literal);
     }
 }
 
@@ -85,15 +93,15 @@
 fn the_table_of_a_snapshot() {
     let table = stored_table();
     assert_eq!(postcard::to_allocvec(&table).unwrap(), TABLE);
-    assert_eq!(postcard::from_bytes::<Table>(TABLE).unwrap(), table);
+    assert_eq!(postcard::from_bytes::<LeaseTable>(TABLE).unwrap(), table);
 }
 
 #[test]
 fn the_records_of_a_fence() {
     let mut fence = Fence::default();
-    assert_eq!(fence.take(&duty(1), 5, 1), Verdict::New);
-    assert_eq!(fence.take(&duty(1), 5, 2), Verdict::New);
+    assert_eq!(fence.check_and_record(&duty(1), 5, 1), Verdict::New);
+    assert_eq!(fence.check_and_record(&duty(1), 5, 2), Verdict::New);
     assert_eq!(fence.announce(&duty(2), 300), Verdict::New);
     assert_stored(&fence, "02066761746865720105020667617468657202ac0200");
-    assert_stored(&Seen { epoch: 300, number: 6 }, "ac0206");
+    assert_stored(&FenceRecord { epoch: 300, number: 6 }, "ac0206");
 }
