--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -1,15 +1,15 @@
 //! The JSON that instances, operators, servers and replicas exchange, as literals: names in the code may change, these may not.
 
-use puffinladder_leases::desk::{self, Reply, Report};
-use puffinladder_leases::fence::{Seen, Verdict};
-use puffinladder_leases::quota;
+use puffinladder_leases::coordination::{CoordinatorReply, ServerReport, TenantAllocation, TenantDemand};
+use puffinladder_leases::drain::{DrainReport, DrainRules, DrainSlot, DrainState};
+use puffinladder_leases::fence::{FenceRecord, Verdict};
+use puffinladder_leases::protocol::{Event, ReplicaReply, ReplicaRequest, ReplicaStatus};
+use puffinladder_leases::quota::{AllocationId, DemandReport, QuotaAllocation};
 use puffinladder_leases::table::{
-    Cause, Change, Command, Declared, Entry, Granted, Mark, Refused, Row, Rules, Said, Seat, Table, Told,
-    What,
+    Cause, Change, ChangeKind, Command, InstanceRow, Lease, LeaseRequest, LeaseResponse, LeaseRow,
+    LeaseRules, LeaseTable, LogEntry, Progress, Rejection, TaskDeclaration,
 };
-use puffinladder_leases::turns::{self, State, Turn};
-use puffinladder_leases::words::{Answer, Ask, Event, Status};
-use puffinladder_leases::{Duty, Owner};
+use puffinladder_leases::{HolderId, LeaseId, Task};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -21,47 +21,47 @@
     assert_eq!(&serde_json::from_str::<T>(literal).unwrap(), value);
 }
 
-fn owner() -> Owner {
-    Owner::new("n1", 7)
+fn owner() -> HolderId {
+    HolderId::new("n1", 7)
 }
 
-fn duty() -> Duty {
-    Duty::new("gather", 3)
+fn duty() -> Task {
+    Task::new("gather", 3)
 }
 
-fn said() -> Said {
-    Said {
-        owner: owner(),
+fn said() -> LeaseRequest {
+    LeaseRequest {
+        holder: owner(),
         zone: "east".into(),
         serial: 4,
-        wants: ["gather".to_string(), "quota".to_string()].into(),
-        leaving: true,
-        marks: vec![Mark { duty: duty(), epoch: 5, done: 6, work: true }],
-        given: vec![(duty(), 8)],
-        knows: 9,
+        tasks: ["gather".to_string(), "quota".to_string()].into(),
+        draining: true,
+        progress: vec![Progress { task: duty(), epoch: 5, steps_done: 6, has_work: true }],
+        released: vec![LeaseId::new(duty(), 8)],
+        known_version: 9,
     }
 }
 
-fn told() -> Told {
-    Told {
-        owner: owner(),
+fn told() -> LeaseResponse {
+    LeaseResponse {
+        holder: owner(),
         serial: 4,
         term: 2.0,
         version: 11,
-        grants: Some(vec![Granted { duty: duty(), epoch: 5, back: true }]),
-        refused: None,
+        leases: Some(vec![Lease { task: duty(), epoch: 5, revoked: true }]),
+        rejection: None,
     }
 }
 
-fn change(what: What, cause: Cause) -> Change {
-    Change { at: 1.5, duty: duty(), owner: owner(), epoch: 5, what, cause }
+fn change(what: ChangeKind, cause: Cause) -> Change {
+    Change { at: 1.5, task: duty(), holder: owner(), epoch: 5, kind: what, cause }
 }
 
-fn status() -> Status {
-    Status {
+fn status() -> ReplicaStatus {
+    ReplicaStatus {
         number: 1,
         leader: Some(2),
-        leads: false,
+        is_leader: false,
         term: 3,
         applied: 4,
         log_entries: 5,
@@ -70,8 +70,8 @@
         retired: vec![4],
         last_epoch: 6,
         instances: 7,
-        slow: true,
-        up: 8.5,
+        slow_disk: true,
+        uptime: 8.5,
         counts: BTreeMap::from([("lines".to_string(), 9)]),
     }
 }
@@ -89,13 +89,13 @@
         r#"{"owner":{"instance":"n1","incarnation":7},"serial":4,"term":2.0,"version":11,"grants":[{"duty":{"name":"gather","part":3},"epoch":5,"back":true}],"refused":null}"#,
     );
     assert_json(
-        &Told { grants: None, ..Told::default() },
+        &LeaseResponse { leases: None, ..LeaseResponse::default() },
         r#"{"owner":{"instance":"","incarnation":0},"serial":0,"term":0.0,"version":0,"grants":null,"refused":null}"#,
     );
     for (refused, literal) in [
-        (Refused::Superseded, r#""Superseded""#),
-        (Refused::Full, r#""Full""#),
-        (Refused::Unfit, r#""Unfit""#),
+        (Rejection::Superseded, r#""Superseded""#),
+        (Rejection::CapacityExceeded, r#""Full""#),
+        (Rejection::Invalid, r#""Unfit""#),
     ] {
         assert_json(&Some(refused), literal);
     }
@@ -104,61 +104,62 @@
 #[test]
 fn what_is_left_out_has_a_default() {
     let short = r#"{"owner":{"instance":"n1","incarnation":7},"serial":1}"#;
-    let expected = Said { owner: owner(), serial: 1, ..Said::default() };
-    assert_eq!(serde_json::from_str::<Said>(short).unwrap(), expected);
+    let expected = LeaseRequest { holder: owner(), serial: 1, ..LeaseRequest::default() };
+    assert_eq!(serde_json::from_str::<LeaseRequest>(short).unwrap(), expected);
     let short = r#"{"owner":{"instance":"n1","incarnation":7},"serial":1,"term":2.0,"version":3}"#;
-    let expected = Told { owner: owner(), serial: 1, term: 2.0, version: 3, grants: None, refused: None };
-    assert_eq!(serde_json::from_str::<Told>(short).unwrap(), expected);
+    let expected =
+        LeaseResponse { holder: owner(), serial: 1, term: 2.0, version: 3, leases: None, rejection: None };
+    assert_eq!(serde_json::from_str::<LeaseResponse>(short).unwrap(), expected);
     let short = r#"{"server":"n1","incarnation":7,"number":1,"state":"Serves"}"#;
-    let expected = Report { server: "n1".into(), incarnation: 7, number: 1, ..Report::default() };
-    assert_eq!(serde_json::from_str::<Report>(short).unwrap(), expected);
+    let expected = ServerReport { server: "n1".into(), incarnation: 7, number: 1, ..ServerReport::default() };
+    assert_eq!(serde_json::from_str::<ServerReport>(short).unwrap(), expected);
     let short = r#"{"server":"n1","incarnation":7}"#;
-    let expected = Reply { server: "n1".into(), incarnation: 7, ..Reply::default() };
-    assert_eq!(serde_json::from_str::<Reply>(short).unwrap(), expected);
+    let expected = CoordinatorReply { server: "n1".into(), incarnation: 7, ..CoordinatorReply::default() };
+    assert_eq!(serde_json::from_str::<CoordinatorReply>(short).unwrap(), expected);
 }
 
 #[test]
 fn commands_and_entries() {
-    let duties = vec![Declared { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
+    let duties = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
     for (command, literal) in [
-        (Command::Time, r#""Time""#),
+        (Command::AdvanceTime, r#""Time""#),
         (
-            Command::Declare { rules: Rules::default(), duties },
+            Command::Declare { rules: LeaseRules::default(), tasks: duties },
             r#"{"Declare":{"rules":{"term":2.0,"drift":0.02,"stall":10.0,"barred":60.0,"flaps":3,"flap_span":60.0,"flap_rest":30.0,"panic":5.0,"calm":2.0,"moves":64},"duties":[{"name":"gather","parts":4,"zone":"east"}]}}"#,
         ),
         (
-            Command::Say(vec![Said::default()]),
+            Command::Renew(vec![LeaseRequest::default()]),
             r#"{"Say":[{"owner":{"instance":"","incarnation":0},"zone":"","serial":0,"wants":[],"leaving":false,"marks":[],"given":[],"knows":0}]}"#,
         ),
         (
-            Command::Pause { duty: "gather".into(), paused: true },
+            Command::Pause { task: "gather".into(), paused: true },
             r#"{"Pause":{"duty":"gather","paused":true}}"#,
         ),
         (
-            Command::Move { duty: duty(), to: "n2".into() },
+            Command::Move { task: duty(), to: "n2".into() },
             r#"{"Move":{"duty":{"name":"gather","part":3},"to":"n2"}}"#,
         ),
     ] {
         assert_json(&command, literal);
     }
-    assert_json(&Entry { at: 1.5, command: Command::Time }, r#"{"at":1.5,"command":"Time"}"#);
+    assert_json(&LogEntry { at: 1.5, command: Command::AdvanceTime }, r#"{"at":1.5,"command":"Time"}"#);
 }
 
 #[test]
 fn changes_with_their_causes() {
     for (what, cause, literal) in [
         (
-            What::Given,
+            ChangeKind::Granted,
             Cause::Vacant,
             r#"{"at":1.5,"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"what":"Given","cause":"Vacant"}"#,
         ),
         (
-            What::TakenBack,
+            ChangeKind::Revoked,
             Cause::Draining,
             r#"{"at":1.5,"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"what":"TakenBack","cause":"Draining"}"#,
         ),
         (
-            What::Ended,
+            ChangeKind::Ended,
             Cause::Expired,
             r#"{"at":1.5,"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"what":"Ended","cause":"Expired"}"#,
         ),
@@ -168,14 +169,14 @@
     for (cause, literal, text) in [
         (Cause::Vacant, r#""Vacant""#, "it was vacant"),
         (Cause::Expired, r#""Expired""#, "its owner was not heard for a term"),
-        (Cause::HandedOver, r#""HandedOver""#, "handed over"),
-        (Cause::NotHandedOver, r#""NotHandedOver""#, "not handed over in time"),
+        (Cause::Released, r#""HandedOver""#, "handed over"),
+        (Cause::ReleaseTimeout, r#""NotHandedOver""#, "not handed over in time"),
         (Cause::Draining, r#""Draining""#, "its owner drains"),
         (Cause::Stalled, r#""Stalled""#, "its owner got nothing done"),
-        (Cause::Levelled, r#""Levelled""#, "its owner has more than others"),
+        (Cause::Rebalanced, r#""Levelled""#, "its owner has more than others"),
         (Cause::Moved, r#""Moved""#, "an operator moved it"),
         (Cause::Paused, r#""Paused""#, "an operator paused it"),
-        (Cause::Dropped, r#""Dropped""#, "no longer declared"),
+        (Cause::Undeclared, r#""Dropped""#, "no longer declared"),
     ] {
         assert_json(&cause, literal);
         assert_eq!(cause.to_string(), text);
@@ -186,18 +187,18 @@
 fn requests_to_a_replica() {
     for (ask, literal) in [
         (
-            Ask::Say(Said::default()),
+            ReplicaRequest::Renew(LeaseRequest::default()),
             r#"{"say":{"owner":{"instance":"","incarnation":0},"zone":"","serial":0,"wants":[],"leaving":false,"marks":[],"given":[],"knows":0}}"#,
         ),
-        (Ask::Peer("AAEC".into()), r#"{"peer":"AAEC"}"#),
-        (Ask::Status, r#""status""#),
-        (Ask::Duties, r#""duties""#),
-        (Ask::Command(Command::Time), r#"{"command":"Time"}"#),
+        (ReplicaRequest::PeerMessage("AAEC".into()), r#"{"peer":"AAEC"}"#),
+        (ReplicaRequest::Status, r#""status""#),
+        (ReplicaRequest::Tasks, r#""duties""#),
+        (ReplicaRequest::Command(Command::AdvanceTime), r#"{"command":"Time"}"#),
         (
-            Ask::Add { number: 4, address: "127.0.0.4:1".into() },
+            ReplicaRequest::AddReplica { number: 4, address: "127.0.0.4:1".into() },
             r#"{"add":{"number":4,"address":"127.0.0.4:1"}}"#,
         ),
-        (Ask::Remove { number: 4 }, r#"{"remove":{"number":4}}"#),
+        (ReplicaRequest::RemoveReplica { number: 4 }, r#"{"remove":{"number":4}}"#),
     ] {
         assert_json(&ask, literal);
     }
@@ -205,31 +206,42 @@
 
 #[test]
 fn replies_of_a_replica() {
-    let row = Row { duty: duty(), owner: Some(owner()), epoch: 5, since: 1.5, back: true, paused: false };
-    let seat = Seat { owner: owner(), zone: "east".into(), has: 2, leaving: true, left: 0.5, rests: 1.5 };
+    let row =
+        LeaseRow { task: duty(), holder: Some(owner()), epoch: 5, since: 1.5, revoked: true, paused: false };
+    let seat = InstanceRow {
+        holder: owner(),
+        zone: "east".into(),
+        parts: 2,
+        draining: true,
+        session_remaining: 0.5,
+        penalty_remaining: 1.5,
+    };
     for (answer, literal) in [
         (
-            Answer::Told(Told::default()),
+            ReplicaReply::Lease(LeaseResponse::default()),
             r#"{"told":{"owner":{"instance":"","incarnation":0},"serial":0,"term":0.0,"version":0,"grants":null,"refused":null}}"#,
         ),
         (
-            Answer::Elsewhere { leader: Some(2), address: Some("127.0.0.2:1".into()) },
+            ReplicaReply::NotLeader { leader: Some(2), address: Some("127.0.0.2:1".into()) },
             r#"{"elsewhere":{"leader":2,"address":"127.0.0.2:1"}}"#,
         ),
         (
-            Answer::Elsewhere { leader: None, address: None },
+            ReplicaReply::NotLeader { leader: None, address: None },
             r#"{"elsewhere":{"leader":null,"address":null}}"#,
         ),
         (
-            Answer::Status(Box::new(status())),
+            ReplicaReply::Status(Box::new(status())),
             r#"{"status":{"number":1,"leader":2,"leads":false,"term":3,"applied":4,"log_entries":5,"voters":[1,2],"learners":[3],"retired":[4],"last_epoch":6,"instances":7,"slow":true,"up":8.5,"counts":{"lines":9}}}"#,
         ),
         (
-            Answer::Duties { rows: vec![row], seats: vec![seat], at: 9.5 },
+            ReplicaReply::Tasks { leases: vec![row], instances: vec![seat], at: 9.5 },
             r#"{"duties":{"rows":[{"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"since":1.5,"back":true,"paused":false}],"seats":[{"owner":{"instance":"n1","incarnation":7},"zone":"east","has":2,"leaving":true,"left":0.5,"rests":1.5}],"at":9.5}}"#,
         ),
-        (Answer::Done, r#""done""#),
-        (Answer::Failed("no duty \"x\" is declared".into()), r#"{"failed":"no duty \"x\" is declared"}"#),
+        (ReplicaReply::Done, r#""done""#),
+        (
+            ReplicaReply::Failed("no duty \"x\" is declared".into()),
+            r#"{"failed":"no duty \"x\" is declared"}"#,
+        ),
     ] {
         assert_json(&answer, literal);
     }
@@ -237,43 +249,52 @@
 
 #[test]
 fn events() {
-    let judged = |piece: Option<&str>, verdict| Event::Judged {
-        duty: duty(),
+    let judged = |piece: Option<&str>, verdict| Event::EffectChecked {
+        task: duty(),
         epoch: 5,
         number: 6,
-        piece: piece.map(String::from),
+        chunk: piece.map(String::from),
         verdict,
     };
     for (event, literal) in [
         (Event::Ready { listen: "127.0.0.1:1".into() }, r#"{"ready":{"listen":"127.0.0.1:1"}}"#),
         (
-            Event::Change(change(What::Given, Cause::Vacant)),
+            Event::Change(change(ChangeKind::Granted, Cause::Vacant)),
             r#"{"change":{"at":1.5,"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"what":"Given","cause":"Vacant"}}"#,
         ),
-        (Event::Leads { keeper: 1, term: 2 }, r#"{"leads":{"keeper":1,"term":2}}"#),
+        (Event::BecameLeader { replica: 1, term: 2 }, r#"{"leads":{"keeper":1,"term":2}}"#),
         (
-            Event::Begin { owner: owner(), duty: duty(), epoch: 5 },
+            Event::LeaseStarted { holder: owner(), task: duty(), epoch: 5 },
             r#"{"begin":{"owner":{"instance":"n1","incarnation":7},"duty":{"name":"gather","part":3},"epoch":5}}"#,
         ),
         (
-            Event::Down { owner: owner(), duty: duty(), epoch: 5, why: "TermOver".into() },
+            Event::LeaseEnded { holder: owner(), task: duty(), epoch: 5, reason: "TermOver".into() },
             r#"{"down":{"owner":{"instance":"n1","incarnation":7},"duty":{"name":"gather","part":3},"epoch":5,"why":"TermOver"}}"#,
         ),
         (
-            Event::Goes { customer: "a".into(), rate: 1.5, equal: 2.5, at: 3.5, until: Some(4.5) },
+            Event::QuotaApplied {
+                tenant: "a".into(),
+                rate: 1.5,
+                equal_share: 2.5,
+                at: 3.5,
+                valid_until: Some(4.5),
+            },
             r#"{"goes":{"customer":"a","rate":1.5,"equal":2.5,"at":3.5,"until":4.5}}"#,
         ),
-        (Event::Leaves { zone: "east".into(), by: Some(5) }, r#"{"leaves":{"zone":"east","by":5}}"#),
+        (
+            Event::ServerDraining { zone: "east".into(), slot_epoch: Some(5) },
+            r#"{"leaves":{"zone":"east","by":5}}"#,
+        ),
         (
             judged(Some("a.trace"), Verdict::New),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":"a.trace","verdict":"New"}}"#,
         ),
         (
-            judged(None, Verdict::Repeat),
+            judged(None, Verdict::Duplicate),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":null,"verdict":"Repeat"}}"#,
         ),
         (
-            judged(None, Verdict::Late { seen: 9 }),
+            judged(None, Verdict::Stale { latest: 9 }),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":null,"verdict":{"Late":{"seen":9}}}}"#,
         ),
         (
@@ -287,38 +308,39 @@
 
 #[test]
 fn reports_of_servers_and_replies_to_them() {
-    let asked = desk::Asked { customer: "a".into(), demand: 1.5, holds: Some((5, 6)) };
+    let asked =
+        TenantDemand { tenant: "a".into(), demand: 1.5, current: Some(AllocationId { epoch: 5, number: 6 }) };
     for (state, literal) in [
         (
-            State::Serves,
+            DrainState::Serving,
             r#"{"server":"n1","incarnation":7,"zone":"east","number":8,"state":"Serves","asked":[{"customer":"a","demand":1.5,"holds":[5,6]}]}"#,
         ),
         (
-            State::Waits,
+            DrainState::Waiting,
             r#"{"server":"n1","incarnation":7,"zone":"east","number":8,"state":"Waits","asked":[{"customer":"a","demand":1.5,"holds":[5,6]}]}"#,
         ),
         (
-            State::Leaves,
+            DrainState::Draining,
             r#"{"server":"n1","incarnation":7,"zone":"east","number":8,"state":"Leaves","asked":[{"customer":"a","demand":1.5,"holds":[5,6]}]}"#,
         ),
     ] {
-        let report = Report {
+        let report = ServerReport {
             server: "n1".into(),
             incarnation: 7,
             zone: "east".into(),
             number: 8,
-            state,
-            asked: vec![asked.clone()],
+            drain_state: state,
+            demands: vec![asked.clone()],
         };
         assert_json(&report, literal);
     }
-    let part = quota::Part { epoch: 5, number: 6, report: 8, rate: 1.5, span: 2.5 };
-    let turn = Turn { epoch: 5, report: 8, begin: 6.5 };
-    let reply = Reply {
+    let part = QuotaAllocation { epoch: 5, number: 6, report_number: 8, rate: 1.5, validity: 2.5 };
+    let turn = DrainSlot { epoch: 5, report_number: 8, start_within: 6.5 };
+    let reply = CoordinatorReply {
         server: "n1".into(),
         incarnation: 7,
-        parts: vec![("a".into(), part.clone())],
-        turn: Some(turn.clone()),
+        allocations: vec![TenantAllocation { tenant: "a".into(), allocation: part.clone() }],
+        drain_slot: Some(turn.clone()),
     };
     assert_json(
         &reply,
@@ -326,90 +348,90 @@
     );
     assert_json(&part, r#"{"epoch":5,"number":6,"report":8,"rate":1.5,"span":2.5}"#);
     assert_json(&turn, r#"{"epoch":5,"report":8,"begin":6.5}"#);
-    let asked =
-        quota::Asked { server: "n1".into(), incarnation: 7, report: 8, demand: 1.5, holds: Some((5, 6)) };
+    let asked = DemandReport {
+        server: "n1".into(),
+        incarnation: 7,
+        report_number: 8,
+        demand: 1.5,
+        current: Some(AllocationId { epoch: 5, number: 6 }),
+    };
     assert_json(&asked, r#"{"server":"n1","incarnation":7,"report":8,"demand":1.5,"holds":[5,6]}"#);
-    let asked = turns::Asked {
+    let asked = DrainReport {
         server: "n1".into(),
         incarnation: 7,
-        report: 8,
+        report_number: 8,
         zone: "east".into(),
-        state: State::Waits,
+        state: DrainState::Waiting,
     };
     assert_json(&asked, r#"{"server":"n1","incarnation":7,"report":8,"zone":"east","state":"Waits"}"#);
     assert_json(
-        &turns::Rules::default(),
+        &DrainRules::default(),
         r#"{"most":10,"zone_share":0.1,"span":30.0,"drift":0.02,"silent":5.0}"#,
     );
 }
 
 #[test]
 fn records_of_a_fence() {
-    assert_json(&Seen { epoch: 5, number: 6 }, r#"{"epoch":5,"number":6}"#);
+    assert_json(&FenceRecord { epoch: 5, number: 6 }, r#"{"epoch":5,"number":6}"#);
     for (verdict, literal) in [
         (Verdict::New, r#""New""#),
-        (Verdict::Repeat, r#""Repeat""#),
-        (Verdict::Late { seen: 9 }, r#"{"Late":{"seen":9}}"#),
+        (Verdict::Duplicate, r#""Repeat""#),
+        (Verdict::Stale { latest: 9 }, r#"{"Late":{"seen":9}}"#),
         (Verdict::Gap { expected: 2 }, r#"{"Gap":{"expected":2}}"#),
     ] {
         assert_json(&verdict, literal);
     }
 }
 
-/// The counter of a change, as the lease store names it.
-fn counter_name(change: &Change) -> String {
-    format!("changes-{:?}-{:?}", change.what, change.cause).to_lowercase()
-}
-
 #[test]
 fn counters_of_changes() {
     for (what, cause, name) in [
-        (What::Given, Cause::Vacant, "changes-given-vacant"),
-        (What::TakenBack, Cause::Draining, "changes-takenback-draining"),
-        (What::TakenBack, Cause::Stalled, "changes-takenback-stalled"),
-        (What::TakenBack, Cause::Levelled, "changes-takenback-levelled"),
-        (What::TakenBack, Cause::Moved, "changes-takenback-moved"),
-        (What::TakenBack, Cause::Paused, "changes-takenback-paused"),
-        (What::TakenBack, Cause::Dropped, "changes-takenback-dropped"),
-        (What::Ended, Cause::Expired, "changes-ended-expired"),
-        (What::Ended, Cause::HandedOver, "changes-ended-handedover"),
-        (What::Ended, Cause::NotHandedOver, "changes-ended-nothandedover"),
+        (ChangeKind::Granted, Cause::Vacant, "changes-given-vacant"),
+        (ChangeKind::Revoked, Cause::Draining, "changes-takenback-draining"),
+        (ChangeKind::Revoked, Cause::Stalled, "changes-takenback-stalled"),
+        (ChangeKind::Revoked, Cause::Rebalanced, "changes-takenback-levelled"),
+        (ChangeKind::Revoked, Cause::Moved, "changes-takenback-moved"),
+        (ChangeKind::Revoked, Cause::Paused, "changes-takenback-paused"),
+        (ChangeKind::Revoked, Cause::Undeclared, "changes-takenback-dropped"),
+        (ChangeKind::Ended, Cause::Expired, "changes-ended-expired"),
+        (ChangeKind::Ended, Cause::Released, "changes-ended-handedover"),
+        (ChangeKind::Ended, Cause::ReleaseTimeout, "changes-ended-nothandedover"),
     ] {
-        assert_eq!(counter_name(&change(what, cause)), name);
+        assert_eq!(change(what, cause).counter_name(), name);
     }
 }
 
 #[test]
 fn texts_of_commands_that_are_not_carried_out() {
-    let declare = |rules: Rules, name: &str, parts: u32| Command::Declare {
+    let declare = |rules: LeaseRules, name: &str, parts: u32| Command::Declare {
         rules,
-        duties: vec![Declared { name: name.into(), parts, zone: None }],
+        tasks: vec![TaskDeclaration { name: name.into(), parts, zone: None }],
     };
-    let rules = Rules::default();
+    let rules = LeaseRules::default();
     for (command, text) in [
         (
-            declare(Rules { stall: -1.0, ..rules.clone() }, "a", 1),
+            declare(LeaseRules { stall_timeout: -1.0, ..rules.clone() }, "a", 1),
             "stall: -1 s is out of range, 0 to a day is meant",
         ),
         (
-            declare(Rules { term: 0.1, ..rules.clone() }, "a", 1),
+            declare(LeaseRules { term: 0.1, ..rules.clone() }, "a", 1),
             "term: 0.1 s is too short, 0.2 s at the least",
         ),
         (
-            declare(Rules { drift: 0.6, ..rules.clone() }, "a", 1),
+            declare(LeaseRules { drift: 0.6, ..rules.clone() }, "a", 1),
             "drift: 0.6 is out of range, 0 to 0.5 is meant",
         ),
         (
-            declare(Rules { stall: 3.0, ..rules.clone() }, "a", 1),
+            declare(LeaseRules { stall_timeout: 3.0, ..rules.clone() }, "a", 1),
             "stall: 3 s, must be two terms at the least",
         ),
-        (declare(Rules { flaps: 0, ..rules.clone() }, "a", 1), "flaps, moves: 1 at the least"),
+        (declare(LeaseRules { max_flaps: 0, ..rules.clone() }, "a", 1), "flaps, moves: 1 at the least"),
         (declare(rules.clone(), "a", 100_001), "1 duties with 100001 parts are too many"),
         (declare(rules.clone(), "", 1), "duty \"\": its name or its parts can't be"),
-        (Command::Pause { duty: "x".into(), paused: true }, "no duty \"x\" is declared"),
-        (Command::Move { duty: duty(), to: "n2".into() }, "\"n2\" is no instance that may have gather/3"),
+        (Command::Pause { task: "x".into(), paused: true }, "no duty \"x\" is declared"),
+        (Command::Move { task: duty(), to: "n2".into() }, "\"n2\" is no instance that may have gather/3"),
     ] {
-        let outcome = Table::default().apply(&Entry { at: 1.0, command });
-        assert_eq!(outcome.fault.unwrap().to_string(), text);
+        let outcome = LeaseTable::default().apply(&LogEntry { at: 1.0, command });
+        assert_eq!(outcome.error.unwrap().to_string(), text);
     }
 }
--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -2,9 +2,9 @@
 
 use crate::history::History;
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::table::{Change, What};
-use puffinladder_leases::words::Event;
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::protocol::Event;
+use puffinladder_leases::table::{Change, ChangeKind};
+use puffinladder_leases::{Epoch, HolderId, Task};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -18,7 +18,7 @@
         then: String,
     },
     EpochFell {
-        duty: Duty,
+        duty: Task,
         from: Epoch,
         to: Epoch,
     },
@@ -35,19 +35,19 @@
     },
     /// An effect stood though its fence had seen a later epoch.
     LateLanded {
-        duty: Duty,
+        duty: Task,
         epoch: Epoch,
         seen: Epoch,
         piece: String,
     },
     /// An effect stood under an epoch that nobody was given, or that another part was.
     NobodysEpoch {
-        duty: Duty,
+        duty: Task,
         epoch: Epoch,
     },
     /// Effects of one epoch did not stand in their order.
     OutOfOrder {
-        duty: Duty,
+        duty: Task,
         epoch: Epoch,
         number: u64,
     },
@@ -69,8 +69,8 @@
     },
     /// An instance said that it began with a grant that another was given.
     NotGiven {
-        owner: Owner,
-        duty: Duty,
+        owner: HolderId,
+        duty: Task,
         epoch: Epoch,
     },
 }
@@ -147,7 +147,7 @@
     leaders(history, &mut counts, &mut broken);
     fence(history, &given, &mut counts, &mut broken);
     for (_, event) in history.told() {
-        if let Event::Begin { owner, duty, epoch } = event {
+        if let Event::LeaseStarted { holder: owner, task: duty, epoch } = event {
             if given.get(epoch) != Some(&(duty.clone(), owner.clone())) {
                 let (owner, duty, epoch) = (owner.clone(), duty.clone(), *epoch);
                 broken.push(Broken::NotGiven { owner, duty, epoch });
@@ -179,7 +179,7 @@
     }
     let mut all: Vec<Told> = Vec::new();
     for (entry, event) in history.told() {
-        if let Event::Goes { rate, equal, at, until, .. } = event {
+        if let Event::QuotaApplied { rate, equal_share: equal, at, valid_until: until, .. } = event {
             counts.parts += u64::from(until.is_some());
             let (at, rate, equal, until) = (*at, *rate, *equal, *until);
             all.push(Told { at, who: &entry.who, life: entry.life, rate, equal, until });
@@ -217,7 +217,7 @@
     for (entry, event) in history.told() {
         match event {
             Event::Ready { .. } => drop(away.remove(entry.who.as_str())),
-            Event::Leaves { zone, by: Some(_) } => {
+            Event::ServerDraining { zone, slot_epoch: Some(_) } => {
                 counts.turns += 1;
                 away.insert(&entry.who, zone);
                 let here = away.values().filter(|of| **of == zone).count();
@@ -239,17 +239,17 @@
     history: &History,
     counts: &mut Counts,
     broken: &mut Vec<Broken>,
-) -> BTreeMap<Epoch, (Duty, Owner)> {
+) -> BTreeMap<Epoch, (Task, HolderId)> {
     let mut seen: BTreeMap<(Epoch, u8), &Change> = BTreeMap::new();
     let mut given = BTreeMap::new();
-    let mut highest: BTreeMap<(&str, u32, &Duty), Epoch> = BTreeMap::new();
+    let mut highest: BTreeMap<(&str, u32, &Task), Epoch> = BTreeMap::new();
     for (entry, event) in history.told() {
         let Event::Change(change) = event else { continue };
-        match seen.get(&(change.epoch, change.what as u8)) {
-            None => drop(seen.insert((change.epoch, change.what as u8), change)),
+        match seen.get(&(change.epoch, change.kind as u8)) {
+            None => drop(seen.insert((change.epoch, change.kind as u8), change)),
             Some(first) if *first == change => {}
-            Some(first) if change.what == What::Given => {
-                let text = |change: &Change| format!("{} to {}", change.duty, change.owner);
+            Some(first) if change.kind == ChangeKind::Granted => {
+                let text = |change: &Change| format!("{} to {}", change.task, change.holder);
                 let (first, then) = (text(first), text(change));
                 broken.push(Broken::EpochTwice { epoch: change.epoch, first, then });
             }
@@ -258,13 +258,13 @@
                 broken.push(Broken::KeepersDiffer { keeper, epoch });
             }
         }
-        if change.what == What::Given {
-            if given.insert(change.epoch, (change.duty.clone(), change.owner.clone())).is_none() {
+        if change.kind == ChangeKind::Granted {
+            if given.insert(change.epoch, (change.task.clone(), change.holder.clone())).is_none() {
                 counts.grants += 1;
             }
-            let last = highest.entry((&entry.who, entry.life, &change.duty)).or_default();
+            let last = highest.entry((&entry.who, entry.life, &change.task)).or_default();
             if change.epoch <= *last {
-                let (duty, from, to) = (change.duty.clone(), *last, change.epoch);
+                let (duty, from, to) = (change.task.clone(), *last, change.epoch);
                 broken.push(Broken::EpochFell { duty, from, to });
             }
             *last = change.epoch;
@@ -276,7 +276,7 @@
 fn leaders(history: &History, counts: &mut Counts, broken: &mut Vec<Broken>) {
     let mut of: BTreeMap<u64, &str> = BTreeMap::new();
     for (entry, event) in history.told() {
-        let Event::Leads { term, .. } = event else { continue };
+        let Event::BecameLeader { term, .. } = event else { continue };
         match of.insert(*term, &entry.who) {
             Some(one) if one != entry.who => {
                 let (one, other) = (one.to_string(), entry.who.clone());
@@ -291,23 +291,25 @@
 /// What the fence let stand, in the order in which it did.
 fn fence(
     history: &History,
-    given: &BTreeMap<Epoch, (Duty, Owner)>,
+    given: &BTreeMap<Epoch, (Task, HolderId)>,
     counts: &mut Counts,
     broken: &mut Vec<Broken>,
 ) {
-    let mut seen: BTreeMap<&Duty, (Epoch, u64)> = BTreeMap::new();
-    let mut lives: BTreeMap<&Duty, u32> = BTreeMap::new();
+    let mut seen: BTreeMap<&Task, (Epoch, u64)> = BTreeMap::new();
+    let mut lives: BTreeMap<&Task, u32> = BTreeMap::new();
     let mut pieces: BTreeSet<&str> = BTreeSet::new();
     for (entry, event) in history.told() {
-        let Event::Judged { duty, epoch, number, piece, verdict } = event else { continue };
+        let Event::EffectChecked { task: duty, epoch, number, chunk: piece, verdict } = event else {
+            continue;
+        };
         match verdict {
-            Verdict::Late { .. } => counts.late += u64::from(piece.is_some()),
-            Verdict::Repeat if piece.is_some() => counts.repeats += 1,
+            Verdict::Stale { .. } => counts.late += u64::from(piece.is_some()),
+            Verdict::Duplicate if piece.is_some() => counts.repeats += 1,
             _ => {}
         }
         let last = seen.entry(duty).or_default();
         let life = lives.insert(duty, entry.life).unwrap_or(entry.life);
-        if *verdict == Verdict::Repeat && piece.is_none() && entry.life > life {
+        if *verdict == Verdict::Duplicate && piece.is_none() && entry.life > life {
             // Killed between disk and answer: what it wrote last it never told, and says now that it stands.
             let told = (*epoch, *number);
             if told >= *last && (epoch > &last.0 || number - last.1 <= UNTOLD) {
@@ -346,17 +348,24 @@
     use crate::history::Happened;
     use puffinladder_leases::table::Cause;
 
-    fn duty() -> Duty {
-        Duty::new("gather", 0)
+    fn duty() -> Task {
+        Task::new("gather", 0)
     }
 
     fn given(epoch: Epoch, to: &str) -> Event {
-        let (at, duty, owner) = (epoch as f64, duty(), Owner::new(to, 1));
-        Event::Change(Change { at, duty, owner, epoch, what: What::Given, cause: Cause::Vacant })
+        let (at, duty, owner) = (epoch as f64, duty(), HolderId::new(to, 1));
+        Event::Change(Change {
+            at,
+            task: duty,
+            holder: owner,
+            epoch,
+            kind: ChangeKind::Granted,
+            cause: Cause::Vacant,
+        })
     }
 
     fn judged(epoch: Epoch, number: u64, piece: Option<&str>, verdict: Verdict) -> Event {
-        Event::Judged { duty: duty(), epoch, number, piece: piece.map(String::from), verdict }
+        Event::EffectChecked { task: duty(), epoch, number, chunk: piece.map(String::from), verdict }
     }
 
     fn history(events: Vec<(&str, Event)>) -> History {
@@ -372,12 +381,12 @@
         vec![
             ("k1", given(1, "s1")),
             ("k2", given(1, "s1")),
-            ("s1", Event::Begin { owner: Owner::new("s1", 1), duty: duty(), epoch: 1 }),
+            ("s1", Event::LeaseStarted { holder: HolderId::new("s1", 1), task: duty(), epoch: 1 }),
             ("archive", judged(1, 0, None, Verdict::New)),
             ("archive", judged(1, 1, Some("a#0"), Verdict::New)),
             ("k1", given(2, "s2")),
             ("archive", judged(2, 0, None, Verdict::New)),
-            ("archive", judged(1, 2, Some("a#1"), Verdict::Late { seen: 2 })),
+            ("archive", judged(1, 2, Some("a#1"), Verdict::Stale { latest: 2 })),
             ("archive", judged(2, 1, Some("a#1"), Verdict::New)),
         ]
     }
@@ -393,7 +402,7 @@
     fn what_a_killed_archive_had_written_and_not_told_is_no_hole_but_more_than_that_is() {
         for (number, sound_still) in [(2, true), (3, false)] {
             let mut history = history(sound());
-            history.tell(1.0, "archive", 2, Happened::Told(judged(2, number, None, Verdict::Repeat)));
+            history.tell(1.0, "archive", 2, Happened::Told(judged(2, number, None, Verdict::Duplicate)));
             let next = judged(2, number + 1, Some("a#9"), Verdict::New);
             history.tell(1.0, "archive", 2, Happened::Told(next));
             assert_eq!(check(&history).1.is_empty(), sound_still, "{number}");
@@ -402,7 +411,13 @@
 
     #[test]
     fn rates_that_sum_to_more_than_the_quota_are_found_at_their_moment() {
-        let goes = |rate, at, until| Event::Goes { customer: "a".into(), rate, equal: 50.0, at, until };
+        let goes = |rate, at, until| Event::QuotaApplied {
+            tenant: "a".into(),
+            rate,
+            equal_share: 50.0,
+            at,
+            valid_until: until,
+        };
         let sound = vec![
             ("n1", goes(50.0, 0.0, None)),
             ("n2", goes(50.0, 0.0, None)),
@@ -422,7 +437,7 @@
 
     #[test]
     fn more_away_by_a_turn_than_may_is_found() {
-        let leaves = |zone: &str, by| Event::Leaves { zone: zone.into(), by };
+        let leaves = |zone: &str, by| Event::ServerDraining { zone: zone.into(), slot_epoch: by };
         let ready = || Event::Ready { listen: String::new() };
         let zones = BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 2)]);
         let sound = vec![
@@ -446,8 +461,9 @@
 
     #[test]
     fn each_kind_of_harm_is_found() {
-        let leads = |keeper, term| Event::Leads { keeper, term };
-        let begin = |name: &str| Event::Begin { owner: Owner::new(name, 1), duty: duty(), epoch: 2 };
+        let leads = |keeper, term| Event::BecameLeader { replica: keeper, term };
+        let begin =
+            |name: &str| Event::LeaseStarted { holder: HolderId::new(name, 1), task: duty(), epoch: 2 };
         let harms: Vec<(Vec<(&str, Event)>, &str)> = vec![
             (vec![("archive", judged(1, 2, Some("a#2"), Verdict::New))], "though 2 had been seen"),
             (vec![("archive", judged(1, 0, None, Verdict::New))], "an announcement landed"),
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -9,8 +9,8 @@
 use crate::relay::Relay;
 use crate::rows::{write, Rows};
 use crate::schedule::{Fault, Schedule, Way, What, Who};
-use puffinladder_leases::table::{Command, Row};
-use puffinladder_leases::words::{Answer, Ask, Event};
+use puffinladder_leases::protocol::{Event, ReplicaReply, ReplicaRequest};
+use puffinladder_leases::table::{Command, LeaseRow};
 use puffinladder_trace_store::store::Planted;
 use puffinladder_trace_store::words as archive;
 use serde::{de::DeserializeOwned, Serialize};
@@ -537,7 +537,7 @@
 
     fn leader(&self) -> Option<Who> {
         let led = self.history.told().filter_map(|(_, event)| match event {
-            Event::Leads { keeper, term } => Some((*term, *keeper)),
+            Event::BecameLeader { replica: keeper, term } => Some((*term, *keeper)),
             _ => None,
         });
         led.max().map(|(_, keeper)| Who::Keeper(keeper))
@@ -708,7 +708,10 @@
         }
         let address = self.parts[&who].listen.to_string();
         let until = self.now() + HEAL;
-        let mut asks = vec![Ask::Remove { number: lost }, Ask::Add { number, address }];
+        let mut asks = vec![
+            ReplicaRequest::RemoveReplica { number: lost },
+            ReplicaRequest::AddReplica { number, address },
+        ];
         let mut said = String::new();
         while let Some(next) = asks.last() {
             if self.now() > until {
@@ -716,9 +719,9 @@
             }
             let keepers = self.keepers();
             match ask_leader(&keepers, next).await {
-                Some(Answer::Done) => drop(asks.pop()),
+                Some(ReplicaReply::Done) => drop(asks.pop()),
                 // A command whose answer was lost may have been carried out.
-                Some(Answer::Failed(what))
+                Some(ReplicaReply::Failed(what))
                     if what.contains("is one of them") || what.contains("is none of them") =>
                 {
                     asks.pop();
@@ -735,10 +738,10 @@
     async fn owned(&mut self, until: f64) -> Result<(), String> {
         loop {
             let keepers = self.keepers();
-            let vacant = match ask_leader(&keepers, &Ask::Duties).await {
-                Some(Answer::Duties { rows, .. }) => {
-                    let vacant = |row: &&Row| row.duty.name != SPARE && row.owner.is_none();
-                    rows.iter().filter(vacant).map(|row| row.duty.to_string()).collect::<Vec<_>>()
+            let vacant = match ask_leader(&keepers, &ReplicaRequest::Tasks).await {
+                Some(ReplicaReply::Tasks { leases: rows, .. }) => {
+                    let vacant = |row: &&LeaseRow| row.task.name != SPARE && row.holder.is_none();
+                    rows.iter().filter(vacant).map(|row| row.task.to_string()).collect::<Vec<_>>()
                 }
                 _ => vec!["no keeper leads, so that not even who owns what is known".into()],
             };
@@ -841,10 +844,10 @@
 }
 
 /// Asks the keepers until one that leads answers.
-pub async fn ask_leader(keepers: &[SocketAddr], what: &Ask) -> Option<Answer> {
+pub async fn ask_leader(keepers: &[SocketAddr], what: &ReplicaRequest) -> Option<ReplicaReply> {
     for &at in keepers {
         match ask(at, what).await {
-            None | Some(Answer::Elsewhere { .. }) => {}
+            None | Some(ReplicaReply::NotLeader { .. }) => {}
             answer => return answer,
         }
     }
@@ -860,35 +863,37 @@
     steps: mpsc::UnboundedSender<Step>,
     done: tokio::sync::watch::Receiver<bool>,
 ) {
-    let mut chance = puffinladder_leases::Shuffle::new(seed ^ (number << 40));
+    let mut chance = puffinladder_leases::SeededRandom::new(seed ^ (number << 40));
     let mut who = number;
     let mut unknown = 0;
     for _ in 0..ASKED / OPERATORS as usize {
         if *done.borrow() || keepers.is_empty() || unknown * OPERATORS as usize >= UNKNOWN {
             return;
         }
-        let pause = [Some(true), Some(false), None, None][chance.below(4)];
+        let pause = [Some(true), Some(false), None, None][chance.next_index(4)];
         let what = match pause {
-            Some(paused) => Ask::Command(Command::Pause { duty: SPARE.into(), paused }),
-            None => Ask::Duties,
+            Some(paused) => ReplicaRequest::Command(Command::Pause { task: SPARE.into(), paused }),
+            None => ReplicaRequest::Tasks,
         };
-        let at = keepers[chance.below(keepers.len())];
+        let at = keepers[chance.next_index(keepers.len())];
         let _ = steps.send(Step::Asks { who, pause });
-        let answer: Option<Answer> = ask(at, &what).await;
+        let answer: Option<ReplicaReply> = ask(at, &what).await;
         match answer {
-            Some(Answer::Done) if pause.is_some() => drop(steps.send(Step::Answered { who, paused: None })),
-            Some(Answer::Duties { rows, .. }) if pause.is_none() => {
-                let paused = rows.iter().any(|row| row.duty.name == SPARE && row.paused);
+            Some(ReplicaReply::Done) if pause.is_some() => {
+                drop(steps.send(Step::Answered { who, paused: None }))
+            }
+            Some(ReplicaReply::Tasks { leases: rows, .. }) if pause.is_none() => {
+                let paused = rows.iter().any(|row| row.task.name == SPARE && row.paused);
                 let _ = steps.send(Step::Answered { who, paused: Some(paused) });
             }
             // It was not carried out: as if it had never been asked. A read that nobody answered binds nobody either.
-            Some(Answer::Elsewhere { .. }) => drop(steps.send(Step::Never { who })),
+            Some(ReplicaReply::NotLeader { .. }) => drop(steps.send(Step::Never { who })),
             _ if pause.is_none() => drop(steps.send(Step::Never { who })),
             _ => {
                 unknown += 1;
                 who += OPERATORS;
             }
         }
-        tokio::time::sleep(Duration::from_millis(chance.below(150) as u64)).await;
+        tokio::time::sleep(Duration::from_millis(chance.next_index(150) as u64)).await;
     }
 }
--- a/crates/proving/src/history.rs
+++ b/crates/proving/src/history.rs
@@ -1,6 +1,6 @@
 //! All that happened in a run, in the order in which the ground heard of it; a file of it is a line of JSON each.
 
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 
--- a/crates/proving/src/picture.rs
+++ b/crates/proving/src/picture.rs
@@ -3,8 +3,8 @@
 use crate::history::{Happened, History};
 use plotters::prelude::*;
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::table::What;
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
+use puffinladder_leases::table::ChangeKind;
 use std::collections::BTreeMap;
 
 const COLOURS: [RGBColor; 10] = [
@@ -32,20 +32,20 @@
     let mut lines: BTreeMap<String, Vec<Stretch>> = BTreeMap::new();
     for (entry, event) in history.told() {
         let Event::Change(change) = event else { continue };
-        if seen.insert((change.epoch, change.what as u8), ()).is_some() {
+        if seen.insert((change.epoch, change.kind as u8), ()).is_some() {
             continue;
         }
-        match change.what {
-            What::Given => {
-                let whose = change.owner.instance.clone();
-                open.insert(change.epoch, (change.duty.to_string(), entry.at, whose));
+        match change.kind {
+            ChangeKind::Granted => {
+                let whose = change.holder.instance.clone();
+                open.insert(change.epoch, (change.task.to_string(), entry.at, whose));
             }
-            What::Ended => {
+            ChangeKind::Ended => {
                 if let Some((duty, from, whose)) = open.remove(&change.epoch) {
                     lines.entry(duty).or_default().push((from, entry.at, whose));
                 }
             }
-            What::TakenBack => {}
+            ChangeKind::Revoked => {}
         }
     }
     for (_, (duty, from, whose)) in open {
@@ -132,7 +132,9 @@
         }
         // Effects that came late and were refused.
         for (entry, event) in history.told() {
-            let Event::Judged { duty, verdict: Verdict::Late { .. }, piece: Some(_), .. } = event else {
+            let Event::EffectChecked { task: duty, verdict: Verdict::Stale { .. }, chunk: Some(_), .. } =
+                event
+            else {
                 continue;
             };
             if let Some(row) = owners.keys().position(|name| *name == duty.to_string()) {
--- a/crates/proving/src/pipe.rs
+++ b/crates/proving/src/pipe.rs
@@ -1,6 +1,6 @@
 //! One direction of a link: when bytes that came may go on. Decided without a clock; a relay sleeps as it is told.
 
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 
 /// What a direction does to bytes, until it is changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -18,7 +18,7 @@
     pub trouble: Trouble,
     /// When the piece before goes on: none overtakes another.
     last: f64,
-    chance: Shuffle,
+    chance: SeededRandom,
 }
 
 /// When a piece may go on.
@@ -31,7 +31,7 @@
 
 impl Pipe {
     pub fn new(seed: u64) -> Pipe {
-        Pipe { trouble: Trouble::default(), last: 0.0, chance: Shuffle::new(seed) }
+        Pipe { trouble: Trouble::default(), last: 0.0, chance: SeededRandom::new(seed) }
     }
 
     /// A piece of so many bytes that came now.
@@ -40,7 +40,7 @@
         if shut {
             return Pass::Shut;
         }
-        let late = if delay > 0.0 { delay * self.chance.unit() } else { 0.0 };
+        let late = if delay > 0.0 { delay * self.chance.next_unit() } else { 0.0 };
         let slow = if rate > 0.0 { bytes as f64 / rate } else { 0.0 };
         self.last = (now + late).max(self.last) + slow;
         Pass::At(self.last)
--- a/crates/proving/src/process.rs
+++ b/crates/proving/src/process.rs
@@ -1,7 +1,7 @@
 //! A process of the program: started, stopped, let go on, told to leave, killed, always by its own id. What it tells on standard output comes
 //! into the ground's queue; its log goes to a file.
 
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Write};
--- a/crates/proving/src/scale/world.rs
+++ b/crates/proving/src/scale/world.rs
@@ -3,7 +3,7 @@
 use super::{Must, Row, Setup, Size, Story};
 use crate::process::{Process, Program};
 use crate::relay::Relay;
-use puffinladder_leases::words::Event;
+use puffinladder_leases::protocol::Event;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/trace-store/src/core.rs
+++ b/crates/trace-store/src/core.rs
@@ -2,8 +2,8 @@
 //! archive never answers for what a crash would take back.
 
 use crate::words::{Outcome, Piece, Source, Taken};
-use puffinladder_leases::fence::{Fence, Seen, Verdict};
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::fence::{Fence, FenceRecord, Verdict};
+use puffinladder_leases::{Epoch, Task};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Files that are known at the most; names of a file in bytes; parts of duties.
@@ -14,8 +14,8 @@
 /// What is to be written in one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
-    pub duty: Duty,
-    pub seen: Seen,
+    pub duty: Task,
+    pub seen: FenceRecord,
     /// With a piece: its place, and how much of the file is taken then.
     pub piece: Option<(Source, u64, Taken)>,
     /// Files whose blocks go, since there is no room for all.
@@ -49,10 +49,10 @@
     /// From what is on disk: the fence, files with what was taken of them and their bytes, in the order in which they were done.
     pub fn new(
         most: u64,
-        seen: impl IntoIterator<Item = (Duty, Seen)>,
+        seen: impl IntoIterator<Item = (Task, FenceRecord)>,
         files: impl IntoIterator<Item = (Source, Taken, u64)>,
     ) -> Core {
-        let mut core = Core { fence: Fence::restore(seen), most, most_files: FILES, ..Core::default() };
+        let mut core = Core { fence: Fence::from_records(seen), most, most_files: FILES, ..Core::default() };
         for (source, taken, bytes) in files {
             core.bytes += bytes;
             if taken.done && bytes > 0 {
@@ -73,18 +73,18 @@
     pub fn files(&self) -> impl Iterator<Item = (&Source, &Taken)> {
         self.taken.iter()
     }
-    pub fn seen(&self, duty: &Duty) -> Seen {
-        self.fence.seen(duty)
+    pub fn seen(&self, duty: &Task) -> FenceRecord {
+        self.fence.record(duty)
     }
 
     /// A new owner shows its epoch.
-    pub fn announce(&mut self, duty: &Duty, epoch: Epoch) -> (Verdict, Option<Write>) {
-        let full = !fit(&duty.name) || (self.seen(duty).epoch == 0 && self.fence.all().count() >= PARTS);
+    pub fn announce(&mut self, duty: &Task, epoch: Epoch) -> (Verdict, Option<Write>) {
+        let full = !fit(&duty.name) || (self.seen(duty).epoch == 0 && self.fence.records().count() >= PARTS);
         if full {
-            return (Verdict::Late { seen: Epoch::MAX }, None);
+            return (Verdict::Stale { latest: Epoch::MAX }, None);
         }
-        let verdict = self.fence.clone_of(duty).announce(duty, epoch);
-        let seen = Seen { epoch, number: 0 };
+        let verdict = self.fence.restricted_to(duty).announce(duty, epoch);
+        let seen = FenceRecord { epoch, number: 0 };
         let write = Write { duty: duty.clone(), seen, piece: None, forget: Vec::new(), unknown: None };
         (verdict, (verdict == Verdict::New).then_some(write))
     }
@@ -92,15 +92,15 @@
     /// A piece of so many bytes. What is to be written, if anything is; nothing is known of it before it was noted.
     pub fn put(
         &mut self,
-        duty: &Duty,
+        duty: &Task,
         epoch: Epoch,
         number: u64,
         piece: &Piece,
         bytes: u64,
     ) -> (Outcome, Option<Write>) {
-        let verdict = self.fence.judge(duty, epoch, number);
+        let verdict = self.fence.check(duty, epoch, number);
         if verdict != Verdict::New {
-            self.refused += u64::from(matches!(verdict, Verdict::Late { .. }));
+            self.refused += u64::from(matches!(verdict, Verdict::Stale { .. }));
             return (Outcome::Fence(verdict), None);
         }
         // An epoch begins with its announcement, which told where to go on.
@@ -137,7 +137,7 @@
         let after = Taken { blocks: taken.blocks + 1, done: piece.last };
         let write = Write {
             duty: duty.clone(),
-            seen: Seen { epoch, number },
+            seen: FenceRecord { epoch, number },
             piece: Some((piece.source.clone(), piece.place, after)),
             forget,
             unknown,
@@ -147,7 +147,7 @@
 
     /// What was decided is on disk.
     pub fn note(&mut self, write: &Write, bytes: u64) {
-        self.fence.keep(&write.duty, write.seen);
+        self.fence.insert(&write.duty, write.seen);
         for source in &write.forget {
             self.bytes -= self.sizes.insert(source.clone(), 0).unwrap_or(0);
             self.order.retain(|one| one != source);
@@ -174,8 +174,8 @@
 mod tests {
     use super::*;
 
-    fn duty() -> Duty {
-        Duty::new("gather", 0)
+    fn duty() -> Task {
+        Task::new("gather", 0)
     }
 
     fn piece(file: &str, place: u64, last: bool) -> Piece {
@@ -206,10 +206,13 @@
         );
         assert_eq!(announce(&mut core, 5), Verdict::New);
         assert_eq!(put(&mut core, 5, 1, &piece("a", 0, false), 10), NEW);
-        assert_eq!(put(&mut core, 5, 1, &piece("a", 0, false), 10), Outcome::Fence(Verdict::Repeat));
+        assert_eq!(put(&mut core, 5, 1, &piece("a", 0, false), 10), Outcome::Fence(Verdict::Duplicate));
         assert_eq!(announce(&mut core, 6), Verdict::New);
-        assert_eq!(put(&mut core, 5, 2, &piece("a", 1, true), 10), Outcome::Fence(Verdict::Late { seen: 6 }));
-        assert_eq!(announce(&mut core, 5), Verdict::Late { seen: 6 });
+        assert_eq!(
+            put(&mut core, 5, 2, &piece("a", 1, true), 10),
+            Outcome::Fence(Verdict::Stale { latest: 6 })
+        );
+        assert_eq!(announce(&mut core, 5), Verdict::Stale { latest: 6 });
         // Its successor thinks that nothing was taken yet.
         let taken = Taken { blocks: 1, done: false };
         assert_eq!(put(&mut core, 6, 1, &piece("a", 0, false), 10), Outcome::Elsewhere(taken));
@@ -273,7 +276,7 @@
         for name in ["../x", "", ".x", "a/b", "a\0"] {
             assert_eq!(put(&mut core, 5, 1, &piece(name, 0, true), 1), Outcome::Full, "{name:?}");
         }
-        assert!(matches!(core.announce(&Duty::new("a/b", 0), 9), (Verdict::Late { .. }, None)));
+        assert!(matches!(core.announce(&Task::new("a/b", 0), 9), (Verdict::Stale { .. }, None)));
         // A file without blocks, or with one that can't be read, has a piece without bytes in that place.
         assert_eq!(put(&mut core, 5, 1, &piece("empty", 0, true), 0), NEW);
         assert_eq!(core.files().next().unwrap().1, &Taken { blocks: 1, done: true });
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -5,9 +5,9 @@
 use crate::store::{Planted, Store};
 use crate::words::{Answer, Ask, Outcome, Source, LINE};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_leases::assign::part_of;
+use puffinladder_leases::assignment::part_of;
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::words::{Event, Events};
+use puffinladder_leases::protocol::{Event, EventSink};
 use puffinladder_transport::{bind, write_line, LineReader, RunningService, TransportError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
     pub folder: PathBuf,
     pub most_bytes: u64,
     pub most_connections: usize,
-    pub events: Events,
+    pub events: EventSink,
     /// For tests: a bug that the checkers must find.
     pub planted: Option<Planted>,
 }
@@ -52,7 +52,7 @@
     );
     // The desk ends once nobody can ask any more.
     tokio::spawn(serve);
-    setup.events.tell(&Event::Ready { listen: listen.to_string() });
+    setup.events.emit(&Event::Ready { listen: listen.to_string() });
     tracing::info!("archive listens on {listen}, {} files known", core.files().count());
     let desk = tokio::task::spawn_blocking(move || work(core, store, heard, setup.events));
     Ok(RunningService::new(listen, stop, desk))
@@ -76,7 +76,7 @@
     mut core: Core,
     mut store: Store,
     mut heard: mpsc::Receiver<Heard>,
-    events: Events,
+    events: EventSink,
 ) -> Result<(), String> {
     let mut blocks = core.files().map(|(_, taken)| taken.blocks).sum();
     while let Some(first) = heard.blocking_recv() {
@@ -95,7 +95,7 @@
         }
         for (back, (answer, event)) in answers {
             if let Some(event) = event {
-                events.tell(&event);
+                events.emit(&event);
             }
             let _ = back.send(answer);
         }
@@ -125,8 +125,8 @@
                 .files()
                 .filter(|(source, _)| mine(source))
                 .map(|(source, taken)| (source.clone(), *taken));
-            let taken = if verdict.stands() { taken.collect() } else { Vec::new() };
-            let event = Event::Judged { duty, epoch, number, piece: None, verdict };
+            let taken = if verdict.is_applied() { taken.collect() } else { Vec::new() };
+            let event = Event::EffectChecked { task: duty, epoch, number, chunk: None, verdict };
             (Answer::Begun { verdict, number, taken }, Some(event))
         }
         Ask::Put { duty, epoch, number, piece, block } => {
@@ -145,7 +145,7 @@
                 *blocks += u64::from(!block.is_empty());
                 writes.push((write, block));
             }
-            if let Outcome::Fence(Verdict::Late { seen }) = outcome {
+            if let Outcome::Fence(Verdict::Stale { latest: seen }) = outcome {
                 tracing::warn!(
                     "{duty}: an effect of epoch {epoch} came late and was refused, {seen} has been here"
                 );
@@ -153,7 +153,7 @@
             let name = format!("{}/{}#{}", piece.source.server, piece.source.file, piece.place);
             let event = match outcome {
                 Outcome::Fence(verdict) => {
-                    Some(Event::Judged { duty, epoch, number, piece: Some(name), verdict })
+                    Some(Event::EffectChecked { task: duty, epoch, number, chunk: Some(name), verdict })
                 }
                 _ => None,
             };
--- a/crates/trace-store/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -3,8 +3,8 @@
 
 use crate::core::{Core, Write};
 use crate::words::{Source, Taken};
-use puffinladder_leases::fence::Seen;
-use puffinladder_leases::Duty;
+use puffinladder_leases::fence::FenceRecord;
+use puffinladder_leases::Task;
 use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -121,7 +121,7 @@
         for row in tx.open_table(FENCE)?.iter()? {
             let (key, value) = row?;
             let (name, part) = key.value();
-            seen.push((Duty::new(name, part), decode::<Seen>(value.value())?));
+            seen.push((Task::new(name, part), decode::<FenceRecord>(value.value())?));
         }
         let mut files: Vec<(u64, Source, Taken, u64)> = Vec::new();
         for row in tx.open_table(FILES)?.iter()? {
@@ -244,7 +244,7 @@
     #[test]
     fn what_was_kept_is_judged_by_after_a_restart() {
         let folder = tempfile::tempdir().unwrap();
-        let duty = Duty::new("gather", 3);
+        let duty = Task::new("gather", 3);
         let (mut store, mut core) = Store::open(folder.path(), 100).unwrap();
         assert!(matches!(Store::open(folder.path(), 100), Err(Fault::Taken(_))));
         let writes = [core.announce(&duty, 7).1.unwrap()];
@@ -258,7 +258,7 @@
         }
         drop(store);
         let (mut store, mut core) = Store::open(folder.path(), 100).unwrap();
-        assert_eq!((core.seen(&duty), core.bytes()), (Seen { epoch: 7, number: 2 }, 80));
+        assert_eq!((core.seen(&duty), core.bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
         assert!(core.put(&duty, 6, 1, &piece("b", 0, true), 1).1.is_none());
         // The next one needs room: the oldest whole file goes, also from the disk.
         let write = core.put(&duty, 7, 3, &piece("b", 0, true), 40).1.unwrap();
--- a/crates/trace-store/src/words.rs
+++ b/crates/trace-store/src/words.rs
@@ -1,7 +1,7 @@
 //! What owners and the archive say to each other, a line of JSON each.
 
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::{Epoch, Task};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a line at the most: a block as base64.
@@ -27,12 +27,12 @@
 pub enum Ask {
     /// An owner shows its epoch before its first effect, and of how many parts its own is one: it is told of those files only.
     Announce {
-        duty: Duty,
+        duty: Task,
         epoch: Epoch,
         parts: u32,
     },
     Put {
-        duty: Duty,
+        duty: Task,
         epoch: Epoch,
         number: u64,
         piece: Piece,
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The forms that outlive a process: the folder of a trace store as version 1 wrote it, and the lines that workers and the trace store send each other.
 //! The literals below never change with the code.
 
-use puffinladder_leases::fence::{Seen, Verdict};
-use puffinladder_leases::Duty;
+use puffinladder_leases::fence::{FenceRecord, Verdict};
+use puffinladder_leases::Task;
 use puffinladder_trace_store::store::Store;
 use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken};
 use std::fmt::Debug;
@@ -19,9 +19,9 @@
     let stored = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/archive.redb");
     std::fs::copy(stored, folder.path().join("archive.redb")).unwrap();
     let (store, core) = Store::open(folder.path(), 100).unwrap();
-    assert_eq!(core.seen(&Duty::new("gather", 0)), Seen { epoch: 7, number: 4 });
-    assert_eq!(core.seen(&Duty::new("gather", 3)), Seen { epoch: 12, number: 1 });
-    assert_eq!(core.seen(&Duty::new("gather", 1)), Seen { epoch: 0, number: 0 });
+    assert_eq!(core.seen(&Task::new("gather", 0)), FenceRecord { epoch: 7, number: 4 });
+    assert_eq!(core.seen(&Task::new("gather", 3)), FenceRecord { epoch: 12, number: 1 });
+    assert_eq!(core.seen(&Task::new("gather", 1)), FenceRecord { epoch: 0, number: 0 });
     assert_eq!(core.bytes(), 95);
     let files: Vec<(Source, Taken)> = core.files().map(|(source, taken)| (source.clone(), *taken)).collect();
     let wanted = [
@@ -56,12 +56,12 @@
 fn every_request_has_its_line() {
     same(
         r#"{"announce":{"duty":{"name":"gather","part":3},"epoch":7,"parts":4}}"#,
-        Ask::Announce { duty: Duty::new("gather", 3), epoch: 7, parts: 4 },
+        Ask::Announce { duty: Task::new("gather", 3), epoch: 7, parts: 4 },
     );
     same(
         r#"{"put":{"duty":{"name":"gather","part":3},"epoch":7,"number":2,"piece":{"source":{"server":"n1","file":"a.trace"},"place":5,"last":true},"block":"AQI="}}"#,
         Ask::Put {
-            duty: Duty::new("gather", 3),
+            duty: Task::new("gather", 3),
             epoch: 7,
             number: 2,
             piece: Piece { source: source("n1", "a.trace"), place: 5, last: true },
@@ -82,8 +82,11 @@
         },
     );
     same(r#"{"put":{"fence":"New"}}"#, Answer::Put(Outcome::Fence(Verdict::New)));
-    same(r#"{"put":{"fence":"Repeat"}}"#, Answer::Put(Outcome::Fence(Verdict::Repeat)));
-    same(r#"{"put":{"fence":{"Late":{"seen":8}}}}"#, Answer::Put(Outcome::Fence(Verdict::Late { seen: 8 })));
+    same(r#"{"put":{"fence":"Repeat"}}"#, Answer::Put(Outcome::Fence(Verdict::Duplicate)));
+    same(
+        r#"{"put":{"fence":{"Late":{"seen":8}}}}"#,
+        Answer::Put(Outcome::Fence(Verdict::Stale { latest: 8 })),
+    );
     same(
         r#"{"put":{"fence":{"Gap":{"expected":1}}}}"#,
         Answer::Put(Outcome::Fence(Verdict::Gap { expected: 1 })),
--- a/crates/worker/src/gather.rs
+++ b/crates/worker/src/gather.rs
@@ -1,7 +1,7 @@
 //! Which piece of which file comes next, for the owner of one part of the duty to gather. Decided without I/O: from what lies in the folders, what the
 //! archive has taken, and what could not be read before.
 
-use puffinladder_leases::assign;
+use puffinladder_leases::assignment;
 use puffinladder_trace_store::words::{Source, Taken};
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 /// Which part of so many a server's files belong to.
 pub fn part_of(server: &str, parts: u32) -> u32 {
-    assign::part_of("gather", server, parts)
+    assignment::part_of("gather", server, parts)
 }
 
 /// A file that lies in a server's folder.
--- a/crates/worker/src/haul.rs
+++ b/crates/worker/src/haul.rs
@@ -3,7 +3,7 @@
 use crate::gather::{over, part_of, Lying, Plan};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::{Epoch, Task};
 use puffinladder_trace::file::{pack_notes, pack_rows, Kind};
 use puffinladder_trace::{Names, Trace};
 use puffinladder_trace_store::words::{Answer, Ask, Outcome, Piece, Source, Taken, LINE};
@@ -45,7 +45,7 @@
 /// The state of one part's owner, from step to step.
 pub struct Haul {
     told: Told,
-    duty: Duty,
+    duty: Task,
     epoch: Epoch,
     plan: Plan,
     line: Option<Line>,
@@ -60,7 +60,7 @@
 }
 
 impl Haul {
-    pub fn new(told: Told, duty: Duty, epoch: Epoch) -> Haul {
+    pub fn new(told: Told, duty: Task, epoch: Epoch) -> Haul {
         let (plan, line, open) = (Plan::default(), None, None);
         Haul { told, duty, epoch, plan, line, number: 0, looked: f64::MIN, took: 0.0, open, troubled: false }
     }
@@ -161,7 +161,7 @@
         let mut line = Line { from: LineReader::new(from, 64 << 20), to };
         let ask = Ask::Announce { duty: self.duty.clone(), epoch: self.epoch, parts: self.told.parts };
         match converse(&mut line, &ask).await? {
-            Answer::Begun { verdict, number, taken } if verdict.stands() => {
+            Answer::Begun { verdict, number, taken } if verdict.is_applied() => {
                 self.plan.begin(taken);
                 (self.number, self.line, self.looked) = (number, Some(line), f64::MIN);
                 Ok(true)
@@ -191,7 +191,7 @@
                 self.plan.took(&piece.source, Taken { blocks: piece.place + 1, done: piece.last });
                 Ok(true)
             }
-            Answer::Put(Outcome::Fence(Verdict::Late { .. })) => {
+            Answer::Put(Outcome::Fence(Verdict::Stale { .. })) => {
                 came.fenced = true;
                 Ok(false)
             }
--- a/crates/worker/src/link.rs
+++ b/crates/worker/src/link.rs
@@ -1,7 +1,7 @@
 //! The connection to a keeper: a task that dials, one that reads, one that writes. What happens on it comes to the steward as news, each with the
 //! number of the connection, so that what an old one still says is told from the new.
 
-use puffinladder_leases::words::{Answer, Ask, LINE};
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, MAX_LINE_BYTES};
 use puffinladder_transport::{connect, write_line, LineReader};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 #[derive(Debug)]
 pub enum News {
     Open,
-    Answer(Answer),
+    Answer(ReplicaReply),
     Over(String),
 }
 
 /// A connection, or the try of one. It ends when this is dropped.
 pub struct Link {
     pub number: u64,
-    lines: mpsc::Sender<Ask>,
+    lines: mpsc::Sender<ReplicaRequest>,
     task: JoinHandle<()>,
 }
 
@@ -38,7 +38,7 @@
     }
 
     /// Hands over a line to be sent at once. Whether it was taken.
-    pub fn say(&self, ask: Ask) -> bool {
+    pub fn say(&self, ask: ReplicaRequest) -> bool {
         self.lines.try_send(ask).is_ok()
     }
 }
@@ -52,7 +52,7 @@
 async fn run(
     number: u64,
     to: SocketAddr,
-    mut queue: mpsc::Receiver<Ask>,
+    mut queue: mpsc::Receiver<ReplicaRequest>,
     news: &mpsc::Sender<(u64, News)>,
 ) -> String {
     let stream = match connect(to).await {
@@ -63,7 +63,7 @@
         return String::new();
     }
     let (from, mut out) = stream.into_split();
-    let mut lines = LineReader::new(from, LINE);
+    let mut lines = LineReader::new(from, MAX_LINE_BYTES);
     loop {
         tokio::select! {
             read = lines.read() => match read {
--- a/crates/worker/src/serve.rs
+++ b/crates/worker/src/serve.rs
@@ -3,12 +3,12 @@
 
 use crate::haul::{Came, Haul, Told};
 use crate::link::{Link, News};
-use puffinladder_leases::desk::{self, Desk, Reply, Report};
-use puffinladder_leases::holder::{Act, Holder, Stage, Why};
-use puffinladder_leases::route::{Next, Route};
-use puffinladder_leases::table::Refused;
-use puffinladder_leases::words::{Answer, Ask, Event, Events};
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::coordination::{self, CoordinatorReply, QuotaCoordinator, ServerReport};
+use puffinladder_leases::holder::{EndReason, HolderAction, LeaseHolder, LeaseStage, StepPermit};
+use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest};
+use puffinladder_leases::replica_selector::{NextStep, ReplicaSelector};
+use puffinladder_leases::table::Rejection;
+use puffinladder_leases::{Epoch, HolderId, Task};
 use puffinladder_transport::{bind, write_line, Clock, LineReader, TransportError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,14 +32,14 @@
     /// Duties that it holds beside: nothing is done for them here, whoever asks who owns them learns it from the keepers.
     pub holds: Vec<String>,
     pub clock: Clock,
-    pub events: Events,
+    pub events: EventSink,
 }
 
 /// The two duties that answer servers' reports.
 #[derive(Clone, Debug)]
 pub struct Reported {
     pub listen: SocketAddr,
-    pub told: desk::Told,
+    pub told: coordination::CoordinatorSettings,
     pub quota: bool,
     pub turns: bool,
     pub most_connections: usize,
@@ -70,7 +70,7 @@
 
 /// What a step gives back.
 struct Stepped {
-    duty: Duty,
+    duty: Task,
     epoch: Epoch,
     haul: Haul,
     came: Came,
@@ -131,12 +131,12 @@
 }
 
 /// A server's report, and the way back to it.
-type Heard = (Report, mpsc::Sender<Reply>);
+type Heard = (ServerReport, mpsc::Sender<CoordinatorReply>);
 
 /// One server's connection: reports come in, answers go out as they are made.
 async fn converse(stream: TcpStream, reports: mpsc::Sender<Heard>) -> Result<(), TransportError> {
     let (from, mut to) = stream.into_split();
-    let (back, mut replies) = mpsc::channel::<Reply>(REPLIES);
+    let (back, mut replies) = mpsc::channel::<CoordinatorReply>(REPLIES);
     let mut lines = LineReader::new(from, REPORT);
     loop {
         tokio::select! {
@@ -153,16 +153,16 @@
 
 struct Steward {
     setup: Setup,
-    holder: Holder,
-    route: Route<SocketAddr>,
+    holder: LeaseHolder,
+    route: ReplicaSelector<SocketAddr>,
     link: Option<Link>,
     links: u64,
     /// When the line was sent that is not answered yet.
     unanswered: Option<f64>,
-    works: BTreeMap<Duty, Work>,
-    desk: Option<Desk>,
+    works: BTreeMap<Task, Work>,
+    desk: Option<QuotaCoordinator>,
     /// Where each server was heard last, and when answers are made next.
-    servers: BTreeMap<String, mpsc::Sender<Reply>>,
+    servers: BTreeMap<String, mpsc::Sender<CoordinatorReply>>,
     plan_at: f64,
     news: mpsc::Sender<(u64, News)>,
     steps: mpsc::Sender<Stepped>,
@@ -171,19 +171,23 @@
 
 impl Steward {
     fn new(setup: Setup) -> Steward {
-        let me = Owner::new(&setup.name, setup.incarnation);
+        let me = HolderId::new(&setup.name, setup.incarnation);
         let mut wants = setup.holds.clone();
         wants.extend(setup.gather.iter().map(|_| "gather".to_string()));
-        wants.extend(setup.desk.iter().filter(|desk| desk.quota).map(|_| desk::QUOTA.to_string()));
-        wants.extend(setup.desk.iter().filter(|desk| desk.turns).map(|_| desk::TURNS.to_string()));
-        let desk = setup.desk.as_ref().map(|reported| Desk::new(reported.told.clone()));
-        let seed = puffinladder_leases::assign::rank("route", setup.incarnation as u32, &setup.name);
+        wants.extend(
+            setup.desk.iter().filter(|desk| desk.quota).map(|_| coordination::QUOTA_TASK.to_string()),
+        );
+        wants.extend(
+            setup.desk.iter().filter(|desk| desk.turns).map(|_| coordination::DRAIN_TASK.to_string()),
+        );
+        let desk = setup.desk.as_ref().map(|reported| QuotaCoordinator::new(reported.told.clone()));
+        let seed = puffinladder_leases::assignment::rank("route", setup.incarnation as u32, &setup.name);
         // What is received in place of these comes with the two channels of `work`.
         let (news, _) = mpsc::channel(1);
         let (steps, _) = mpsc::channel(1);
         Steward {
-            holder: Holder::new(me, &setup.zone, wants, TERM),
-            route: Route::new(setup.keepers.clone(), seed),
+            holder: LeaseHolder::new(me, &setup.zone, wants, TERM),
+            route: ReplicaSelector::new(setup.keepers.clone(), seed),
             setup,
             link: None,
             links: 0,
@@ -211,16 +215,16 @@
                 Some(stepped) = ended.recv() => self.stepped(clock.now(), stepped),
                 Some((report, back)) = reports.recv() => self.report(clock.now(), report, back),
                 _ = stopped.changed(), if leave_by == f64::MAX => {
-                    tracing::info!("{}: was told to leave, hands over", self.holder.me());
+                    tracing::info!("{}: was told to leave, hands over", self.holder.id());
                     leave_by = clock.now() + LEAVE;
-                    self.holder.leave();
-                    let acts = self.holder.holds().map(|(duty, epoch)| Act::Yield(duty.clone(), epoch)).collect();
+                    self.holder.start_draining();
+                    let acts = self.holder.leases().map(|(duty, epoch)| HolderAction::Release(duty.clone(), epoch)).collect();
                     self.carry(clock.now(), acts);
                 }
                 _ = tokio::time::sleep(wait) => {}
             }
             let now = clock.now();
-            let acts = self.holder.look(now);
+            let acts = self.holder.expire(now);
             self.carry(now, acts);
             self.speak(now);
             self.begin_steps(now);
@@ -233,19 +237,19 @@
 
     /// Whether nothing is held and the keepers know, or this life is over.
     fn done(&self, leave_by: f64) -> bool {
-        let over = self.holder.refused() == Some(Refused::Superseded);
+        let over = self.holder.rejection() == Some(Rejection::Superseded);
         let empty =
-            self.holder.holds().next().is_none() && self.works.values().all(|work| work.haul.is_some());
-        over || (leave_by < f64::MAX && empty && !self.holder.owes())
+            self.holder.leases().next().is_none() && self.works.values().all(|work| work.haul.is_some());
+        over || (leave_by < f64::MAX && empty && !self.holder.has_pending_releases())
     }
 
     /// How long nothing is due.
     fn wait(&self, now: f64) -> Duration {
         let mut next = now + LOOK;
         if self.link.is_some() {
-            next = next.min(self.holder.due());
+            next = next.min(self.holder.next_renewal());
             next = self.unanswered.map_or(next, |sent| next.min(sent + SILENT));
-        } else if let Next::Wait(until) = self.route.next(now) {
+        } else if let NextStep::WaitUntil(until) = self.route.next_step(now) {
             next = next.min(until);
         } else {
             next = now;
@@ -264,7 +268,7 @@
         }
         match &self.link {
             None => {
-                if let Next::Dial(to) = self.route.next(now) {
+                if let NextStep::Connect(to) = self.route.next_step(now) {
                     if let Some(at) = self.route.address(to).copied() {
                         self.links += 1;
                         self.link = Some(Link::open(self.links, at, self.news.clone()));
@@ -273,9 +277,9 @@
                     }
                 }
             }
-            Some(link) if self.route.open().is_some() => {
-                if let Some(said) = self.holder.ask(now) {
-                    if link.say(Ask::Say(said)) {
+            Some(link) if self.route.connected().is_some() => {
+                if let Some(said) = self.holder.next_request(now) {
+                    if link.say(ReplicaRequest::Renew(said)) {
                         self.unanswered.get_or_insert(now);
                     } else {
                         self.lost(now, "does not read");
@@ -287,9 +291,9 @@
     }
 
     fn lost(&mut self, now: f64, what: &str) {
-        tracing::debug!("{}: the keeper {what}", self.holder.me());
+        tracing::debug!("{}: the keeper {what}", self.holder.id());
         (self.link, self.unanswered) = (None, None);
-        self.route.failed(now);
+        self.route.mark_failed(now);
         self.hears(false);
     }
 
@@ -301,7 +305,7 @@
             } else {
                 "hears from no keeper, goes on while its term lasts"
             };
-            tracing::info!("{}: {what}", self.holder.me());
+            tracing::info!("{}: {what}", self.holder.id());
             self.heard = heard;
         }
     }
@@ -312,24 +316,24 @@
         }
         match news {
             News::Open => {
-                self.route.dialled();
+                self.route.mark_connected();
                 // Whoever is new there has heard nothing yet: the next line is due at once.
-                self.holder.hurry();
+                self.holder.renew_now();
             }
-            News::Answer(Answer::Told(told)) => {
+            News::Answer(ReplicaReply::Lease(told)) => {
                 self.unanswered = None;
-                self.route.answered();
+                self.route.mark_healthy();
                 self.hears(true);
-                let acts = self.holder.told(now, &told);
-                if let Some(refused) = told.refused {
-                    tracing::warn!("{}: the keepers refuse it: {refused:?}", self.holder.me());
+                let acts = self.holder.handle_response(now, &told);
+                if let Some(refused) = told.rejection {
+                    tracing::warn!("{}: the keepers refuse it: {refused:?}", self.holder.id());
                 }
                 self.carry(now, acts);
             }
-            News::Answer(Answer::Elsewhere { leader, address }) => {
+            News::Answer(ReplicaReply::NotLeader { leader, address }) => {
                 (self.link, self.unanswered) = (None, None);
                 let address = address.and_then(|text| text.parse().ok());
-                self.route.elsewhere(now, leader.map(|number| (number, address)));
+                self.route.follow_redirect(now, leader.map(|number| (number, address)));
             }
             News::Answer(other) => self.lost(now, &format!("says {other:?}")),
             News::Over(what) => self.lost(now, &what),
@@ -337,15 +341,19 @@
     }
 
     /// Does what the holder says.
-    fn carry(&mut self, now: f64, acts: Vec<Act>) {
-        let me = self.holder.me().clone();
+    fn carry(&mut self, now: f64, acts: Vec<HolderAction>) {
+        let me = self.holder.id().clone();
         for act in acts {
             match act {
-                Act::Begin(duty, epoch) => {
+                HolderAction::Start(duty, epoch) => {
                     tracing::info!("{me}: begins with {duty}, epoch {epoch}");
-                    self.setup.events.tell(&Event::Begin { owner: me.clone(), duty: duty.clone(), epoch });
+                    self.setup.events.emit(&Event::LeaseStarted {
+                        holder: me.clone(),
+                        task: duty.clone(),
+                        epoch,
+                    });
                     if let Some(desk) = &mut self.desk {
-                        desk.begin(now, &duty, epoch);
+                        desk.start_lease(now, &duty, epoch);
                     }
                     let told = self.setup.gather.clone().filter(|_| duty.name == "gather");
                     if let Some(told) = told {
@@ -353,21 +361,26 @@
                         self.works.insert(duty, Work { epoch, haul, halt: Arc::default(), due: now });
                     }
                 }
-                Act::Yield(duty, epoch) => {
+                HolderAction::Release(duty, epoch) => {
                     if let Some(work) = self.works.get(&duty) {
                         work.halt.store(true, Ordering::Relaxed);
                     }
                     let idle = self.works.get(&duty).is_none_or(|work| work.haul.is_some());
-                    let down = if idle { self.holder.ended(&duty, epoch) } else { None };
+                    let down = if idle { self.holder.release(&duty, epoch) } else { None };
                     self.carry(now, down.into_iter().collect());
                 }
-                Act::StandDown(duty, epoch, why) => {
+                HolderAction::Stop(duty, epoch, why) => {
                     tracing::info!("{me}: stands down from {duty}, epoch {epoch}: {}", text(why));
                     let owner = me.clone();
                     let why = text(why).to_string();
-                    self.setup.events.tell(&Event::Down { owner, duty: duty.clone(), epoch, why });
+                    self.setup.events.emit(&Event::LeaseEnded {
+                        holder: owner,
+                        task: duty.clone(),
+                        epoch,
+                        reason: why,
+                    });
                     if let Some(desk) = &mut self.desk {
-                        desk.end(&duty, epoch);
+                        desk.end_lease(&duty, epoch);
                     }
                     if self.works.get(&duty).is_some_and(|work| work.epoch == epoch) {
                         // A step that is under way comes back to nobody, and is told to the holder alone.
@@ -378,11 +391,11 @@
         }
     }
 
-    fn report(&mut self, now: f64, report: Report, back: mpsc::Sender<Reply>) {
+    fn report(&mut self, now: f64, report: ServerReport, back: mpsc::Sender<CoordinatorReply>) {
         let Some(desk) = &mut self.desk else { return };
-        match desk.hear(now, &report) {
+        match desk.handle_report(now, &report) {
             Ok(()) => drop(self.servers.insert(report.server, back)),
-            Err(what) => tracing::debug!("{}: a report of {:.64}: {what}", self.holder.me(), report.server),
+            Err(what) => tracing::debug!("{}: a report of {:.64}: {what}", self.holder.id(), report.server),
         }
     }
 
@@ -390,14 +403,15 @@
     fn plan(&mut self, now: f64) {
         let Some(desk) = self.desk.as_mut().filter(|_| now >= self.plan_at) else { return };
         self.plan_at = now + PLAN;
-        let held =
-            self.holder.holds().filter(|(duty, _)| [desk::QUOTA, desk::TURNS].contains(&duty.name.as_str()));
-        let held: Vec<Duty> = held.map(|(duty, _)| duty.clone()).collect();
+        let held = self.holder.leases().filter(|(duty, _)| {
+            [coordination::QUOTA_TASK, coordination::DRAIN_TASK].contains(&duty.name.as_str())
+        });
+        let held: Vec<Task> = held.map(|(duty, _)| duty.clone()).collect();
         let mut acts = Vec::new();
         for duty in held {
             let now = self.setup.clock.now();
-            let Some((epoch, _)) = self.holder.may(now, &duty) else { continue };
-            let replies = desk.plan(now, &duty);
+            let Some(StepPermit { epoch, .. }) = self.holder.begin_step(now, &duty) else { continue };
+            let replies = desk.plan_replies(now, &duty);
             let progress = !replies.is_empty();
             for reply in replies {
                 let sent = self.servers.get(&reply.server).map(|back| back.try_send(reply.clone()));
@@ -405,7 +419,7 @@
                     self.servers.remove(&reply.server);
                 }
             }
-            acts.extend(self.holder.stepped(now, &duty, epoch, progress, false));
+            acts.extend(self.holder.finish_step(now, &duty, epoch, progress, false));
         }
         self.carry(now, acts);
     }
@@ -416,7 +430,9 @@
             if now < work.due || work.haul.is_none() {
                 continue;
             }
-            let Some((epoch, until)) = self.holder.may(now, duty) else { continue };
+            let Some(StepPermit { epoch, valid_until: until }) = self.holder.begin_step(now, duty) else {
+                continue;
+            };
             let Some(mut haul) = work.haul.take() else { continue };
             let (clock, steps, duty) = (self.setup.clock.clone(), self.steps.clone(), duty.clone());
             let (until, halt) = (now + STEP * (until - now), work.halt.clone());
@@ -429,9 +445,9 @@
 
     fn stepped(&mut self, now: f64, stepped: Stepped) {
         let Stepped { duty, epoch, haul, came } = stepped;
-        let mut acts = self.holder.stepped(now, &duty, epoch, came.progress, came.work);
+        let mut acts = self.holder.finish_step(now, &duty, epoch, came.progress, came.work);
         if came.fenced {
-            acts.extend(self.holder.fenced(&duty, epoch));
+            acts.extend(self.holder.handle_fenced(&duty, epoch));
         }
         if let Some(work) = self.works.get_mut(&duty).filter(|work| work.epoch == epoch) {
             // With nothing to do, or nothing done, it rests until the next look.
@@ -439,19 +455,19 @@
             work.haul = Some(haul);
         }
         self.carry(now, acts);
-        let holds = |duty: &Duty| self.holder.holds().any(|(held, of)| held == duty && of == epoch);
-        if holds(&duty) && self.holder.stage(now, &duty) == Stage::Yields {
-            self.carry(now, vec![Act::Yield(duty, epoch)]);
+        let holds = |duty: &Task| self.holder.leases().any(|(held, of)| held == duty && of == epoch);
+        if holds(&duty) && self.holder.stage(now, &duty) == LeaseStage::Releasing {
+            self.carry(now, vec![HolderAction::Release(duty, epoch)]);
         }
     }
 }
 
-fn text(why: Why) -> &'static str {
+fn text(why: EndReason) -> &'static str {
     match why {
-        Why::TermOver => "its term is over",
-        Why::HandedOver => "handed over",
-        Why::Unlisted => "the keepers no longer list it",
-        Why::Superseded => "a later life of this instance has spoken",
-        Why::Fenced => "a fence has seen a later epoch",
+        EndReason::TermExpired => "its term is over",
+        EndReason::Released => "handed over",
+        EndReason::NotListed => "the keepers no longer list it",
+        EndReason::Superseded => "a later life of this instance has spoken",
+        EndReason::Fenced => "a fence has seen a later epoch",
     }
 }
