--- a/crates/leases/src/quota/tests.rs
+++ b/crates/leases/src/quota/tests.rs
@@ -1,7 +1,6 @@
 //! Tests of the module `quota`.
 
 use super::*;
-use crate::Epoch;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -140,7 +139,7 @@
                     (_, at, _) if t < cut[at] => {}
                     (_, _, Ok(report)) => allocator.record_report(&report),
                     (_, at, Err(allocation)) => {
-                        drop(shares[at].accept(clocks[at].0 + clocks[at].1 * t, &allocation))
+                        shares[at].accept(clocks[at].0 + clocks[at].1 * t, &allocation);
                     }
                 }
             }
