--- a/crates/server/src/wire/gateway/decode.rs
+++ b/crates/server/src/ingress/decode.rs
@@ -4,7 +4,7 @@
 use crate::state::received_request::ReceivedRequest;
 use crate::wire::resp::{self, Array};
 use puffinladder::{Idempotency, Request};
-use puffinladder_charter::{Terms, Warrant};
+use puffinladder_settings::{PolicyConfig, ServerConfig};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use thiserror::Error;
@@ -42,30 +42,30 @@
 
 /// Decodes requests by a configuration.
 pub struct RequestDecoder {
-    config: Arc<Warrant>,
+    config: Arc<ServerConfig>,
     /// By which bodies are told apart.
     hasher: RandomState,
 }
 
 impl RequestDecoder {
     /// A decoder for the classes and tenants of this configuration.
-    pub fn new(config: Arc<Warrant>) -> RequestDecoder {
+    pub fn new(config: Arc<ServerConfig>) -> RequestDecoder {
         RequestDecoder { config, hasher: RandomState::new() }
     }
 
     /// Decodes a `CALL`.
     pub fn decode(&self, array: &Array) -> Result<ReceivedRequest, DecodeError> {
-        let terms = &self.config.terms;
-        let class = find_class(terms, array.at(2))?;
+        let policy = &self.config.policy;
+        let class = find_class(policy, array.at(2))?;
         let fields = resp::parse_fields(array.at(3), FIELD_NAMES).ok_or(DecodeError::MissingValue)?;
         let [attempt, timestamp, caller, tenant, retry, hint, memory, rank, key] = fields;
         let attempt: AttemptId = parse_hex(attempt).ok_or(DecodeError::MalformedField('i'))?;
-        let settings = &terms.charter.classes[class];
+        let settings = &policy.settings.classes[class];
         let key: Option<IdempotencyKey> = match settings.idempotency {
             Idempotency::Keyed => Some(parse_hex(key).ok_or(DecodeError::MalformedField('k'))?),
             _ => None,
         };
-        let tenant = find_tenant(terms, tenant)?;
+        let tenant = find_tenant(policy, tenant)?;
         let memory = parse_number(memory, 'm')?;
         let rank = parse_number(rank, 'p')?;
         let cost_hint = parse_number(hint, 'h')? / MILLISECONDS_PER_SECOND;
@@ -86,16 +86,16 @@
     }
 }
 
-fn find_class(terms: &Terms, name: &[u8]) -> Result<usize, DecodeError> {
+fn find_class(policy: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
     let name = std::str::from_utf8(name).unwrap_or_default();
-    terms.products.iter().position(|known| known == name).ok_or(DecodeError::UnknownClass)
+    policy.class_names.iter().position(|known| known == name).ok_or(DecodeError::UnknownClass)
 }
 
 /// Without tenants in the settings any name will do.
-fn find_tenant(terms: &Terms, name: &[u8]) -> Result<usize, DecodeError> {
-    match terms.customers.iter().position(|known| known.as_bytes() == name) {
+fn find_tenant(policy: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
+    match policy.tenant_names.iter().position(|known| known.as_bytes() == name) {
         Some(place) => Ok(place),
-        None if terms.customers.is_empty() => Ok(0),
+        None if policy.tenant_names.is_empty() => Ok(0),
         None => Err(DecodeError::UnknownTenant),
     }
 }
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -2,7 +2,7 @@
 //! and rejected is the policy's business.
 
 use puffinladder::Idempotency;
-use puffinladder_charter::Warrant;
+use puffinladder_settings::ServerConfig;
 use std::time::Duration;
 
 /// Descriptors that the process keeps for itself, however many connect: 10 beside its links (`tests/process.rs` counts
@@ -140,8 +140,8 @@
 }
 
 /// The longest, s, that a request with a key may lie unread and yet be run: until its timeout.
-fn longest_unread(config: &Warrant) -> f64 {
-    let classes = config.terms.charter.classes.iter();
+fn longest_unread(config: &ServerConfig) -> f64 {
+    let classes = config.policy.settings.classes.iter();
     classes
         .filter(|class| class.idempotency == Idempotency::Keyed)
         .map(|class| class.timeout)
@@ -168,8 +168,8 @@
 impl Limits {
     /// The limits of a process of this configuration. `reserved_descriptors` are those that the settings ask for beside
     /// all that: a trace's files and connections to control services.
-    pub fn new(config: &Warrant, reserved_descriptors: usize) -> Limits {
-        let shares = DescriptorShares::new(config.sockets.saturating_sub(reserved_descriptors));
+    pub fn new(config: &ServerConfig, reserved_descriptors: usize) -> Limits {
+        let shares = DescriptorShares::new(config.max_sockets.saturating_sub(reserved_descriptors));
         let memory = (config.memory_mb * BYTES_PER_MEGABYTE) as usize;
         Limits {
             max_gateways: shares.gateways,
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -1,8 +1,8 @@
 //! The state machine of one request: offers it to the dispatcher, then turns each event into commands to the agent, calls
 //! to the store and its answer.
 
+use super::context::RequestContext;
 use super::reply::{InFlightGuard, PendingReply};
-use super::RequestContext;
 use crate::dispatcher::Offer;
 use crate::runtime::clock;
 use crate::state::mailbox::{Event, Mailbox};
@@ -339,7 +339,7 @@
         self.last_stamp = match self.last_command {
             AgentCommand::None => NO_COMMAND,
             AgentCommand::Launch => {
-                let class = &self.context.config.terms.products[self.received.request.class];
+                let class = &self.context.config.policy.class_names[self.received.request.class];
                 agent.launch(attempt, class, &self.received.body)
             }
             AgentCommand::Freeze => agent.freeze(attempt),
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -1,6 +1,6 @@
 //! The two things that a request owes whatever happens to it: one answer to its gateway, and its end to the dispatcher.
 
-use super::RequestContext;
+use super::context::RequestContext;
 use crate::state::identifiers::IdempotencyKey;
 use crate::state::received_request::ReceivedRequest;
 use crate::state::request_log::RequestEntry;
@@ -26,13 +26,14 @@
 }
 
 impl<'a> PendingReply<'a> {
+    /// Owes this tag an answer, and opens the request's log entry.
     pub(super) fn new(
         context: &'a RequestContext,
         connection: &'a Connection,
         tag: u64,
         received: &ReceivedRequest,
     ) -> PendingReply<'a> {
-        let entry = context.dispatcher.log.open(received, &context.config.terms);
+        let entry = context.dispatcher.log.open(received, &context.config.policy);
         PendingReply { context, connection, tag, owed: true, entry }
     }
 
@@ -98,6 +99,7 @@
 }
 
 impl<'a> InFlightGuard<'a> {
+    /// Guards a request that is in flight under this number.
     pub(super) fn new(
         context: &'a RequestContext,
         key: Option<IdempotencyKey>,
--- a/crates/server/src/request/tests.rs
+++ b/crates/server/src/request/tests.rs
@@ -2,6 +2,7 @@
 use super::*;
 use crate::dispatcher::Offer;
 use crate::lifecycle::Server;
+use crate::limits::Limits;
 use crate::state::mailbox::Event;
 use crate::state::request_log::RequestLog;
 use may::net::TcpStream;
@@ -11,7 +12,8 @@
 
 #[test]
 fn a_panic_in_a_request_still_answers_it_and_sets_its_key_free() {
-    let config = puffinladder_charter::read_warrant(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
+    let config =
+        puffinladder_settings::parse_server_config(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
     let config = config.unwrap();
     let limits = Limits::new(&config, 0);
     let server = Server::new(config, limits, RequestLog::default());
--- a/crates/server/src/runtime/addresses.rs
+++ b/crates/server/src/runtime/addresses.rs
@@ -1,7 +1,7 @@
 //! The addresses of the peers that are in force. A reload swaps them here, in one place that all links read.
 
 use super::lock::lock;
-use puffinladder_charter::Peers;
+use puffinladder_settings::Peers;
 use std::sync::Mutex;
 
 /// The addresses in force.
--- a/src/policy/run_times.rs
+++ b/src/policy/run_times.rs
@@ -11,8 +11,8 @@
 pub(super) const BASE_RUNS: f64 = 200.0;
 /// Runs before a base says anything: the first to end are the short ones.
 const FIRST_RUNS: f64 = 20.0;
-/// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes as
-/// much.
+/// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes
+/// as much.
 pub(super) const RUN_TIME_RISE: f64 = 1.3;
 /// Share of its latency objective that a run on a sound machine takes at most.
 const USUAL_SHARE: f64 = 0.33;
@@ -22,7 +22,8 @@
 const WAIT_SHARE_LOW: f64 = 0.12;
 /// Share of the dearest class's weight up to which a class is of low weight.
 const LOW_WEIGHT: f64 = 0.5;
-/// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not decide.
+/// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not
+/// decide.
 const LONGEST_COUNTED: f64 = 3.0;
 /// The least work that a request counts for, over the mean of its class: hints can't make it free.
 const LEAST_RELATIVE_WORK: f64 = 0.05;
@@ -40,6 +41,7 @@
 /// Terms of a class, and what its runs have shown.
 #[derive(Default)]
 pub(super) struct ClassState {
+    /// As the settings give it.
     pub settings: RequestClass,
     /// Seconds that a first attempt may wait for a slot.
     pub wait_threshold: f64,
@@ -69,10 +71,12 @@
 }
 
 impl ClassState {
+    /// Whether its requests may run any number of times.
     pub fn is_idempotent(&self) -> bool {
         self.settings.idempotency == Idempotency::Idempotent
     }
 
+    /// Whether an answer without the downstream call is worth something.
     pub fn has_degraded_answer(&self) -> bool {
         self.settings.degraded_weight_fraction > 0.0
     }
@@ -114,8 +118,8 @@
 }
 
 impl HintTrust {
-    /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests would be
-    /// given up.
+    /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests
+    /// would be given up.
     pub fn relative_work(&self, relative_hint: f64) -> f64 {
         let trust = ((self.covariance + NEW_SAMPLE) / (self.variance + NEW_SAMPLE)).clamp(0.0, 1.0);
         (1.0 + trust * (relative_hint - 1.0)).max(LEAST_RELATIVE_WORK)
@@ -140,11 +144,13 @@
 }
 
 impl CallerPatience {
+    /// A caller gave its request up at this age, in seconds.
     pub fn gave_up(&mut self, age: f64) {
         self.age = moving_average(self.age, age, NEW_SAMPLE_QUICK);
         self.share += NEW_CALLER * (1.0 - self.share);
     }
 
+    /// A run ended for a caller that was still there, at this age of its request.
     pub fn waited_to_the_end(&mut self, age: f64) {
         if age > self.age {
             self.share -= NEW_CALLER * self.share;
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,4 +1,5 @@
-//! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in flight.
+//! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in
+//! flight.
 
 use crate::PolicySettings;
 
@@ -21,6 +22,7 @@
 }
 
 impl WarmUp {
+    /// A process that has yet to begin its first round.
     pub fn new(settings: &PolicySettings) -> WarmUp {
         let cold_fraction = if settings.starts_cold { settings.cold_capacity_fraction.min(1.0) } else { 1.0 };
         WarmUp {
@@ -33,18 +35,22 @@
         }
     }
 
+    /// The first round begins now.
     pub fn start(&mut self, now: f64) {
         self.started = Some(now);
     }
 
+    /// Whether the first round has begun.
     pub fn has_started(&self) -> bool {
         self.started.is_some()
     }
 
+    /// Whether the settings let the process start cold.
     pub fn may_be_cold(&self) -> bool {
         self.cold_fraction < 1.0
     }
 
+    /// Seconds since the first round.
     pub fn uptime(&self, now: f64) -> f64 {
         now - self.started.unwrap_or(now)
     }
@@ -60,8 +66,9 @@
         self.cores * (1.0 + self.extra_per_core * self.warmth(now))
     }
 
-    /// Guards against a full share for a cold server: it asks for no more than the share of its speed, until work
-    /// that leaves cores free shows that it has more than the settings promise. `eased` is what that takes off now.
+    /// Guards against a full share for a cold server: it asks for no more than the share of its speed, until
+    /// work that leaves cores free shows that it has more than the settings promise. `eased` is what that
+    /// takes off now.
     pub fn update_caution(&mut self, now: f64, eased: Option<f64>) -> f64 {
         self.caution = self.caution.min(1.0 - self.warmth(now));
         if let Some(eased) = eased {
