--- a/crates/config-rollout/src/follower/receive.rs
+++ b/crates/config-rollout/src/follower/receive.rs
@@ -77,7 +77,7 @@
             return Received::Gap;
         }
         // A message that answers no known acknowledgement says nothing of its age.
-        if let Some(sent) = self.sent_acks.at(acknowledged) {
+        if let Some(sent) = self.sent_acks.sent_at(acknowledged) {
             self.fresh_until = Some(self.fresh_until.unwrap_or(f64::MIN).max(sent - age));
         }
         Received::Outdated
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -18,7 +18,7 @@
 }
 
 fn fresh() -> Follower {
-    Follower::start(Owner::new("n1", 1), "east", seal(), None, &BoundsValidator).0
+    Follower::start(HolderId::new("n1", 1), "east", seal(), None, &BoundsValidator).0
 }
 
 /// A line of versions, each of one change.
@@ -260,7 +260,7 @@
     follower.save_finished(PROBATION, Ok(()));
     assert_eq!(follower.stored(), Some(line[1].0));
     let (again, started_with) =
-        Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
+        Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
     assert_eq!((started_with, again.active().version), (StartedWith::LastGood(line[1].0), line[1].0));
     // A full disk is reported and tried again.
     assert!(follower.save(2.5).is_some());
@@ -286,7 +286,7 @@
     follower.activated(0.0, line[5].0);
     let disk = follower.save(PROBATION).unwrap();
     let start =
-        |disk: &[u8]| Follower::start(Owner::new("n1", 2), "east", seal(), Some(disk), &BoundsValidator);
+        |disk: &[u8]| Follower::start(HolderId::new("n1", 2), "east", seal(), Some(disk), &BoundsValidator);
     for at in 0..disk.len() {
         let mut torn = disk.clone();
         torn[at] ^= 1;
@@ -300,7 +300,7 @@
         }
     }
     let never = |_: &Content| Err(ValidationError::whole("no longer fit"));
-    let (again, started_with) = Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &never);
+    let (again, started_with) = Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &never);
     assert!(
         matches!(started_with, StartedWith::BaseSettings(Some(error)) if error.to_string().contains("no longer fit"))
     );
--- a/crates/config-rollout/src/messages.rs
+++ b/crates/config-rollout/src/messages.rs
@@ -7,7 +7,7 @@
 use crate::change::Change;
 use crate::content::Content;
 use crate::digest::{Seal, VersionId};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a body in one chunk, at the most.
@@ -73,7 +73,7 @@
 pub struct Acknowledgement {
     /// The server and its incarnation.
     #[serde(rename = "owner")]
-    pub server: Owner,
+    pub server: HolderId,
     /// The failure domain in which the server runs.
     #[serde(default)]
     pub zone: String,
--- a/crates/config-rollout/tests/schedules/world.rs
+++ b/crates/config-rollout/tests/schedules/world.rs
@@ -7,7 +7,7 @@
 use puffinladder_config_rollout::history::{History, LogEntry, RetentionLimits};
 use puffinladder_config_rollout::rollout::RolloutController;
 use puffinladder_config_rollout::{Content, Digest, Key, Seal, ValidationError, VersionId};
-use puffinladder_leases::{Epoch, Owner};
+use puffinladder_leases::{Epoch, HolderId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -229,7 +229,7 @@
         let (region, zone) = (at % 2, format!("z{}", at % 6));
         let name = format!("n{at:02}");
         let (follower, _) =
-            Follower::start(Owner::new(&name, 1), &zone, self.seal.clone(), None, &local_check);
+            Follower::start(HolderId::new(&name, 1), &zone, self.seal.clone(), None, &local_check);
         SimulatedServer {
             name,
             zone,
--- a/crates/trace-store/src/index/tests.rs
+++ b/crates/trace-store/src/index/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn task() -> Duty {
-    Duty::new("gather", 0)
+fn task() -> Task {
+    Task::new("gather", 0)
 }
 
 fn block(file: &str, position: u64, last: bool) -> BlockId {
@@ -32,10 +32,13 @@
     );
     assert_eq!(announce(&mut index, 5), Verdict::New);
     assert_eq!(put(&mut index, 5, 1, &block("a", 0, false), 10), NEW);
-    assert_eq!(put(&mut index, 5, 1, &block("a", 0, false), 10), PutOutcome::Fence(Verdict::Repeat));
+    assert_eq!(put(&mut index, 5, 1, &block("a", 0, false), 10), PutOutcome::Fence(Verdict::Duplicate));
     assert_eq!(announce(&mut index, 6), Verdict::New);
-    assert_eq!(put(&mut index, 5, 2, &block("a", 1, true), 10), PutOutcome::Fence(Verdict::Late { seen: 6 }));
-    assert_eq!(announce(&mut index, 5), Verdict::Late { seen: 6 });
+    assert_eq!(
+        put(&mut index, 5, 2, &block("a", 1, true), 10),
+        PutOutcome::Fence(Verdict::Stale { latest: 6 })
+    );
+    assert_eq!(announce(&mut index, 5), Verdict::Stale { latest: 6 });
     // Its successor thinks that nothing was stored yet.
     let stored = FileProgress { blocks: 1, complete: false };
     assert_eq!(put(&mut index, 6, 1, &block("a", 0, false), 10), PutOutcome::UnexpectedBlock(stored));
@@ -100,8 +103,8 @@
         assert_eq!(put(&mut index, 5, 1, &block(name, 0, true), 1), PutOutcome::Full, "{name:?}");
     }
     assert!(matches!(
-        index.announce(&Duty::new("a/b", 0), 9),
-        Decision { outcome: Verdict::Late { .. }, update: None }
+        index.announce(&Task::new("a/b", 0), 9),
+        Decision { outcome: Verdict::Stale { .. }, update: None }
     ));
     // A file without blocks, or with one that can't be read, has a piece without bytes in that place.
     assert_eq!(put(&mut index, 5, 1, &block("empty", 0, true), 0), NEW);
--- a/crates/trace-store/src/store/tests.rs
+++ b/crates/trace-store/src/store/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn what_was_committed_is_judged_by_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
-    let task = Duty::new("gather", 3);
+    let task = Task::new("gather", 3);
     let (mut store, mut index) = Store::open(folder.path(), 100).unwrap();
     assert!(matches!(Store::open(folder.path(), 100), Err(StoreError::AlreadyOpen(_))));
     let updates = [index.announce(&task, 7).update.unwrap()];
@@ -22,7 +22,7 @@
     }
     drop(store);
     let (mut store, mut index) = Store::open(folder.path(), 100).unwrap();
-    assert_eq!((index.fence_state(&task), index.bytes()), (Seen { epoch: 7, number: 2 }, 80));
+    assert_eq!((index.fence_state(&task), index.bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
     assert!(index.put(&task, 6, 1, &block("b", 0, true), 1).update.is_none());
     // The next one needs capacity: the oldest complete file is evicted, also from the disk.
     let update = index.put(&task, 7, 3, &block("b", 0, true), 40).update.unwrap();
