--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,8 +1,9 @@
 //! Seeded rounds through the policy, with a hash over every decision it writes.
 //!
 //! The figures at the end of this file were taken from the policy as it was before its source was divided and
-//! renamed. A change that is meant to leave the decisions alone leaves them bit for bit the same, so the
-//! hashes cover the bits of every number. They change only with a change of the mechanism, which says so.
+//! renamed. A change that is meant to leave the decisions alone leaves them bit for bit the same, so the hashes
+//! cover the bits of every number. They change only with a change of the mechanism, which says so. (The policy
+//! takes `exp` and `sqrt` from the platform: a host whose `exp` rounds otherwise may get other bits, too.)
 
 use puffinladder::*;
 use std::collections::{BTreeMap, BTreeSet};
