--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -1,7 +1,7 @@
 //! Arrivals: what is queued, replayed from an earlier attempt, or rejected at once.
 
+use super::averages::NEW_SAMPLE;
 use super::in_flight::{InFlight, Stage};
-use super::run_times::NEW_SAMPLE;
 use super::state::AdmissionPolicy;
 use super::timing::MARGIN;
 use crate::{Decisions, Idempotency, Reason, Request};
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -1,6 +1,7 @@
 //! The window of downstream calls: how many may be open, by how quick and how sound those before were.
 
-use super::run_times::{moving_average, BASE_RUNS, NEW_SAMPLE};
+use super::averages::{moving_average, NEW_SAMPLE};
+use super::estimates::BASE_RUNS;
 use crate::{Downstream, Outcome, PolicySettings};
 use std::collections::VecDeque;
 
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -1,7 +1,7 @@
 //! Downstream calls: who may call and for how long; failed calls are retried where that is safe, or left out.
 
+use super::averages::{moving_average, NEW_SAMPLE};
 use super::in_flight::{InFlight, Stage};
-use super::run_times::{moving_average, NEW_SAMPLE};
 use super::state::AdmissionPolicy;
 use super::timing::MARGIN;
 use crate::{Completion, Decisions, Outcome, Reason};
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,6 +1,6 @@
 //! The concurrency limit: how many requests run at once, by the gradient of run time over its base.
 
-use super::run_times::RUN_TIME_RISE;
+use super::estimates::RUN_TIME_RISE;
 use crate::{Gauges, PolicySettings};
 
 /// Share of the cores busy from which they count as full: the gauge lags and rounds.
--- a/src/policy/run_times.rs
+++ b/src/policy/estimates.rs
@@ -1,12 +1,9 @@
 //! Estimates that the other modules judge by: what runs take, how much cost hints tell, when callers give up.
 
+use super::averages::{moving_average, NEW_SAMPLE, NEW_SAMPLE_QUICK};
 use super::timing::RATE_SPAN;
 use crate::{Idempotency, RequestClass};
 
-/// Weight of a new sample in a learned mean: about the last twenty count.
-pub(super) const NEW_SAMPLE: f64 = 0.05;
-/// The same for the rise of run time and for patience: a slow machine is to be noticed in a second.
-pub(super) const NEW_SAMPLE_QUICK: f64 = 0.1;
 /// Runs over which a base is taken: longer than a fault should count.
 pub(super) const BASE_RUNS: f64 = 200.0;
 /// Runs before a base says anything: the first to end are the short ones.
@@ -32,12 +29,6 @@
 /// Share of callers that gave up by their usual age, at which that age is a limit: most do.
 const MOST_GIVE_UP: f64 = 0.5;
 
-/// A moving average that starts with its first sample.
-pub(super) fn moving_average(mean: f64, sample: f64, weight: f64) -> f64 {
-    let weight = if mean == 0.0 { 1.0 } else { weight };
-    mean + weight * (sample - mean)
-}
-
 /// Terms of a class, and what its runs have shown.
 #[derive(Default)]
 pub(super) struct ClassState {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,6 +1,6 @@
 //! Health: whether this machine has slowed down, and the health checks and keepalive that follow.
 
-use super::run_times::{moving_average, NEW_SAMPLE_QUICK};
+use super::averages::{moving_average, NEW_SAMPLE_QUICK};
 use super::timing::STEP;
 use crate::{Decisions, PolicySettings};
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -31,15 +31,18 @@
 //! | [`health`] | whether this machine has slowed down, and its health and keepalive because of it |
 //! | [`pressure`] | how near to their thresholds requests wait |
 //! | [`retry_advice`] | what rejected callers are told, and the counts for the log |
-//! | [`run_times`] | what runs take, what cost hints are worth, when callers give up |
+//! | [`estimates`] | what runs take, what cost hints are worth, when callers give up |
+//! | [`averages`] | the learned means that the others keep |
 //! | [`in_flight`] | one request and where it stands |
 //! | [`timing`] | intervals that several modules share |
 
 mod arrivals;
+mod averages;
 mod call_window;
 mod calls;
 mod concurrency;
 mod deadlines;
+mod estimates;
 mod health;
 mod in_flight;
 mod load_signal;
@@ -50,7 +53,6 @@
 mod rejection;
 mod retry_advice;
 mod rounds;
-mod run_times;
 mod state;
 mod timing;
 mod warm_up;
--- a/src/policy/rounds.rs
+++ b/src/policy/rounds.rs
@@ -1,8 +1,8 @@
 //! A round: the order in which the policy reads what happened, and the steps of what adapts slowly.
 
+use super::averages::{moving_average, NEW_SAMPLE};
 use super::health::RunAges;
 use super::in_flight::Stage;
-use super::run_times::{moving_average, NEW_SAMPLE};
 use super::state::{AdmissionPolicy, Drain};
 use super::timing::{MARGIN, RATE_SPAN, STEP, TICK};
 use crate::{Completion, Decisions, Gauges, Outcome, Round};
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -2,13 +2,13 @@
 
 use super::call_window::CallWindow;
 use super::concurrency::{self, ConcurrencyLimit};
+use super::estimates::{self, CallerPatience, ClassState, HintTrust};
 use super::health::{Health, Keepalive, Slowdown};
 use super::in_flight::{InFlight, Stage};
 use super::memory::MemoryBudget;
 use super::pressure::Pressure;
 use super::quota::QuotaBucket;
 use super::retry_advice::{RejectionLog, RetryAdvice};
-use super::run_times::{self, CallerPatience, ClassState, HintTrust};
 use super::warm_up::WarmUp;
 use crate::{Decisions, PolicySettings, Preemption};
 use slab::Slab;
@@ -70,7 +70,7 @@
         AdmissionPolicy {
             settings: settings.clone(),
             callers: settings.callers.max(1.0),
-            classes: run_times::class_states(&settings.classes),
+            classes: estimates::class_states(&settings.classes),
             quotas: settings
                 .tenants
                 .iter()
