--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -10,7 +10,7 @@
 };
 use puffinladder_config_rollout::validation::BoundsValidator;
 use puffinladder_config_rollout::{Change, Content, Key, Seal, VersionId};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -79,7 +79,7 @@
 struct Small(Bug);
 
 fn start(life: u64, disk: Option<&[u8]>) -> Follower {
-    Follower::start(Owner::new("n", life), "", Seal::default(), disk, &BoundsValidator).0
+    Follower::start(HolderId::new("n", life), "", Seal::default(), disk, &BoundsValidator).0
 }
 
 fn apply(state: &mut State, command: Command) -> Result<Outcome, Rejection> {
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -2,8 +2,8 @@
 //! [`TraceIndex::apply`] is called with what was written for it, so that nothing is acknowledged that a crash would undo.
 
 use crate::protocol::{BlockId, FileId, FileProgress, PutOutcome};
-use puffinladder_leases::fence::{Fence, Seen, Verdict};
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::fence::{Fence, FenceRecord, Verdict};
+use puffinladder_leases::{Epoch, Task};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Files that the index knows at the most, a bound on its memory.
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexUpdate {
     /// The part of the task whose lease holder asked for it.
-    pub task: Duty,
+    pub task: Task,
     /// The fence's state of that part after the write.
-    pub fence: Seen,
+    pub fence: FenceRecord,
     /// The block that is stored, unless the write is for an announcement.
     pub block: Option<StoredBlock>,
     /// Files whose blocks are removed to free capacity; what is known of them stays.
@@ -95,10 +95,10 @@
     /// An index of what is on disk: the fence's state, and the files in the order in which they were completed. Blocks may take `max_bytes`.
     pub fn new(
         max_bytes: u64,
-        fence: impl IntoIterator<Item = (Duty, Seen)>,
+        fence: impl IntoIterator<Item = (Task, FenceRecord)>,
         files: impl IntoIterator<Item = IndexedFile>,
     ) -> TraceIndex {
-        let fence = Fence::restore(fence);
+        let fence = Fence::from_records(fence);
         let mut index = TraceIndex { fence, max_bytes, max_files: MAX_FILES, ..TraceIndex::default() };
         for IndexedFile { id, progress, bytes } in files {
             index.bytes += bytes;
@@ -130,24 +130,24 @@
     }
 
     /// The highest epoch that was seen of a task's part, and the number of its last effect.
-    pub fn fence_state(&self, task: &Duty) -> Seen {
-        self.fence.seen(task)
+    pub fn fence_state(&self, task: &Task) -> FenceRecord {
+        self.fence.record(task)
     }
 
     /// A lease holder shows its epoch. Names that are not valid and parts past the bound are told of an epoch that none can follow.
-    pub fn announce(&self, task: &Duty, epoch: Epoch) -> Decision<Verdict> {
+    pub fn announce(&self, task: &Task, epoch: Epoch) -> Decision<Verdict> {
         let is_new_task = self.fence_state(task).epoch == 0;
-        let too_many_parts = is_new_task && self.fence.all().count() >= MAX_TASK_PARTS;
+        let too_many_parts = is_new_task && self.fence.records().count() >= MAX_TASK_PARTS;
         if !is_valid_name(&task.name) || too_many_parts {
-            return Decision::unchanged(Verdict::Late { seen: Epoch::MAX });
+            return Decision::unchanged(Verdict::Stale { latest: Epoch::MAX });
         }
-        let verdict = self.fence.clone_of(task).announce(task, epoch);
+        let verdict = self.fence.restricted_to(task).announce(task, epoch);
         if verdict != Verdict::New {
             return Decision::unchanged(verdict);
         }
         let update = IndexUpdate {
             task: task.clone(),
-            fence: Seen { epoch, number: 0 },
+            fence: FenceRecord { epoch, number: 0 },
             block: None,
             evicted: Vec::new(),
             dropped: None,
@@ -158,15 +158,15 @@
     /// A lease holder's effect of that number under its epoch: the block `id` of so many bytes.
     pub fn put(
         &mut self,
-        task: &Duty,
+        task: &Task,
         epoch: Epoch,
         number: u64,
         id: &BlockId,
         bytes: u64,
     ) -> Decision<PutOutcome> {
-        let verdict = self.fence.judge(task, epoch, number);
+        let verdict = self.fence.check(task, epoch, number);
         if verdict != Verdict::New {
-            self.rejected += u64::from(matches!(verdict, Verdict::Late { .. }));
+            self.rejected += u64::from(matches!(verdict, Verdict::Stale { .. }));
             return Decision::unchanged(PutOutcome::Fence(verdict));
         }
         // An epoch begins with its announcement, whose response says where to go on.
@@ -183,7 +183,7 @@
         let progress = FileProgress { blocks: stored.blocks + 1, complete: id.last };
         let update = IndexUpdate {
             task: task.clone(),
-            fence: Seen { epoch, number },
+            fence: FenceRecord { epoch, number },
             block: Some(StoredBlock { file: id.file.clone(), position: id.position, progress }),
             evicted,
             dropped,
@@ -225,7 +225,7 @@
 
     /// Takes over what is written, with a block of so many bytes.
     pub fn apply(&mut self, update: &IndexUpdate, bytes: u64) {
-        self.fence.keep(&update.task, update.fence);
+        self.fence.insert(&update.task, update.fence);
         for file in &update.evicted {
             self.bytes -= self.sizes.insert(file.clone(), 0).unwrap_or(0);
             self.evictable.retain(|other| other != file);
--- a/crates/trace-store/src/protocol.rs
+++ b/crates/trace-store/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The messages between workers and the trace store, a line of JSON each. The names on the wire are older than the names here.
 
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::{Epoch, Task};
 use serde::{Deserialize, Serialize};
 
 /// Longest line, in bytes: a block of a trace as base64.
@@ -38,7 +38,7 @@
     Announce {
         /// The task's part that the worker holds.
         #[serde(rename = "duty")]
-        task: Duty,
+        task: Task,
         /// The fencing token of its lease.
         epoch: Epoch,
         /// How many parts the task has.
@@ -48,7 +48,7 @@
     Put {
         /// The task's part that the worker holds.
         #[serde(rename = "duty")]
-        task: Duty,
+        task: Task,
         /// The fencing token of its lease.
         epoch: Epoch,
         /// Of this effect under the epoch, from 1.
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -5,10 +5,10 @@
 use crate::protocol::{BlockId, FileId, PutOutcome, Request, Response};
 use crate::store::PendingWrite;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_leases::assign::part_of;
+use puffinladder_leases::assignment::part_of;
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::words::Event;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::protocol::Event;
+use puffinladder_leases::{Epoch, Task};
 
 /// A response, and the event that goes with it.
 pub(crate) struct Reply {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn announce(&mut self, task: Duty, epoch: Epoch, parts: u32) -> Reply {
+    fn announce(&mut self, task: Task, epoch: Epoch, parts: u32) -> Reply {
         let Decision { outcome: verdict, update } = self.index.announce(&task, epoch);
         if let Some(update) = update {
             self.index.apply(&update, 0);
@@ -66,17 +66,17 @@
         }
         let number = self.index.fence_state(&task).number;
         let belongs_to_part = |file: &FileId| part_of(&task.name, &file.server, parts) == task.part;
-        let progress = if verdict.stands() {
+        let progress = if verdict.is_applied() {
             let files = self.index.files().filter(|(file, _)| belongs_to_part(file));
             files.map(|(file, progress)| (file.clone(), *progress)).collect()
         } else {
             Vec::new()
         };
-        let event = Event::Judged { duty: task, epoch, number, piece: None, verdict };
+        let event = Event::EffectChecked { task: task, epoch, number, chunk: None, verdict };
         Reply { response: Response::Announced { verdict, number, progress }, event: Some(event) }
     }
 
-    fn put(&mut self, task: Duty, epoch: Epoch, number: u64, id: &BlockId, block: Vec<u8>) -> Reply {
+    fn put(&mut self, task: Task, epoch: Epoch, number: u64, id: &BlockId, block: Vec<u8>) -> Reply {
         let bytes = block.len() as u64;
         let Decision { outcome, update } = self.index.put(&task, epoch, number, id, bytes);
         if let Some(update) = update {
@@ -84,13 +84,13 @@
             self.stored_blocks += u64::from(!block.is_empty());
             self.pending_writes.push(PendingWrite { update, block });
         }
-        if let PutOutcome::Fence(Verdict::Late { seen }) = outcome {
+        if let PutOutcome::Fence(Verdict::Stale { latest: seen }) = outcome {
             tracing::warn!("{task}: rejected an effect of epoch {epoch}, which epoch {seen} has superseded");
         }
         let event = match outcome {
             PutOutcome::Fence(verdict) => {
                 let piece = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
-                Some(Event::Judged { duty: task, epoch, number, piece, verdict })
+                Some(Event::EffectChecked { task: task, epoch, number, chunk: piece, verdict })
             }
             _ => None,
         };
