--- /dev/null
+++ b/crates/cli/src/fleet/lease_store.rs
@@ -0,0 +1,284 @@
+//! `puffinladder lease-store`: a replica of the lease store, its status, and the members of its cluster.
+
+use super::common::{run_until_stopped, ServiceArgs};
+use super::{ask, failed, print, Ground};
+use crate::say::{Done, Wrong};
+use crate::serve;
+use clap::{Args, Subcommand};
+use puffinladder_lease_store::durable::DurableState;
+use puffinladder_lease_store::replica::ReplicaConfig;
+use puffinladder_lease_store::server::{start, ServerOptions};
+use puffinladder_lease_store::store::Store;
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, ReplicaStatus};
+use puffinladder_leases::table::{LeaseRules, TaskDeclaration};
+use puffinladder_settings::{LeaseStoreSettings, TaskSettings};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// Name of the replica's file in its folder.
+const FILE_NAME: &str = "keeper.redb";
+/// How long an operator's command looks for the leader: an election may be under way.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before all replicas are asked again.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Columns of the status table.
+const STATUS_COLUMNS: [&str; 11] = [
+    "address",
+    "replica",
+    "state",
+    "term",
+    "applied",
+    "log",
+    "voters",
+    "learners",
+    "instances",
+    "epoch",
+    "uptime",
+];
+
+#[derive(Args)]
+#[command(
+    args_conflicts_with_subcommands = true,
+    after_help = "Examples:\n  puffinladder lease-store --settings replica1.scm --found     the first start of all, once for each replica\n  \
+        puffinladder lease-store --settings replica1.scm\n  puffinladder lease-store --settings replica4.scm --join      in place of one whose disk is lost\n  \
+        puffinladder lease-store status --at 127.0.0.1:18201,127.0.0.2:18201"
+)]
+pub struct Line {
+    #[command(flatten)]
+    service: ServiceArgs,
+    /// Bootstrap a new cluster: creates this replica's file, which must not exist yet
+    #[arg(long)]
+    found: bool,
+    /// Create an empty file, to join a running cluster under a number that was never used
+    #[arg(long, conflicts_with = "found")]
+    join: bool,
+    #[command(subcommand)]
+    command: Option<Command>,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Show each replica's status: who leads, who votes, how far it is
+    #[command(
+        after_help = "Example:\n  puffinladder lease-store status --at 127.0.0.1:18201,127.0.0.2:18201 --json"
+    )]
+    Status {
+        /// Addresses of the replicas, each of which is asked
+        #[arg(long, value_delimiter = ',', required = true)]
+        at: Vec<SocketAddr>,
+        #[arg(long)]
+        json: bool,
+    },
+    /// Add a replica that was started with --join; it is promoted to a voter once it has nearly the whole log
+    #[command(
+        after_help = "Example:\n  puffinladder lease-store add 4 127.0.0.4:18201 --at 127.0.0.1:18201,127.0.0.2:18201"
+    )]
+    Add {
+        number: u64,
+        address: SocketAddr,
+        #[arg(long, value_delimiter = ',', required = true)]
+        at: Vec<SocketAddr>,
+    },
+    /// Remove a replica for good: its number is never used again
+    #[command(
+        after_help = "Example:\n  puffinladder lease-store remove 2 --at 127.0.0.1:18201,127.0.0.3:18201"
+    )]
+    Remove {
+        number: u64,
+        #[arg(long, value_delimiter = ',', required = true)]
+        at: Vec<SocketAddr>,
+    },
+}
+
+pub fn run(line: Line) -> Done {
+    let Some(command) = line.command else {
+        let start_mode = StartMode::from_flags(line.found, line.join);
+        let (settings, ground) = line.service.load("keeper", |settings| settings.lease_store.clone())?;
+        return serve::runtime()?.block_on(run_replica(&settings, start_mode, &ground));
+    };
+    let runtime = serve::runtime()?;
+    match command {
+        Command::Status { at, json } => runtime.block_on(status(&at, json)),
+        Command::Add { number, address, at } => {
+            let address = address.to_string();
+            runtime.block_on(command_leader(&at, &ReplicaRequest::AddReplica { number, address }))
+        }
+        Command::Remove { number, at } => {
+            runtime.block_on(command_leader(&at, &ReplicaRequest::RemoveReplica { number }))
+        }
+    }
+}
+
+/// Where a replica's file comes from.
+#[derive(Clone, Copy, PartialEq)]
+pub enum StartMode {
+    /// It exists.
+    Open,
+    /// It is created, for a new cluster.
+    Bootstrap,
+    /// It is created empty, to join a running cluster.
+    Join,
+}
+
+impl StartMode {
+    fn from_flags(found: bool, join: bool) -> StartMode {
+        match (found, join) {
+            (true, _) => StartMode::Bootstrap,
+            (_, true) => StartMode::Join,
+            _ => StartMode::Open,
+        }
+    }
+}
+
+fn replica_config(settings: &LeaseStoreSettings) -> ReplicaConfig {
+    let rules = LeaseRules {
+        term: settings.lease_duration,
+        drift: settings.max_clock_drift,
+        stall_timeout: settings.stall_timeout,
+        exclusion_period: settings.exclusion_time,
+        max_flaps: settings.flap_limit,
+        flap_window: settings.flap_window,
+        flap_penalty: settings.flap_backoff,
+        panic_window: settings.panic_window,
+        settle_time: settings.rebalance_delay,
+        max_moves: settings.max_moves,
+    };
+    let tasks = settings.tasks.iter().map(task_declaration).collect();
+    ReplicaConfig { rules, tasks, ..ReplicaConfig::default() }
+}
+
+fn task_declaration(task: &TaskSettings) -> TaskDeclaration {
+    TaskDeclaration { name: task.name.clone(), parts: task.parts as u32, zone: task.zone.clone() }
+}
+
+/// Runs a replica until it fails or the process is told to stop.
+pub async fn run_replica(settings: &LeaseStoreSettings, start_mode: StartMode, ground: &Ground) -> Done {
+    let (store, durable) = open_store(settings, start_mode)?;
+    let options = ServerOptions {
+        replica: replica_config(settings),
+        listen: settings.listen,
+        peers: settings.peers.clone(),
+        tick_interval: settings.tick_interval,
+        max_connections: settings.max_connections,
+        clock: ground.clock.clone(),
+        events: ground.events,
+        sync_delay: ground.sync_pause.clone(),
+    };
+    let service = start(options, store, &durable).await.map_err(|e| failed(e.to_string()))?;
+    run_until_stopped(service).await
+}
+
+fn open_store(settings: &LeaseStoreSettings, start_mode: StartMode) -> Done<(Store, DurableState)> {
+    let folder = Path::new(&settings.directory);
+    std::fs::create_dir_all(folder).map_err(|e| failed(format!("{}: {e}", settings.directory)))?;
+    let path = folder.join(FILE_NAME);
+    let number = settings.replica_id;
+    let voters: Vec<u64> = settings.peers.keys().copied().collect();
+    let opened = match start_mode {
+        StartMode::Open => Store::open(&path),
+        StartMode::Bootstrap if !voters.contains(&number) => {
+            let cause = format!("keeper.peers: should name keeper {number} itself to found it");
+            return Err(Wrong::Asked(cause));
+        }
+        StartMode::Bootstrap => Store::bootstrap(&path, number, &voters),
+        StartMode::Join => Store::join(&path, number),
+    };
+    let (store, durable) = opened.map_err(|e| failed(e.to_string()))?;
+    if store.id() != number {
+        let (found, file) = (store.id(), path.display());
+        return Err(failed(format!("{file}: is the disk of replica {found}, and the settings say {number}")));
+    }
+    Ok((store, durable))
+}
+
+async fn status(at: &[SocketAddr], json: bool) -> Done {
+    let mut rows = vec![STATUS_COLUMNS.map(String::from).to_vec()];
+    let mut reached = 0;
+    for &address in at {
+        match ask::<_, ReplicaReply>(address, &ReplicaRequest::Status).await {
+            Ok(ReplicaReply::Status(status)) => {
+                reached += 1;
+                if json {
+                    println!("{}", serde_json::to_string(&status).map_err(std::io::Error::from)?);
+                }
+                rows.push(status_row(address, &status));
+            }
+            Ok(other) => rows.push(vec![address.to_string(), format!("says {other:?}")]),
+            Err(error) => rows.push(vec![address.to_string(), error]),
+        }
+    }
+    if !json {
+        print(&rows)?;
+    }
+    if 2 * reached <= at.len() {
+        let replicas = at.len();
+        return Err(failed(format!("{reached} of {replicas} answer: no majority, no lease is granted")));
+    }
+    Ok(())
+}
+
+fn status_row(address: SocketAddr, status: &ReplicaStatus) -> Vec<String> {
+    let list = |numbers: &[u64]| numbers.iter().map(u64::to_string).collect::<Vec<_>>().join(",");
+    vec![
+        address.to_string(),
+        status.number.to_string(),
+        state_text(status),
+        status.term.to_string(),
+        status.applied.to_string(),
+        status.log_entries.to_string(),
+        list(&status.voters),
+        list(&status.learners),
+        status.instances.to_string(),
+        status.last_epoch.to_string(),
+        format!("{:.0}s", status.uptime),
+    ]
+}
+
+fn state_text(status: &ReplicaStatus) -> String {
+    let state = match (status.is_leader, status.leader) {
+        (true, _) => "leads".to_string(),
+        (_, Some(leader)) => format!("follows {leader}"),
+        _ => "finds no leader".to_string(),
+    };
+    if status.slow_disk {
+        format!("{state}, slow disk")
+    } else {
+        state
+    }
+}
+
+/// Sends a request to each replica in turn until the leader answers. Retries for a while, since an election may be under way.
+pub async fn ask_leader(at: &[SocketAddr], request: &ReplicaRequest) -> Done<ReplicaReply> {
+    let deadline = Instant::now() + LEADER_TIMEOUT;
+    let mut last_error = "no replica was named".to_string();
+    loop {
+        for &address in at {
+            match ask::<_, ReplicaReply>(address, request).await {
+                Ok(ReplicaReply::NotLeader { leader, .. }) => last_error = no_leader_text(leader),
+                Ok(reply) => return Ok(reply),
+                Err(error) => last_error = error,
+            }
+        }
+        if Instant::now() >= deadline {
+            return Err(failed(last_error));
+        }
+        tokio::time::sleep(LEADER_RETRY_DELAY).await;
+    }
+}
+
+fn no_leader_text(leader: Option<u64>) -> String {
+    match leader {
+        Some(number) => format!("replica {number} leads, none of these does"),
+        None => "there is no leader".to_string(),
+    }
+}
+
+/// Sends a command to the leader, which is done when this returns.
+pub async fn command_leader(at: &[SocketAddr], command: &ReplicaRequest) -> Done {
+    match ask_leader(at, command).await? {
+        ReplicaReply::Done => Ok(()),
+        ReplicaReply::Failed(reason) => Err(failed(reason)),
+        other => Err(failed(format!("the replica says {other:?}"))),
+    }
+}
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! `puffinladder keeper`, `duties`, `worker` and `trace-store`: one owner at a time for work on behalf of the fleet.
+//! The commands around leases on the fleet's tasks: the lease store, the leases in it, workers and the trace store.
 
-pub mod duties;
-pub mod keeper;
+pub mod common;
+pub mod lease_store;
+pub mod leases;
 pub mod trace_store;
 pub mod worker;
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -66,10 +66,12 @@
     },
     /// Serve the servers' decisions to proxies over xDS
     Control(control::Line),
-    /// Keep, with two or four others, the table of who owns what for the fleet
-    Keeper(fleet::keeper::Line),
-    /// Who owns what for the fleet; move and pause it
-    Duties(fleet::duties::Line),
+    /// Run one replica of the lease store, which grants leases on the fleet's tasks
+    #[command(alias = "keeper")]
+    LeaseStore(fleet::lease_store::Line),
+    /// Show the leases on the fleet's tasks; move and pause them
+    #[command(alias = "duties")]
+    Leases(fleet::leases::Line),
     /// Run the fleet's tasks that the lease store grants
     #[command(alias = "steward")]
     Worker(fleet::worker::Line),
@@ -113,8 +115,8 @@
         }
         Command::Check { file } => check::check(&file),
         Command::Control(line) => control::run(line),
-        Command::Keeper(line) => fleet::keeper::run(line),
-        Command::Duties(line) => fleet::duties::run(line),
+        Command::LeaseStore(line) => fleet::lease_store::run(line),
+        Command::Leases(line) => fleet::leases::run(line),
         Command::Worker(line) => fleet::worker::run(line),
         Command::TraceStore(line) => fleet::trace_store::run(line),
         Command::Hollow(line) => hollow::run(line),
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -5,7 +5,7 @@
 mod seat;
 
 use crate::control;
-use crate::fleet::{keeper, trace_store, worker, Ground};
+use crate::fleet::{lease_store, trace_store, worker, Ground};
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use clap::{Args, Subcommand, ValueEnum};
@@ -307,12 +307,12 @@
     match kind {
         Kind::Keeper => {
             let begin = match (found, join) {
-                (true, _) => keeper::Begin::Found,
-                (_, true) => keeper::Begin::Join,
-                _ => keeper::Begin::Open,
+                (true, _) => lease_store::StartMode::Bootstrap,
+                (_, true) => lease_store::StartMode::Join,
+                _ => lease_store::StartMode::Open,
             };
             let told = serve::section(&name, "keeper", settings.lease_store)?;
-            runtime.block_on(keeper::keep(&told, begin, ground))
+            runtime.block_on(lease_store::run_replica(&told, begin, ground))
         }
         Kind::Steward => {
             let told = serve::section(&name, "steward", settings.worker)?;
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -1,12 +1,14 @@
-//! Keepers: three or five processes of which a majority holds the table of grants (`docs/owners.md`).
+//! Replicated lease store: three or five replicas, a majority of which agrees on the lease table (`docs/owners.md`).
 //!
-//! [`log`] is a keeper's log in memory and what of it must be on disk; [`core`] is a keeper without I/O and clock:
-//! messages, lines and ticks go in, what is to be saved, sent and told comes out. Consensus is the `raft` library's. [`members`] says who the
-//! keepers are, [`store`] is the disk, [`serve`] the process on sockets.
+//! [`replica`] is one replica without I/O and clock: messages, requests and ticks go in; writes, messages and replies come out. Consensus is
+//! the `raft` crate's. [`durable`] holds the forms that are written to disk, [`store`] the file they are in, [`membership`] the rules for
+//! adding and removing replicas, and [`server`] the process on sockets.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-pub mod core;
-pub mod log;
-pub mod members;
-pub mod serve;
+pub mod durable;
+mod log;
+pub mod membership;
+pub mod replica;
+pub mod server;
 pub mod store;
--- /dev/null
+++ b/crates/lease-store/src/replica/leadership.rs
@@ -0,0 +1,115 @@
+//! What a leader does with each tick: it advances the table's time, looks after followers, and gives up its role where it can't fulfil it.
+
+use super::{CommandFailure, CommandOutcome, Replica};
+use puffinladder_leases::table::Command;
+use puffinladder_leases::table_clock::TableClock;
+use raft::{ProgressState, SnapshotStatus, StateRole};
+
+/// Entries of the leader's own that may be uncommitted; above that, requests wait and are batched.
+pub(super) const MAX_INFLIGHT_PROPOSALS: usize = 8;
+/// Ticks after which a snapshot that was sent and not acknowledged counts as lost: about 2 s at the default tick.
+const SNAPSHOT_TIMEOUT_TICKS: usize = 66;
+
+/// The state of a leader that has applied all entries of earlier terms.
+pub(super) struct Leadership {
+    /// The raft term that it leads in.
+    pub term: u64,
+    /// The table's time.
+    pub clock: TableClock,
+    /// When the next entry that only advances time is due, on the host's clock, s.
+    pub next_time_entry: f64,
+    /// Entries of its own that are proposed and not yet applied.
+    pub inflight_proposals: usize,
+}
+
+impl Replica {
+    /// Advances raft's timers by one tick; ticks are evenly spaced, by how much is the host's choice. `now` is the host's clock, s. With a
+    /// slow disk the replica neither stands for election nor stays leader: what it applies comes as late as its writes.
+    pub fn tick(&mut self, now: f64) {
+        let has_slow_disk = self.has_slow_disk(now);
+        if has_slow_disk && self.node.raft.state == StateRole::Leader {
+            self.transfer_leadership();
+        }
+        if !has_slow_disk || self.node.raft.state == StateRole::Leader {
+            self.node.tick();
+        }
+        self.check_leadership();
+        self.maintain_followers();
+        self.propose_time(now);
+    }
+
+    /// Hands the leadership to the active follower that has most of the log.
+    fn transfer_leadership(&mut self) {
+        if self.node.raft.lead_transferee.is_some() {
+            return;
+        }
+        let id = self.id;
+        let followers = self.node.raft.prs().iter().filter(|(peer, _)| **peer != id);
+        let best =
+            followers.max_by_key(|(peer, progress)| (progress.recent_active, progress.matched, **peer));
+        if let Some(peer) = best.map(|(peer, _)| *peer) {
+            self.node.transfer_leader(peer);
+        }
+    }
+
+    /// Drops what belongs to a leadership that is over: a former leader answers nothing more.
+    pub(super) fn check_leadership(&mut self) {
+        let leads = self.node.raft.state == StateRole::Leader;
+        let term = self.term();
+        if self.leadership.as_ref().is_some_and(|leadership| !leads || leadership.term != term) {
+            self.leadership = None;
+            self.lease_requests.clear();
+        }
+        let lost = self.pending_commands.extract_if(.., |command| !leads || command.term != term);
+        let unknown = |token| CommandOutcome { token, result: Err(CommandFailure::OutcomeUnknown) };
+        self.output.outcomes.extend(lost.map(|command| unknown(command.token)));
+    }
+
+    /// Sends lost snapshots again, and promotes learners that have caught up.
+    fn maintain_followers(&mut self) {
+        if self.leadership.is_none() {
+            return self.snapshots_in_flight.clear();
+        }
+        self.expire_snapshots();
+        self.promote_learner();
+    }
+
+    fn expire_snapshots(&mut self) {
+        let awaits_snapshot = |(peer, progress): (&u64, &raft::Progress)| {
+            (progress.state == ProgressState::Snapshot).then_some(*peer)
+        };
+        let waiting: Vec<u64> = self.node.raft.prs().iter().filter_map(awaits_snapshot).collect();
+        self.snapshots_in_flight.retain(|peer, _| waiting.contains(peer));
+        for peer in waiting {
+            let ticks = self.snapshots_in_flight.entry(peer).or_default();
+            *ticks += 1;
+            if *ticks >= SNAPSHOT_TIMEOUT_TICKS {
+                self.snapshots_in_flight.remove(&peer);
+                self.node.report_snapshot(peer, SnapshotStatus::Failure);
+            }
+        }
+    }
+
+    fn promote_learner(&mut self) {
+        if self.node.raft.has_pending_conf() {
+            return;
+        }
+        let last_index = self.node.raft.raft_log.last_index();
+        if let Some(change) = self.members.next_promotion(&self.member_progress(), last_index) {
+            self.propose_membership(Self::NO_TOKEN, change);
+        }
+    }
+
+    /// Proposes an entry that only advances the table's time, by which leases run out.
+    fn propose_time(&mut self, now: f64) {
+        let has_unread = !self.lease_requests.is_empty();
+        let Some(leadership) = &mut self.leadership else { return };
+        // Checked before time advances: after a pause of this process the requests that waited come first.
+        let may_advance = leadership.clock.may_advance(now, has_unread);
+        let is_due = now >= leadership.next_time_entry;
+        if may_advance && is_due && leadership.inflight_proposals < MAX_INFLIGHT_PROPOSALS {
+            leadership.next_time_entry = now + self.config.time_interval;
+            self.propose(now, Command::AdvanceTime, Vec::new());
+        }
+    }
+}
--- /dev/null
+++ b/crates/lease-store/src/replica/snapshot.rs
@@ -0,0 +1,59 @@
+//! Snapshots: the replicated state that takes the place of a long log.
+
+use super::{Replica, ReplicaError};
+use crate::durable::{PendingWrite, StoredSnapshot};
+use crate::membership::Members;
+use puffinladder_leases::table::LeaseTable;
+use serde::{Deserialize, Serialize};
+
+/// What a snapshot contains. Stored: fields keep their order.
+#[derive(Default, Serialize, Deserialize)]
+pub(super) struct ReplicatedState {
+    pub table: LeaseTable,
+    pub members: Members,
+}
+
+/// The contents of a snapshot; the one that a cluster starts from is empty.
+pub(super) fn decode(snapshot: &StoredSnapshot) -> Result<ReplicatedState, ReplicaError> {
+    if snapshot.table.is_empty() {
+        return Ok(ReplicatedState::default());
+    }
+    postcard::from_bytes(&snapshot.table).map_err(ReplicaError::Snapshot)
+}
+
+impl Replica {
+    /// Replaces the whole state by a snapshot of the leader's.
+    pub(super) fn restore(&mut self, snapshot: &StoredSnapshot) -> Result<(), ReplicaError> {
+        let state = decode(snapshot)?;
+        self.table = state.table;
+        self.members = state.members;
+        self.applied = snapshot.index;
+        self.node.mut_store().restore(snapshot.clone());
+        Ok(())
+    }
+
+    /// Replaces a long log by a snapshot, once no write is under way.
+    pub(super) fn compact_log(&mut self) {
+        let log = self.node.store();
+        let is_due = log.len() >= self.config.snapshot_entries || self.snapshot_due;
+        if !is_due || self.applied <= log.snapshot_index() || !self.unpersisted.is_empty() {
+            return;
+        }
+        let Ok(encoded) = self.encode() else { return };
+        let applied = self.applied;
+        self.snapshot_due = false;
+        if let Some(snapshot) = self.node.mut_store().compact(applied, encoded) {
+            // Nothing waits for this write, so that it needs no number.
+            self.output.writes.push(PendingWrite { snapshot: Some(snapshot), ..PendingWrite::default() });
+        }
+    }
+
+    /// The replicated state as a snapshot's contents. The table is moved out and back, since a copy of a large one takes long.
+    fn encode(&mut self) -> postcard::Result<Vec<u8>> {
+        let table = std::mem::take(&mut self.table);
+        let state = ReplicatedState { table, members: self.members.clone() };
+        let encoded = postcard::to_allocvec(&state);
+        self.table = state.table;
+        encoded
+    }
+}
--- /dev/null
+++ b/crates/lease-store/src/server/disk.rs
@@ -0,0 +1,78 @@
+//! The thread that writes to disk: all writes that wait become durable with one sync.
+
+use super::ServerError;
+use crate::durable::PendingWrite;
+use crate::store::{Store, StoreError};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{mpsc as blocking, Arc};
+use std::thread::JoinHandle;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// The event loop's side of the thread.
+pub(super) struct DiskThread {
+    /// Writes to be made durable, in order.
+    pub writes: blocking::Sender<Vec<PendingWrite>>,
+    /// Numbers of writes that are durable, with all before them. Ends when the thread does.
+    pub persisted: mpsc::UnboundedReceiver<u64>,
+    handle: JoinHandle<Result<(), StoreError>>,
+}
+
+impl DiskThread {
+    /// Starts the thread. `sync_delay` is in ms and for tests; `syncs` counts the syncs.
+    pub fn start(
+        store: Store,
+        sync_delay: Arc<AtomicU64>,
+        syncs: Arc<AtomicU64>,
+    ) -> Result<DiskThread, ServerError> {
+        let (writes, queue) = blocking::channel();
+        let (done, persisted) = mpsc::unbounded_channel();
+        let handle = std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || write_all(&store, &queue, &done, &sync_delay, &syncs))
+            .map_err(ServerError::DiskThread)?;
+        Ok(DiskThread { writes, persisted, handle })
+    }
+
+    /// Why the thread ended by itself.
+    pub fn failure(self) -> ServerError {
+        match self.handle.join() {
+            Ok(Ok(())) => ServerError::DiskThreadEnded,
+            Ok(Err(error)) => error.into(),
+            Err(_) => ServerError::DiskThreadPanicked,
+        }
+    }
+
+    /// Lets the thread finish the writes that it has, and waits for that.
+    pub async fn finish(self) -> Result<(), ServerError> {
+        drop(self.writes);
+        let handle = self.handle;
+        let ended = tokio::task::spawn_blocking(move || handle.join()).await?;
+        Ok(ended.map_err(|_| ServerError::DiskThreadPanicked)??)
+    }
+}
+
+fn write_all(
+    store: &Store,
+    queue: &blocking::Receiver<Vec<PendingWrite>>,
+    persisted: &mpsc::UnboundedSender<u64>,
+    sync_delay: &AtomicU64,
+    syncs: &AtomicU64,
+) -> Result<(), StoreError> {
+    while let Ok(mut writes) = queue.recv() {
+        writes.extend(queue.try_iter().flatten());
+        match sync_delay.load(Ordering::Relaxed) {
+            0 => {}
+            delay => std::thread::sleep(Duration::from_millis(delay)),
+        }
+        store.write(&writes)?;
+        syncs.fetch_add(1, Ordering::Relaxed);
+        let last = writes.iter().map(|write| write.number).max();
+        if let Some(last) = last.filter(|number| *number > 0) {
+            if persisted.send(last).is_err() {
+                return Ok(());
+            }
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/lease-store/src/server/event_loop.rs
@@ -0,0 +1,104 @@
+//! The task that owns the replica: it feeds requests, ticks and durable writes to it, and carries out what comes.
+
+mod output;
+mod requests;
+
+use super::connection::IncomingRequest;
+use super::counters::Counters;
+use super::disk::DiskThread;
+use super::peers::Peers;
+use super::pending_replies::PendingReplies;
+use super::{ServerError, ServerOptions};
+use crate::replica::Replica;
+use crate::store::Store;
+use puffinladder_leases::protocol::ReplicaReply;
+use puffinladder_leases::HolderId;
+use std::collections::BTreeMap;
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{interval, MissedTickBehavior};
+
+/// Requests that are handled before their output is carried out.
+const MAX_BATCH: usize = 512;
+
+/// The replica with all that it is connected to.
+pub(super) struct EventLoop {
+    options: ServerOptions,
+    replica: Replica,
+    peers: Peers,
+    /// The connection that each instance last sent a request on.
+    instances: BTreeMap<HolderId, mpsc::Sender<ReplicaReply>>,
+    pending_replies: PendingReplies,
+    was_leader: bool,
+    counters: Counters,
+    /// Raised by the disk's thread with each sync.
+    syncs: Arc<AtomicU64>,
+}
+
+impl EventLoop {
+    pub fn new(options: ServerOptions, replica: Replica, stopped: watch::Receiver<bool>) -> EventLoop {
+        let peers = Peers::new(options.peers.clone(), stopped);
+        EventLoop {
+            options,
+            replica,
+            peers,
+            instances: BTreeMap::new(),
+            pending_replies: PendingReplies::default(),
+            was_leader: false,
+            counters: Counters::default(),
+            syncs: Arc::default(),
+        }
+    }
+
+    /// Runs until the process is stopped or can't go on.
+    pub async fn run(
+        mut self,
+        store: Store,
+        mut requests: mpsc::Receiver<IncomingRequest>,
+        mut stopped: watch::Receiver<bool>,
+    ) -> Result<(), ServerError> {
+        let mut disk = DiskThread::start(store, self.options.sync_delay.clone(), self.syncs.clone())?;
+        let mut ticks = interval(self.options.clock.sleep_duration(self.options.tick_interval));
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
+        loop {
+            tokio::select! {
+                count = requests.recv_many(&mut batch, MAX_BATCH) => {
+                    if count == 0 {
+                        return Ok(());
+                    }
+                    self.handle_all(batch.drain(..));
+                }
+                _ = ticks.tick() => self.handle_tick(&mut requests),
+                number = disk.persisted.recv() => match number {
+                    Some(number) => self.replica.persisted(number),
+                    None => return Err(disk.failure()),
+                },
+                _ = stopped.changed() => {
+                    let finished = disk.finish().await;
+                    tracing::info!("stopped at log index {}", self.replica.applied());
+                    return finished;
+                }
+            }
+            let output = self.replica.process(self.options.clock.now())?;
+            self.carry_out(output, &disk);
+        }
+    }
+
+    fn handle_all(&mut self, batch: impl Iterator<Item = IncomingRequest>) {
+        let now = self.options.clock.now();
+        for incoming in batch {
+            self.handle(now, incoming);
+        }
+    }
+
+    /// Requests that were read before a pause of this process are handled before time advances.
+    fn handle_tick(&mut self, requests: &mut mpsc::Receiver<IncomingRequest>) {
+        let now = self.options.clock.now();
+        while let Ok(incoming) = requests.try_recv() {
+            self.handle(now, incoming);
+        }
+        self.replica.tick(now);
+    }
+}
--- a/crates/lease-store/src/store.rs
+++ b/crates/lease-store/src/store.rs
@@ -1,7 +1,7 @@
-//! A keeper's disk: one file of an embedded store with checksums, in which all saves that wait become durable together.
-//! A keeper that can't read its file must not vote: it joins anew under another number instead.
+//! The replica's file: an embedded key-value store with checksums, in which all writes that wait become durable together. A replica that can't
+//! read its file must not vote: it joins again under another number instead.
 
-use crate::log::{Disk, Kept, Save};
+use crate::durable::{CorruptState, DurableState, PendingWrite, StoredEntry};
 use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -10,268 +10,306 @@
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+/// Keys in the table of facts. They are part of the format.
+const SCHEMA_KEY: &str = "schema";
+const NUMBER_KEY: &str = "keeper";
+const HARD_STATE_KEY: &str = "vote";
+const SNAPSHOT_KEY: &str = "shot";
 /// Version of what is written in the two tables.
 const SCHEMA: u32 = 1;
-/// What can go wrong in the store, for [`Fault`] to tell with its path.
-type Any = Box<dyn std::error::Error>;
-/// Bytes of the store that are held in memory.
-const CACHE: usize = 8 << 20;
+/// Bytes of the file that are cached in memory: far more than the log between two snapshots.
+const CACHE_BYTES: usize = 8 << 20;
 
+/// Why the file can't be opened or written.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum StoreError {
+    /// Another process has it open.
     #[error("{path}: another process has it open")]
-    Taken { path: PathBuf },
+    InUse {
+        /// The file.
+        path: PathBuf,
+    },
+    /// A file is to be created where there is one.
     #[error(
-        "{path}: it holds a keeper already; start without founding, or remove it and join as a new keeper"
+        "{path}: it holds a replica already; start without --found, or remove it and join as a new replica"
     )]
-    Founded { path: PathBuf },
-    #[error("{path}: there is no keeper's disk here; found it, or join the others as a new keeper")]
-    Missing { path: PathBuf },
+    AlreadyExists {
+        /// The file.
+        path: PathBuf,
+    },
+    /// There is no file to open.
+    #[error("{path}: there is no keeper's disk here; found it, or join the others as a new replica")]
+    Missing {
+        /// The file.
+        path: PathBuf,
+    },
+    /// Another version of this program wrote the file.
     #[error("{path}: written as version {found}, this program reads version {SCHEMA}")]
-    Schema { path: PathBuf, found: u32 },
-    #[error("{path}: {what}; this keeper must not vote with it, join the others as a new keeper")]
-    Torn { path: PathBuf, what: String },
-    #[error("{path}: {what}")]
-    Store { path: PathBuf, what: String },
+    Schema {
+        /// The file.
+        path: PathBuf,
+        /// The version in the file.
+        found: u32,
+    },
+    /// The file is not as a replica left it.
+    #[error("{path}: {source}; this replica must not vote with it, join the others as a new replica")]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: ContentError,
+    },
+    /// A write failed.
+    #[error("{path}: {source}")]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// What failed.
+        source: ContentError,
+    },
 }
 
+/// What can go wrong inside the file.
+#[derive(Debug, Error)]
+pub enum ContentError {
+    /// The embedded store failed.
+    #[error("{0}")]
+    Database(#[from] redb::Error),
+    /// The file system failed.
+    #[error("{0}")]
+    Io(#[from] std::io::Error),
+    /// A value can't be written.
+    #[error("{0}")]
+    Encode(postcard::Error),
+    /// A fact is missing.
+    #[error("{0} is missing")]
+    MissingFact(&'static str),
+    /// A fact can't be read.
+    #[error("{key}: {source}")]
+    Fact {
+        /// The fact's key.
+        key: &'static str,
+        /// Why it can't be read.
+        source: postcard::Error,
+    },
+    /// An entry of the log can't be read.
+    #[error("entry {index}: {source}")]
+    Entry {
+        /// The entry's key.
+        index: u64,
+        /// Why it can't be read.
+        source: postcard::Error,
+    },
+    /// Everything can be read, and does not fit together.
+    #[error("{0}")]
+    Corrupt(#[from] CorruptState),
+}
+
+/// The errors of each step in the embedded store, all of which are a [`ContentError::Database`].
+macro_rules! database_errors {
+    ($($error:ty),*) => {
+        $(impl From<$error> for ContentError {
+            fn from(error: $error) -> ContentError {
+                ContentError::Database(error.into())
+            }
+        })*
+    };
+}
+database_errors!(
+    redb::TransactionError,
+    redb::TableError,
+    redb::StorageError,
+    redb::CommitError,
+    redb::DatabaseError
+);
+
+/// A replica's open file.
 pub struct Store {
-    db: Database,
+    database: Database,
     path: PathBuf,
     id: u64,
 }
 
 impl Store {
-    /// A first disk of keeper `id` among these. There must be none yet.
-    pub fn found(path: &Path, id: u64, voters: &[u64]) -> Result<(Store, Disk), Fault> {
-        Store::create(path, id, Disk::found(voters))
+    /// Creates the file of replica `id` in a new cluster of these voters, and opens it.
+    ///
+    /// # Errors
+    /// There is a file at this path, or it can't be written.
+    pub fn bootstrap(path: &Path, id: u64, voters: &[u64]) -> Result<(Store, DurableState), StoreError> {
+        Store::create(path, id, DurableState::bootstrap(voters))
     }
 
-    /// A first disk of a keeper that joins others, under a number that was never used.
-    pub fn join(path: &Path, id: u64) -> Result<(Store, Disk), Fault> {
-        Store::create(path, id, Disk::join())
+    /// Creates the file of a replica that joins a running cluster under a number that was never used, and opens it.
+    ///
+    /// # Errors
+    /// There is a file at this path, or it can't be written.
+    pub fn join(path: &Path, id: u64) -> Result<(Store, DurableState), StoreError> {
+        Store::create(path, id, DurableState::join())
     }
 
-    fn create(path: &Path, id: u64, disk: Disk) -> Result<(Store, Disk), Fault> {
+    fn create(path: &Path, id: u64, durable: DurableState) -> Result<(Store, DurableState), StoreError> {
         if path.exists() {
-            return Err(Fault::Founded { path: path.into() });
+            return Err(StoreError::AlreadyExists { path: path.into() });
         }
-        // Written whole under another name first, so that a crash leaves none or a whole one.
-        let mut half = path.to_path_buf().into_os_string();
-        half.push(".new");
-        let half = PathBuf::from(half);
-        let _ = std::fs::remove_file(&half);
-        let store = Store { db: open(&half, true)?, path: path.into(), id };
-        store.write(|tx| {
-            let mut facts = tx.open_table(FACTS)?;
-            put(&mut facts, "schema", &SCHEMA)?;
-            put(&mut facts, "keeper", &id)?;
-            put(&mut facts, "vote", &disk.vote)?;
-            put(&mut facts, "shot", &disk.shot)?;
-            tx.open_table(ENTRIES)?;
+        // Written under another name first, so that a crash leaves no file or a complete one.
+        let temporary = temporary_path(path);
+        let _ = std::fs::remove_file(&temporary);
+        let store = Store { database: open_database(&temporary, true)?, path: path.into(), id };
+        store.transact(|transaction| {
+            let mut facts = transaction.open_table(FACTS)?;
+            put_fact(&mut facts, SCHEMA_KEY, &SCHEMA)?;
+            put_fact(&mut facts, NUMBER_KEY, &id)?;
+            put_fact(&mut facts, HARD_STATE_KEY, &durable.hard_state)?;
+            put_fact(&mut facts, SNAPSHOT_KEY, &durable.snapshot)?;
+            transaction.open_table(ENTRIES)?;
             Ok(())
         })?;
         drop(store);
-        let stored = |e: std::io::Error| Fault::Store { path: path.into(), what: e.to_string() };
-        std::fs::rename(&half, path).map_err(stored)?;
-        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(stored)?;
+        let failed = |error: std::io::Error| StoreError::Write { path: path.into(), source: error.into() };
+        std::fs::rename(&temporary, path).map_err(failed)?;
+        sync_folder_of(path).map_err(failed)?;
         Store::open(path)
     }
 
-    /// The disk as it was left, however its process ended.
-    pub fn open(path: &Path) -> Result<(Store, Disk), Fault> {
+    /// Opens the file as its process left it, however that ended.
+    ///
+    /// # Errors
+    /// There is no file, another process has it open, or it can't be read as a whole.
+    pub fn open(path: &Path) -> Result<(Store, DurableState), StoreError> {
         if !path.exists() {
-            return Err(Fault::Missing { path: path.into() });
+            return Err(StoreError::Missing { path: path.into() });
         }
-        let db = open(path, false)?;
-        let torn = |e: Any| Fault::Torn { path: path.into(), what: e.to_string() };
-        let found = schema(&db).map_err(torn)?;
+        let database = open_database(path, false)?;
+        let unreadable = |source: ContentError| StoreError::Unreadable { path: path.into(), source };
+        let found = read_schema(&database).map_err(unreadable)?;
         if found != SCHEMA {
-            return Err(Fault::Schema { path: path.into(), found });
+            return Err(StoreError::Schema { path: path.into(), found });
         }
-        let (id, disk) = read(&db).map_err(torn)?;
-        Ok((Store { db, path: path.into(), id }, disk))
+        let (id, durable) = read_all(&database).map_err(unreadable)?;
+        Ok((Store { database, path: path.into(), id }, durable))
     }
 
+    /// Number of the replica that the file belongs to.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Brings these saves to disk, in their order and with one sync. When it returns they are durable; when it fails none of
-    /// them may be taken for that.
-    pub fn keep(&self, saves: &[Save]) -> Result<(), Fault> {
-        if saves.iter().all(Save::is_empty) {
+    /// Makes these writes durable, in their order and with one sync.
+    ///
+    /// # Errors
+    /// The file can't be written; then none of the writes may be taken for durable.
+    pub fn write(&self, writes: &[PendingWrite]) -> Result<(), StoreError> {
+        if writes.iter().all(PendingWrite::is_empty) {
             return Ok(());
         }
-        self.write(|tx| {
-            let (mut entries, mut facts) = (tx.open_table(ENTRIES)?, tx.open_table(FACTS)?);
-            for save in saves {
-                if let Some(shot) = &save.shot {
-                    put(&mut facts, "shot", shot)?;
-                    entries.retain_in(..=shot.index, |_, _| false)?;
-                }
-                if let Some(first) = save.entries.first() {
-                    entries.retain_in(first.index.., |_, _| false)?;
-                }
-                for entry in &save.entries {
-                    let bytes = postcard::to_allocvec(entry)?;
-                    entries.insert(entry.index, bytes.as_slice())?;
-                }
-                if let Some(vote) = &save.vote {
-                    put(&mut facts, "vote", vote)?;
-                }
+        self.transact(|transaction| {
+            let mut entries = transaction.open_table(ENTRIES)?;
+            let mut facts = transaction.open_table(FACTS)?;
+            for write in writes {
+                put_write(&mut entries, &mut facts, write)?;
             }
             Ok(())
         })
     }
 
-    fn write(&self, change: impl FnOnce(&redb::WriteTransaction) -> Result<(), Any>) -> Result<(), Fault> {
-        let written = || -> Result<(), Any> {
-            let tx = self.db.begin_write()?;
-            change(&tx)?;
-            Ok(tx.commit()?)
+    /// Runs a change as one transaction, with a sync at its end.
+    fn transact(
+        &self,
+        change: impl FnOnce(&redb::WriteTransaction) -> Result<(), ContentError>,
+    ) -> Result<(), StoreError> {
+        let committed = || -> Result<(), ContentError> {
+            let transaction = self.database.begin_write()?;
+            change(&transaction)?;
+            Ok(transaction.commit()?)
         };
-        written().map_err(|e| Fault::Store { path: self.path.clone(), what: e.to_string() })
+        committed().map_err(|source| StoreError::Write { path: self.path.clone(), source })
     }
 }
 
+fn temporary_path(path: &Path) -> PathBuf {
+    let mut name = path.to_path_buf().into_os_string();
+    name.push(".new");
+    PathBuf::from(name)
+}
+
+/// Makes a rename in the folder of this path durable.
+fn sync_folder_of(path: &Path) -> std::io::Result<()> {
+    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    std::fs::File::open(folder).and_then(|folder| folder.sync_all())
+}
+
 /// The version that a file was written as; the rest is read only if it is ours.
-fn schema(db: &Database) -> Result<u32, Any> {
-    fact(&db.begin_read()?.open_table(FACTS)?, "schema")
+fn read_schema(database: &Database) -> Result<u32, ContentError> {
+    get_fact(&database.begin_read()?.open_table(FACTS)?, SCHEMA_KEY)
 }
 
-fn read(db: &Database) -> Result<(u64, Disk), Any> {
-    let tx = db.begin_read()?;
-    let facts = tx.open_table(FACTS)?;
-    let (id, vote, shot) = (fact(&facts, "keeper")?, fact(&facts, "vote")?, fact(&facts, "shot")?);
-    let mut entries: Vec<Kept> = Vec::new();
-    for row in tx.open_table(ENTRIES)?.iter()? {
+fn read_all(database: &Database) -> Result<(u64, DurableState), ContentError> {
+    let transaction = database.begin_read()?;
+    let facts = transaction.open_table(FACTS)?;
+    let id = get_fact(&facts, NUMBER_KEY)?;
+    let hard_state = get_fact(&facts, HARD_STATE_KEY)?;
+    let snapshot = get_fact(&facts, SNAPSHOT_KEY)?;
+    let mut entries: Vec<StoredEntry> = Vec::new();
+    for row in transaction.open_table(ENTRIES)?.iter()? {
         let (index, value) = row?;
-        entries
-            .push(postcard::from_bytes(value.value()).map_err(|e| format!("entry {}: {e}", index.value()))?);
+        let entry = postcard::from_bytes(value.value())
+            .map_err(|source| ContentError::Entry { index: index.value(), source })?;
+        entries.push(entry);
     }
-    let disk = Disk { vote, shot, entries };
-    disk.check()?;
-    Ok((id, disk))
-}
-
-fn fact<T: DeserializeOwned>(
-    facts: &impl ReadableTable<&'static str, &'static [u8]>,
-    name: &str,
-) -> Result<T, Any> {
-    let value = facts.get(name)?.ok_or_else(|| format!("{name} is missing"))?;
-    Ok(postcard::from_bytes(value.value()).map_err(|e| format!("{name}: {e}"))?)
+    let durable = DurableState { hard_state, snapshot, entries };
+    durable.check()?;
+    Ok((id, durable))
 }
 
-fn open(path: &Path, new: bool) -> Result<Database, Fault> {
+fn open_database(path: &Path, create: bool) -> Result<Database, StoreError> {
     let mut builder = Builder::new();
-    builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
-    let opened = if new { builder.create(path) } else { builder.open(path) };
-    opened.map_err(|e| match e {
-        DatabaseError::DatabaseAlreadyOpen => Fault::Taken { path: path.into() },
-        e => Fault::Torn { path: path.into(), what: e.to_string() },
+    builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
+    let opened = if create { builder.create(path) } else { builder.open(path) };
+    opened.map_err(|error| match error {
+        DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path: path.into() },
+        error => StoreError::Unreadable { path: path.into(), source: error.into() },
     })
 }
 
-fn put<T: Serialize>(
+fn get_fact<T: DeserializeOwned>(
+    facts: &impl ReadableTable<&'static str, &'static [u8]>,
+    key: &'static str,
+) -> Result<T, ContentError> {
+    let value = facts.get(key)?.ok_or(ContentError::MissingFact(key))?;
+    postcard::from_bytes(value.value()).map_err(|source| ContentError::Fact { key, source })
+}
+
+fn put_fact<T: Serialize>(
     facts: &mut redb::Table<&'static str, &'static [u8]>,
-    name: &str,
+    key: &'static str,
     value: &T,
-) -> Result<(), Any> {
-    let bytes = postcard::to_allocvec(value)?;
-    facts.insert(name, bytes.as_slice())?;
+) -> Result<(), ContentError> {
+    let bytes = postcard::to_allocvec(value).map_err(ContentError::Encode)?;
+    facts.insert(key, bytes.as_slice())?;
     Ok(())
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::log::{Shot, Vote};
-
-    fn kept(index: u64, term: u64) -> Kept {
-        Kept { index, term, kind: 0, data: vec![7; 300], context: Vec::new() }
+fn put_write(
+    entries: &mut redb::Table<u64, &'static [u8]>,
+    facts: &mut redb::Table<&'static str, &'static [u8]>,
+    write: &PendingWrite,
+) -> Result<(), ContentError> {
+    if let Some(snapshot) = &write.snapshot {
+        put_fact(facts, SNAPSHOT_KEY, snapshot)?;
+        entries.retain_in(..=snapshot.index, |_, _| false)?;
     }
-
-    fn saves() -> Vec<Save> {
-        let vote = |term, commit| Some(Vote { term, vote: 2, commit });
-        let shot = Shot { index: 3, term: 2, voters: vec![1, 2, 3], learners: vec![], table: vec![1; 500] };
-        vec![
-            Save {
-                number: 1,
-                vote: vote(2, 1),
-                entries: vec![kept(2, 2), kept(3, 2), kept(4, 2)],
-                shot: None,
-            },
-            Save { number: 2, vote: vote(3, 3), entries: vec![kept(4, 3), kept(5, 3)], shot: None },
-            Save { number: 0, vote: None, entries: vec![], shot: Some(shot) },
-            Save { number: 3, vote: vote(3, 5), entries: vec![kept(6, 3)], shot: None },
-        ]
+    if let Some(first) = write.entries.first() {
+        entries.retain_in(first.index.., |_, _| false)?;
     }
-
-    #[test]
-    fn what_was_kept_is_there_after_a_restart_and_as_a_disk_in_memory_would_have_it() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("keeper");
-        let (mut store, mut disk) = Store::found(&path, 2, &[1, 2, 3]).unwrap();
-        for save in saves() {
-            store.keep(std::slice::from_ref(&save)).unwrap();
-            disk.keep(&save);
-            drop(store);
-            let (again, read) = Store::open(&path).unwrap();
-            assert_eq!((again.id(), &read), (2, &disk));
-            store = again;
-        }
-        // The same in one sync.
-        let other = folder.path().join("other");
-        let (store, _) = Store::found(&other, 2, &[1, 2, 3]).unwrap();
-        store.keep(&saves()).unwrap();
-        drop(store);
-        assert_eq!(Store::open(&other).unwrap().1, disk);
+    for entry in &write.entries {
+        let bytes = postcard::to_allocvec(entry).map_err(ContentError::Encode)?;
+        entries.insert(entry.index, bytes.as_slice())?;
     }
-
-    #[test]
-    fn a_disk_belongs_to_one_process_and_is_founded_once() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("keeper");
-        let missing = Store::open(&path).err().unwrap().to_string();
-        assert!(missing.contains("no keeper's disk") && missing.contains("keeper"), "{missing}");
-        let held = Store::found(&path, 1, &[1, 2, 3]).unwrap();
-        assert!(matches!(Store::open(&path), Err(Fault::Taken { .. })));
-        assert!(matches!(Store::found(&path, 1, &[1, 2, 3]), Err(Fault::Founded { .. })));
-        drop(held);
-        Store::open(&path).unwrap();
-    }
-
-    #[test]
-    fn a_file_that_was_cut_or_written_over_is_refused_or_read_as_it_was_and_never_panics() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("keeper");
-        let (store, mut disk) = Store::found(&path, 2, &[1, 2, 3]).unwrap();
-        store.keep(&saves()).unwrap();
-        saves().iter().for_each(|save| disk.keep(save));
-        drop(store);
-        let whole = std::fs::read(&path).unwrap();
-        let torn = folder.path().join("torn");
-        let mut refused = 0;
-        let mut look = |bytes: &[u8]| {
-            std::fs::write(&torn, bytes).unwrap();
-            match Store::open(&torn) {
-                Ok((_, read)) => assert_eq!(read, disk),
-                Err(fault) => {
-                    refused += 1;
-                    assert!(fault.to_string().contains("torn"), "{fault}");
-                }
-            }
-        };
-        for part in 0..32 {
-            look(&whole[..whole.len() * part / 32]);
-        }
-        for place in (0..whole.len()).step_by(whole.len() / 200) {
-            let mut bytes = whole.clone();
-            bytes[place] ^= 0x55;
-            look(&bytes);
-        }
-        assert!(refused > 32, "{refused}");
+    if let Some(hard_state) = &write.hard_state {
+        put_fact(facts, HARD_STATE_KEY, hard_state)?;
     }
+    Ok(())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -2,10 +2,10 @@
 //! inside it, and every line on the TCP connections. The literals here never change; a failing test means that data of a running
 //! installation can no longer be read.
 
-use puffinladder_lease_store::core::{Core, Terms};
-use puffinladder_lease_store::log::{Disk, Kept, Shot, Vote};
-use puffinladder_lease_store::members::{Change, Members};
-use puffinladder_lease_store::serve::{start, Setup};
+use puffinladder_lease_store::durable::{DurableState, StoredEntry, StoredHardState, StoredSnapshot};
+use puffinladder_lease_store::membership::{Members, MembershipChange};
+use puffinladder_lease_store::replica::{Replica, ReplicaConfig};
+use puffinladder_lease_store::server::{start, ServerOptions};
 use puffinladder_lease_store::store::Store;
 use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest};
 use puffinladder_leases::table::TaskDeclaration;
@@ -63,63 +63,64 @@
     path
 }
 
-fn terms() -> Terms {
-    let duties = vec![
+fn config() -> ReplicaConfig {
+    let tasks = vec![
         TaskDeclaration { name: "gather".into(), parts: 2, zone: None },
         TaskDeclaration { name: "quota".into(), parts: 1, zone: Some("z1".into()) },
     ];
-    Terms { duties, compact: 1000, ..Terms::default() }
+    ReplicaConfig { tasks, snapshot_entries: 1000, ..ReplicaConfig::default() }
 }
 
-fn stored() -> Disk {
-    let shot = Shot { index: 20, term: 2, voters: vec![1, 2], learners: vec![], table: bytes(SNAPSHOT) };
-    let kept = |(index, term, kind, data, context): (u64, u64, i32, &str, &str)| Kept {
+fn stored() -> DurableState {
+    let snapshot =
+        StoredSnapshot { index: 20, term: 2, voters: vec![1, 2], learners: vec![], table: bytes(SNAPSHOT) };
+    let entry = |(index, term, kind, data, context): (u64, u64, i32, &str, &str)| StoredEntry {
         index,
         term,
         kind,
         data: bytes(data),
         context: bytes(context),
     };
-    let entries = ENTRIES.into_iter().map(kept).collect();
-    Disk { vote: Vote { term: 2, vote: 1, commit: 29 }, shot, entries }
+    let entries = ENTRIES.into_iter().map(entry).collect();
+    DurableState { hard_state: StoredHardState { term: 2, vote: 1, commit: 29 }, snapshot, entries }
 }
 
 #[test]
 fn a_stored_file_reads_back_to_the_state_it_was_written_with() {
     let folder = tempfile::tempdir().unwrap();
-    let (store, disk) = Store::open(&copy(&folder)).unwrap();
+    let (store, durable) = Store::open(&copy(&folder)).unwrap();
     assert_eq!(store.id(), 1);
-    assert_eq!(disk, stored());
+    assert_eq!(durable, stored());
 }
 
 #[test]
 fn snapshot_and_entries_give_the_table_and_the_members() {
-    let mut core = Core::new(1, terms(), &stored()).unwrap();
-    assert_eq!((core.applied(), core.term(), core.voters()), (20, 2, vec![1, 2]));
+    let mut replica = Replica::new(1, config(), &stored()).unwrap();
+    assert_eq!((replica.applied(), replica.term(), replica.voters()), (20, 2, vec![1, 2]));
     assert_eq!(
-        serde_json::to_string(core.members()).unwrap(),
+        serde_json::to_string(replica.members()).unwrap(),
         r#"{"joined":{"2":"127.0.0.2:18201"},"retired":[]}"#
     );
-    let written = postcard::to_allocvec(&(core.table(), core.members())).unwrap();
+    let written = postcard::to_allocvec(&(replica.table(), replica.members())).unwrap();
     assert_eq!(hex(&written), hex(&bytes(SNAPSHOT)));
-    core.pump(100.0).unwrap();
-    assert_eq!((core.applied(), core.term(), core.voters()), (29, 2, vec![1]));
-    assert_eq!(serde_json::to_string(&core.table().lease_rows()).unwrap(), ROWS);
-    assert_eq!(core.table().last_epoch(), 3);
-    assert_eq!(serde_json::to_string(core.members()).unwrap(), r#"{"joined":{},"retired":[2]}"#);
+    replica.process(100.0).unwrap();
+    assert_eq!((replica.applied(), replica.term(), replica.voters()), (29, 2, vec![1]));
+    assert_eq!(serde_json::to_string(&replica.table().lease_rows()).unwrap(), ROWS);
+    assert_eq!(replica.table().last_epoch(), 3);
+    assert_eq!(serde_json::to_string(replica.members()).unwrap(), r#"{"joined":{},"retired":[2]}"#);
 }
 
 #[test]
 fn changes_of_the_members_are_stored_as_they_were() {
-    let add = Change::Add { number: 2, address: "127.0.0.2:18201".into() };
+    let add = MembershipChange::Add { number: 2, address: "127.0.0.2:18201".into() };
     let all = [
         (70_u64, add, "4600020f3132372e302e302e323a3138323031"),
-        (0, Change::Promote(2), "000102"),
-        (73, Change::Remove(2), "490202"),
+        (0, MembershipChange::Promote(2), "000102"),
+        (73, MembershipChange::Remove(2), "490202"),
     ];
     for (token, change, stored) in all {
         assert_eq!(hex(&postcard::to_allocvec(&(token, change.clone())).unwrap()), stored);
-        assert_eq!(postcard::from_bytes::<(u64, Change)>(&bytes(stored)).unwrap(), (token, change));
+        assert_eq!(postcard::from_bytes::<(u64, MembershipChange)>(&bytes(stored)).unwrap(), (token, change));
     }
     let members = Members { joined: [(4, "a:1".into())].into(), retired: [2, 3].into() };
     assert_eq!(hex(&postcard::to_allocvec(&members).unwrap()), "010403613a31020203");
@@ -127,12 +128,13 @@
 
 #[test]
 fn votes_entries_and_snapshots_are_stored_as_they_were() {
-    let vote = Vote { term: 300, vote: 2, commit: 7 };
-    assert_eq!(hex(&postcard::to_allocvec(&vote).unwrap()), "ac020207");
-    let entry = Kept { index: 7, term: 3, kind: 2, data: vec![1, 2], context: vec![9] };
+    let hard_state = StoredHardState { term: 300, vote: 2, commit: 7 };
+    assert_eq!(hex(&postcard::to_allocvec(&hard_state).unwrap()), "ac020207");
+    let entry = StoredEntry { index: 7, term: 3, kind: 2, data: vec![1, 2], context: vec![9] };
     assert_eq!(hex(&postcard::to_allocvec(&entry).unwrap()), "070304020102010".to_owned() + "9");
-    let shot = Shot { index: 6, term: 3, voters: vec![1, 2], learners: vec![4], table: vec![5] };
-    assert_eq!(hex(&postcard::to_allocvec(&shot).unwrap()), "060302010201040105");
+    let snapshot =
+        StoredSnapshot { index: 6, term: 3, voters: vec![1, 2], learners: vec![4], table: vec![5] };
+    assert_eq!(hex(&postcard::to_allocvec(&snapshot).unwrap()), "060302010201040105");
 }
 
 /// Each line reads as a message of this type, and is written the same again.
@@ -219,18 +221,18 @@
 #[tokio::test]
 async fn a_replica_started_from_a_stored_file_answers_as_it_did() {
     let folder = tempfile::tempdir().unwrap();
-    let (store, disk) = Store::open(&copy(&folder)).unwrap();
-    let setup = Setup {
-        terms: terms(),
+    let (store, durable) = Store::open(&copy(&folder)).unwrap();
+    let options = ServerOptions {
+        replica: config(),
         listen: "127.0.0.1:0".parse().unwrap(),
         peers: Default::default(),
-        tick: 0.01,
-        most_connections: 4,
+        tick_interval: 0.01,
+        max_connections: 4,
         clock: Clock::system(),
         events: EventSink(false),
-        sync_pause: Default::default(),
+        sync_delay: Default::default(),
     };
-    let running = start(setup, store, &disk).await.unwrap();
+    let running = start(options, store, &durable).await.unwrap();
     let stream = connect(running.listen).await.unwrap();
     let mut session = Session { stream: BufReader::new(stream) };
     // Nobody leads at first: then it says who may.
--- a/crates/lease-store/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -1,9 +1,9 @@
-//! Three or five keepers in simulated time: messages late, lost, in another order; keepers killed with what their disk had synced, paused,
+//! Three or five replicas in simulated time: messages late, lost, in another order; replicas killed with what their disk had synced, paused,
 //! cut off one way or both; disks of 2 s a sync; instances that ask all the while. Whoever has applied an entry has applied the same
 //! as all others, no epoch is given twice, nobody believes in what another believes in, and with a majority well there is an owner.
 
-use puffinladder_lease_store::core::{Core, Out, Terms};
-use puffinladder_lease_store::log::{Disk, Save};
+use puffinladder_lease_store::durable::{DurableState, PendingWrite};
+use puffinladder_lease_store::replica::{Output, PeerMessage, Replica, ReplicaConfig, RequestError};
 use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
 use puffinladder_leases::table::{Change, ChangeKind, LeaseRequest, LeaseResponse, TaskDeclaration};
 use puffinladder_leases::{Epoch, HolderId, Task};
@@ -17,66 +17,66 @@
 const SPAN: f64 = 70.0;
 const CALM: f64 = 25.0;
 
-struct Keeper {
-    core: Option<Core>,
-    disk: Disk,
-    /// Saves that wait, and those that one sync brings to disk together, at that time.
-    waits: Vec<Save>,
-    saving: Vec<Save>,
-    synced: f64,
-    sync: f64,
-    back: f64,
-    paused: f64,
-    cut_in: f64,
-    cut_out: f64,
+struct SimulatedReplica {
+    replica: Option<Replica>,
+    durable: DurableState,
+    /// Writes that wait, and those that one sync makes durable together, at that time.
+    queued_writes: Vec<PendingWrite>,
+    syncing_writes: Vec<PendingWrite>,
+    sync_ends: f64,
+    sync_duration: f64,
+    restart_at: f64,
+    paused_until: f64,
+    inbound_cut_until: f64,
+    outbound_cut_until: f64,
     offset: f64,
     rate: f64,
-    ticked: f64,
+    last_tick: f64,
 }
 
 struct Instance {
     holder: LeaseHolder,
     name: String,
-    life: u64,
+    incarnation: u64,
     offset: f64,
     rate: f64,
-    paused: f64,
-    /// The keeper it speaks with.
+    paused_until: f64,
+    /// The replica it speaks with.
     to: usize,
     answered: f64,
 }
 
 enum Mail {
-    Peer(usize, usize, Vec<u8>),
-    Line(usize, usize, LeaseRequest),
-    Told(LeaseResponse),
+    PeerMessage(usize, usize, Vec<u8>),
+    Request(usize, usize, LeaseRequest),
+    Response(LeaseResponse),
 }
 
 struct World {
     rng: ChaCha8Rng,
-    terms: Terms,
+    config: ReplicaConfig,
     t: f64,
-    keepers: Vec<Keeper>,
+    replicas: Vec<SimulatedReplica>,
     instances: Vec<Instance>,
     mail: Vec<(f64, u64, Mail)>,
     posted: u64,
-    /// Each change as the first keeper to apply it saw it.
+    /// Each change as the first replica to apply it saw it.
     history: Vec<Change>,
     given: BTreeMap<Epoch, (Task, HolderId)>,
     leaders: BTreeMap<u64, usize>,
-    acts: u64,
+    actions: u64,
 }
 
-fn terms() -> Terms {
-    let duties = vec![
+fn config() -> ReplicaConfig {
+    let tasks = vec![
         TaskDeclaration { name: "gather".into(), parts: 4, zone: None },
         TaskDeclaration { name: "quota".into(), parts: 1, zone: None },
     ];
-    Terms { duties, compact: 200, ..Terms::default() }
+    ReplicaConfig { tasks, snapshot_entries: 200, ..ReplicaConfig::default() }
 }
 
-fn holder(name: &str, life: u64) -> LeaseHolder {
-    LeaseHolder::new(HolderId::new(name, life), "", ["gather", "quota"].map(String::from), 2.0)
+fn holder(name: &str, incarnation: u64) -> LeaseHolder {
+    LeaseHolder::new(HolderId::new(name, incarnation), "", ["gather", "quota"].map(String::from), 2.0)
 }
 
 impl World {
@@ -84,24 +84,24 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = if rng.random_bool(0.7) { 3 } else { 5 };
         let voters: Vec<u64> = (1..=count).collect();
-        let terms = terms();
-        let mut keepers = Vec::new();
+        let config = config();
+        let mut replicas = Vec::new();
         for id in &voters {
-            let disk = Disk::found(&voters);
-            keepers.push(Keeper {
-                core: Some(Core::new(*id, terms.clone(), &disk).unwrap()),
-                disk,
-                waits: Vec::new(),
-                saving: Vec::new(),
-                synced: 0.0,
-                sync: 0.002,
-                back: 0.0,
-                paused: 0.0,
-                cut_in: 0.0,
-                cut_out: 0.0,
+            let durable = DurableState::bootstrap(&voters);
+            replicas.push(SimulatedReplica {
+                replica: Some(Replica::new(*id, config.clone(), &durable).unwrap()),
+                durable,
+                queued_writes: Vec::new(),
+                syncing_writes: Vec::new(),
+                sync_ends: 0.0,
+                sync_duration: 0.002,
+                restart_at: 0.0,
+                paused_until: 0.0,
+                inbound_cut_until: 0.0,
+                outbound_cut_until: 0.0,
                 offset: rng.random_range(-1e5..1e5),
                 rate: 1.0 + rng.random_range(-0.01..0.01),
-                ticked: 0.0,
+                last_tick: 0.0,
             });
         }
         let mut instances = Vec::new();
@@ -110,26 +110,26 @@
             instances.push(Instance {
                 holder: holder(&name, 1),
                 name,
-                life: 1,
+                incarnation: 1,
                 offset: rng.random_range(-1e5..1e5),
                 rate: 1.0 + rng.random_range(-0.01..0.01),
-                paused: 0.0,
-                to: at % keepers.len(),
+                paused_until: 0.0,
+                to: at % replicas.len(),
                 answered: 0.0,
             });
         }
         World {
             rng,
-            terms,
+            config,
             t: 0.0,
-            keepers,
+            replicas,
             instances,
             mail: Vec::new(),
             posted: 0,
             history: Vec::new(),
             given: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            acts: 0,
+            actions: 0,
         }
     }
 
@@ -150,20 +150,23 @@
                 self.fail();
             }
             self.deliver();
-            for at in 0..self.keepers.len() {
-                self.keep(at)?;
+            for at in 0..self.replicas.len() {
+                self.run_replica(at)?;
             }
             for at in 0..self.instances.len() {
-                self.ask(at);
+                self.run_instance(at);
             }
             self.check()?;
         }
-        let Some(leader) = self.keepers.iter().filter_map(|k| k.core.as_ref()).find(|core| core.leads())
+        let Some(leader) =
+            self.replicas.iter().filter_map(|k| k.replica.as_ref()).find(|replica| replica.is_leader())
         else {
-            let state = |k: &Keeper| {
-                k.core.as_ref().map(|c| (c.term(), c.leader(), c.applied(), k.sync, k.saving.len()))
+            let state = |k: &SimulatedReplica| {
+                k.replica
+                    .as_ref()
+                    .map(|c| (c.term(), c.leader(), c.applied(), k.sync_duration, k.syncing_writes.len()))
             };
-            let states: Vec<_> = self.keepers.iter().map(state).collect();
+            let states: Vec<_> = self.replicas.iter().map(state).collect();
             return Err(format!("nobody leads after calm: {states:?}"));
         };
         if let Some(row) = leader.table().lease_rows().iter().find(|row| row.holder.is_none()) {
@@ -173,7 +176,7 @@
                 leader.table().instance_rows()
             ));
         }
-        let longest = self.keepers.iter().filter_map(|k| k.core.as_ref()).map(Core::log_len).max();
+        let longest = self.replicas.iter().filter_map(|k| k.replica.as_ref()).map(Replica::log_len).max();
         if longest > Some(600) {
             return Err(format!("a log of {longest:?} entries"));
         }
@@ -185,41 +188,43 @@
             return;
         }
         let (t, span) = (self.t, self.rng.random_range(0.3..5.0));
-        let at = self.rng.random_range(0..self.keepers.len());
+        let at = self.rng.random_range(0..self.replicas.len());
         let one = self.rng.random_range(0..self.instances.len());
         match self.rng.random_range(0..9) {
             0 => self.kill(at, span),
             1 => {
-                // Whoever leads is the one that is hit.
-                if let Some(at) = self.keepers.iter().position(|k| k.core.as_ref().is_some_and(Core::leads)) {
+                // The leader is the one that is hit.
+                if let Some(at) =
+                    self.replicas.iter().position(|k| k.replica.as_ref().is_some_and(Replica::is_leader))
+                {
                     self.kill(at, span);
                 }
             }
-            2 => (0..self.keepers.len()).for_each(|at| self.kill(at, 0.5)),
-            3 => self.keepers[at].paused = t + span,
-            4 => self.keepers[at].cut_in = t + span,
-            5 => self.keepers[at].cut_out = t + span,
+            2 => (0..self.replicas.len()).for_each(|at| self.kill(at, 0.5)),
+            3 => self.replicas[at].paused_until = t + span,
+            4 => self.replicas[at].inbound_cut_until = t + span,
+            5 => self.replicas[at].outbound_cut_until = t + span,
             6 => {
                 // One disk at a time: if most take two seconds a sync no election ends.
-                self.keepers.iter_mut().for_each(|keeper| keeper.sync = 0.002);
-                self.keepers[at].sync = if self.rng.random_bool(0.5) { 2.0 } else { 0.002 };
+                self.replicas.iter_mut().for_each(|simulated| simulated.sync_duration = 0.002);
+                self.replicas[at].sync_duration = if self.rng.random_bool(0.5) { 2.0 } else { 0.002 };
             }
-            7 => self.instances[one].paused = t + span,
+            7 => self.instances[one].paused_until = t + span,
             _ => {
                 let instance = &mut self.instances[one];
-                instance.life += 1;
-                instance.holder = holder(&instance.name, instance.life);
+                instance.incarnation += 1;
+                instance.holder = holder(&instance.name, instance.incarnation);
             }
         }
     }
 
     /// Killed: what was not yet on disk is gone.
     fn kill(&mut self, at: usize, span: f64) {
-        let keeper = &mut self.keepers[at];
-        keeper.core = None;
-        keeper.waits.clear();
-        keeper.saving.clear();
-        keeper.back = self.t + span;
+        let simulated = &mut self.replicas[at];
+        simulated.replica = None;
+        simulated.queued_writes.clear();
+        simulated.syncing_writes.clear();
+        simulated.restart_at = self.t + span;
     }
 
     fn deliver(&mut self) {
@@ -228,45 +233,43 @@
         due.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, number, mail) in due {
             match mail {
-                Mail::Peer(from, to, bytes) => {
-                    let keeper = &mut self.keepers[to];
-                    if t < keeper.paused {
-                        self.mail.push((keeper.paused, number, Mail::Peer(from, to, bytes)));
-                    } else if t >= keeper.cut_in {
-                        if let Some(core) = &mut keeper.core {
-                            let _ = core.hear(&bytes);
+                Mail::PeerMessage(from, to, bytes) => {
+                    let simulated = &mut self.replicas[to];
+                    if t < simulated.paused_until {
+                        self.mail.push((simulated.paused_until, number, Mail::PeerMessage(from, to, bytes)));
+                    } else if t >= simulated.inbound_cut_until {
+                        if let Some(replica) = &mut simulated.replica {
+                            let _ = replica.receive(&bytes);
                         }
                     }
                 }
-                Mail::Line(from, to, said) => {
-                    let keeper = &mut self.keepers[to];
-                    if t < keeper.paused {
-                        self.mail.push((keeper.paused, number, Mail::Line(from, to, said)));
+                Mail::Request(from, to, request) => {
+                    let simulated = &mut self.replicas[to];
+                    if t < simulated.paused_until {
+                        self.mail.push((simulated.paused_until, number, Mail::Request(from, to, request)));
                         continue;
                     }
-                    let refused = keeper.core.as_mut().map(|core| core.say(said));
-                    if let Some(Err(puffinladder_lease_store::core::Refusal::NotLeading(Some(leader)))) =
-                        refused
-                    {
+                    let refused = simulated.replica.as_mut().map(|replica| replica.request_lease(request));
+                    if let Some(Err(RequestError::NotLeader(Some(leader)))) = refused {
                         self.instances[from].to = leader as usize - 1;
                     }
                 }
-                Mail::Told(told) => {
+                Mail::Response(response) => {
                     let Some(instance) =
-                        self.instances.iter_mut().find(|one| one.name == told.holder.instance)
+                        self.instances.iter_mut().find(|one| one.name == response.holder.instance)
                     else {
                         continue;
                     };
-                    if t < instance.paused {
-                        self.mail.push((instance.paused, number, Mail::Told(told)));
+                    if t < instance.paused_until {
+                        self.mail.push((instance.paused_until, number, Mail::Response(response)));
                         continue;
                     }
                     instance.answered = t;
                     let now = instance.offset + instance.rate * t;
-                    let acts = instance.holder.handle_response(now, &told);
-                    for act in acts {
-                        self.acts += 1;
-                        if let HolderAction::Release(duty, epoch) = act {
+                    let actions = instance.holder.handle_response(now, &response);
+                    for action in actions {
+                        self.actions += 1;
+                        if let HolderAction::Release(duty, epoch) = action {
                             instance.holder.release(&duty, epoch);
                         }
                     }
@@ -275,64 +278,64 @@
         }
     }
 
-    fn keep(&mut self, at: usize) -> Result<(), String> {
+    fn run_replica(&mut self, at: usize) -> Result<(), String> {
         let t = self.t;
-        let keeper = &mut self.keepers[at];
-        if keeper.core.is_none() && t >= keeper.back {
-            let core =
-                Core::new(at as u64 + 1, self.terms.clone(), &keeper.disk).map_err(|e| e.to_string())?;
-            keeper.core = Some(core);
+        let simulated = &mut self.replicas[at];
+        if simulated.replica.is_none() && t >= simulated.restart_at {
+            let replica = Replica::new(at as u64 + 1, self.config.clone(), &simulated.durable)
+                .map_err(|e| e.to_string())?;
+            simulated.replica = Some(replica);
         }
-        if t < keeper.paused {
+        if t < simulated.paused_until {
             return Ok(());
         }
-        let now = keeper.offset + keeper.rate * t;
-        if keeper.synced <= t {
-            for save in keeper.saving.drain(..) {
-                keeper.disk.keep(&save);
-                if let Some(core) = &mut keeper.core {
-                    core.saved(save.number);
+        let now = simulated.offset + simulated.rate * t;
+        if simulated.sync_ends <= t {
+            for write in simulated.syncing_writes.drain(..) {
+                simulated.durable.apply(&write);
+                if let Some(replica) = &mut simulated.replica {
+                    replica.persisted(write.number);
                 }
             }
-            std::mem::swap(&mut keeper.saving, &mut keeper.waits);
-            keeper.synced = t + keeper.sync;
+            std::mem::swap(&mut simulated.syncing_writes, &mut simulated.queued_writes);
+            simulated.sync_ends = t + simulated.sync_duration;
         }
-        let Some(core) = &mut keeper.core else { return Ok(()) };
-        if t - keeper.ticked >= TICK {
-            keeper.ticked = t;
-            core.tick(now);
+        let Some(replica) = &mut simulated.replica else { return Ok(()) };
+        if t - simulated.last_tick >= TICK {
+            simulated.last_tick = t;
+            replica.tick(now);
         }
-        let out = core.pump(now).map_err(|e| e.to_string())?;
-        if core.leads() {
-            let term = core.term();
+        let output = replica.process(now).map_err(|e| e.to_string())?;
+        if replica.is_leader() {
+            let term = replica.term();
             if *self.leaders.entry(term).or_insert(at) != at {
                 return Err(format!("term {term} has two leaders"));
             }
         }
-        let Out { send, saves, told, changes, .. } = out;
-        keeper.waits.extend(saves);
-        let cut = t < keeper.cut_out;
-        for (to, bytes) in send {
+        let Output { messages, writes, responses, lease_changes, .. } = output;
+        simulated.queued_writes.extend(writes);
+        let cut = t < simulated.outbound_cut_until;
+        for PeerMessage { to, bytes } in messages {
             if !cut {
-                self.post(Mail::Peer(at, to as usize - 1, bytes));
+                self.post(Mail::PeerMessage(at, to as usize - 1, bytes));
             }
         }
-        for told in told {
+        for response in responses {
             if !cut {
-                self.post(Mail::Told(told));
+                self.post(Mail::Response(response));
             }
         }
-        self.learn(at, changes)
+        self.record_changes(at, lease_changes)
     }
 
-    /// What a keeper applied must be what the others applied.
-    fn learn(&mut self, at: usize, changes: Vec<Change>) -> Result<(), String> {
+    /// What a replica applied must be what the others applied.
+    fn record_changes(&mut self, at: usize, changes: Vec<Change>) -> Result<(), String> {
         for change in changes {
             let what = (change.epoch, change.kind);
             let place = self.history.iter().rposition(|old| (old.epoch, old.kind) == what);
             match place {
                 Some(place) if self.history[place] != change => {
-                    return Err(format!("keeper {at} saw {change:?}, others {:?}", self.history[place]));
+                    return Err(format!("replica {at} saw {change:?}, others {:?}", self.history[place]));
                 }
                 Some(_) => {}
                 None => {
@@ -352,22 +355,22 @@
         Ok(())
     }
 
-    fn ask(&mut self, at: usize) {
+    fn run_instance(&mut self, at: usize) {
         let t = self.t;
-        let keepers = self.keepers.len();
+        let replicas = self.replicas.len();
         let instance = &mut self.instances[at];
-        if t < instance.paused {
+        if t < instance.paused_until {
             return;
         }
         let now = instance.offset + instance.rate * t;
         instance.holder.expire(now);
         if t - instance.answered > 0.7 {
             // Nobody answers there: the next one may know better.
-            (instance.to, instance.answered) = ((instance.to + 1) % keepers, t);
+            (instance.to, instance.answered) = ((instance.to + 1) % replicas, t);
         }
-        if let Some(said) = instance.holder.next_request(now) {
+        if let Some(request) = instance.holder.next_request(now) {
             let to = instance.to;
-            self.post(Mail::Line(at, to, said));
+            self.post(Mail::Request(at, to, request));
         }
     }
 
@@ -396,7 +399,7 @@
 }
 
 #[test]
-fn whatever_fails_among_the_keepers_they_agree_and_grants_stay_one_each() {
+fn whatever_fails_among_the_replicas_they_agree_and_grants_stay_one_each() {
     let (mut changes, mut leaders) = (0, 0);
     for seed in 0..SCHEDULES {
         let mut world = World::new(seed);
