--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -6,9 +6,11 @@
 #![deny(missing_docs)]
 
 pub mod collection;
+mod collection_tasks;
 pub mod config;
 pub mod connection;
 pub mod incarnation;
+mod lease_store_client;
 mod report_planner;
 pub mod service;
 mod store_connection;
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -2,28 +2,20 @@
 //! whenever anything happens.
 
 use crate::collection;
-use crate::config::{CollectionConfig, WorkerConfig};
-use crate::connection::{ConnectionEvent, NumberedEvent, ReplicaConnection};
+use crate::collection_tasks::{CollectionTasks, EndedStep};
+use crate::config::WorkerConfig;
+use crate::connection::NumberedEvent;
+use crate::lease_store_client::LeaseStoreClient;
 use crate::report_planner::{ReceivedReport, ReportPlanner};
-use crate::transfer::{StepOutcome, Transfer};
 use puffinladder_leases::holder::{Act, Holder, Stage, Why};
-use puffinladder_leases::route::{Next, Route};
 use puffinladder_leases::table::{Refused, Told};
-use puffinladder_leases::words::{Answer, Ask, Event};
+use puffinladder_leases::words::Event;
 use puffinladder_leases::{Duty, Epoch, Owner};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
 /// The term of a lease until the lease store tells it, in seconds.
 const ASSUMED_TERM: f64 = 2.0;
-/// Seconds without a response to any request after which another replica is tried.
-const RESPONSE_TIMEOUT: f64 = 0.5;
-/// Share of what is left of a term that a step may take: its last effect has to arrive too.
-const STEP_SHARE: f64 = 0.8;
 /// Longest time between two looks at the clock, in seconds.
 const MAX_WAIT: f64 = 0.25;
 /// Shortest sleep, in seconds, so that what is overdue does not keep the main task from its other events.
@@ -33,36 +25,6 @@
 /// Events of connections, and ended steps, that wait for the main task.
 const MAX_WAITING_EVENTS: usize = 256;
 
-/// A step that has ended.
-struct EndedStep {
-    task: Duty,
-    epoch: Epoch,
-    transfer: Transfer,
-    outcome: StepOutcome,
-}
-
-/// The work on one part of the task that collects traces.
-struct CollectionTask {
-    epoch: Epoch,
-    /// Away while a step runs.
-    transfer: Option<Transfer>,
-    /// Set when the running step is to end early: the task is to be handed over.
-    stop_early: Arc<AtomicBool>,
-    /// No step begins before then, since there was nothing to do.
-    due: f64,
-}
-
-impl CollectionTask {
-    fn new(config: CollectionConfig, task: &Duty, epoch: Epoch, now: f64) -> CollectionTask {
-        let transfer = Some(Transfer::new(config, task.clone(), epoch));
-        CollectionTask { epoch, transfer, stop_early: Arc::default(), due: now }
-    }
-
-    fn is_idle(&self) -> bool {
-        self.transfer.is_some()
-    }
-}
-
 /// What the main task waits for, beside reports and the order to stop.
 struct Events {
     connection_events: mpsc::Receiver<NumberedEvent>,
@@ -73,17 +35,9 @@
 pub(crate) struct Worker {
     config: WorkerConfig,
     holder: Holder,
-    route: Route<SocketAddr>,
-    connection: Option<ReplicaConnection>,
-    connections_opened: u64,
-    /// When the first request was sent that has no response yet.
-    unanswered_since: Option<f64>,
-    collection_tasks: BTreeMap<Duty, CollectionTask>,
+    lease_store: LeaseStoreClient,
+    collection_tasks: CollectionTasks,
     report_planner: Option<ReportPlanner>,
-    connection_events: mpsc::Sender<NumberedEvent>,
-    ended_steps: mpsc::Sender<EndedStep>,
-    /// The lease store responds: logged when it changes.
-    reachable: bool,
     /// When a draining worker ends though not all is handed over.
     drain_deadline: Option<f64>,
 }
@@ -95,24 +49,17 @@
         wanted.extend(config.collection.iter().map(|_| collection::TASK.to_string()));
         let reporting = config.reporting.iter();
         wanted.extend(reporting.flat_map(ReportPlanner::wanted_tasks).map(String::from));
-        let seed = puffinladder_leases::assign::rank("route", config.incarnation as u32, &config.name);
-        let (connection_events, received_events) = mpsc::channel(MAX_WAITING_EVENTS);
-        let (ended_steps, received_steps) = mpsc::channel(MAX_WAITING_EVENTS);
+        let (event_sender, connection_events) = mpsc::channel(MAX_WAITING_EVENTS);
+        let (step_sender, ended_steps) = mpsc::channel(MAX_WAITING_EVENTS);
         let worker = Worker {
-            holder: Holder::new(holder_id, &config.zone, wanted, ASSUMED_TERM),
-            route: Route::new(config.replicas.clone(), seed),
-            connection: None,
-            connections_opened: 0,
-            unanswered_since: None,
-            collection_tasks: BTreeMap::new(),
+            holder: Holder::new(holder_id.clone(), &config.zone, wanted, ASSUMED_TERM),
+            lease_store: LeaseStoreClient::new(holder_id, config.replicas.clone(), event_sender),
+            collection_tasks: CollectionTasks::new(config.clock.clone(), step_sender),
             report_planner: config.reporting.as_ref().map(ReportPlanner::new),
-            connection_events,
-            ended_steps,
-            reachable: true,
             drain_deadline: None,
             config,
         };
-        (worker, Events { connection_events: received_events, ended_steps: received_steps })
+        (worker, Events { connection_events, ended_steps })
     }
 
     /// Runs until it is stopped and has handed its tasks over, or a later incarnation of it has spoken.
@@ -126,8 +73,8 @@
         loop {
             let wait = worker.time_until_due(clock.now());
             tokio::select! {
-                Some((number, event)) = events.connection_events.recv() => {
-                    worker.on_connection_event(clock.now(), number, event);
+                Some(event) = events.connection_events.recv() => {
+                    worker.on_connection_event(clock.now(), event);
                 }
                 Some(step) = events.ended_steps.recv() => worker.on_step_ended(clock.now(), step),
                 Some(report) = reports.recv() => worker.on_report(clock.now(), report),
@@ -137,8 +84,8 @@
             let now = clock.now();
             let expired = worker.holder.look(now);
             worker.carry_out(now, expired);
-            worker.send_request(now);
-            worker.begin_steps(now);
+            worker.lease_store.send_request(now, &mut worker.holder);
+            worker.collection_tasks.begin_steps(now, &mut worker.holder);
             worker.answer_reports(now);
             if worker.drain_deadline.is_some_and(|deadline| now >= deadline) || worker.is_done() {
                 return;
@@ -162,115 +109,29 @@
             return true;
         }
         let holds_nothing = self.holder.holds().next().is_none();
-        let is_idle = self.collection_tasks.values().all(CollectionTask::is_idle);
+        let is_idle = self.collection_tasks.is_idle();
         self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.owes()
     }
 
     /// How long nothing is due.
     fn time_until_due(&self, now: f64) -> Duration {
-        let mut due = (now + MAX_WAIT).min(self.lease_store_due(now));
+        let mut due = (now + MAX_WAIT).min(self.lease_store.due(now, &self.holder));
         if let Some(planner) = &self.report_planner {
             due = due.min(planner.next_round());
         }
-        let idle = self.collection_tasks.values().filter(|task| task.is_idle());
-        due = idle.map(|task| task.due).fold(due, f64::min);
-        self.config.clock.sleep_duration(due.max(now + MIN_WAIT) - now)
-    }
-
-    /// When there is something to be done about the connection to the lease store.
-    fn lease_store_due(&self, now: f64) -> f64 {
-        if self.connection.is_some() {
-            let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
-            return self.holder.due().min(timeout);
-        }
-        match self.route.next(now) {
-            Next::Wait(until) => until,
-            Next::Dial(_) => now,
-        }
-    }
-
-    /// Sends the request that is due, and turns to another replica where this one is silent.
-    fn send_request(&mut self, now: f64) {
-        if self.unanswered_since.is_some_and(|since| now - since >= RESPONSE_TIMEOUT) {
-            self.give_up_connection(now, "does not respond");
-        }
-        let Some(connection) = &self.connection else {
-            self.open_connection(now);
-            return;
-        };
-        if self.route.open().is_none() {
-            return;
-        }
-        let Some(request) = self.holder.ask(now) else { return };
-        if connection.send(Ask::Say(request)) {
-            self.unanswered_since.get_or_insert(now);
-        } else {
-            self.give_up_connection(now, "does not read");
-        }
-    }
-
-    fn open_connection(&mut self, now: f64) {
-        let Next::Dial(replica) = self.route.next(now) else { return };
-        let Some(address) = self.route.address(replica).copied() else { return };
-        self.connections_opened += 1;
-        let events = self.connection_events.clone();
-        self.connection = Some(ReplicaConnection::open(self.connections_opened, address, events));
-        // Connecting has a bound of its own.
-        self.unanswered_since = None;
-    }
-
-    fn close_connection(&mut self) {
-        self.connection = None;
-        self.unanswered_since = None;
-    }
-
-    fn give_up_connection(&mut self, now: f64, reason: &str) {
-        tracing::debug!("{}: the lease-store replica {reason}", self.holder.me());
-        self.close_connection();
-        self.route.failed(now);
-        self.set_reachable(false);
-    }
-
-    /// Logs a change once, not with every attempt.
-    fn set_reachable(&mut self, reachable: bool) {
-        if reachable == self.reachable {
-            return;
+        if let Some(step) = self.collection_tasks.next_due() {
+            due = due.min(step);
         }
-        self.reachable = reachable;
-        let change = match reachable {
-            true => "the lease store responds again",
-            false => "no lease-store replica responds, goes on while its term lasts",
-        };
-        tracing::info!("{}: {change}", self.holder.me());
+        self.config.clock.sleep_duration(due.max(now + MIN_WAIT) - now)
     }
 
-    fn on_connection_event(&mut self, now: f64, number: u64, event: ConnectionEvent) {
-        if self.connection.as_ref().is_none_or(|connection| connection.number != number) {
-            return; // of a connection that was given up
-        }
-        match event {
-            ConnectionEvent::Connected => {
-                self.route.dialled();
-                // A replica that is new to it has heard nothing yet: the next request is due at once.
-                self.holder.hurry();
-            }
-            ConnectionEvent::Response(Answer::Told(response)) => self.on_leases(now, &response),
-            ConnectionEvent::Response(Answer::Elsewhere { leader, address }) => {
-                self.close_connection();
-                let address = address.and_then(|text| text.parse().ok());
-                self.route.elsewhere(now, leader.map(|number| (number, address)));
-            }
-            ConnectionEvent::Response(other) => {
-                self.give_up_connection(now, &format!("responds {other:?}"));
-            }
-            ConnectionEvent::Closed(error) => self.give_up_connection(now, &error.to_string()),
+    fn on_connection_event(&mut self, now: f64, event: NumberedEvent) {
+        if let Some(response) = self.lease_store.on_event(now, event, &mut self.holder) {
+            self.on_leases(now, &response);
         }
     }
 
     fn on_leases(&mut self, now: f64, response: &Told) {
-        self.unanswered_since = None;
-        self.route.answered();
-        self.set_reachable(true);
         let actions = self.holder.told(now, response);
         if let Some(rejection) = response.refused {
             tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.me());
@@ -298,18 +159,13 @@
         }
         let collection = self.config.collection.clone().filter(|_| task.name == collection::TASK);
         if let Some(config) = collection {
-            let collection_task = CollectionTask::new(config, &task, epoch, now);
-            self.collection_tasks.insert(task, collection_task);
+            self.collection_tasks.insert(config, task, epoch, now);
         }
     }
 
     /// Hands a task over once no step of it runs.
     fn hand_over(&mut self, now: f64, task: &Duty, epoch: Epoch) {
-        let collection_task = self.collection_tasks.get(task);
-        if let Some(collection_task) = collection_task {
-            collection_task.stop_early.store(true, Ordering::Relaxed);
-        }
-        if collection_task.is_none_or(CollectionTask::is_idle) {
+        if self.collection_tasks.stop_early(task) {
             let action = self.holder.ended(task, epoch);
             self.carry_out(now, action.into_iter().collect());
         }
@@ -323,10 +179,7 @@
         if let Some(planner) = &mut self.report_planner {
             planner.end(&task, epoch);
         }
-        if self.collection_tasks.get(&task).is_some_and(|held| held.epoch == epoch) {
-            // A step that runs is reported to the lease holder alone when it ends.
-            self.collection_tasks.remove(&task);
-        }
+        self.collection_tasks.remove(&task, epoch);
     }
 
     fn on_report(&mut self, now: f64, received: ReceivedReport) {
@@ -355,37 +208,13 @@
         self.carry_out(now, actions);
     }
 
-    /// Begins steps of collecting where one is due and the term allows it.
-    fn begin_steps(&mut self, now: f64) {
-        for (task, collection_task) in &mut self.collection_tasks {
-            if now < collection_task.due || !collection_task.is_idle() {
-                continue;
-            }
-            let Some((epoch, until)) = self.holder.may(now, task) else { continue };
-            let Some(mut transfer) = collection_task.transfer.take() else { continue };
-            let until = now + STEP_SHARE * (until - now);
-            let stop_early = collection_task.stop_early.clone();
-            let (clock, ended_steps, task) =
-                (self.config.clock.clone(), self.ended_steps.clone(), task.clone());
-            tokio::spawn(async move {
-                let outcome = transfer.step(&clock, until, &stop_early).await;
-                let _ = ended_steps.send(EndedStep { task, epoch, transfer, outcome }).await;
-            });
-        }
-    }
-
     fn on_step_ended(&mut self, now: f64, step: EndedStep) {
-        let EndedStep { task, epoch, transfer, outcome } = step;
+        let (task, epoch, outcome) = (step.task.clone(), step.epoch, step.outcome);
         let mut actions = self.holder.stepped(now, &task, epoch, outcome.progress, outcome.has_more);
         if outcome.fenced {
             actions.extend(self.holder.fenced(&task, epoch));
         }
-        if let Some(held) = self.collection_tasks.get_mut(&task).filter(|held| held.epoch == epoch) {
-            // With nothing to do, or nothing done, it rests until the folders are listed again.
-            let goes_on = outcome.has_more && outcome.progress;
-            held.due = if goes_on { now } else { now + transfer.idle_interval() };
-            held.transfer = Some(transfer);
-        }
+        self.collection_tasks.on_step_ended(now, step);
         self.carry_out(now, actions);
         let is_held = self.holder.holds().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
         if is_held && self.holder.stage(now, &task) == Stage::Yields {
