--- a/crates/cli/src/fleet/worker.rs
+++ b/crates/cli/src/fleet/worker.rs
@@ -4,9 +4,9 @@
 use crate::say::Done;
 use crate::serve;
 use clap::Args;
-use puffinladder_leases::desk;
-use puffinladder_leases::turns::Rules;
-use puffinladder_leases::words::Event;
+use puffinladder_leases::coordination;
+use puffinladder_leases::drain::DrainRules;
+use puffinladder_leases::protocol::Event;
 use puffinladder_settings::{TraceCollectionSettings, WorkerSettings};
 use puffinladder_worker::config::{CollectionConfig, ReportingConfig, WorkerConfig};
 use puffinladder_worker::incarnation;
@@ -62,7 +62,7 @@
     tracing::info!("worker {}, incarnation {incarnation}", settings.name);
     let mut running = start(config).await.map_err(|e| failed(e.to_string()))?;
     let listen = running.listen.map_or(String::new(), |address| address.to_string());
-    ground.events.tell(&Event::Ready { listen });
+    ground.events.emit(&Event::Ready { listen });
     match serve::until_told(running.ended()).await? {
         Some(()) => Err(failed(format!("worker {}: a later incarnation of it has spoken", settings.name))),
         None => {
@@ -84,20 +84,20 @@
 
 fn reporting_config(settings: &WorkerSettings, listen: SocketAddr) -> ReportingConfig {
     let (quota, turns) = (settings.quota.as_ref(), settings.drain_slots.as_ref());
-    let turn_rules = turns.map_or_else(Default::default, |turns| Rules {
-        most: turns.max_draining,
-        zone_share: turns.max_zone_share,
-        span: turns.slot_duration,
-        silent: turns.silence_timeout,
-        drift: MAX_CLOCK_DRIFT,
+    let turn_rules = turns.map_or_else(Default::default, |turns| DrainRules {
+        max_unavailable: turns.max_draining,
+        max_zone_fraction: turns.max_zone_share,
+        slot_duration: turns.slot_duration,
+        report_timeout: turns.silence_timeout,
+        max_clock_drift: MAX_CLOCK_DRIFT,
     });
-    let coordinator = desk::Told {
-        customers: quota.map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
-        servers: quota.map_or(1, |quota| quota.servers),
-        parts: quota.map_or(1, |quota| quota.parts as u32),
-        span: quota.map_or(UNUSED_SPAN, |quota| quota.share_duration),
-        drift: MAX_CLOCK_DRIFT,
-        turns: turn_rules,
+    let coordinator = coordination::CoordinatorSettings {
+        tenant_quotas: quota.map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
+        server_count: quota.map_or(1, |quota| quota.servers),
+        quota_parts: quota.map_or(1, |quota| quota.parts as u32),
+        quota_validity: quota.map_or(UNUSED_SPAN, |quota| quota.share_duration),
+        max_clock_drift: MAX_CLOCK_DRIFT,
+        drain_rules: turn_rules,
     };
     ReportingConfig {
         listen,
--- a/crates/config-rollout/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -19,7 +19,7 @@
 use crate::history::History;
 use crate::messages::{Acknowledgement, DistributorMessage, MAX_CHUNK_BYTES};
 use body_cache::{Body, BodyCache};
-use puffinladder_leases::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, SeededRandom};
 use server::{Server, Transfer};
 use std::collections::{BTreeMap, VecDeque};
 use token_bucket::TokenBucket;
@@ -219,7 +219,7 @@
         };
         let mut newcomers: Vec<String> = self.servers.iter().filter_map(lagging).collect();
         newcomers.sort_by_cached_key(|name| {
-            let mix = |seed: u64, byte: u8| Shuffle::new(seed ^ u64::from(byte)).draw();
+            let mix = |seed: u64, byte: u8| SeededRandom::new(seed ^ u64::from(byte)).next_u64();
             (name.bytes().fold(self.seed, mix), name.clone())
         });
         for name in newcomers {
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -4,7 +4,7 @@
 use crate::history::{Command, LogEntry, Origin, PutRequest, RetentionLimits};
 use crate::key::Key;
 use crate::messages::{encode_change, encode_content, Chunk, RejectedVersion, TransferId, TransferProgress};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 fn apply(history: &mut History, command: Command) {
@@ -31,7 +31,7 @@
 
 fn ack(name: &str, sequence: u64, staged: VersionId) -> Acknowledgement {
     Acknowledgement {
-        server: Owner::new(name, 1),
+        server: HolderId::new(name, 1),
         sequence,
         active: staged,
         staged,
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -20,8 +20,8 @@
 use crate::validation::ContentValidator;
 use last_good::LastGoodWriter;
 use partial_bodies::{Extended, PartialBodies};
-use puffinladder_leases::sent::Sent;
-use puffinladder_leases::Owner;
+use puffinladder_leases::sent_times::SentTimes;
+use puffinladder_leases::HolderId;
 use std::io;
 use std::sync::Arc;
 use thiserror::Error;
@@ -133,7 +133,7 @@
 /// The state of one server's incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Follower {
-    server: Owner,
+    server: HolderId,
     zone: String,
     seal: Seal,
     active: VersionedContent,
@@ -148,7 +148,7 @@
     target: Option<VersionId>,
     /// Until when the active version is known to be the right one.
     fresh_until: Option<f64>,
-    sent_acks: Sent,
+    sent_acks: SentTimes,
     last_ack: Option<f64>,
     /// Something happened that the next acknowledgement should not wait with.
     ack_urgent: bool,
@@ -157,7 +157,7 @@
 impl Follower {
     /// Starts with what the disk holds, or with the base settings, without waiting for anybody.
     pub fn start(
-        server: Owner,
+        server: HolderId,
         zone: &str,
         seal: Seal,
         disk: Option<&[u8]>,
@@ -188,7 +188,7 @@
             healthy: true,
             target: None,
             fresh_until: None,
-            sent_acks: Sent::after(0, MAX_UNANSWERED_ACKS),
+            sent_acks: SentTimes::new(0, MAX_UNANSWERED_ACKS),
             last_ack: None,
             ack_urgent: true,
         };
@@ -196,7 +196,7 @@
     }
 
     /// The server and its incarnation.
-    pub fn server(&self) -> &Owner {
+    pub fn server(&self) -> &HolderId {
         &self.server
     }
 
@@ -311,7 +311,7 @@
             return Received::Gap;
         }
         // A message that answers no known acknowledgement says nothing of its age.
-        if let Some(sent) = self.sent_acks.at(acknowledged) {
+        if let Some(sent) = self.sent_acks.sent_at(acknowledged) {
             self.fresh_until = Some(self.fresh_until.unwrap_or(f64::MIN).max(sent - age));
         }
         Received::Outdated
@@ -432,7 +432,7 @@
         Some(Acknowledgement {
             server: self.server.clone(),
             zone: self.zone.clone(),
-            sequence: self.sent_acks.send(now),
+            sequence: self.sent_acks.record(now),
             active: self.active.version,
             staged: self.newest().version,
             progress: self.partial_bodies.latest_progress(),
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -16,7 +16,7 @@
 use crate::history::{Command, History};
 use crate::messages::Acknowledgement;
 use canary::CanaryWatch;
-use puffinladder_leases::{Epoch, Shuffle};
+use puffinladder_leases::{Epoch, SeededRandom};
 use server::Server;
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     epoch: Epoch,
     author: String,
     settings: RolloutSettings,
-    random: Shuffle,
+    random: SeededRandom,
     started: f64,
     servers: BTreeMap<String, Server>,
     watch: Option<CanaryWatch>,
@@ -55,7 +55,7 @@
             epoch,
             author: author.into(),
             settings,
-            random: Shuffle::new(seed),
+            random: SeededRandom::new(seed),
             started: now,
             servers: BTreeMap::new(),
             watch: None,
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -218,9 +218,9 @@
         while drawn.len() < count && !open_zones.is_empty() {
             let mut round = open_zones.clone();
             while drawn.len() < count && !round.is_empty() {
-                let zone = round.swap_remove(self.random.below(round.len()));
+                let zone = round.swap_remove(self.random.next_index(round.len()));
                 if let Some(names) = zones.get_mut(&zone).filter(|names| !names.is_empty()) {
-                    drawn.insert(names.swap_remove(self.random.below(names.len())));
+                    drawn.insert(names.swap_remove(self.random.next_index(names.len())));
                 }
             }
             open_zones.retain(|zone| zones.get(zone).is_some_and(|names| !names.is_empty()));
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -4,7 +4,7 @@
 use crate::history::{LogEntry, Origin, PutRequest, RetentionLimits};
 use crate::key::Key;
 use crate::messages::RejectedVersion;
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 /// An owner, its history, and servers that speak four times a second.
@@ -27,7 +27,7 @@
         settings.check().unwrap();
         let ack = |at: usize| {
             let (name, head) = (format!("n{at:02}"), history.head());
-            let server = Owner::new(&name, 1);
+            let server = HolderId::new(&name, 1);
             let zone = format!("z{}", at % 3);
             (
                 name,
--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -17,7 +17,7 @@
 use puffinladder_config_rollout::{
     Change, Content, Digest, Field, Key, Seal, Section, ValidationError, Value, VersionId,
 };
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -164,7 +164,7 @@
 #[test]
 fn messages_from_a_server() {
     let full = Acknowledgement {
-        server: Owner::new("n1", 3),
+        server: HolderId::new("n1", 3),
         zone: "east".into(),
         sequence: 12,
         active: head(2),
@@ -192,7 +192,7 @@
     let read: Acknowledgement = serde_json::from_str(short).expect("readable");
     assert_eq!(
         read,
-        Acknowledgement { server: Owner::new("n1", 1), sequence: 1, ..Acknowledgement::default() }
+        Acknowledgement { server: HolderId::new("n1", 1), sequence: 1, ..Acknowledgement::default() }
     );
 }
 
@@ -394,7 +394,7 @@
 #[test]
 fn a_stored_last_good_version() {
     let start =
-        |disk: Option<&[u8]>| Follower::start(Owner::new("n1", 1), "east", seal(), disk, &BoundsValidator);
+        |disk: Option<&[u8]>| Follower::start(HolderId::new("n1", 1), "east", seal(), disk, &BoundsValidator);
     let (mut follower, _) = start(None);
     let body = encode_content(&content());
     let head = seal().version_id(9, &content());
--- a/crates/worker/src/collection_tasks.rs
+++ b/crates/worker/src/collection_tasks.rs
@@ -2,8 +2,8 @@
 
 use crate::config::CollectionConfig;
 use crate::transfer::{StepOutcome, Transfer};
-use puffinladder_leases::holder::Holder;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::holder::{LeaseHolder, StepPermit};
+use puffinladder_leases::{Epoch, Task};
 use puffinladder_transport::Clock;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,7 +15,7 @@
 
 /// A step that has ended.
 pub(crate) struct EndedStep {
-    pub task: Duty,
+    pub task: Task,
     pub epoch: Epoch,
     pub outcome: StepOutcome,
     transfer: Transfer,
@@ -33,7 +33,7 @@
 }
 
 pub(crate) struct CollectionTasks {
-    tasks: BTreeMap<Duty, CollectionTask>,
+    tasks: BTreeMap<Task, CollectionTask>,
     clock: Clock,
     ended_steps: mpsc::Sender<EndedStep>,
 }
@@ -45,21 +45,21 @@
     }
 
     /// The worker holds a part under this epoch from now on.
-    pub fn insert(&mut self, config: CollectionConfig, task: Duty, epoch: Epoch, now: f64) {
+    pub fn insert(&mut self, config: CollectionConfig, task: Task, epoch: Epoch, now: f64) {
         let transfer = Some(Transfer::new(config, task.clone(), epoch));
         let stop_early = Arc::default();
         self.tasks.insert(task, CollectionTask { epoch, transfer, stop_early, due: now });
     }
 
     /// The worker no longer holds a part under this epoch. A step that runs is reported to the lease holder alone when it ends.
-    pub fn remove(&mut self, task: &Duty, epoch: Epoch) {
+    pub fn remove(&mut self, task: &Task, epoch: Epoch) {
         if self.tasks.get(task).is_some_and(|held| held.epoch == epoch) {
             self.tasks.remove(task);
         }
     }
 
     /// Ends the running step of a part after the block in transfer. Returns whether no step runs.
-    pub fn stop_early(&mut self, task: &Duty) -> bool {
+    pub fn stop_early(&mut self, task: &Task) -> bool {
         let Some(held) = self.tasks.get(task) else { return true };
         held.stop_early.store(true, Ordering::Relaxed);
         held.transfer.is_some()
@@ -77,14 +77,14 @@
     }
 
     /// Begins steps where one is due and the lease's term allows it.
-    pub fn begin_steps(&mut self, now: f64, holder: &mut Holder) {
+    pub fn begin_steps(&mut self, now: f64, holder: &mut LeaseHolder) {
         for (task, held) in &mut self.tasks {
             if now < held.due || held.transfer.is_none() {
                 continue;
             }
-            let Some((epoch, until)) = holder.may(now, task) else { continue };
+            let Some(StepPermit { epoch, valid_until }) = holder.begin_step(now, task) else { continue };
             let Some(mut transfer) = held.transfer.take() else { continue };
-            let until = now + STEP_SHARE * (until - now);
+            let until = now + STEP_SHARE * (valid_until - now);
             let (task, stop_early) = (task.clone(), held.stop_early.clone());
             let (clock, ended_steps) = (self.clock.clone(), self.ended_steps.clone());
             tokio::spawn(async move {
--- a/crates/worker/src/lease_store_client.rs
+++ b/crates/worker/src/lease_store_client.rs
@@ -1,11 +1,11 @@
 //! The worker's side of the lease store: which replica it is connected to, when a request is due, and when another replica is tried.
 
 use crate::connection::{ConnectionEvent, NumberedEvent, ReplicaConnection};
-use puffinladder_leases::holder::Holder;
-use puffinladder_leases::route::{Next, Route};
-use puffinladder_leases::table::Told;
-use puffinladder_leases::words::{Answer, Ask};
-use puffinladder_leases::Owner;
+use puffinladder_leases::holder::LeaseHolder;
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest};
+use puffinladder_leases::replica_selector::{NextStep, ReplicaSelector};
+use puffinladder_leases::table::LeaseResponse;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
@@ -15,8 +15,8 @@
 
 pub(crate) struct LeaseStoreClient {
     /// For the log.
-    holder_id: Owner,
-    route: Route<SocketAddr>,
+    holder_id: HolderId,
+    route: ReplicaSelector<SocketAddr>,
     connection: Option<ReplicaConnection>,
     connections_opened: u64,
     /// When the first request was sent that has no response yet.
@@ -29,15 +29,15 @@
 impl LeaseStoreClient {
     /// What happens on the connections goes to `events`, to be handed back to [`LeaseStoreClient::on_event`].
     pub fn new(
-        holder_id: Owner,
+        holder_id: HolderId,
         replicas: BTreeMap<u64, SocketAddr>,
         events: mpsc::Sender<NumberedEvent>,
     ) -> LeaseStoreClient {
         let incarnation = holder_id.incarnation as u32;
-        let seed = puffinladder_leases::assign::rank("route", incarnation, &holder_id.instance);
+        let seed = puffinladder_leases::assignment::rank("route", incarnation, &holder_id.instance);
         LeaseStoreClient {
             holder_id,
-            route: Route::new(replicas, seed),
+            route: ReplicaSelector::new(replicas, seed),
             connection: None,
             connections_opened: 0,
             unanswered_since: None,
@@ -47,19 +47,19 @@
     }
 
     /// When there is something to be done here.
-    pub fn due(&self, now: f64, holder: &Holder) -> f64 {
+    pub fn due(&self, now: f64, holder: &LeaseHolder) -> f64 {
         if self.connection.is_some() {
             let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
-            return holder.due().min(timeout);
+            return holder.next_renewal().min(timeout);
         }
-        match self.route.next(now) {
-            Next::Wait(until) => until,
-            Next::Dial(_) => now,
+        match self.route.next_step(now) {
+            NextStep::WaitUntil(until) => until,
+            NextStep::Connect(_) => now,
         }
     }
 
     /// Sends the request that is due, and turns to another replica where this one is silent.
-    pub fn send_request(&mut self, now: f64, holder: &mut Holder) {
+    pub fn send_request(&mut self, now: f64, holder: &mut LeaseHolder) {
         if self.unanswered_since.is_some_and(|since| now - since >= RESPONSE_TIMEOUT) {
             self.give_up_connection(now, "does not respond");
         }
@@ -67,11 +67,11 @@
             self.open_connection(now);
             return;
         };
-        if self.route.open().is_none() {
+        if self.route.connected().is_none() {
             return;
         }
-        let Some(request) = holder.ask(now) else { return };
-        if connection.send(Ask::Say(request)) {
+        let Some(request) = holder.next_request(now) else { return };
+        if connection.send(ReplicaRequest::Renew(request)) {
             self.unanswered_since.get_or_insert(now);
         } else {
             self.give_up_connection(now, "does not read");
@@ -83,27 +83,27 @@
         &mut self,
         now: f64,
         (number, event): NumberedEvent,
-        holder: &mut Holder,
-    ) -> Option<Told> {
+        holder: &mut LeaseHolder,
+    ) -> Option<LeaseResponse> {
         if self.connection.as_ref().is_none_or(|connection| connection.number != number) {
             return None; // of a connection that was given up
         }
         match event {
             ConnectionEvent::Connected => {
-                self.route.dialled();
+                self.route.mark_connected();
                 // A replica that is new to it has heard nothing yet: the next request is due at once.
-                holder.hurry();
+                holder.renew_now();
             }
-            ConnectionEvent::Response(Answer::Told(response)) => {
+            ConnectionEvent::Response(ReplicaReply::Lease(response)) => {
                 self.unanswered_since = None;
-                self.route.answered();
+                self.route.mark_healthy();
                 self.set_reachable(true);
                 return Some(response);
             }
-            ConnectionEvent::Response(Answer::Elsewhere { leader, address }) => {
+            ConnectionEvent::Response(ReplicaReply::NotLeader { leader, address }) => {
                 self.close_connection();
                 let address = address.and_then(|text| text.parse().ok());
-                self.route.elsewhere(now, leader.map(|number| (number, address)));
+                self.route.follow_redirect(now, leader.map(|number| (number, address)));
             }
             ConnectionEvent::Response(other) => {
                 self.give_up_connection(now, &format!("responds {other:?}"));
@@ -114,7 +114,7 @@
     }
 
     fn open_connection(&mut self, now: f64) {
-        let Next::Dial(replica) = self.route.next(now) else { return };
+        let NextStep::Connect(replica) = self.route.next_step(now) else { return };
         let Some(address) = self.route.address(replica).copied() else { return };
         self.connections_opened += 1;
         let events = self.events.clone();
@@ -131,7 +131,7 @@
     fn give_up_connection(&mut self, now: f64, reason: &str) {
         tracing::debug!("{}: the lease-store replica {reason}", self.holder_id);
         self.close_connection();
-        self.route.failed(now);
+        self.route.mark_failed(now);
         self.set_reachable(false);
     }
 
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -7,10 +7,10 @@
 use crate::connection::NumberedEvent;
 use crate::lease_store_client::LeaseStoreClient;
 use crate::report_planner::{ReceivedReport, ReportPlanner};
-use puffinladder_leases::holder::{Act, Holder, Stage, Why};
-use puffinladder_leases::table::{Refused, Told};
-use puffinladder_leases::words::Event;
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::holder::{EndReason, HolderAction, LeaseHolder, LeaseStage, StepPermit};
+use puffinladder_leases::protocol::Event;
+use puffinladder_leases::table::{LeaseResponse, Rejection};
+use puffinladder_leases::{Epoch, HolderId, Task};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
@@ -34,7 +34,7 @@
 /// The state of the main task.
 pub(crate) struct Worker {
     config: WorkerConfig,
-    holder: Holder,
+    holder: LeaseHolder,
     lease_store: LeaseStoreClient,
     collection_tasks: CollectionTasks,
     report_planner: Option<ReportPlanner>,
@@ -44,7 +44,7 @@
 
 impl Worker {
     fn new(config: WorkerConfig) -> (Worker, Events) {
-        let holder_id = Owner::new(&config.name, config.incarnation);
+        let holder_id = HolderId::new(&config.name, config.incarnation);
         let mut wanted = config.held_tasks.clone();
         wanted.extend(config.collection.iter().map(|_| collection::TASK.to_string()));
         let reporting = config.reporting.iter();
@@ -52,7 +52,7 @@
         let (event_sender, connection_events) = mpsc::channel(MAX_WAITING_EVENTS);
         let (step_sender, ended_steps) = mpsc::channel(MAX_WAITING_EVENTS);
         let worker = Worker {
-            holder: Holder::new(holder_id.clone(), &config.zone, wanted, ASSUMED_TERM),
+            holder: LeaseHolder::new(holder_id.clone(), &config.zone, wanted, ASSUMED_TERM),
             lease_store: LeaseStoreClient::new(holder_id, config.replicas.clone(), event_sender),
             collection_tasks: CollectionTasks::new(config.clock.clone(), step_sender),
             report_planner: config.reporting.as_ref().map(ReportPlanner::new),
@@ -82,7 +82,7 @@
                 _ = tokio::time::sleep(wait) => {}
             }
             let now = clock.now();
-            let expired = worker.holder.look(now);
+            let expired = worker.holder.expire(now);
             worker.carry_out(now, expired);
             worker.lease_store.send_request(now, &mut worker.holder);
             worker.collection_tasks.begin_steps(now, &mut worker.holder);
@@ -95,22 +95,22 @@
 
     /// Begins to hand everything over.
     fn drain(&mut self, now: f64) {
-        tracing::info!("{}: draining, hands over", self.holder.me());
+        tracing::info!("{}: draining, hands over", self.holder.id());
         self.drain_deadline = Some(now + DRAIN_TIMEOUT);
-        self.holder.leave();
-        let held = self.holder.holds();
-        let actions = held.map(|(task, epoch)| Act::Yield(task.clone(), epoch)).collect();
+        self.holder.start_draining();
+        let held = self.holder.leases();
+        let actions = held.map(|(task, epoch)| HolderAction::Release(task.clone(), epoch)).collect();
         self.carry_out(now, actions);
     }
 
     /// Whether nothing is held any more and the lease store knows, or this incarnation is over.
     fn is_done(&self) -> bool {
-        if self.holder.refused() == Some(Refused::Superseded) {
+        if self.holder.rejection() == Some(Rejection::Superseded) {
             return true;
         }
-        let holds_nothing = self.holder.holds().next().is_none();
+        let holds_nothing = self.holder.leases().next().is_none();
         let is_idle = self.collection_tasks.is_idle();
-        self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.owes()
+        self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.has_pending_releases()
     }
 
     /// How long nothing is due.
@@ -131,29 +131,29 @@
         }
     }
 
-    fn on_leases(&mut self, now: f64, response: &Told) {
-        let actions = self.holder.told(now, response);
-        if let Some(rejection) = response.refused {
-            tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.me());
+    fn on_leases(&mut self, now: f64, response: &LeaseResponse) {
+        let actions = self.holder.handle_response(now, response);
+        if let Some(rejection) = response.rejection {
+            tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.id());
         }
         self.carry_out(now, actions);
     }
 
     /// Does what the lease holder asks for.
-    fn carry_out(&mut self, now: f64, actions: Vec<Act>) {
+    fn carry_out(&mut self, now: f64, actions: Vec<HolderAction>) {
         for action in actions {
             match action {
-                Act::Begin(task, epoch) => self.begin(now, task, epoch),
-                Act::Yield(task, epoch) => self.hand_over(now, &task, epoch),
-                Act::StandDown(task, epoch, reason) => self.stand_down(task, epoch, reason),
+                HolderAction::Start(task, epoch) => self.begin(now, task, epoch),
+                HolderAction::Release(task, epoch) => self.hand_over(now, &task, epoch),
+                HolderAction::Stop(task, epoch, reason) => self.stand_down(task, epoch, reason),
             }
         }
     }
 
-    fn begin(&mut self, now: f64, task: Duty, epoch: Epoch) {
-        let owner = self.holder.me().clone();
+    fn begin(&mut self, now: f64, task: Task, epoch: Epoch) {
+        let owner = self.holder.id().clone();
         tracing::info!("{owner}: begins with {task}, epoch {epoch}");
-        self.config.events.tell(&Event::Begin { owner, duty: task.clone(), epoch });
+        self.config.events.emit(&Event::LeaseStarted { holder: owner, task: task.clone(), epoch });
         if let Some(planner) = &mut self.report_planner {
             planner.begin(now, &task, epoch);
         }
@@ -164,18 +164,23 @@
     }
 
     /// Hands a task over once no step of it runs.
-    fn hand_over(&mut self, now: f64, task: &Duty, epoch: Epoch) {
+    fn hand_over(&mut self, now: f64, task: &Task, epoch: Epoch) {
         if self.collection_tasks.stop_early(task) {
-            let action = self.holder.ended(task, epoch);
+            let action = self.holder.release(task, epoch);
             self.carry_out(now, action.into_iter().collect());
         }
     }
 
-    fn stand_down(&mut self, task: Duty, epoch: Epoch, reason: Why) {
-        let owner = self.holder.me().clone();
+    fn stand_down(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
+        let owner = self.holder.id().clone();
         let why = reason_text(reason);
         tracing::info!("{owner}: stands down from {task}, epoch {epoch}: {why}");
-        self.config.events.tell(&Event::Down { owner, duty: task.clone(), epoch, why: why.into() });
+        self.config.events.emit(&Event::LeaseEnded {
+            holder: owner,
+            task: task.clone(),
+            epoch,
+            reason: why.into(),
+        });
         if let Some(planner) = &mut self.report_planner {
             planner.end(&task, epoch);
         }
@@ -185,7 +190,7 @@
     fn on_report(&mut self, now: f64, received: ReceivedReport) {
         let Some(planner) = &mut self.report_planner else { return };
         if let Err(rejected) = planner.receive(now, received) {
-            tracing::debug!("{}: {rejected}", self.holder.me());
+            tracing::debug!("{}: {rejected}", self.holder.id());
         }
     }
 
@@ -196,40 +201,40 @@
             return;
         };
         planner.schedule_round_after(now);
-        let held = self.holder.holds().filter(|(task, _)| ReportPlanner::plans(task));
-        let held: Vec<Duty> = held.map(|(task, _)| task.clone()).collect();
+        let held = self.holder.leases().filter(|(task, _)| ReportPlanner::plans(task));
+        let held: Vec<Task> = held.map(|(task, _)| task.clone()).collect();
         let mut actions = Vec::new();
         for task in held {
             let now = self.config.clock.now();
-            let Some((epoch, _)) = self.holder.may(now, &task) else { continue };
+            let Some(StepPermit { epoch, .. }) = self.holder.begin_step(now, &task) else { continue };
             let progress = planner.answer(now, &task);
-            actions.extend(self.holder.stepped(now, &task, epoch, progress, false));
+            actions.extend(self.holder.finish_step(now, &task, epoch, progress, false));
         }
         self.carry_out(now, actions);
     }
 
     fn on_step_ended(&mut self, now: f64, step: EndedStep) {
         let (task, epoch, outcome) = (step.task.clone(), step.epoch, step.outcome);
-        let mut actions = self.holder.stepped(now, &task, epoch, outcome.progress, outcome.has_more);
+        let mut actions = self.holder.finish_step(now, &task, epoch, outcome.progress, outcome.has_more);
         if outcome.fenced {
-            actions.extend(self.holder.fenced(&task, epoch));
+            actions.extend(self.holder.handle_fenced(&task, epoch));
         }
         self.collection_tasks.on_step_ended(now, step);
         self.carry_out(now, actions);
-        let is_held = self.holder.holds().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
-        if is_held && self.holder.stage(now, &task) == Stage::Yields {
+        let is_held = self.holder.leases().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
+        if is_held && self.holder.stage(now, &task) == LeaseStage::Releasing {
             self.hand_over(now, &task, epoch);
         }
     }
 }
 
 /// As events give it to whoever reads them.
-fn reason_text(reason: Why) -> &'static str {
+fn reason_text(reason: EndReason) -> &'static str {
     match reason {
-        Why::TermOver => "its term is over",
-        Why::HandedOver => "handed over",
-        Why::Unlisted => "the keepers no longer list it",
-        Why::Superseded => "a later life of this instance has spoken",
-        Why::Fenced => "a fence has seen a later epoch",
+        EndReason::TermExpired => "its term is over",
+        EndReason::Released => "handed over",
+        EndReason::NotListed => "the keepers no longer list it",
+        EndReason::Superseded => "a later life of this instance has spoken",
+        EndReason::Fenced => "a fence has seen a later epoch",
     }
 }
