--- a/crates/cli/src/hollow.rs
+++ b/crates/cli/src/emulate.rs
@@ -1,14 +1,15 @@
-//! `puffinladder hollow`: many servers, or callers, in one process, for their control traffic alone (`docs/hollow.md`).
+//! `puffinladder emulate`: many servers, or callers, in one process, for their control traffic alone (`docs/emulator.md`).
 
 use crate::say::{Done, Wrong};
 use crate::serve::runtime;
 use clap::{Args, Subcommand, ValueEnum};
 use puffinladder_control::stream::Lease;
-use puffinladder_hollow::callers::{self, Callers};
-use puffinladder_hollow::counts::Counts;
-use puffinladder_hollow::draw::{customer, product, Load};
-use puffinladder_hollow::figures;
-use puffinladder_hollow::servers::{self, Servers};
+use puffinladder_emulator::callers::{CallersConfig, EmulatedCallers};
+use puffinladder_emulator::connection_stats::ConnectionStats;
+use puffinladder_emulator::names::{customer, product};
+use puffinladder_emulator::process_usage;
+use puffinladder_emulator::servers::{EmulatedServers, ServersConfig};
+use puffinladder_emulator::traffic::Load;
 use puffinladder_trace::expr::parse_span;
 use serde::Serialize;
 use std::io::Write;
@@ -21,8 +22,8 @@
 #[command(
     after_help = "Each second, and at the end, one line of JSON on standard output says how many are connected, what went over \
     their connections,\nand what the process uses. SIGTERM ends it.\n\nExamples:\n  \
-    puffinladder hollow servers --count 300 --control 127.0.0.1:18001 --span 10s\n  \
-    puffinladder hollow callers --count 2000 --control 127.0.0.1:18000 --services 230 --zones 6"
+    puffinladder emulate servers --count 300 --control 127.0.0.1:18001 --span 10s\n  \
+    puffinladder emulate callers --count 2000 --control 127.0.0.1:18000 --services 230 --zones 6"
 )]
 pub struct Line {
     #[command(subcommand)]
@@ -32,11 +33,11 @@
 #[derive(Subcommand)]
 enum Command {
     /// Servers that report to control services and, with --stewards, take parts of quotas and turns
-    Servers(ServersLine),
+    Servers(ServersArgs),
     /// Callers that take their routing over xDS
-    Callers(CallersLine),
-    /// Print the names that hollow servers use, for settings of stewards and servers
-    #[command(after_help = "Example:\n  puffinladder hollow names --customers 15000")]
+    Callers(CallersArgs),
+    /// Print the names that emulated servers use, for settings of stewards and servers
+    #[command(after_help = "Example:\n  puffinladder emulate names --customers 15000")]
     Names {
         #[arg(long, default_value_t = 0)]
         customers: usize,
@@ -46,7 +47,7 @@
 }
 
 #[derive(Args)]
-struct Common {
+struct CommonArgs {
     /// How many
     #[arg(long)]
     count: usize,
@@ -69,9 +70,9 @@
 }
 
 #[derive(Args)]
-struct ServersLine {
+struct ServersArgs {
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
     /// Addresses of all stewards
     #[arg(long, value_delimiter = ',')]
     stewards: Vec<SocketAddr>,
@@ -100,9 +101,9 @@
 }
 
 #[derive(Args)]
-struct CallersLine {
+struct CallersArgs {
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
     /// Services that they belong to
     #[arg(long, default_value_t = 1)]
     services: usize,
@@ -121,7 +122,9 @@
     State,
 }
 
-/// Most of a span: a day. Longer ones are mistakes.
+/// Time that servers have to end beyond their patience.
+const SHUTDOWN_SLACK: Duration = Duration::from_secs(2);
+/// The longest span: longer ones are mistakes.
 const DAY: Duration = Duration::from_secs(86_400);
 
 fn span_or_none(text: &str) -> Result<Duration, String> {
@@ -137,11 +140,11 @@
     })
 }
 
-/// A line of what it prints.
+/// A line of what it prints; the keys are described in `docs/emulator.md`.
 #[derive(Serialize)]
-struct Said {
+struct Snapshot {
     event: &'static str,
-    /// s since it began.
+    /// Seconds since the start.
     at: f64,
     connected: u64,
     links: u64,
@@ -154,11 +157,11 @@
     resident: u64,
     descriptors: u64,
     #[serde(flatten)]
-    callers: Option<OfCallers>,
+    callers: Option<CallerFigures>,
 }
 
 #[derive(Serialize)]
-struct OfCallers {
+struct CallerFigures {
     version: Option<String>,
     acked: usize,
     latest: usize,
@@ -170,42 +173,46 @@
 pub fn run(line: Line) -> Done {
     match line.command {
         Command::Servers(line) => {
-            let told = line.told()?;
+            let config = line.config()?;
             runtime()?.block_on(async {
-                let players = Servers::start(&told);
-                let counts = players.counts.clone();
-                go(&line.common, &counts, |_| None).await?;
-                let begun = Instant::now();
-                // Whoever waits for a turn past its patience was stopped in the middle of it.
-                let late = timeout(told.patience + Duration::from_secs(2), players.leave()).await.is_err();
+                let servers = EmulatedServers::start(&config);
+                let stats = servers.stats.clone();
+                print_snapshots(&line.common, &stats, |_| None).await?;
+                let started = Instant::now();
+                // Whoever waits for a drain slot past its patience was stopped in the middle of it.
+                let late =
+                    timeout(config.drain_patience + SHUTDOWN_SLACK, servers.shut_down()).await.is_err();
                 if late {
-                    eprintln!("puffinladder: not all had left after {:.1} s", begun.elapsed().as_secs_f64());
+                    eprintln!(
+                        "puffinladder: not all had left after {:.1} s",
+                        started.elapsed().as_secs_f64()
+                    );
                 }
                 Ok(())
             })
         }
         Command::Callers(line) => {
-            let told = line.told()?;
+            let config = line.config()?;
             runtime()?.block_on(async {
-                let players = Callers::start(&told);
-                go(&line.common, &players.counts, |end| Some(of(&players, end))).await
+                let callers = EmulatedCallers::start(&config);
+                print_snapshots(&line.common, &callers.stats, |end| Some(caller_figures(&callers, end))).await
             })
         }
         Command::Names { customers, products } => {
             let mut out = std::io::stdout().lock();
-            for at in 0..customers {
-                writeln!(out, "customer {}", customer(at))?;
+            for number in 0..customers {
+                writeln!(out, "customer {}", customer(number))?;
             }
-            for at in 0..products {
-                writeln!(out, "product {}", product(at))?;
+            for number in 0..products {
+                writeln!(out, "product {}", product(number))?;
             }
             Ok(())
         }
     }
 }
 
-impl Common {
-    /// Faults that would show as something else later on; `each` is the connections of one player.
+impl CommonArgs {
+    /// Checks what would show as another failure later on; `each` is the connections of one server or caller.
     fn check(&self, each: usize) -> Done {
         if self.count == 0 {
             return Err(Wrong::Asked("--count: should be 1 or more".into()));
@@ -214,17 +221,17 @@
             return Err(Wrong::Asked("--first, --count: numbers go up to 16777216".into()));
         }
         let needed = self.count as u64 * each as u64;
-        figures::room(needed).map_err(|most| {
+        process_usage::check_descriptors(needed).map_err(|error| {
             let text = format!(
-                "--count: {needed} connections are needed and {most} descriptors are left to the process: play fewer, in more processes"
+                "--count: {needed} connections are needed and {error}: play fewer, in more processes"
             );
             Wrong::Asked(text)
         })
     }
 }
 
-impl ServersLine {
-    fn told(&self) -> Done<servers::Told> {
+impl ServersArgs {
+    fn config(&self) -> Done<ServersConfig> {
         let common = &self.common;
         common.check(common.control.len() + self.stewards.len())?;
         for (key, value) in [("--rate", self.rate), ("--quota", self.quota)] {
@@ -239,33 +246,33 @@
                 return Err(Wrong::Asked(format!("{key}: should be {most} or less")));
             }
         }
-        Ok(servers::Told {
+        Ok(ServersConfig {
             count: common.count,
             first: common.first,
             control: common.control.clone(),
-            stewards: self.stewards.clone(),
+            workers: self.stewards.clone(),
             load: Load {
                 products: self.products,
                 customers: self.customers,
                 rate: self.rate,
                 calm: self.calm,
             },
-            every: self.every,
+            report_interval: self.every,
             zones: common.zones,
             seed: common.seed,
             start_within: common.start_within,
-            fleet: self.fleet.unwrap_or(common.count),
+            fleet_size: self.fleet.unwrap_or(common.count),
             quota: self.quota,
-            patience: self.patience,
+            drain_patience: self.patience,
         })
     }
 }
 
-impl CallersLine {
-    fn told(&self) -> Done<callers::Told> {
+impl CallersArgs {
+    fn config(&self) -> Done<CallersConfig> {
         let common = &self.common;
         common.check(1)?;
-        Ok(callers::Told {
+        Ok(CallersConfig {
             count: common.count,
             first: common.first,
             control: common.control.clone(),
@@ -274,63 +281,68 @@
             incremental: matches!(self.mode, Mode::Delta),
             seed: common.seed,
             start_within: common.start_within,
-            bound: self.bound.unwrap_or(Duration::from_secs_f64(Lease::default().bound)),
+            lease: self.bound.unwrap_or(Duration::from_secs_f64(Lease::default().bound)),
         })
     }
 }
 
-fn of(players: &Callers, end: bool) -> OfCallers {
-    let standing = players.standing();
-    let mut lags = players.lags();
-    let lag = if end { lags.all() } else { lags.lately() };
-    OfCallers {
-        version: lags.highest().map(|(epoch, number)| format!("{epoch}.{number}")),
-        acked: standing.acked,
-        latest: standing.latest,
-        holding: standing.holding,
-        lag_p50: lag.map(|lag| lag.0),
-        lag_p99: lag.map(|lag| lag.1),
+/// What callers hold by now; latencies of the last second, or of all at the end.
+fn caller_figures(callers: &EmulatedCallers, end: bool) -> CallerFigures {
+    let counts = callers.counts();
+    let mut latencies = callers.latencies();
+    let latency = if end { latencies.total() } else { latencies.take_recent() };
+    CallerFigures {
+        version: latencies.highest().map(|version| version.to_string()),
+        acked: counts.acknowledged,
+        latest: counts.latest,
+        holding: counts.holding,
+        lag_p50: latency.map(|latency| latency.p50),
+        lag_p99: latency.map(|latency| latency.p99),
     }
 }
 
-/// Says a line each second until the time is over or it is told to end, and one then.
-async fn go(common: &Common, counts: &Counts, mut callers: impl FnMut(bool) -> Option<OfCallers>) -> Done {
-    let begun = tokio::time::Instant::now();
+/// Prints a line each second until the time is over or a signal ends it, and one then.
+async fn print_snapshots(
+    common: &CommonArgs,
+    stats: &ConnectionStats,
+    mut callers: impl FnMut(bool) -> Option<CallerFigures>,
+) -> Done {
+    let started = tokio::time::Instant::now();
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let end = common.span.map(|span| begun + span);
-    let mut said = |event| -> Done {
-        let said = Said {
+    let end = common.span.map(|span| started + span);
+    let mut print = |event| -> Done {
+        let snapshot = Snapshot {
             event,
-            at: begun.elapsed().as_secs_f64(),
-            connected: counts.connected.get(),
-            links: counts.links.get(),
-            sent: counts.sent.get(),
-            received: counts.received.get(),
-            messages_sent: counts.messages_sent.get(),
-            messages_received: counts.messages_received.get(),
-            reconnects: counts.reconnects.get(),
-            cpu: figures::cpu(),
-            resident: figures::resident(),
-            descriptors: figures::descriptors(),
+            at: started.elapsed().as_secs_f64(),
+            connected: stats.connected.get(),
+            links: stats.links.get(),
+            sent: stats.sent.get(),
+            received: stats.received.get(),
+            messages_sent: stats.messages_sent.get(),
+            messages_received: stats.messages_received.get(),
+            reconnects: stats.reconnects.get(),
+            cpu: process_usage::cpu_seconds(),
+            resident: process_usage::resident_bytes(),
+            descriptors: process_usage::open_descriptors(),
             callers: callers(event == "end"),
         };
-        let line = serde_json::to_string(&said).map_err(std::io::Error::from)?;
+        let line = serde_json::to_string(&snapshot).map_err(std::io::Error::from)?;
         let mut out = std::io::stdout().lock();
         writeln!(out, "{line}")?;
         Ok(out.flush()?)
     };
-    let mut next = begun + Duration::from_secs(1);
+    let mut next = started + Duration::from_secs(1);
     loop {
         let ends = end.is_some_and(|end| end <= next);
         tokio::select! {
             () = sleep_until(end.filter(|_| ends).unwrap_or(next)) => {}
-            _ = term.recv() => return said("end"),
-            _ = int.recv() => return said("end"),
+            _ = term.recv() => return print("end"),
+            _ = int.recv() => return print("end"),
         }
         if ends {
-            return said("end");
+            return print("end");
         }
-        said("tick")?;
+        print("tick")?;
         next += Duration::from_secs(1);
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,8 +7,8 @@
 mod capacity;
 mod check;
 mod control;
+mod emulate;
 mod fleet;
-mod hollow;
 mod measure;
 mod prove;
 mod say;
@@ -75,7 +75,8 @@
     /// Take gathered traces in, each piece once
     Archive(fleet::archive::Line),
     /// Play many servers or callers in one process, for their control traffic
-    Hollow(hollow::Line),
+    #[command(alias = "hollow")]
+    Emulate(emulate::Line),
     /// Start many processes, put faults between them, and check what they did
     Prove(prove::Line),
     /// Ask, cut, merge, veil and mend traces
@@ -115,7 +116,7 @@
         Command::Duties(line) => fleet::duties::run(line),
         Command::Steward(line) => fleet::steward::run(line),
         Command::Archive(line) => fleet::archive::run(line),
-        Command::Hollow(line) => hollow::run(line),
+        Command::Emulate(line) => emulate::run(line),
         Command::Prove(line) => prove::run(line),
         Command::Trace { command } => trace::run(command),
         Command::Capacity(line) => capacity::run(line),
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/emulate.rs
@@ -1,7 +1,7 @@
-//! The hollow against the real: a serving process and a hollow server, each into a listener of its own, have to go through the same story.
+//! The emulated against the real: a serving process and an emulated server, each into a listener of its own, have to go through the same story.
 
-use puffinladder_hollow::counts::Counts;
-use puffinladder_hollow::servers::publish;
+use puffinladder_emulator::connection_stats::ConnectionStats;
+use puffinladder_emulator::publisher::publish;
 use puffinladder_reports::{Class, State, Who};
 use puffinladder_toy::town::Town;
 use serde_json::Value;
@@ -26,10 +26,10 @@
     Town::open(&["env", &set, PROGRAM, "serve"], |_| {})
 }
 
-/// A hollow one with the same names, and states as they are handed in.
-struct Hollow {
+/// An emulated one with the same names, and states as they are handed in.
+struct Emulated {
     _runtime: tokio::runtime::Runtime,
-    counts: Arc<Counts>,
+    stats: Arc<ConnectionStats>,
     states: Arc<Mutex<Option<State>>>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-fn hollow(control: SocketAddr, zone: &str, address: SocketAddr) -> Hollow {
+fn emulate(control: SocketAddr, zone: &str, address: SocketAddr) -> Emulated {
     let who = Who {
         instance: "toy-1".into(),
         incarnation: 1_700_000_000_000_000,
@@ -60,13 +60,13 @@
         customers: ["acme".to_string()].into(),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let (counts, states) = (Arc::new(Counts::default()), Arc::new(Mutex::new(None)));
-    let (told, given) = (counts.clone(), states.clone());
+    let (stats, states) = (Arc::new(ConnectionStats::default()), Arc::new(Mutex::new(None)));
+    let (counted, given) = (stats.clone(), states.clone());
     runtime.spawn(async move {
         let state = |_: f64| given.lock().unwrap().clone().unwrap_or_else(idle);
-        publish(who, state, &[control], EVERY, &told).await;
+        publish(who, state, &[control], EVERY, &counted).await;
     });
-    Hollow { _runtime: runtime, counts, states }
+    Emulated { _runtime: runtime, stats, states }
 }
 
 struct Heard(BufReader<TcpStream>);
@@ -97,7 +97,7 @@
     }
 }
 
-/// What a real report says, for a hollow server to say the same.
+/// What a real report says, for an emulated server to say the same.
 fn state(of: &Value) -> State {
     let number = |value: &Value, key: &str| value[key].as_f64().unwrap();
     let class = |class: &Value| Class {
@@ -139,15 +139,15 @@
 }
 
 #[test]
-fn a_hollow_report_has_the_keys_kinds_and_bytes_of_a_real_one_in_the_same_state() {
+fn an_emulated_report_has_the_keys_kinds_and_bytes_of_a_real_one_in_the_same_state() {
     let folder = tempfile::tempdir().unwrap();
     let listeners = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let town = real(folder.path(), listeners[0].local_addr().unwrap(), "east");
     let mut heard = Heard::accept(&listeners[0]);
     let mut gateway = town.gateway();
-    let hollow = hollow(listeners[1].local_addr().unwrap(), "east", town.server);
+    let emulated = emulate(listeners[1].local_addr().unwrap(), "east", town.server);
     let mut other = Heard::accept(&listeners[1]);
-    // Until it is warm: a hollow one begins so.
+    // Until it is warm: an emulated one begins so.
     while heard.line().1["warmth"] != 1.0 {}
     // Idle at first, then with runs, then with a run that is open.
     let (mut lines, mut busy, mut kinds) = (0, 0, [BTreeSet::new(), BTreeSet::new()]);
@@ -161,7 +161,7 @@
         let (line, value) = heard.line();
         busy += usize::from(value["settled"].as_f64().unwrap() > 0.0);
         let state = state(&value);
-        *hollow.states.lock().unwrap() = Some(state.clone());
+        *emulated.states.lock().unwrap() = Some(state.clone());
         // Those under way were made of the state before.
         let said = (0..400).map(|_| other.line()).find(|(_, said)| same(&self::state(said), &state));
         let (said, value_) = said.unwrap_or_else(|| panic!("never said {state:?}"));
@@ -213,9 +213,9 @@
     let _town = real(folder.path(), listener.local_addr().unwrap(), "east");
     dies(listener);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let hollow = hollow(listener.local_addr().unwrap(), "east", "127.0.0.1:1".parse().unwrap());
+    let emulated = emulate(listener.local_addr().unwrap(), "east", "127.0.0.1:1".parse().unwrap());
     dies(listener);
-    assert!(hollow.counts.reconnects.get() >= 2);
+    assert!(emulated.stats.reconnects.get() >= 2);
 }
 
 /// What both have to do when their peer stops to read: the connection is given up, if need be in the middle of a line, and the next
@@ -264,9 +264,9 @@
     let _town = real(folder.path(), listener.local_addr().unwrap(), &zone);
     hangs(&listener);
     let listener = narrow();
-    let hollow = hollow(listener.local_addr().unwrap(), &zone, "127.0.0.1:1".parse().unwrap());
+    let emulated = emulate(listener.local_addr().unwrap(), &zone, "127.0.0.1:1".parse().unwrap());
     hangs(&listener);
-    assert_eq!((hollow.counts.reconnects.get(), hollow.counts.links.get()), (1, 1));
+    assert_eq!((emulated.stats.reconnects.get(), emulated.stats.links.get()), (1, 1));
 }
 
 /// The command line, as other programs start it.
@@ -319,10 +319,10 @@
         .expect("its addresses");
     let rest = std::thread::spawn(move || log.count());
     let servers = Said::start(&format!(
-        "hollow servers --count 30 --control {reports} --every 100ms --zones 2 --start-within 100ms"
+        "emulate servers --count 30 --control {reports} --every 100ms --zones 2 --start-within 100ms"
     ));
     let callers = Said::start(&format!(
-        "hollow callers --count 30 --control {xds} --services 3 --zones 2 --start-within 100ms"
+        "emulate callers --count 30 --control {xds} --services 3 --zones 2 --start-within 100ms"
     ));
     let tick = callers.until(|said| said["acked"] == 30 && said["holding"] == 30);
     assert!(tick["event"] == "tick" && tick["connected"] == 30 && tick["version"].is_string(), "{tick}");
@@ -337,7 +337,7 @@
     assert!(tick["acked"].is_null() && (36..=60).contains(&tick["descriptors"].as_u64().unwrap()), "{tick}");
     assert!(servers.term()["messages_sent"].as_u64() >= tick["messages_sent"].as_u64());
     assert_eq!(callers.term()["connected"], 30);
-    let span = Said::start(&format!("hollow servers --count 1 --control {reports} --span 100ms"));
+    let span = Said::start(&format!("emulate servers --count 1 --control {reports} --span 100ms"));
     assert_eq!(span.until(|said| said["event"] == "end")["connected"], 0, "its first report is not due yet");
     let pid = rustix::process::Pid::from_child(&control);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
--- a/crates/hollow/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -4,8 +4,9 @@
 use puffinladder_control::core::Told as Core;
 use puffinladder_control::serve::{start, Running, Setup};
 use puffinladder_control::stream::Lease;
-use puffinladder_hollow::draw::Load;
-use puffinladder_hollow::{callers, servers};
+use puffinladder_emulator::callers::CallersConfig;
+use puffinladder_emulator::servers::ServersConfig;
+use puffinladder_emulator::traffic::Load;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -31,25 +32,25 @@
     start(setup).await.unwrap()
 }
 
-pub fn some_servers(count: usize, control: &[SocketAddr]) -> servers::Told {
-    servers::Told {
+pub fn some_servers(count: usize, control: &[SocketAddr]) -> ServersConfig {
+    ServersConfig {
         count,
         first: 40,
         control: control.to_vec(),
-        stewards: Vec::new(),
+        workers: Vec::new(),
         load: Load { products: 3, customers: 20, rate: 50.0, calm: false },
-        every: Duration::from_millis(100),
+        report_interval: Duration::from_millis(100),
         zones: 3,
         seed: 7,
         start_within: Duration::from_millis(200),
-        fleet: count,
+        fleet_size: count,
         quota: 100.0,
-        patience: Duration::ZERO,
+        drain_patience: Duration::ZERO,
     }
 }
 
-pub fn some_callers(count: usize, control: &[SocketAddr], incremental: bool) -> callers::Told {
-    callers::Told {
+pub fn some_callers(count: usize, control: &[SocketAddr], incremental: bool) -> CallersConfig {
+    CallersConfig {
         count,
         first: 0,
         control: control.to_vec(),
@@ -58,7 +59,7 @@
         incremental,
         seed: 7,
         start_within: Duration::from_millis(200),
-        bound: Duration::from_secs(2),
+        lease: Duration::from_secs(2),
     }
 }
 
--- a/crates/hollow/tests/draw.rs
+++ b/crates/emulator/tests/draw.rs
@@ -1,8 +1,10 @@
-//! What hollow servers say, by a seed.
+//! What emulated servers report, by a seed.
 
-use puffinladder_hollow::callers::{pause, version};
-use puffinladder_hollow::draw::{customer, product, server, service, zone, Load, Traffic};
-use puffinladder_hollow::starts;
+use puffinladder_emulator::callers::backoff;
+use puffinladder_emulator::decision_latency::PlanVersion;
+use puffinladder_emulator::names::{customer, product, server, service, zone};
+use puffinladder_emulator::staggered_starts;
+use puffinladder_emulator::traffic::{Load, Traffic};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -52,18 +54,18 @@
 }
 
 #[test]
-fn starts_are_spread_over_their_span_and_pauses_grow_to_a_bound_with_chance() {
+fn starts_are_spread_over_their_span_and_backoffs_grow_to_a_bound_with_chance() {
     let within = Duration::from_secs(10);
-    let all = starts(100, within, 3);
+    let all = staggered_starts(100, within, 3);
     for (at, start) in all.iter().enumerate() {
         let piece = Duration::from_millis(100);
         assert!((piece * at as u32..=piece * (at as u32 + 1)).contains(start), "{at}: {start:?}");
     }
-    assert_ne!(all, starts(100, within, 4));
-    assert!(starts(5, Duration::ZERO, 1).iter().all(Duration::is_zero));
+    assert_ne!(all, staggered_starts(100, within, 4));
+    assert!(staggered_starts(5, Duration::ZERO, 1).iter().all(Duration::is_zero));
     let mut last = Duration::from_millis(50);
     for _ in 0..20 {
-        let (least, most) = (pause(last, 0.0), pause(last, 1.0));
+        let (least, most) = (backoff(last, 0.0), backoff(last, 1.0));
         assert!(least == Duration::from_millis(50) && most > least && most <= Duration::from_secs(5));
         last = most;
     }
@@ -72,9 +74,9 @@
 
 #[test]
 fn versions_are_read_as_services_write_them_and_nonsense_is_none() {
-    assert_eq!(version("1764600000.17"), Some((1_764_600_000, 17)));
+    assert_eq!(PlanVersion::parse("1764600000.17"), Some(PlanVersion { epoch: 1_764_600_000, number: 17 }));
     for wrong in ["", "7", "a.b", "1.", ".1", "1.2.3", "-1.2", "1.99999999999999999999"] {
-        assert_eq!(version(wrong), None, "{wrong}");
+        assert_eq!(PlanVersion::parse(wrong), None, "{wrong}");
     }
 }
 
--- a/crates/hollow/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -1,7 +1,8 @@
 //! What is drawn by a seed, as literal values: the order of draws must not change.
 
-use puffinladder_hollow::draw::{customer, product, server, service, zone, Load, Traffic};
-use puffinladder_hollow::starts;
+use puffinladder_emulator::names::{customer, product, server, service, zone};
+use puffinladder_emulator::staggered_starts;
+use puffinladder_emulator::traffic::{Load, Traffic};
 use puffinladder_reports::Who;
 use std::time::Duration;
 
@@ -45,6 +46,7 @@
     assert_eq!(service(471, 230), "lantern-authorize-011");
     assert_eq!(zone(471, 6), "zone-4");
     assert_eq!(server(471), ("n00471".into(), "10.0.1.215:4100".parse().unwrap()));
-    let starts: Vec<u128> = starts(5, Duration::from_secs(10), 3).iter().map(Duration::as_nanos).collect();
+    let starts: Vec<u128> =
+        staggered_starts(5, Duration::from_secs(10), 3).iter().map(Duration::as_nanos).collect();
     assert_eq!(starts, [1_705_316_348, 3_792_375_034, 5_533_948_140, 6_172_475_174, 8_227_342_832]);
 }
--- a/crates/hollow/tests/peers.rs
+++ b/crates/emulator/tests/peers.rs
@@ -3,8 +3,9 @@
 mod common;
 
 use common::{any, service, some_callers, some_servers, until};
-use puffinladder_hollow::callers::{self, Callers, Lags};
-use puffinladder_hollow::servers::{self, Servers};
+use puffinladder_emulator::callers::{CallersConfig, EmulatedCallers};
+use puffinladder_emulator::decision_latency::{DecisionLatencies, PlanVersion};
+use puffinladder_emulator::servers::{EmulatedServers, ServersConfig};
 use puffinladder_leases::desk::{Desk, Report, QUOTA};
 use puffinladder_leases::{turns, Duty};
 use puffinladder_proxy::{Acked, Proxy};
@@ -43,28 +44,28 @@
     let running = service().await;
     let bads = [bad(0).await, bad(1).await, bad(2).await];
     let all = [&[running.reports][..], &bads].concat();
-    let servers = Servers::start(&servers::Told { stewards: bads.to_vec(), ..some_servers(30, &all) });
+    let servers = EmulatedServers::start(&ServersConfig { workers: bads.to_vec(), ..some_servers(30, &all) });
     let xds = [&[running.xds][..], &bads].concat();
-    let callers = [false, true].map(|mode| Callers::start(&some_callers(16, &xds, mode)));
+    let callers = [false, true].map(|mode| EmulatedCallers::start(&some_callers(16, &xds, mode)));
     let known = async || running.desk.ask(|core, now| core.views().fresh(now)).await;
     until("every server to be fresh", async || known().await == Some(30)).await;
     // Also those that began with a bad one: one that hangs is left once it does not say that it lives.
-    until("all callers to hold", async || callers.iter().all(|c| c.standing().holding == 16)).await;
-    let first = servers.counts.messages_sent.get();
-    until("reports to go on", async || servers.counts.messages_sent.get() > first + 300).await;
+    until("all callers to hold", async || callers.iter().all(|c| c.counts().holding == 16)).await;
+    let first = servers.stats.messages_sent.get();
+    until("reports to go on", async || servers.stats.messages_sent.get() > first + 300).await;
     until("every server to be fresh still", async || known().await == Some(30)).await;
     // At the most one connection to each peer, whatever they do.
-    assert!(servers.counts.links.get() <= 30 * 7, "{}", servers.counts.links.get());
-    servers.leave().await;
+    assert!(servers.stats.links.get() <= 30 * 7, "{}", servers.stats.links.get());
+    servers.shut_down().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_hollow_caller_says_and_holds_what_the_stand_in_of_a_proxy_does() {
+async fn an_emulated_caller_says_and_holds_what_the_stand_in_of_a_proxy_does() {
     let running = service().await;
-    let _servers = Servers::start(&some_servers(12, &[running.reports]));
+    let _servers = EmulatedServers::start(&some_servers(12, &[running.reports]));
     let all = [false, true].map(|mode| {
         let real = Proxy::start(running.xds, if mode { "real-delta" } else { "real-state" }, "zone-1", mode);
-        (Callers::start(&callers::Told { zones: 1, ..some_callers(1, &[running.xds], mode) }), real)
+        (EmulatedCallers::start(&CallersConfig { zones: 1, ..some_callers(1, &[running.xds], mode) }), real)
     });
     until("all four to hold the same of the plan", async || {
         let seen = running.desk.ask(|core, now| (core.seen(now), core.serial())).await;
@@ -72,10 +73,10 @@
         seen.len() == 4
             && seen.iter().all(|s| s.settled && s.zone == "zone-1" && s.refused == 0 && s.complaint.is_none())
             && seen.iter().all(|s| s.acked == seen[0].acked)
-            && all.iter().all(|(hollow, real)| {
-                let latest = Some((serial.epoch, serial.number));
-                let real = real.plan().and_then(|plan| callers::version(&plan));
-                hollow.standing().latest == 1 && hollow.lags().highest() == latest && real == latest
+            && all.iter().all(|(emulated, real)| {
+                let latest = Some(PlanVersion { epoch: serial.epoch, number: serial.number });
+                let real = real.plan().and_then(|plan| PlanVersion::parse(&plan));
+                emulated.counts().latest == 1 && emulated.latencies().highest() == latest && real == latest
             })
     })
     .await;
@@ -85,12 +86,12 @@
         seen.len() == 4 && seen.iter().all(|s| s.sent >= 4 && s.heartbeats >= 5 && s.refused == 0)
     })
     .await;
-    for (hollow, real) in &all {
+    for (emulated, real) in &all {
         // Four subscriptions, and an answer to each response but the one under way.
-        let heard = || hollow.counts.messages_received.get();
-        let (before, said, after) = (heard(), hollow.counts.messages_sent.get(), heard());
+        let heard = || emulated.stats.messages_received.get();
+        let (before, said, after) = (heard(), emulated.stats.messages_sent.get(), heard());
         assert!(said >= 4 + before - 1 && said <= 4 + after, "{before} {said} {after}");
-        assert!(hollow.standing().holding == 1 && real.holds());
+        assert!(emulated.counts().holding == 1 && real.holds());
     }
 }
 
@@ -98,10 +99,10 @@
 async fn seats_report_to_a_steward_take_their_parts_and_leave_by_turns() {
     let listener = TcpListener::bind(any()).await.unwrap();
     let steward = listener.local_addr().unwrap();
-    let told = servers::Told { stewards: vec![steward], ..some_servers(5, &[any()]) };
+    let told = ServersConfig { workers: vec![steward], ..some_servers(5, &[any()]) };
     // Who has left and does not come back counts as away: all may be.
     let rules = turns::Rules { most: 5, zone_share: 1.0, span: 0.5, ..turns::Rules::default() };
-    let customers = (0..20).map(|at| (puffinladder_hollow::draw::customer(at), 100.0)).collect();
+    let customers = (0..20).map(|at| (puffinladder_emulator::names::customer(at), 100.0)).collect();
     let told_desk = puffinladder_leases::desk::Told {
         customers,
         servers: 5,
@@ -136,8 +137,8 @@
             });
         }
     });
-    let players = Servers::start(&servers::Told { patience: Duration::from_secs(60), ..told });
-    let counts = players.counts.clone();
+    let players = EmulatedServers::start(&ServersConfig { drain_patience: Duration::from_secs(60), ..told });
+    let counts = players.stats.clone();
     let begun = Instant::now();
     let (mut holds, mut turns) = (BTreeSet::new(), BTreeSet::new());
     let mut leaves = None;
@@ -161,7 +162,7 @@
             }
         }
         if holds.len() == 5 {
-            leaves = leaves.or_else(|| Some(tokio::spawn(players.take().unwrap().leave())));
+            leaves = leaves.or_else(|| Some(tokio::spawn(players.take().unwrap().shut_down())));
         }
     }
     assert_eq!(turns.len(), 5, "each left by a turn, and not by its patience");
@@ -169,9 +170,9 @@
 }
 
 #[test]
-fn a_lag_counts_from_the_earliest_that_any_caller_was_told_and_only_for_those_that_were_there() {
+fn a_latency_counts_from_the_earliest_that_any_caller_was_told_and_only_for_those_that_were_there() {
     let (bound, second) = (Duration::from_secs(2), Duration::from_secs(1));
-    let mut lags = Lags::new(bound);
+    let mut latencies = DecisionLatencies::new(bound);
     let begun = Instant::now() + 100 * second;
     let acked = |plan: &'static str, ttl: f64, received: Duration, opened: Duration| Acked {
         service: "127.0.0.1:1".parse().unwrap(),
@@ -184,25 +185,31 @@
     };
     let ms = Duration::from_millis;
     // Decided 0.1 s before it was received at 5 s.
-    lags.acked(&acked("7.1", 1.9, ms(5000), ms(0)), begun + ms(5010));
-    let first = lags.lately().unwrap();
-    assert!((first.0 - 0.11).abs() < 0.002, "{first:?}");
-    assert!(lags.lately().is_none(), "since the last look");
+    latencies.acknowledged(&acked("7.1", 1.9, ms(5000), ms(0)), begun + ms(5010));
+    let first = latencies.take_recent().unwrap();
+    assert!((first.p50 - 0.11).abs() < 0.002, "{first:?}");
+    assert!(latencies.take_recent().is_none(), "since the last look");
     // Another, a second later: sent late with a fresher lease, it is the same decision.
-    lags.acked(&acked("7.1", 1.9, ms(6000), ms(0)), begun + ms(6000));
-    let second_ = lags.lately().unwrap();
-    assert!((second_.0 - 1.1).abs() < 0.02, "{second_:?}");
+    latencies.acknowledged(&acked("7.1", 1.9, ms(6000), ms(0)), begun + ms(6000));
+    let second_ = latencies.take_recent().unwrap();
+    assert!((second_.p50 - 1.1).abs() < 0.02, "{second_:?}");
     // One that came after the decision tells nothing of it, and what is no version neither.
-    lags.acked(&acked("7.1", 1.9, ms(9000), ms(8000)), begun + ms(9000));
-    lags.acked(&acked("nonsense", 1.9, ms(9000), ms(0)), begun + ms(9000));
-    assert!(lags.lately().is_none() && lags.highest() == Some((7, 1)));
-    let all = lags.all().unwrap();
-    assert!(all.0 < 0.2 && all.1 > 1.0, "{all:?}");
+    latencies.acknowledged(&acked("7.1", 1.9, ms(9000), ms(8000)), begun + ms(9000));
+    latencies.acknowledged(&acked("nonsense", 1.9, ms(9000), ms(0)), begun + ms(9000));
+    assert!(
+        latencies.take_recent().is_none() && latencies.highest() == Some(PlanVersion { epoch: 7, number: 1 })
+    );
+    let all = latencies.total().unwrap();
+    assert!(all.p50 < 0.2 && all.p99 > 1.0, "{all:?}");
     // However many plans there are.
     for number in 2..2000u64 {
         let plan = format!("7.{number}");
         let at = ms(10_000 + number * 10);
-        lags.acked(&Acked { plan: &plan, ..acked("", 2.0, at, ms(0)) }, begun + at);
+        latencies.acknowledged(&Acked { plan: &plan, ..acked("", 2.0, at, ms(0)) }, begun + at);
     }
-    assert!(lags.len() <= 256 && lags.highest() == Some((7, 1999)), "{}", lags.len());
+    assert!(
+        latencies.len() <= 256 && latencies.highest() == Some(PlanVersion { epoch: 7, number: 1999 }),
+        "{}",
+        latencies.len()
+    );
 }
--- a/crates/gauging/src/control.rs
+++ b/crates/gauging/src/control.rs
@@ -1,7 +1,7 @@
-//! A control service between hollow servers and hollow callers, which are processes of their own (`puffinladder hollow`): over servers, callers, customers
+//! A control service between emulated servers and callers, which are processes of their own (`puffinladder emulate`): over servers, callers, customers
 //! and products that the reports name. One run tells of the service and of a caller.
 //!
-//! Bytes and messages are counted by the hollow processes: of the service all that they sent and got, of a caller its part of what the callers did.
+//! Bytes and messages are counted by the emulator processes: of the service all that they sent and got, of a caller its part of what the callers did.
 //! `latency` of the service is the callers' lag: from a plan's decision, by the age that its lease tells, to a caller's answer to its content. Callers say it
 //! for each second: of these the median of the medians, and the most of the 99th percentiles. Where no plan changed there is none.
 
@@ -18,7 +18,7 @@
 const CALLERS: usize = 2500;
 const ZONES: usize = 6;
 
-/// What a hollow process says each second.
+/// What a emulator process says each second.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 struct Line {
     at: f64,
@@ -34,8 +34,8 @@
     lag_p99: Option<f64>,
 }
 
-/// The hollow processes of one kind, with the number that each plays.
-struct Hollow(Vec<(Child, u64)>);
+/// The emulator processes of one kind, with the number that each plays.
+struct Emulators(Vec<(Child, u64)>);
 
 /// What they did a second, all together, between two looks.
 #[derive(Clone, Copy, Debug, Default)]
@@ -46,7 +46,7 @@
     messages_received: f64,
 }
 
-impl Hollow {
+impl Emulators {
     fn start(
         gauge: &Gauge,
         folder: &Path,
@@ -55,11 +55,11 @@
         most: usize,
         control: SocketAddr,
         more: &[String],
-    ) -> Result<Hollow, String> {
+    ) -> Result<Emulators, String> {
         let mut all = Vec::new();
         for first in (0..count).step_by(most) {
             let here = most.min(count - first);
-            let mut args = vec!["hollow".to_string(), kind.into()];
+            let mut args = vec!["emulate".to_string(), kind.into()];
             let told = [
                 ("--count", here.to_string()),
                 ("--first", first.to_string()),
@@ -69,10 +69,10 @@
             ];
             args.extend(told.into_iter().flat_map(|(key, value)| [key.to_string(), value]));
             args.extend(more.iter().cloned());
-            let child = Child::start(&gauge.program, &args, &format!("hollow-{kind}-{first}"), folder)?;
+            let child = Child::start(&gauge.program, &args, &format!("emulator-{kind}-{first}"), folder)?;
             all.push((child, here as u64));
         }
-        Ok(Hollow(all))
+        Ok(Emulators(all))
     }
 
     fn children(&mut self) -> impl Iterator<Item = &mut Child> {
@@ -105,7 +105,7 @@
     for (then, now) in before.iter().zip(after) {
         let span = now.at - then.at;
         if span <= 0.0 {
-            return Err("a hollow process said nothing while it was measured".into());
+            return Err("a emulator process said nothing while it was measured".into());
         }
         if now.reconnects > then.reconnects {
             return Err(format!(
@@ -123,7 +123,7 @@
 }
 
 /// Waits until all servers are connected and all callers hold a plan.
-async fn settle(control: &mut Child, report: &mut Hollow, call: &mut Hollow) -> Result<(), String> {
+async fn settle(control: &mut Child, report: &mut Emulators, call: &mut Emulators) -> Result<(), String> {
     let begun = Instant::now();
     loop {
         let connected = report.all(|line, count| line.connected == count);
@@ -159,11 +159,11 @@
     };
     let (xds, reports) = control.says("the control service to listen", listens).await?;
     let load = ["--customers", &customers.to_string(), "--products", &routes.to_string()].map(String::from);
-    let mut report = Hollow::start(gauge, folder.path(), "servers", servers, SERVERS, reports, &load)?;
-    let mut call = Hollow::start(gauge, folder.path(), "callers", callers, CALLERS, xds, &[])?;
+    let mut report = Emulators::start(gauge, folder.path(), "servers", servers, SERVERS, reports, &load)?;
+    let mut call = Emulators::start(gauge, folder.path(), "callers", callers, CALLERS, xds, &[])?;
     settle(&mut control, &mut report, &mut call).await?;
-    let look = |report: &Hollow, call: &Hollow, control: &Child| -> Result<_, String> {
-        let untold = || "a hollow process says nothing".to_string();
+    let look = |report: &Emulators, call: &Emulators, control: &Child| -> Result<_, String> {
+        let untold = || "a emulator process says nothing".to_string();
         Ok((control.usage()?, report.last().ok_or_else(untold)?, call.last().ok_or_else(untold)?))
     };
     // They say a line a second: of less than two nothing could be told.
--- a/crates/gauging/src/lib.rs
+++ b/crates/gauging/src/lib.rs
@@ -5,7 +5,7 @@
 //! | --- | --- | --- |
 //! | `module` | the decision module alone, in this process, on a clock of its own | drawn requests |
 //! | `server` | `serve` | callers, an agent, a control service that only counts |
-//! | `control`, `proxy` | `control` | hollow servers and callers, processes of their own |
+//! | `control`, `proxy` | `control` | emulated servers and callers, processes of their own |
 //! | `keeper` | three of `keeper`; the one that leads is looked at | instances: tasks of this process |
 //! | `steward-quota`, `steward-turns` | `steward` with three keepers | servers' seats: tasks of this process |
 //! | `steward-gather`, `archive` | `steward`, `archive`, three keepers | traces written into folders |
--- a/crates/proving/src/scale/stories.rs
+++ b/crates/proving/src/scale/stories.rs
@@ -370,7 +370,7 @@
     Ok(())
 }
 
-/// Shuts the relays before a hollow process, or opens them.
+/// Shuts the relays before a emulator process, or opens them.
 fn shut(world: &World<'_>, party: usize, shut: bool) {
     world.relays(party).for_each(|relay| relay.trouble(Way::Both, |trouble| trouble.shut = shut));
 }
@@ -431,7 +431,7 @@
     Ok(())
 }
 
-/// The number in a hollow caller's name.
+/// The number in a emulated caller's name.
 fn number(node: &str) -> usize {
     node.rsplit('c').next().and_then(|number| number.parse().ok()).unwrap_or(usize::MAX)
 }
--- a/crates/proving/src/scale/world.rs
+++ b/crates/proving/src/scale/world.rs
@@ -27,7 +27,7 @@
 const FORGET: f64 = 6.0;
 /// Plans without any content after which nothing moves any more.
 const STILL: f64 = 8.0;
-/// How long a hollow process lives if the ground is gone.
+/// How long a emulator process lives if the ground is gone.
 const SPAN: &str = "1h";
 /// s between two reports of a server, as it is told.
 pub const EVERY: f64 = 0.25;
@@ -114,13 +114,13 @@
     Callers,
 }
 
-/// The last that a hollow process told.
+/// The last that a emulator process told.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct Tick {
     pub reconnects: u64,
 }
 
-/// What a hollow process plays.
+/// What a emulator process plays.
 #[derive(Clone, Debug)]
 pub struct Part {
     pub kind: Kind,
@@ -221,7 +221,7 @@
         at.get(place).copied().ok_or_else(|| format!("control service {service} never started"))
     }
 
-    /// Starts a hollow process; all of it comes within the time given, `0s` is at once.
+    /// Starts a emulator process; all of it comes within the time given, `0s` is at once.
     pub async fn play(&mut self, part: Part, within: &str) -> Result<usize, String> {
         let mut relays = Vec::new();
         for &(service, through) in &part.to {
@@ -270,7 +270,7 @@
             Kind::Servers => args.extend([format!("--every={}ms", EVERY * 1e3), "--calm".into()]),
             Kind::Callers => args.push("--mode=delta".into()),
         }
-        let program = Program { path: self.setup.program.clone(), before: vec!["hollow".into()] };
+        let program = Program { path: self.setup.program.clone(), before: vec!["emulate".into()] };
         let log = self.folder.join(format!("party-{party}.log"));
         let tick = Arc::new(Mutex::new(Tick::default()));
         let told = tick.clone();
@@ -306,7 +306,7 @@
         let services = self.services.iter_mut().enumerate();
         let services = services.map(|(at, s)| (format!("control service {at}"), &mut s.process));
         let parties = self.parties.iter_mut().enumerate();
-        let parties = parties.map(|(at, p)| (format!("hollow process {at}"), &mut p.process));
+        let parties = parties.map(|(at, p)| (format!("emulator process {at}"), &mut p.process));
         for (who, process) in services.chain(parties) {
             if let Some(ended) = process.as_mut().and_then(Process::ended) {
                 return Err(format!("{who} ended by itself: {ended}, see {}", self.folder.display()));
--- a/crates/reports/src/lib.rs
+++ b/crates/reports/src/lib.rs
@@ -1,5 +1,5 @@
 //! The line by which a server tells a control service what it decided of late, made from plain values: no I/O, no clock. The serving
-//! process and the hollow servers write it by this one function, so that what is measured with the one holds of the other.
+//! process and the emulated servers write it by this one function, so that what is measured with the one holds of the other.
 #![forbid(unsafe_code)]
 
 use serde_json::json;
