--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::connection_stats::{ConnectionStats, GaugeGuard, PeerConnection};
 use crate::decision_latency::{DecisionLatencies, PlanVersion};
 use crate::{instance_seed, names, staggered_starts};
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use puffinladder_proxy::{Event, Proxy, TYPES};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -107,7 +107,7 @@
         for (index, start) in starts.into_iter().enumerate() {
             let number = config.first + index;
             let caller = Caller::new(config, number, &stats, &latencies);
-            let random = Shuffle::new(instance_seed(config.seed, number));
+            let random = SeededRandom::new(instance_seed(config.seed, number));
             tasks.spawn(subscribe(caller.proxy.clone(), config.control.clone(), number, start, random));
             callers.push(caller);
         }
@@ -157,7 +157,7 @@
     control: Vec<SocketAddr>,
     number: usize,
     start: Duration,
-    mut random: Shuffle,
+    mut random: SeededRandom,
 ) {
     sleep(start).await;
     let mut last = MIN_BACKOFF;
@@ -166,7 +166,7 @@
         // However the stream ended, another is opened.
         let _ = proxy.follow(control[index]).await;
         let previous = if opened.elapsed() > STABLE_STREAM { MIN_BACKOFF } else { last };
-        last = backoff(previous, random.unit());
+        last = backoff(previous, random.next_unit());
         sleep(last).await;
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -18,14 +18,14 @@
 pub mod servers;
 pub mod traffic;
 
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use std::time::Duration;
 
 /// When each of `count` starts, within `period`: each at a random moment of its own equal part. If all started at once, the start
 /// would be what is measured.
 pub fn staggered_starts(count: usize, period: Duration, seed: u64) -> Vec<Duration> {
-    let mut random = Shuffle::new(seed);
-    (0..count).map(|index| period.mul_f64((index as f64 + random.unit()) / count as f64)).collect()
+    let mut random = SeededRandom::new(seed);
+    (0..count).map(|index| period.mul_f64((index as f64 + random.next_unit()) / count as f64)).collect()
 }
 
 /// Seed of one of many, by its number.
--- a/crates/emulator/src/quota_client.rs
+++ b/crates/emulator/src/quota_client.rs
@@ -1,10 +1,10 @@
-//! A server's side of quota shares and drain slots, on sockets: all that it decides is the [`Seat`]'s. It reports to every worker and
+//! A server's side of quota shares and drain slots, on sockets: all that it decides is the [`QuotaClient`]'s. It reports to every worker and
 //! takes the answers of whichever of them holds the lease.
 
 use crate::connection_stats::{ConnectionStats, PeerConnection};
-use puffinladder_leases::desk::{Reply, Seat};
-use puffinladder_leases::turns::Go;
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::coordination::{CoordinatorReply, QuotaClient};
+use puffinladder_leases::drain::{DrainDecision, DrainTiming};
+use puffinladder_leases::SeededRandom;
 use puffinladder_transport::{connect, encode_line, Clock, LineReader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 /// as the next report says it again.
 struct WorkerLink {
     reports: watch::Receiver<Arc<Vec<u8>>>,
-    replies: mpsc::Sender<Reply>,
+    replies: mpsc::Sender<CoordinatorReply>,
     stats: Arc<ConnectionStats>,
 }
 
@@ -96,7 +96,7 @@
                     self.stats.sent.add(report.len() as u64);
                     self.stats.messages_sent.add(1);
                 }
-                reply = lines.read::<Reply>() => {
+                reply = lines.read::<CoordinatorReply>() => {
                     let Ok(Some(reply)) = reply else { return LinkEnd::Disconnected };
                     self.stats.received.add(lines.bytes_read() - bytes_before);
                     self.stats.messages_received.add(1);
@@ -118,7 +118,7 @@
     shutdown: &mut watch::Receiver<bool>,
 ) {
     let mut client = new_client(config, customers);
-    let mut random = Shuffle::new(config.incarnation);
+    let mut random = SeededRandom::new(config.incarnation);
     let (clock, interval) = (Clock::system(), config.report_interval.as_secs_f64());
     let (reports, latest_report) = watch::channel(Arc::default());
     let (reply_sender, mut replies) = mpsc::channel(REPLY_QUEUE);
@@ -133,27 +133,28 @@
         if now >= report_due {
             report_due = now + interval;
             // Most customers ask one server for little at a time.
-            let demand = config.quota / config.fleet_size.max(1) as f64 * MAX_DEMAND * random.unit();
-            if let Ok(report) = encode_line(&client.report(now, |_| demand)) {
+            let demand = config.quota / config.fleet_size.max(1) as f64 * MAX_DEMAND * random.next_unit();
+            if let Ok(report) = encode_line(&client.next_report(now, |_| demand)) {
                 reports.send_replace(Arc::new(report));
             }
         }
-        if shutting_down && client.go(now).is_none_or(|go| go != Go::Wait) {
+        if shutting_down && client.drain_decision(now).is_none_or(|decision| decision != DrainDecision::Wait)
+        {
             return;
         }
         let until = if shutting_down { report_due.min(now + DRAIN_CHECK_INTERVAL) } else { report_due };
         tokio::select! {
-            Some(reply) = replies.recv() => drop(client.take(clock.now(), &reply)),
+            Some(reply) = replies.recv() => drop(client.handle_reply(clock.now(), &reply)),
             _ = shutdown.wait_for(|shutdown| *shutdown), if !shutting_down => {
                 shutting_down = true;
-                client.leave(clock.now(), config.drain_patience, f64::MAX, DRAIN_DURATION);
+                client.start_draining(clock.now(), DrainTiming { max_wait: config.drain_patience, killed_at: f64::MAX, drain_duration: DRAIN_DURATION });
             }
             () = sleep(clock.sleep_duration(until - now)) => {}
         }
     }
 }
 
-fn new_client(config: &QuotaClientConfig, customers: &[String]) -> Seat {
+fn new_client(config: &QuotaClientConfig, customers: &[String]) -> QuotaClient {
     let quotas: BTreeMap<String, f64> = customers.iter().map(|name| (name.clone(), config.quota)).collect();
-    Seat::new(&config.server, config.incarnation, &config.zone, &quotas, config.fleet_size)
+    QuotaClient::new(&config.server, config.incarnation, &config.zone, &quotas, config.fleet_size)
 }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What an emulated server reports of its load, drawn from a seed: no I/O, no clock.
 
-use puffinladder_leases::Shuffle;
+use puffinladder_leases::SeededRandom;
 use puffinladder_reports::{Class, State};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Traffic {
     load: Load,
-    random: Shuffle,
+    random: SeededRandom,
     /// Fraction of a request that the spans so far left over.
     remainder: f64,
     limit: f64,
@@ -50,7 +50,7 @@
 impl Traffic {
     /// The load of a server with this seed.
     pub fn new(load: Load, seed: u64) -> Traffic {
-        Traffic { load, random: Shuffle::new(seed), remainder: 0.0, limit: FIRST_LIMIT, repeated: None }
+        Traffic { load, random: SeededRandom::new(seed), remainder: 0.0, limit: FIRST_LIMIT, repeated: None }
     }
 
     /// What happened in the `span` seconds since the last report. Customers with low numbers make most of the requests.
@@ -70,8 +70,8 @@
         let counts = self.draw_requests(requests);
         let settled: u32 = counts.values().map(|count| count.received - count.rejected).sum();
         let random = &mut self.random;
-        self.limit =
-            (self.limit * (LIMIT_STEP.0 + LIMIT_STEP.1 * random.unit())).clamp(LIMIT_RANGE.0, LIMIT_RANGE.1);
+        self.limit = (self.limit * (LIMIT_STEP.0 + LIMIT_STEP.1 * random.next_unit()))
+            .clamp(LIMIT_RANGE.0, LIMIT_RANGE.1);
         let class = |(&(product, customer), count): (&ClassKey, &RequestCount)| Class {
             product,
             customer,
@@ -80,10 +80,10 @@
         };
         State {
             limit: self.limit,
-            running: random.below(self.limit as usize + 1),
-            takes: if settled > 0 { 0.008 + 0.01 * random.unit() } else { 0.0 },
-            pressure: 0.3 * random.unit(),
-            retry_after: 0.25 + 0.5 * random.unit(),
+            running: random.next_index(self.limit as usize + 1),
+            takes: if settled > 0 { 0.008 + 0.01 * random.next_unit() } else { 0.0 },
+            pressure: 0.3 * random.next_unit(),
+            retry_after: 0.25 + 0.5 * random.next_unit(),
             healthy: true,
             leaving: None,
             settled: f64::from(settled) / span,
@@ -107,11 +107,11 @@
         let mut counts: BTreeMap<ClassKey, RequestCount> = BTreeMap::new();
         for _ in 0..requests {
             // The product of two uniform draws is mostly small.
-            let skewed = random.unit() * random.unit();
+            let skewed = random.next_unit() * random.next_unit();
             let customer = ((skewed * customers as f64) as usize).min(customers - 1);
-            let count = counts.entry((random.below(self.load.products), customer)).or_default();
+            let count = counts.entry((random.next_index(self.load.products), customer)).or_default();
             count.received += 1;
-            count.rejected += u32::from(random.unit() < REJECTED_SHARE);
+            count.rejected += u32::from(random.next_unit() < REJECTED_SHARE);
         }
         counts
     }
