--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,8 +7,8 @@
 mod capacity;
 mod check;
 mod control;
+mod emulate;
 mod fleet;
-mod hollow;
 mod measure;
 mod prove;
 mod say;
@@ -79,7 +79,8 @@
     #[command(alias = "archive")]
     TraceStore(fleet::trace_store::Line),
     /// Play many servers or callers in one process, for their control traffic
-    Hollow(hollow::Line),
+    #[command(alias = "hollow")]
+    Emulate(emulate::Line),
     /// Start many processes, put faults between them, and check what they did
     Prove(prove::Line),
     /// Ask, cut, merge, veil and mend traces
@@ -119,7 +120,7 @@
         Command::Leases(line) => fleet::leases::run(line),
         Command::Worker(line) => fleet::worker::run(line),
         Command::TraceStore(line) => fleet::trace_store::run(line),
-        Command::Hollow(line) => hollow::run(line),
+        Command::Emulate(line) => emulate::run(line),
         Command::Prove(line) => prove::run(line),
         Command::Trace { command } => trace::run(command),
         Command::Capacity(line) => capacity::run(line),
