--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -15,7 +15,7 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// The log's target for the events of requests, as operators name it in `RUST_LOG`.
+/// The log's target for the events of requests, as operators name it in `RUST_LOG`; the lines begin with `txn` likewise.
 const LOG_TARGET: &str = "puffinladder_server::txn";
 
 /// What the agent was last told of a run and has shown no effect of yet.
