--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -1,7 +1,11 @@
 use super::partial_bodies::MAX_BODIES;
 use super::*;
+use crate::change::Change;
 use crate::key::Key;
-use crate::messages::{encode_change, encode_content, TransferProgress, MAX_CHUNK_BYTES};
+use crate::messages::{
+    encode_change, encode_content, Chunk, DistributorMessage, TransferId, TransferProgress, MAX_BODY_BYTES,
+    MAX_CHUNK_BYTES,
+};
 use crate::setting::ValidationError;
 use crate::validation::BoundsValidator;
 
@@ -14,7 +18,7 @@
 }
 
 fn fresh() -> Follower {
-    Follower::start(Owner::new("n1", 1), "east", seal(), None, &BoundsValidator).0
+    Follower::start(HolderId::new("n1", 1), "east", seal(), None, &BoundsValidator).0
 }
 
 /// A line of versions, each of one change.
@@ -64,7 +68,7 @@
     assert!(!follower.activated(1.2, next.version), "twice");
     assert_eq!(follower.acknowledge(1.3).unwrap().active, line[1].0);
     assert_eq!(follower.staged(), None);
-    // The next one may come before the last is in force, and takes its place.
+    // The next one may come before the last is active, and takes its place.
     follower.receive(&step(&line, 1, 2), &BoundsValidator);
     assert_eq!(follower.staged().unwrap().version, line[2].0);
 }
@@ -104,9 +108,9 @@
         let received = follower.receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::Conflict(_))), "{received:?}");
     }
-    let told = DistributorMessage::target(&seal(), "n1", transfer.target, 0.0, 1);
+    let target = DistributorMessage::target(&seal(), "n1", transfer.target, 0.0, 1);
     assert!(matches!(
-        follower.receive(&told, &BoundsValidator),
+        follower.receive(&target, &BoundsValidator),
         Received::Invalid(MessageError::Conflict(_))
     ));
     assert_eq!(follower.conflicts().count(), 1, "the same one is kept once");
@@ -256,9 +260,9 @@
     follower.save_finished(PROBATION, Ok(()));
     assert_eq!(follower.stored(), Some(line[1].0));
     let (again, started_with) =
-        Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
+        Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
     assert_eq!((started_with, again.active().version), (StartedWith::LastGood(line[1].0), line[1].0));
-    // A full disk is told of and tried again.
+    // A full disk is reported and tried again.
     assert!(follower.save(2.5).is_some());
     follower.save_finished(2.5, Err(io::Error::other("no space left")));
     assert_eq!(follower.acknowledge(2.6).unwrap().save_error.as_deref(), Some("no space left"));
@@ -282,7 +286,7 @@
     follower.activated(0.0, line[5].0);
     let disk = follower.save(PROBATION).unwrap();
     let start =
-        |disk: &[u8]| Follower::start(Owner::new("n1", 2), "east", seal(), Some(disk), &BoundsValidator);
+        |disk: &[u8]| Follower::start(HolderId::new("n1", 2), "east", seal(), Some(disk), &BoundsValidator);
     for at in 0..disk.len() {
         let mut torn = disk.clone();
         torn[at] ^= 1;
@@ -296,7 +300,7 @@
         }
     }
     let never = |_: &Content| Err(ValidationError::whole("no longer fit"));
-    let (again, started_with) = Follower::start(Owner::new("n1", 2), "east", seal(), Some(&disk), &never);
+    let (again, started_with) = Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &never);
     assert!(
         matches!(started_with, StartedWith::BaseSettings(Some(error)) if error.to_string().contains("no longer fit"))
     );
@@ -311,7 +315,7 @@
     };
     assert_eq!(follower.age(5.0), None);
     let first = follower.acknowledge(5.0).unwrap().sequence;
-    // Whenever it is read, it answers what was said at 5.
+    // Whenever it is read, it answers what was acknowledged at 5.
     follower.receive(&target(0, 0.5, first), &BoundsValidator);
     assert_eq!(follower.age(5.0), Some(0.5));
     assert_eq!(follower.age(9.0), Some(4.5));
@@ -334,7 +338,7 @@
     // A distributor that is cut off makes nothing younger.
     follower.receive(&target(0, 7.0, second), &BoundsValidator);
     assert_eq!(follower.age(9.0), Some(4.5));
-    // What is told to be newer than what is in force makes it no younger either.
+    // A target newer than what is active makes it no younger either.
     assert_eq!(follower.receive(&target(1, 0.0, second), &BoundsValidator), Received::Gap);
     assert_eq!(follower.age(9.0), Some(4.5));
 }
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -35,7 +35,7 @@
     Passed,
     /// Not yet. A quiet one may have crashed: whether it did is known once it counts as silent.
     Waiting { quiet: bool },
-    /// Gone, never heard here, or cut off with its zone: nothing can be said of the version.
+    /// Gone, never heard here, or cut off with its zone: it shows nothing of the version.
     Lost,
     /// It failed, for this cause.
     Failed(String),
@@ -218,9 +218,9 @@
         while drawn.len() < count && !open_zones.is_empty() {
             let mut round = open_zones.clone();
             while drawn.len() < count && !round.is_empty() {
-                let zone = round.swap_remove(self.random.below(round.len()));
+                let zone = round.swap_remove(self.random.next_index(round.len()));
                 if let Some(names) = zones.get_mut(&zone).filter(|names| !names.is_empty()) {
-                    drawn.insert(names.swap_remove(self.random.below(names.len())));
+                    drawn.insert(names.swap_remove(self.random.next_index(names.len())));
                 }
             }
             open_zones.retain(|zone| zones.get(zone).is_some_and(|names| !names.is_empty()));
--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -17,7 +17,7 @@
 use puffinladder_config_rollout::{
     Change, Content, Digest, Field, Key, Seal, Section, ValidationError, Value, VersionId,
 };
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -136,7 +136,7 @@
     postcard(change(), "0c000461636d6500010000000000205e400004626574610001000000000000f03f00036f6c64000001066f72646572730101000000000000e03f01066f72646572730201555555555555d53f01066f72646572730301000000000000d03f01066f726465727304019a9999999999c93f01066f72646572730501555555555555c53f01066f72646572730601922449922449c23f0205666c6565740701000000000000f03f0205666c6565740801000000000000f03f0205666c6565740901000000000000f03f");
     postcard(content(), "0b000461636d65000000000000205e4000046265746100000000000000f03f01066f726465727301000000000000e03f01066f726465727302555555555555d53f01066f726465727303000000000000d03f01066f7264657273049a9999999999c93f01066f726465727305555555555555c53f01066f726465727306922449922449c23f0205666c65657407000000000000f03f0205666c65657408000000000000f03f0205666c65657409000000000000f03f");
     postcard(
-        ValidationError::at(&Key::route("orders", Field::DeduplicationWindow), "no such route"),
+        ValidationError::at(&Key::route("orders", Field::DedupWindow), "no such route"),
         "0101066f7264657273060d6e6f207375636820726f757465",
     );
 }
@@ -164,7 +164,7 @@
 #[test]
 fn messages_from_a_server() {
     let full = Acknowledgement {
-        server: Owner::new("n1", 3),
+        server: HolderId::new("n1", 3),
         zone: "east".into(),
         sequence: 12,
         active: head(2),
@@ -192,7 +192,7 @@
     let read: Acknowledgement = serde_json::from_str(short).expect("readable");
     assert_eq!(
         read,
-        Acknowledgement { server: Owner::new("n1", 1), sequence: 1, ..Acknowledgement::default() }
+        Acknowledgement { server: HolderId::new("n1", 1), sequence: 1, ..Acknowledgement::default() }
     );
 }
 
@@ -352,7 +352,7 @@
     history.apply(&LogEntry { at: 1.5, command }).expect("accepted");
 }
 
-/// A history with a checkpoint, every kind of version, a trial under transfer and one that was taken back.
+/// A history with a checkpoint, every kind of version, a canary phase under way and one that was reverted.
 fn history() -> History {
     let mut history = History::new(seal(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     let canaries = canaries();
@@ -394,7 +394,7 @@
 #[test]
 fn a_stored_last_good_version() {
     let start =
-        |disk: Option<&[u8]>| Follower::start(Owner::new("n1", 1), "east", seal(), disk, &BoundsValidator);
+        |disk: Option<&[u8]>| Follower::start(HolderId::new("n1", 1), "east", seal(), disk, &BoundsValidator);
     let (mut follower, _) = start(None);
     let body = encode_content(&content());
     let head = seal().version_id(9, &content());
--- a/crates/config-rollout/tests/schedules/faults.rs
+++ b/crates/config-rollout/tests/schedules/faults.rs
@@ -6,7 +6,7 @@
 use puffinladder_config_rollout::follower::{Follower, StartedWith};
 use puffinladder_config_rollout::messages::{encode_content, Chunk, DistributorMessage, TransferId};
 use puffinladder_config_rollout::{Change, Content, Digest, Key, Seal, VersionId};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use rand::Rng;
 
 impl World {
@@ -97,7 +97,7 @@
         server.down_until = self.now + restart_time;
         server.crashes_at = None;
         server.second_half = None;
-        let id = Owner::new(&server.name, server.incarnation);
+        let id = HolderId::new(&server.name, server.incarnation);
         let disk = server.disk.as_deref();
         let (follower, started_with) = Follower::start(id, &server.zone, seal, disk, &local_check);
         server.follower = follower;
--- a/crates/trace-store/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -4,8 +4,8 @@
 use crate::index::{IndexUpdate, IndexedFile, StoredBlock, TraceIndex};
 use crate::injected_bug::InjectedBug;
 use crate::protocol::{FileId, FileProgress};
-use puffinladder_leases::fence::Seen;
-use puffinladder_leases::Duty;
+use puffinladder_leases::fence::FenceRecord;
+use puffinladder_leases::Task;
 use redb::{
     Builder, Database, DatabaseError, Range, ReadableDatabase, ReadableTable, Table, TableDefinition,
     WriteTransaction,
@@ -170,7 +170,7 @@
         for row in transaction.open_table(FENCE)?.iter()? {
             let (key, value) = row?;
             let (name, part) = key.value();
-            fence.push((Duty::new(name, part), decode::<Seen>(value.value())?));
+            fence.push((Task::new(name, part), decode::<FenceRecord>(value.value())?));
         }
         let mut files: Vec<(u64, IndexedFile)> = Vec::new();
         for row in transaction.open_table(FILES)?.iter()? {
@@ -280,7 +280,7 @@
         })
     }
 
-    fn put_fence(&mut self, task: &Duty, fence: Seen) -> Result<(), StorageFailure> {
+    fn put_fence(&mut self, task: &Task, fence: FenceRecord) -> Result<(), StorageFailure> {
         let value = postcard::to_allocvec(&fence)?;
         self.fence.insert((task.name.as_str(), task.part), value.as_slice())?;
         Ok(())
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The forms that outlive a process: the folder of a trace store as version 1 wrote it, and the lines that workers and the trace store send each other.
 //! The literals below never change with the code.
 
-use puffinladder_leases::fence::{Seen, Verdict};
-use puffinladder_leases::Duty;
+use puffinladder_leases::fence::{FenceRecord, Verdict};
+use puffinladder_leases::Task;
 use puffinladder_trace_store::protocol::{BlockId, FileId, FileProgress, PutOutcome, Request, Response};
 use puffinladder_trace_store::store::{Store, StoreError};
 use std::fmt::Debug;
@@ -19,9 +19,9 @@
     let stored = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/archive.redb");
     std::fs::copy(stored, folder.path().join("archive.redb")).unwrap();
     let (store, index) = Store::open(folder.path(), 100).unwrap();
-    assert_eq!(index.fence_state(&Duty::new("gather", 0)), Seen { epoch: 7, number: 4 });
-    assert_eq!(index.fence_state(&Duty::new("gather", 3)), Seen { epoch: 12, number: 1 });
-    assert_eq!(index.fence_state(&Duty::new("gather", 1)), Seen { epoch: 0, number: 0 });
+    assert_eq!(index.fence_state(&Task::new("gather", 0)), FenceRecord { epoch: 7, number: 4 });
+    assert_eq!(index.fence_state(&Task::new("gather", 3)), FenceRecord { epoch: 12, number: 1 });
+    assert_eq!(index.fence_state(&Task::new("gather", 1)), FenceRecord { epoch: 0, number: 0 });
     assert_eq!(index.bytes(), 95);
     let files: Vec<(FileId, FileProgress)> =
         index.files().map(|(file, progress)| (file.clone(), *progress)).collect();
@@ -57,12 +57,12 @@
 fn every_request_has_its_line() {
     same(
         r#"{"announce":{"duty":{"name":"gather","part":3},"epoch":7,"parts":4}}"#,
-        Request::Announce { task: Duty::new("gather", 3), epoch: 7, parts: 4 },
+        Request::Announce { task: Task::new("gather", 3), epoch: 7, parts: 4 },
     );
     same(
         r#"{"put":{"duty":{"name":"gather","part":3},"epoch":7,"number":2,"piece":{"source":{"server":"n1","file":"a.trace"},"place":5,"last":true},"block":"AQI="}}"#,
         Request::Put {
-            task: Duty::new("gather", 3),
+            task: Task::new("gather", 3),
             epoch: 7,
             number: 2,
             id: BlockId { file: file("n1", "a.trace"), position: 5, last: true },
@@ -83,10 +83,10 @@
         },
     );
     same(r#"{"put":{"fence":"New"}}"#, Response::Put(PutOutcome::Fence(Verdict::New)));
-    same(r#"{"put":{"fence":"Repeat"}}"#, Response::Put(PutOutcome::Fence(Verdict::Repeat)));
+    same(r#"{"put":{"fence":"Repeat"}}"#, Response::Put(PutOutcome::Fence(Verdict::Duplicate)));
     same(
         r#"{"put":{"fence":{"Late":{"seen":8}}}}"#,
-        Response::Put(PutOutcome::Fence(Verdict::Late { seen: 8 })),
+        Response::Put(PutOutcome::Fence(Verdict::Stale { latest: 8 })),
     );
     same(
         r#"{"put":{"fence":{"Gap":{"expected":1}}}}"#,
--- a/crates/worker/src/report_planner.rs
+++ b/crates/worker/src/report_planner.rs
@@ -1,8 +1,10 @@
 //! The tasks that answer servers' reports: who reported last over which connection, and rounds of answers to them.
 
 use crate::config::ReportingConfig;
-use puffinladder_leases::desk::{Desk, Reply, Report, QUOTA, TURNS};
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::coordination::{
+    CoordinatorReply, QuotaCoordinator, ReportError, ServerReport, DRAIN_TASK, QUOTA_TASK,
+};
+use puffinladder_leases::{Epoch, Task};
 use puffinladder_transport::{write_line, LineReader, TransportError};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,8 +25,8 @@
 
 /// A server's report, and the way back to it.
 pub(crate) struct ReceivedReport {
-    pub report: Report,
-    pub reply_to: mpsc::Sender<Reply>,
+    pub report: ServerReport,
+    pub reply_to: mpsc::Sender<CoordinatorReply>,
 }
 
 /// A report that is not used. Its server's name may be of any length, and is cut.
@@ -32,7 +34,7 @@
 #[error("a report of {server:.64} is rejected: {reason}")]
 pub(crate) struct RejectedReport {
     server: String,
-    reason: &'static str,
+    reason: ReportError,
 }
 
 /// One server's connection: reports come in, answers go out as they are made.
@@ -41,7 +43,7 @@
     reports: mpsc::Sender<ReceivedReport>,
 ) -> Result<(), TransportError> {
     let (reader, mut writer) = stream.into_split();
-    let (reply_to, mut replies) = mpsc::channel::<Reply>(MAX_WAITING_REPLIES);
+    let (reply_to, mut replies) = mpsc::channel::<CoordinatorReply>(MAX_WAITING_REPLIES);
     let mut lines = LineReader::new(reader, MAX_REPORT_BYTES);
     loop {
         tokio::select! {
@@ -60,28 +62,28 @@
 }
 
 pub(crate) struct ReportPlanner {
-    coordinator: Desk,
+    coordinator: QuotaCoordinator,
     /// Over which connection each server reported last.
-    servers: BTreeMap<String, mpsc::Sender<Reply>>,
+    servers: BTreeMap<String, mpsc::Sender<CoordinatorReply>>,
     /// When the next round is due, in seconds by the worker's clock.
     next_round: f64,
 }
 
 impl ReportPlanner {
     pub fn new(config: &ReportingConfig) -> ReportPlanner {
-        let coordinator = Desk::new(config.coordinator.clone());
+        let coordinator = QuotaCoordinator::new(config.coordinator.clone());
         ReportPlanner { coordinator, servers: BTreeMap::new(), next_round: 0.0 }
     }
 
     /// The names of the tasks that the worker may hold.
     pub fn wanted_tasks(config: &ReportingConfig) -> impl Iterator<Item = &'static str> {
-        let quota = config.quota.then_some(QUOTA);
-        quota.into_iter().chain(config.drain_slots.then_some(TURNS))
+        let quota = config.quota.then_some(QUOTA_TASK);
+        quota.into_iter().chain(config.drain_slots.then_some(DRAIN_TASK))
     }
 
     /// Whether reports are answered for a task.
-    pub fn plans(task: &Duty) -> bool {
-        [QUOTA, TURNS].contains(&task.name.as_str())
+    pub fn plans(task: &Task) -> bool {
+        [QUOTA_TASK, DRAIN_TASK].contains(&task.name.as_str())
     }
 
     pub fn next_round(&self) -> f64 {
@@ -92,18 +94,18 @@
         self.next_round = now + ROUND_INTERVAL;
     }
 
-    pub fn begin(&mut self, now: f64, task: &Duty, epoch: Epoch) {
-        self.coordinator.begin(now, task, epoch);
+    pub fn begin(&mut self, now: f64, task: &Task, epoch: Epoch) {
+        self.coordinator.start_lease(now, task, epoch);
     }
 
-    pub fn end(&mut self, task: &Duty, epoch: Epoch) {
-        self.coordinator.end(task, epoch);
+    pub fn end(&mut self, task: &Task, epoch: Epoch) {
+        self.coordinator.end_lease(task, epoch);
     }
 
     /// Takes a report in.
     pub fn receive(&mut self, now: f64, received: ReceivedReport) -> Result<(), RejectedReport> {
         let ReceivedReport { report, reply_to } = received;
-        match self.coordinator.hear(now, &report) {
+        match self.coordinator.handle_report(now, &report) {
             Ok(()) => {
                 self.servers.insert(report.server, reply_to);
                 Ok(())
@@ -113,8 +115,8 @@
     }
 
     /// One round of answers for a part of a task. Returns whether there were any.
-    pub fn answer(&mut self, now: f64, task: &Duty) -> bool {
-        let replies = self.coordinator.plan(now, task);
+    pub fn answer(&mut self, now: f64, task: &Task) -> bool {
+        let replies = self.coordinator.plan_replies(now, task);
         let progress = !replies.is_empty();
         for reply in replies {
             let server = reply.server.clone();
--- a/crates/worker/src/transfer.rs
+++ b/crates/worker/src/transfer.rs
@@ -6,7 +6,7 @@
 use crate::trace_files::{list_trace_files, read_block, OpenFile, ReadBlock};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use puffinladder_leases::fence::Verdict;
-use puffinladder_leases::{Duty, Epoch};
+use puffinladder_leases::{Epoch, Task};
 use puffinladder_trace_store::protocol::{BlockId, FileId, FileProgress, PutOutcome, Request, Response};
 use puffinladder_transport::{Clock, TransportError};
 use std::io;
@@ -84,7 +84,7 @@
 /// What the holder of one part of the task knows from step to step.
 pub struct Transfer {
     config: CollectionConfig,
-    task: Duty,
+    task: Task,
     epoch: Epoch,
     plan: CollectionPlan,
     connection: Option<StoreConnection>,
@@ -101,7 +101,7 @@
 
 impl Transfer {
     /// For the holder of a part of the task under an epoch.
-    pub fn new(config: CollectionConfig, task: Duty, epoch: Epoch) -> Transfer {
+    pub fn new(config: CollectionConfig, task: Task, epoch: Epoch) -> Transfer {
         Transfer {
             config,
             task,
@@ -185,7 +185,7 @@
         let mut connection = StoreConnection::open(self.config.trace_store).await?;
         let (task, epoch, parts) = (self.task.clone(), self.epoch, self.config.parts);
         match connection.request(&Request::Announce { task, epoch, parts }).await? {
-            Response::Announced { verdict, number, progress } if verdict.stands() => {
+            Response::Announced { verdict, number, progress } if verdict.is_applied() => {
                 self.plan.reset(progress);
                 self.last_effect = number;
                 self.connection = Some(connection);
@@ -257,7 +257,7 @@
                 self.plan.record_progress(&id.file, progress);
                 Ok(Flow::Continue)
             }
-            Response::Put(PutOutcome::Fence(Verdict::Late { .. })) => {
+            Response::Put(PutOutcome::Fence(Verdict::Stale { .. })) => {
                 outcome.fenced = true;
                 Ok(Flow::Stop)
             }
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -6,11 +6,11 @@
 use crate::connection::{ConnectionEvent, NumberedEvent, ReplicaConnection};
 use crate::report_planner::{ReceivedReport, ReportPlanner};
 use crate::transfer::{StepOutcome, Transfer};
-use puffinladder_leases::holder::{Act, Holder, Stage, Why};
-use puffinladder_leases::route::{Next, Route};
-use puffinladder_leases::table::{Refused, Told};
-use puffinladder_leases::words::{Answer, Ask, Event};
-use puffinladder_leases::{Duty, Epoch, Owner};
+use puffinladder_leases::holder::{EndReason, HolderAction, LeaseHolder, LeaseStage, StepPermit};
+use puffinladder_leases::protocol::{Event, ReplicaReply, ReplicaRequest};
+use puffinladder_leases::replica_selector::{NextStep, ReplicaSelector};
+use puffinladder_leases::table::{LeaseResponse, Rejection};
+use puffinladder_leases::{Epoch, HolderId, Task};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -35,7 +35,7 @@
 
 /// A step that has ended.
 struct EndedStep {
-    task: Duty,
+    task: Task,
     epoch: Epoch,
     transfer: Transfer,
     outcome: StepOutcome,
@@ -53,7 +53,7 @@
 }
 
 impl CollectionTask {
-    fn new(config: CollectionConfig, task: &Duty, epoch: Epoch, now: f64) -> CollectionTask {
+    fn new(config: CollectionConfig, task: &Task, epoch: Epoch, now: f64) -> CollectionTask {
         let transfer = Some(Transfer::new(config, task.clone(), epoch));
         CollectionTask { epoch, transfer, stop_early: Arc::default(), due: now }
     }
@@ -72,13 +72,13 @@
 /// The state of the main task.
 pub(crate) struct Worker {
     config: WorkerConfig,
-    holder: Holder,
-    route: Route<SocketAddr>,
+    holder: LeaseHolder,
+    route: ReplicaSelector<SocketAddr>,
     connection: Option<ReplicaConnection>,
     connections_opened: u64,
     /// When the first request was sent that has no response yet.
     unanswered_since: Option<f64>,
-    collection_tasks: BTreeMap<Duty, CollectionTask>,
+    collection_tasks: BTreeMap<Task, CollectionTask>,
     report_planner: Option<ReportPlanner>,
     connection_events: mpsc::Sender<NumberedEvent>,
     ended_steps: mpsc::Sender<EndedStep>,
@@ -90,17 +90,17 @@
 
 impl Worker {
     fn new(config: WorkerConfig) -> (Worker, Events) {
-        let holder_id = Owner::new(&config.name, config.incarnation);
+        let holder_id = HolderId::new(&config.name, config.incarnation);
         let mut wanted = config.held_tasks.clone();
         wanted.extend(config.collection.iter().map(|_| collection::TASK.to_string()));
         let reporting = config.reporting.iter();
         wanted.extend(reporting.flat_map(ReportPlanner::wanted_tasks).map(String::from));
-        let seed = puffinladder_leases::assign::rank("route", config.incarnation as u32, &config.name);
+        let seed = puffinladder_leases::assignment::rank("route", config.incarnation as u32, &config.name);
         let (connection_events, received_events) = mpsc::channel(MAX_WAITING_EVENTS);
         let (ended_steps, received_steps) = mpsc::channel(MAX_WAITING_EVENTS);
         let worker = Worker {
-            holder: Holder::new(holder_id, &config.zone, wanted, ASSUMED_TERM),
-            route: Route::new(config.replicas.clone(), seed),
+            holder: LeaseHolder::new(holder_id, &config.zone, wanted, ASSUMED_TERM),
+            route: ReplicaSelector::new(config.replicas.clone(), seed),
             connection: None,
             connections_opened: 0,
             unanswered_since: None,
@@ -135,7 +135,7 @@
                 _ = tokio::time::sleep(wait) => {}
             }
             let now = clock.now();
-            let expired = worker.holder.look(now);
+            let expired = worker.holder.expire(now);
             worker.carry_out(now, expired);
             worker.send_request(now);
             worker.begin_steps(now);
@@ -148,22 +148,22 @@
 
     /// Begins to hand everything over.
     fn drain(&mut self, now: f64) {
-        tracing::info!("{}: draining, hands over", self.holder.me());
+        tracing::info!("{}: draining, hands over", self.holder.id());
         self.drain_deadline = Some(now + DRAIN_TIMEOUT);
-        self.holder.leave();
-        let held = self.holder.holds();
-        let actions = held.map(|(task, epoch)| Act::Yield(task.clone(), epoch)).collect();
+        self.holder.start_draining();
+        let held = self.holder.leases();
+        let actions = held.map(|(task, epoch)| HolderAction::Release(task.clone(), epoch)).collect();
         self.carry_out(now, actions);
     }
 
     /// Whether nothing is held any more and the lease store knows, or this incarnation is over.
     fn is_done(&self) -> bool {
-        if self.holder.refused() == Some(Refused::Superseded) {
+        if self.holder.rejection() == Some(Rejection::Superseded) {
             return true;
         }
-        let holds_nothing = self.holder.holds().next().is_none();
+        let holds_nothing = self.holder.leases().next().is_none();
         let is_idle = self.collection_tasks.values().all(CollectionTask::is_idle);
-        self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.owes()
+        self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.has_pending_releases()
     }
 
     /// How long nothing is due.
@@ -181,11 +181,11 @@
     fn lease_store_due(&self, now: f64) -> f64 {
         if self.connection.is_some() {
             let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
-            return self.holder.due().min(timeout);
+            return self.holder.next_renewal().min(timeout);
         }
-        match self.route.next(now) {
-            Next::Wait(until) => until,
-            Next::Dial(_) => now,
+        match self.route.next_step(now) {
+            NextStep::WaitUntil(until) => until,
+            NextStep::Connect(_) => now,
         }
     }
 
@@ -198,11 +198,11 @@
             self.open_connection(now);
             return;
         };
-        if self.route.open().is_none() {
+        if self.route.connected().is_none() {
             return;
         }
-        let Some(request) = self.holder.ask(now) else { return };
-        if connection.send(Ask::Say(request)) {
+        let Some(request) = self.holder.next_request(now) else { return };
+        if connection.send(ReplicaRequest::Renew(request)) {
             self.unanswered_since.get_or_insert(now);
         } else {
             self.give_up_connection(now, "does not read");
@@ -210,7 +210,7 @@
     }
 
     fn open_connection(&mut self, now: f64) {
-        let Next::Dial(replica) = self.route.next(now) else { return };
+        let NextStep::Connect(replica) = self.route.next_step(now) else { return };
         let Some(address) = self.route.address(replica).copied() else { return };
         self.connections_opened += 1;
         let events = self.connection_events.clone();
@@ -225,9 +225,9 @@
     }
 
     fn give_up_connection(&mut self, now: f64, reason: &str) {
-        tracing::debug!("{}: the lease-store replica {reason}", self.holder.me());
+        tracing::debug!("{}: the lease-store replica {reason}", self.holder.id());
         self.close_connection();
-        self.route.failed(now);
+        self.route.mark_failed(now);
         self.set_reachable(false);
     }
 
@@ -241,7 +241,7 @@
             true => "the lease store responds again",
             false => "no lease-store replica responds, goes on while its term lasts",
         };
-        tracing::info!("{}: {change}", self.holder.me());
+        tracing::info!("{}: {change}", self.holder.id());
     }
 
     fn on_connection_event(&mut self, now: f64, number: u64, event: ConnectionEvent) {
@@ -250,15 +250,15 @@
         }
         match event {
             ConnectionEvent::Connected => {
-                self.route.dialled();
+                self.route.mark_connected();
                 // A replica that is new to it has heard nothing yet: the next request is due at once.
-                self.holder.hurry();
+                self.holder.renew_now();
             }
-            ConnectionEvent::Response(Answer::Told(response)) => self.on_leases(now, &response),
-            ConnectionEvent::Response(Answer::Elsewhere { leader, address }) => {
+            ConnectionEvent::Response(ReplicaReply::Lease(response)) => self.on_leases(now, &response),
+            ConnectionEvent::Response(ReplicaReply::NotLeader { leader, address }) => {
                 self.close_connection();
                 let address = address.and_then(|text| text.parse().ok());
-                self.route.elsewhere(now, leader.map(|number| (number, address)));
+                self.route.follow_redirect(now, leader.map(|number| (number, address)));
             }
             ConnectionEvent::Response(other) => {
                 self.give_up_connection(now, &format!("responds {other:?}"));
@@ -267,32 +267,32 @@
         }
     }
 
-    fn on_leases(&mut self, now: f64, response: &Told) {
+    fn on_leases(&mut self, now: f64, response: &LeaseResponse) {
         self.unanswered_since = None;
-        self.route.answered();
+        self.route.mark_healthy();
         self.set_reachable(true);
-        let actions = self.holder.told(now, response);
-        if let Some(rejection) = response.refused {
-            tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.me());
+        let actions = self.holder.handle_response(now, response);
+        if let Some(rejection) = response.rejection {
+            tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.id());
         }
         self.carry_out(now, actions);
     }
 
     /// Does what the lease holder asks for.
-    fn carry_out(&mut self, now: f64, actions: Vec<Act>) {
+    fn carry_out(&mut self, now: f64, actions: Vec<HolderAction>) {
         for action in actions {
             match action {
-                Act::Begin(task, epoch) => self.begin(now, task, epoch),
-                Act::Yield(task, epoch) => self.hand_over(now, &task, epoch),
-                Act::StandDown(task, epoch, reason) => self.stand_down(task, epoch, reason),
+                HolderAction::Start(task, epoch) => self.begin(now, task, epoch),
+                HolderAction::Release(task, epoch) => self.hand_over(now, &task, epoch),
+                HolderAction::Stop(task, epoch, reason) => self.stand_down(task, epoch, reason),
             }
         }
     }
 
-    fn begin(&mut self, now: f64, task: Duty, epoch: Epoch) {
-        let owner = self.holder.me().clone();
+    fn begin(&mut self, now: f64, task: Task, epoch: Epoch) {
+        let owner = self.holder.id().clone();
         tracing::info!("{owner}: begins with {task}, epoch {epoch}");
-        self.config.events.tell(&Event::Begin { owner, duty: task.clone(), epoch });
+        self.config.events.emit(&Event::LeaseStarted { holder: owner, task: task.clone(), epoch });
         if let Some(planner) = &mut self.report_planner {
             planner.begin(now, &task, epoch);
         }
@@ -304,22 +304,27 @@
     }
 
     /// Hands a task over once no step of it runs.
-    fn hand_over(&mut self, now: f64, task: &Duty, epoch: Epoch) {
+    fn hand_over(&mut self, now: f64, task: &Task, epoch: Epoch) {
         let collection_task = self.collection_tasks.get(task);
         if let Some(collection_task) = collection_task {
             collection_task.stop_early.store(true, Ordering::Relaxed);
         }
         if collection_task.is_none_or(CollectionTask::is_idle) {
-            let action = self.holder.ended(task, epoch);
+            let action = self.holder.release(task, epoch);
             self.carry_out(now, action.into_iter().collect());
         }
     }
 
-    fn stand_down(&mut self, task: Duty, epoch: Epoch, reason: Why) {
-        let owner = self.holder.me().clone();
+    fn stand_down(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
+        let owner = self.holder.id().clone();
         let why = reason_text(reason);
         tracing::info!("{owner}: stands down from {task}, epoch {epoch}: {why}");
-        self.config.events.tell(&Event::Down { owner, duty: task.clone(), epoch, why: why.into() });
+        self.config.events.emit(&Event::LeaseEnded {
+            holder: owner,
+            task: task.clone(),
+            epoch,
+            reason: why.into(),
+        });
         if let Some(planner) = &mut self.report_planner {
             planner.end(&task, epoch);
         }
@@ -332,7 +337,7 @@
     fn on_report(&mut self, now: f64, received: ReceivedReport) {
         let Some(planner) = &mut self.report_planner else { return };
         if let Err(rejected) = planner.receive(now, received) {
-            tracing::debug!("{}: {rejected}", self.holder.me());
+            tracing::debug!("{}: {rejected}", self.holder.id());
         }
     }
 
@@ -343,14 +348,14 @@
             return;
         };
         planner.schedule_round_after(now);
-        let held = self.holder.holds().filter(|(task, _)| ReportPlanner::plans(task));
-        let held: Vec<Duty> = held.map(|(task, _)| task.clone()).collect();
+        let held = self.holder.leases().filter(|(task, _)| ReportPlanner::plans(task));
+        let held: Vec<Task> = held.map(|(task, _)| task.clone()).collect();
         let mut actions = Vec::new();
         for task in held {
             let now = self.config.clock.now();
-            let Some((epoch, _)) = self.holder.may(now, &task) else { continue };
+            let Some(StepPermit { epoch, .. }) = self.holder.begin_step(now, &task) else { continue };
             let progress = planner.answer(now, &task);
-            actions.extend(self.holder.stepped(now, &task, epoch, progress, false));
+            actions.extend(self.holder.finish_step(now, &task, epoch, progress, false));
         }
         self.carry_out(now, actions);
     }
@@ -361,9 +366,9 @@
             if now < collection_task.due || !collection_task.is_idle() {
                 continue;
             }
-            let Some((epoch, until)) = self.holder.may(now, task) else { continue };
+            let Some(StepPermit { epoch, valid_until }) = self.holder.begin_step(now, task) else { continue };
             let Some(mut transfer) = collection_task.transfer.take() else { continue };
-            let until = now + STEP_SHARE * (until - now);
+            let until = now + STEP_SHARE * (valid_until - now);
             let stop_early = collection_task.stop_early.clone();
             let (clock, ended_steps, task) =
                 (self.config.clock.clone(), self.ended_steps.clone(), task.clone());
@@ -376,9 +381,9 @@
 
     fn on_step_ended(&mut self, now: f64, step: EndedStep) {
         let EndedStep { task, epoch, transfer, outcome } = step;
-        let mut actions = self.holder.stepped(now, &task, epoch, outcome.progress, outcome.has_more);
+        let mut actions = self.holder.finish_step(now, &task, epoch, outcome.progress, outcome.has_more);
         if outcome.fenced {
-            actions.extend(self.holder.fenced(&task, epoch));
+            actions.extend(self.holder.handle_fenced(&task, epoch));
         }
         if let Some(held) = self.collection_tasks.get_mut(&task).filter(|held| held.epoch == epoch) {
             // With nothing to do, or nothing done, it rests until the folders are listed again.
@@ -387,20 +392,20 @@
             held.transfer = Some(transfer);
         }
         self.carry_out(now, actions);
-        let is_held = self.holder.holds().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
-        if is_held && self.holder.stage(now, &task) == Stage::Yields {
+        let is_held = self.holder.leases().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
+        if is_held && self.holder.stage(now, &task) == LeaseStage::Releasing {
             self.hand_over(now, &task, epoch);
         }
     }
 }
 
 /// As events give it to whoever reads them.
-fn reason_text(reason: Why) -> &'static str {
+fn reason_text(reason: EndReason) -> &'static str {
     match reason {
-        Why::TermOver => "its term is over",
-        Why::HandedOver => "handed over",
-        Why::Unlisted => "the keepers no longer list it",
-        Why::Superseded => "a later life of this instance has spoken",
-        Why::Fenced => "a fence has seen a later epoch",
+        EndReason::TermExpired => "its term is over",
+        EndReason::Released => "handed over",
+        EndReason::NotListed => "the keepers no longer list it",
+        EndReason::Superseded => "a later life of this instance has spoken",
+        EndReason::Fenced => "a fence has seen a later epoch",
     }
 }
