--- a/crates/gauging/src/module.rs
+++ b/crates/gauging/src/module.rs
@@ -1,4 +1,4 @@
-//! The decision module alone: [`AdmissionPolicy::decide`] over customers, products and requests, in this process, with a host that draws requests on a clock of its
+//! The admission policy alone: [`AdmissionPolicy::decide`] over customers, products and requests, in this process, with a host that draws requests on a clock of its
 //! own. What counts is the processor time inside the rounds, by the thread's own clock, so that neither the host's work nor what runs beside is in it.
 //!
 //! `cpu` is s of it for each s of the drawn clock, at `requests` a second; `round_p99` is of single rounds. A request takes three rounds or so (it
@@ -35,13 +35,13 @@
 }
 
 #[derive(Default)]
-struct Said {
+struct Recorded {
     runs: Vec<u32>,
     over: Vec<u32>,
     wake: Option<f64>,
 }
 
-impl Decisions for Said {
+impl Decisions for Recorded {
     fn run(&mut self, id: u32) {
         self.runs.push(id);
     }
@@ -67,7 +67,7 @@
 }
 
 /// So many products and customers, none of which asks for more than it may.
-fn charter(products: usize, customers: usize) -> PolicySettings {
+fn settings(products: usize, customers: usize) -> PolicySettings {
     let product = |at: usize| RequestClass {
         latency_objective: 4.0,
         timeout: 8.0,
@@ -120,13 +120,13 @@
     if products == 0 || customers == 0 || rate <= 0.0 {
         return Err("customers, routes and requests should be above 0".into());
     }
-    let charter = charter(products, customers);
-    charter.validate().map_err(|e| e.to_string())?;
-    let mut brain = AdmissionPolicy::new(&charter, seed);
+    let settings = settings(products, customers);
+    settings.validate().map_err(|e| e.to_string())?;
+    let mut policy = AdmissionPolicy::new(&settings, seed);
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let exp = |mean: f64| Exp::new(1.0 / mean).map_err(|e| e.to_string());
     let (between, run) = (exp(1.0 / rate)?, exp(RUN)?);
-    let mut said = Said::default();
+    let mut decisions = Recorded::default();
     let mut due = BinaryHeap::new();
     let ns = |s: f64| (s * 1e9) as u64;
     due.push(Reverse((0, What::Beat)));
@@ -171,18 +171,18 @@
             ..Round::default()
         };
         let before = spent();
-        brain.decide(&round, &mut said);
+        policy.decide(&round, &mut decisions);
         let took = spent() - before;
         if now >= WARM {
             begun.get_or_insert((now, settled));
             rounds.push(took);
         }
-        for id in said.runs.drain(..) {
+        for id in decisions.runs.drain(..) {
             open += 1;
             due.push(Reverse((at + ns(run.sample(&mut chance)), What::Ends(id))));
         }
-        said.over.clear();
-        if let Some(after) = said.wake.take() {
+        decisions.over.clear();
+        if let Some(after) = decisions.wake.take() {
             due.push(Reverse((at + ns(after).max(1), What::Beat)));
         }
     }
