--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,12 +1,13 @@
-//! `puffinladder keeper`, `duties`, `worker` and `trace-store`: one owner at a time for work on behalf of the fleet.
+//! The commands around leases on the fleet's tasks: the lease store, the leases in it, workers and the trace store.
 
-pub mod duties;
-pub mod keeper;
+pub mod common;
+pub mod lease_store;
+pub mod leases;
 pub mod trace_store;
 pub mod worker;
 
 use crate::say::{Done, Wrong};
-use puffinladder_leases::words::Events;
+use puffinladder_leases::protocol::EventSink;
 use puffinladder_trace_store::injected_bug::InjectedBug;
 use puffinladder_transport::Clock;
 use serde::{de::DeserializeOwned, Serialize};
@@ -19,7 +20,7 @@
 #[derive(Clone)]
 pub struct Ground {
     pub clock: Clock,
-    pub events: Events,
+    pub events: EventSink,
     /// ms that a keeper's syncs take longer.
     pub sync_pause: Arc<AtomicU64>,
     /// A bug in the archive that the checkers must find.
@@ -28,7 +29,12 @@
 
 impl Ground {
     pub fn usual(events: bool) -> Ground {
-        Ground { clock: Clock::system(), events: Events(events), sync_pause: Arc::default(), planted: None }
+        Ground {
+            clock: Clock::system(),
+            events: EventSink(events),
+            sync_pause: Arc::default(),
+            planted: None,
+        }
     }
 }
 
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -7,7 +7,7 @@
     encode_change, encode_content, Acknowledgement, Chunk, DistributorMessage, TransferId,
 };
 use puffinladder_config_rollout::{Change, Content, Field, Key, Seal, VersionId};
-use puffinladder_leases::Owner;
+use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 const TENANTS: u32 = 15_000;
@@ -22,7 +22,9 @@
     }
     for at in 0..ROUTES {
         let name = format!("service-{:03}/route-{at:04}", at % 230);
-        for field in [Field::LatencyObjective, Field::Expiry, Field::PriorityWeight, Field::LateShare] {
+        for field in
+            [Field::LatencyObjective, Field::Timeout, Field::PriorityWeight, Field::LateWeightFraction]
+        {
             change = change.set(Key::route(&name, field), 0.5);
         }
     }
@@ -48,7 +50,7 @@
     let small = line(Some(head), VersionId { number: head.number + 1, ..head }, encode_change(&one));
     let target = DistributorMessage::target(&seal, "server-0042", head, 0.125, 123_456).line_bytes();
     let ack = Acknowledgement {
-        server: Owner::new("server-0042", 17),
+        server: HolderId::new("server-0042", 17),
         zone: "zone-3".into(),
         sequence: 123_456,
         active: head,
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::protocol::{Request, Response, MAX_LINE_BYTES};
 use crate::requests::RequestHandler;
 use crate::store::{Store, StoreError};
-use puffinladder_leases::words::{Event, Events};
+use puffinladder_leases::protocol::{Event, EventSink};
 use puffinladder_transport::{listen, write_line, LineReader, RunningService, TransportError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
     /// Connections that may be open at once.
     pub max_connections: usize,
     /// Where it tells what it does.
-    pub events: Events,
+    pub events: EventSink,
     /// For tests: a bug that the checkers must find.
     pub injected_bug: Option<InjectedBug>,
 }
@@ -66,7 +66,7 @@
     // The main task ends once no connection can send a request any more.
     let handle = move |stream, _| handle_connection(stream, requests.clone());
     let address = listen("trace store", config.listen, config.max_connections, stopped, handle).await?;
-    config.events.tell(&Event::Ready { listen: address.to_string() });
+    config.events.emit(&Event::Ready { listen: address.to_string() });
     tracing::info!("trace store listens on {address}, {} files known", index.files().count());
     let main_task = tokio::task::spawn_blocking(move || run(index, store, queue, config.events));
     Ok(RunningService::new(address, stop, main_task))
@@ -94,7 +94,7 @@
     index: TraceIndex,
     mut store: Store,
     mut queue: mpsc::Receiver<PendingRequest>,
-    events: Events,
+    events: EventSink,
 ) -> Result<(), StoreError> {
     let mut handler = RequestHandler::new(index);
     while let Some(first) = queue.blocking_recv() {
@@ -108,7 +108,7 @@
         }
         for (respond_to, reply) in replies {
             if let Some(event) = reply.event {
-                events.tell(&event);
+                events.emit(&event);
             }
             let _ = respond_to.send(reply.response);
         }
--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -1,7 +1,7 @@
 //! Which block of which trace file comes next, for the holder of one part of the task that collects traces. Decided without I/O: from the files that there
 //! are, what the trace store has of them, and which could not be read before.
 
-use puffinladder_leases::assign;
+use puffinladder_leases::assignment;
 use puffinladder_trace_store::protocol::{FileId, FileProgress};
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -17,7 +17,7 @@
 
 /// Which part of so many a server's files belong to.
 pub fn part_of(server: &str, parts: u32) -> u32 {
-    assign::part_of(TASK, server, parts)
+    assignment::part_of(TASK, server, parts)
 }
 
 /// A file in a server's folder.
--- a/crates/worker/src/config.rs
+++ b/crates/worker/src/config.rs
@@ -1,7 +1,7 @@
 //! How a worker is set up.
 
-use puffinladder_leases::desk;
-use puffinladder_leases::words::Events;
+use puffinladder_leases::coordination;
+use puffinladder_leases::protocol::EventSink;
 use puffinladder_transport::Clock;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     /// The clock that terms are measured by.
     pub clock: Clock,
     /// Where it tells what it does.
-    pub events: Events,
+    pub events: EventSink,
 }
 
 /// How the tasks that answer servers' reports are set up.
@@ -36,7 +36,7 @@
     /// Where servers report.
     pub listen: SocketAddr,
     /// What the answers are made by.
-    pub coordinator: desk::Told,
+    pub coordinator: coordination::CoordinatorSettings,
     /// Whether the worker may hold the task that divides quotas.
     pub quota: bool,
     /// Whether the worker may hold the task that lets servers drain.
--- a/crates/worker/src/connection.rs
+++ b/crates/worker/src/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to a replica of the lease store: a task that connects, sends requests and reads responses. What happens on it comes to the worker as events,
 //! each with the number of the connection, so that a late event of an earlier connection is told from those of the present one.
 
-use puffinladder_leases::words::{Answer, Ask, LINE};
+use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, MAX_LINE_BYTES};
 use puffinladder_transport::{connect, write_line, LineReader, TransportError};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     /// It is open.
     Connected,
     /// The replica sent a response.
-    Response(Answer),
+    Response(ReplicaReply),
     /// It is over.
     Closed(ConnectionError),
 }
@@ -46,7 +46,7 @@
 pub struct ReplicaConnection {
     /// Each connection of a worker has a higher one.
     pub number: u64,
-    requests: mpsc::Sender<Ask>,
+    requests: mpsc::Sender<ReplicaRequest>,
     task: JoinHandle<()>,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Hands over a request to be sent at once, and returns whether it was taken: too many may be waiting.
-    pub fn send(&self, request: Ask) -> bool {
+    pub fn send(&self, request: ReplicaRequest) -> bool {
         self.requests.try_send(request).is_ok()
     }
 }
@@ -78,7 +78,7 @@
 async fn run(
     number: u64,
     address: SocketAddr,
-    mut requests: mpsc::Receiver<Ask>,
+    mut requests: mpsc::Receiver<ReplicaRequest>,
     events: &mpsc::Sender<NumberedEvent>,
 ) -> Result<(), ConnectionError> {
     let stream = connect(address).await?;
@@ -86,7 +86,7 @@
         return Ok(());
     }
     let (reader, mut writer) = stream.into_split();
-    let mut lines = LineReader::new(reader, LINE);
+    let mut lines = LineReader::new(reader, MAX_LINE_BYTES);
     loop {
         tokio::select! {
             read = lines.read() => {
