--- a/crates/emulator/src/quota_client.rs
+++ b/crates/emulator/src/quota_client.rs
@@ -147,13 +147,18 @@
             Some(reply) = replies.recv() => drop(client.handle_reply(clock.now(), &reply)),
             _ = shutdown.wait_for(|shutdown| *shutdown), if !shutting_down => {
                 shutting_down = true;
-                client.start_draining(clock.now(), DrainTiming { max_wait: config.drain_patience, killed_at: f64::MAX, drain_duration: DRAIN_DURATION });
+                client.start_draining(clock.now(), drain_timing(config));
             }
             () = sleep(clock.sleep_duration(until - now)) => {}
         }
     }
 }
 
+/// Nothing kills an emulated server, so only its patience ends the wait.
+fn drain_timing(config: &QuotaClientConfig) -> DrainTiming {
+    DrainTiming { max_wait: config.drain_patience, killed_at: f64::MAX, drain_duration: DRAIN_DURATION }
+}
+
 fn new_client(config: &QuotaClientConfig, customers: &[String]) -> QuotaClient {
     let quotas: BTreeMap<String, f64> = customers.iter().map(|name| (name.clone(), config.quota)).collect();
     QuotaClient::new(&config.server, config.incarnation, &config.zone, &quotas, config.fleet_size)
