--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -22,8 +22,8 @@
     pub events: EventSink,
     /// ms that a keeper's syncs take longer.
     pub sync_pause: Arc<AtomicU64>,
-    /// A bug in the archive that the checkers must find.
-    pub planted: Option<InjectedBug>,
+    /// A bug in the trace store that the checkers must find.
+    pub injected_bug: Option<InjectedBug>,
 }
 
 impl Ground {
@@ -32,7 +32,7 @@
             clock: Clock::system(),
             events: EventSink(events),
             sync_pause: Arc::default(),
-            planted: None,
+            injected_bug: None,
         }
     }
 }
--- a/crates/cli/src/fleet/trace_store.rs
+++ b/crates/cli/src/fleet/trace_store.rs
@@ -77,7 +77,7 @@
         max_bytes: settings.max_bytes,
         max_connections: settings.max_connections,
         events: ground.events,
-        injected_bug: ground.planted,
+        injected_bug: ground.injected_bug,
     };
     let mut running = start(config).await.map_err(|e| failed(e.to_string()))?;
     let ended = match serve::until_told(running.ended()).await? {
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -174,8 +174,12 @@
         (Some(Command::Scale(line)), _) => scale::scale(line),
         (Some(Command::Part { kind, settings, found, join, rate, wall, plant, forget, seat }), _) => {
             let clock = Clock::skewed(rate, wall);
-            let ground =
-                Ground { clock, events: EventSink(true), sync_pause: Default::default(), planted: plant };
+            let ground = Ground {
+                clock,
+                events: EventSink(true),
+                sync_pause: Default::default(),
+                injected_bug: plant,
+            };
             part(kind, settings, found, join, forget, &seat, &ground)
         }
     }
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -82,6 +82,12 @@
     rejected: u64,
 }
 
+/// What has to go before a block is stored.
+struct Removals {
+    evicted: Vec<FileId>,
+    dropped: Option<FileId>,
+}
+
 /// There is no capacity for a block, even with all evicted that may be.
 struct Full;
 
@@ -134,7 +140,7 @@
         self.fence.record(task)
     }
 
-    /// A lease holder shows its epoch. Names that are not valid and parts past the bound are told of an epoch that none can follow.
+    /// A lease holder shows its epoch. Names that are not valid and parts past the bound get an epoch for an answer that none can follow.
     pub fn announce(&self, task: &Task, epoch: Epoch) -> Decision<Verdict> {
         let is_new_task = self.fence_state(task).epoch == 0;
         let too_many_parts = is_new_task && self.fence.records().count() >= MAX_TASK_PARTS;
@@ -177,7 +183,7 @@
         if stored.complete || stored.blocks != id.position {
             return Decision::unchanged(PutOutcome::UnexpectedBlock(stored));
         }
-        let Ok((dropped, evicted)) = self.free_capacity(&id.file, bytes) else {
+        let Ok(Removals { evicted, dropped }) = self.free_capacity(&id.file, bytes) else {
             return Decision::unchanged(PutOutcome::Full);
         };
         let progress = FileProgress { blocks: stored.blocks + 1, complete: id.last };
@@ -191,12 +197,12 @@
         Decision { outcome: PutOutcome::Fence(Verdict::New), update: Some(update) }
     }
 
-    /// What has to go before so many bytes of a file are stored: a file that is dropped, and files that are evicted.
-    fn free_capacity(&self, file: &FileId, bytes: u64) -> Result<(Option<FileId>, Vec<FileId>), Full> {
+    /// What has to go before so many bytes of a file are stored.
+    fn free_capacity(&self, file: &FileId, bytes: u64) -> Result<Removals, Full> {
         if !is_valid_name(&file.server) || !is_valid_name(&file.name) {
             return Err(Full);
         }
-        Ok((self.file_to_drop(file)?, self.files_to_evict(bytes)?))
+        Ok(Removals { evicted: self.files_to_evict(bytes)?, dropped: self.file_to_drop(file)? })
     }
 
     fn file_to_drop(&self, file: &FileId) -> Result<Option<FileId>, Full> {
--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -29,6 +29,15 @@
     pub finished: bool,
 }
 
+/// A file's name in the listing of a server's folder, and whether its writer has sealed it. The order is that of the names.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ListedFile {
+    /// The file's name, without a folder.
+    pub name: String,
+    /// Nothing will be written to it any more.
+    pub sealed: bool,
+}
+
 /// When a file that could not be read may be retried.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
@@ -122,12 +131,12 @@
     }
 }
 
-/// Which files of one server are finished, given their names and whether they are sealed: all but the newest, and that one too once it is sealed. Names rise
+/// Which files of one server are finished: all but the newest, and that one too once it is sealed. Names rise
 /// with time, as the recorder gives them.
-pub fn mark_finished(server: &str, mut files: Vec<(String, bool)>) -> Vec<TraceFile> {
+pub fn mark_finished(server: &str, mut files: Vec<ListedFile>) -> Vec<TraceFile> {
     files.sort();
     let count = files.len();
-    let trace_file = |(position, (name, sealed)): (usize, (String, bool))| TraceFile {
+    let trace_file = |(position, ListedFile { name, sealed }): (usize, ListedFile)| TraceFile {
         id: FileId { server: server.into(), name },
         finished: sealed || position + 1 < count,
     };
--- a/crates/worker/src/collection/tests.rs
+++ b/crates/worker/src/collection/tests.rs
@@ -53,11 +53,12 @@
 
 #[test]
 fn the_newest_file_is_left_to_its_writer_until_it_is_sealed() {
-    let files = vec![("n1-2".to_string(), false), ("n1-1".to_string(), false), ("n1-3".to_string(), false)];
+    let listed = |name: &str, sealed| ListedFile { name: name.into(), sealed };
+    let files = vec![listed("n1-2", false), listed("n1-1", false), listed("n1-3", false)];
     let finished_now =
-        |files: Vec<(String, bool)>| mark_finished("n1", files).iter().filter(|file| file.finished).count();
+        |files: Vec<ListedFile>| mark_finished("n1", files).iter().filter(|file| file.finished).count();
     assert_eq!(finished_now(files.clone()), 2, "its writer was killed, and began others since");
-    let sealed = files.into_iter().map(|(name, _)| (name, true)).collect();
+    let sealed = files.iter().map(|file| listed(&file.name, true)).collect();
     assert_eq!(finished_now(sealed), 3);
 }
 
--- a/crates/worker/src/connection.rs
+++ b/crates/worker/src/connection.rs
@@ -39,8 +39,14 @@
     Transport(#[from] TransportError),
 }
 
-/// An event, and the number of the connection that it happened on.
-pub type NumberedEvent = (u64, ConnectionEvent);
+/// An event, and the connection that it happened on.
+#[derive(Debug)]
+pub struct NumberedEvent {
+    /// The connection's number.
+    pub connection: u64,
+    /// What happened.
+    pub event: ConnectionEvent,
+}
 
 /// A connection, or the attempt at one. It ends when this is dropped.
 pub struct ReplicaConnection {
@@ -56,7 +62,8 @@
         let (requests, queue) = mpsc::channel(MAX_WAITING_REQUESTS);
         let task = tokio::spawn(async move {
             if let Err(error) = run(number, address, queue, &events).await {
-                let _ = events.send((number, ConnectionEvent::Closed(error))).await;
+                let event = ConnectionEvent::Closed(error);
+                let _ = events.send(NumberedEvent { connection: number, event }).await;
             }
         });
         ReplicaConnection { number, requests, task }
@@ -81,8 +88,9 @@
     mut requests: mpsc::Receiver<ReplicaRequest>,
     events: &mpsc::Sender<NumberedEvent>,
 ) -> Result<(), ConnectionError> {
+    let numbered = |event| NumberedEvent { connection: number, event };
     let stream = connect(address).await?;
-    if events.send((number, ConnectionEvent::Connected)).await.is_err() {
+    if events.send(numbered(ConnectionEvent::Connected)).await.is_err() {
         return Ok(());
     }
     let (reader, mut writer) = stream.into_split();
@@ -91,7 +99,7 @@
         tokio::select! {
             read = lines.read() => {
                 let response = read?.ok_or(ConnectionError::ClosedByReplica)?;
-                if events.send((number, ConnectionEvent::Response(response))).await.is_err() {
+                if events.send(numbered(ConnectionEvent::Response(response))).await.is_err() {
                     return Ok(());
                 }
             }
--- a/crates/worker/src/lease_store_client.rs
+++ b/crates/worker/src/lease_store_client.rs
@@ -82,7 +82,7 @@
     pub fn on_event(
         &mut self,
         now: f64,
-        (number, event): NumberedEvent,
+        NumberedEvent { connection: number, event }: NumberedEvent,
         holder: &mut LeaseHolder,
     ) -> Option<LeaseResponse> {
         if self.connection.as_ref().is_none_or(|connection| connection.number != number) {
--- a/crates/worker/src/trace_files.rs
+++ b/crates/worker/src/trace_files.rs
@@ -1,6 +1,6 @@
 //! The trace files in the servers' folders: which there are, and the blocks that they hold.
 
-use crate::collection::{mark_finished, part_of, TraceFile};
+use crate::collection::{mark_finished, part_of, ListedFile, TraceFile};
 use crate::transfer::TransferError;
 use puffinladder_trace::file::{pack_notes, pack_rows, Entry, Kind, Packed};
 use puffinladder_trace::{Fault, Names, Trace};
@@ -45,21 +45,21 @@
         }
         let Some(mut files) = list_server(&folder.path()) else { continue };
         // Only of the newest it matters whether it is sealed.
-        if let Some((name, sealed)) = files.iter_mut().max() {
-            *sealed = is_sealed(&folder.path().join(name));
+        if let Some(newest) = files.iter_mut().max() {
+            newest.sealed = is_sealed(&folder.path().join(&newest.name));
         }
         all.extend(mark_finished(&server, files));
     }
     Ok(all)
 }
 
-/// The names of one server's trace files, none of them known to be sealed.
-fn list_server(folder: &Path) -> Option<Vec<(String, bool)>> {
+/// One server's trace files, none of them known to be sealed.
+fn list_server(folder: &Path) -> Option<Vec<ListedFile>> {
     let mut files = Vec::new();
     for file in fs::read_dir(folder).ok()?.filter_map(Result::ok) {
         let Some(name) = file.file_name().to_str().map(String::from) else { continue };
         if name.ends_with(EXTENSION) && is_valid_name(&name) {
-            files.push((name, false));
+            files.push(ListedFile { name, sealed: false });
         }
     }
     Some(files)
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -26,7 +26,7 @@
 const MAX_WAITING_EVENTS: usize = 256;
 
 /// What the main task waits for, beside reports and the order to stop.
-struct Events {
+struct EventReceivers {
     connection_events: mpsc::Receiver<NumberedEvent>,
     ended_steps: mpsc::Receiver<EndedStep>,
 }
@@ -43,7 +43,7 @@
 }
 
 impl Worker {
-    fn new(config: WorkerConfig) -> (Worker, Events) {
+    fn new(config: WorkerConfig) -> (Worker, EventReceivers) {
         let holder_id = HolderId::new(&config.name, config.incarnation);
         let mut wanted = config.held_tasks.clone();
         wanted.extend(config.collection.iter().map(|_| collection::TASK.to_string()));
@@ -59,7 +59,7 @@
             drain_deadline: None,
             config,
         };
-        (worker, Events { connection_events, ended_steps })
+        (worker, EventReceivers { connection_events, ended_steps })
     }
 
     /// Runs until it is stopped and has handed its tasks over, or a later incarnation of it has spoken.
@@ -151,9 +151,9 @@
     }
 
     fn begin(&mut self, now: f64, task: Task, epoch: Epoch) {
-        let owner = self.holder.id().clone();
-        tracing::info!("{owner}: begins with {task}, epoch {epoch}");
-        self.config.events.emit(&Event::LeaseStarted { holder: owner, task: task.clone(), epoch });
+        let holder = self.holder.id().clone();
+        tracing::info!("{holder}: begins with {task}, epoch {epoch}");
+        self.config.events.emit(&Event::LeaseStarted { holder, task: task.clone(), epoch });
         if let Some(planner) = &mut self.report_planner {
             planner.begin(now, &task, epoch);
         }
@@ -172,15 +172,10 @@
     }
 
     fn stand_down(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
-        let owner = self.holder.id().clone();
+        let holder = self.holder.id().clone();
         let why = reason_text(reason);
-        tracing::info!("{owner}: stands down from {task}, epoch {epoch}: {why}");
-        self.config.events.emit(&Event::LeaseEnded {
-            holder: owner,
-            task: task.clone(),
-            epoch,
-            reason: why.into(),
-        });
+        tracing::info!("{holder}: stands down from {task}, epoch {epoch}: {why}");
+        self.config.events.emit(&Event::LeaseEnded { holder, task: task.clone(), epoch, reason: why.into() });
         if let Some(planner) = &mut self.report_planner {
             planner.end(&task, epoch);
         }
