--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -7,6 +7,7 @@
 //! answered request allows.
 
 mod action;
+mod held_lease;
 #[cfg(test)]
 mod tests;
 
@@ -15,6 +16,7 @@
 use crate::sent_times::SentTimes;
 use crate::table::{Lease, LeaseRequest, LeaseResponse, Progress, Rejection};
 use crate::{Epoch, HolderId, LeaseId, Task};
+use held_lease::HeldLease;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Fraction of the term after which a request is due; four may fail before a lease expires.
@@ -24,29 +26,6 @@
 /// Requests whose send times are kept until they are answered; older responses come too late to matter.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-#[derive(Clone, Debug, PartialEq)]
-struct HeldLease {
-    epoch: Epoch,
-    /// Revoked: valid until then at the latest, whatever later responses allow.
-    revoked_until: Option<f64>,
-    /// A step is running.
-    busy: bool,
-    steps_done: u64,
-    has_work: bool,
-    progress_report: ProgressReport,
-}
-
-/// Whether the progress of a lease has to be reported.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ProgressReport {
-    /// The lease store has the latest.
-    Acknowledged,
-    /// It goes into the next request.
-    Due,
-    /// It goes into every request until the one of this serial number is answered.
-    Pending { serial: u64 },
-}
-
 /// The latest response that was accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Acknowledged {
@@ -170,12 +149,9 @@
     fn report_progress(&mut self, serial: u64) -> Vec<Progress> {
         let mut progress = Vec::new();
         for (task, lease) in &mut self.held {
-            if lease.progress_report == ProgressReport::Acknowledged {
+            if !lease.report_progress_with(serial) {
                 continue;
             }
-            if lease.progress_report == ProgressReport::Due {
-                lease.progress_report = ProgressReport::Pending { serial };
-            }
             progress.push(Progress {
                 task: task.clone(),
                 epoch: lease.epoch,
@@ -236,9 +212,7 @@
             return;
         }
         for lease in self.held.values_mut() {
-            if matches!(lease.progress_report, ProgressReport::Pending { serial } if serial <= answered) {
-                lease.progress_report = ProgressReport::Acknowledged;
-            }
+            lease.acknowledge_progress(answered);
         }
     }
 
@@ -375,25 +349,3 @@
         tasks.iter().filter_map(|task| self.drop_lease(task, reason)).collect()
     }
 }
-
-impl HeldLease {
-    fn new(epoch: Epoch) -> HeldLease {
-        HeldLease {
-            epoch,
-            revoked_until: None,
-            busy: false,
-            steps_done: 0,
-            has_work: false,
-            progress_report: ProgressReport::Acknowledged,
-        }
-    }
-
-    fn finish_step(&mut self, progress: bool, has_work: bool) {
-        self.busy = false;
-        self.steps_done += u64::from(progress);
-        if progress || has_work != self.has_work {
-            self.progress_report = ProgressReport::Due;
-        }
-        self.has_work = has_work;
-    }
-}
--- a/crates/leases/tests/schedules.rs
+++ b/crates/leases/tests/schedules.rs
@@ -108,7 +108,6 @@
     Request(LeaseRequest),
     Response {
         host: usize,
-        incarnation: u64,
         response: LeaseResponse,
     },
     Effect(Effect),
@@ -346,8 +345,7 @@
             let Some(host) = self.hosts.iter().position(|host| host.name == *instance) else { continue };
             let delay = self.delay();
             if self.t >= self.hosts[host].responses_cut_until {
-                let incarnation = response.holder.incarnation;
-                self.post(delay, Message::Response { host, incarnation, response });
+                self.post(delay, Message::Response { host, response });
             }
         }
     }
@@ -362,7 +360,7 @@
                 Message::Response { host, .. } if t < self.hosts[host].paused_until => {
                     self.messages.push(Posted { arrives_at: self.hosts[host].paused_until, number, message });
                 }
-                Message::Response { host, response, .. } => self.respond(host, arrives_at, response),
+                Message::Response { host, response } => self.respond(host, arrives_at, response),
                 Message::Effect(effect) => self.check_effect(effect)?,
                 Message::Store(effect) => self.store(effect)?,
                 Message::EffectChecked { ref effect, .. }
