--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -253,7 +253,7 @@
         task: duty(),
         epoch: 5,
         number: 6,
-        chunk: piece.map(String::from),
+        block: piece.map(String::from),
         verdict,
     };
     for (event, literal) in [
