--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -91,8 +91,8 @@
         }
         let event = match outcome {
             PutOutcome::Fence(verdict) => {
-                let chunk = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
-                Some(Event::EffectChecked { task, epoch, number, chunk, verdict })
+                let block = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
+                Some(Event::EffectChecked { task, epoch, number, block, verdict })
             }
             _ => None,
         };
