--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -192,7 +192,7 @@
         #[serde(rename = "by")]
         slot_epoch: Option<Epoch>,
     },
-    /// A fence checked an effect or, without a chunk, the announcement of a holder.
+    /// A fence checked an effect or, without a block, the announcement of a holder.
     #[serde(rename = "judged")]
     EffectChecked {
         /// The task.
@@ -202,9 +202,9 @@
         epoch: Epoch,
         /// The number of the effect; of an announcement the last number that is recorded.
         number: u64,
-        /// The chunk of a trace that is the effect.
+        /// The block of a trace that is the effect.
         #[serde(rename = "piece")]
-        chunk: Option<String>,
+        block: Option<String>,
         /// What becomes of it.
         verdict: Verdict,
     },
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -72,7 +72,7 @@
         } else {
             Vec::new()
         };
-        let event = Event::EffectChecked { task, epoch, number, chunk: None, verdict };
+        let event = Event::EffectChecked { task, epoch, number, block: None, verdict };
         Reply { response: Response::Announced { verdict, number, progress }, event: Some(event) }
     }
 
@@ -91,8 +91,8 @@
         }
         let event = match outcome {
             PutOutcome::Fence(verdict) => {
-                let chunk = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
-                Some(Event::EffectChecked { task, epoch, number, chunk, verdict })
+                let block = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
+                Some(Event::EffectChecked { task, epoch, number, block, verdict })
             }
             _ => None,
         };
