--- a/crates/cli/tests/emulate.rs
+++ b/crates/cli/tests/emulate.rs
@@ -2,7 +2,7 @@
 
 use puffinladder_emulator::connection_stats::ConnectionStats;
 use puffinladder_emulator::publisher::publish;
-use puffinladder_reports::{Class, State, Who};
+use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity};
 use puffinladder_toy::town::Town;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -30,33 +30,35 @@
 struct Emulated {
     _runtime: tokio::runtime::Runtime,
     stats: Arc<ConnectionStats>,
-    states: Arc<Mutex<Option<State>>>,
+    states: Arc<Mutex<Option<LoadSample>>>,
 }
 
-fn idle() -> State {
-    State {
-        limit: 1.0,
-        running: 0,
-        takes: 0.0,
+fn idle() -> LoadSample {
+    LoadSample {
+        concurrency_limit: 1.0,
+        in_flight: 0,
+        service_time: 0.0,
         pressure: 0.0,
         retry_after: 0.0,
         healthy: true,
-        leaving: None,
-        settled: 0.0,
+        terminates_in: None,
+        goodput: 0.0,
         classes: Vec::new(),
     }
 }
 
 fn emulate(control: SocketAddr, zone: &str, address: SocketAddr) -> Emulated {
-    let who = Who {
+    let who = ServerIdentity {
         instance: "toy-1".into(),
         incarnation: 1_700_000_000_000_000,
         zone: zone.into(),
         address,
         cores: 4.0,
-        cold: None,
-        cold_share: 1.0,
-        products: [("quote".to_string(), 1.0), ("order".to_string(), 3.0)].into(),
+        warm_up_span: None,
+        initial_capacity: 1.0,
+        products: [("quote", 1.0), ("order", 3.0)]
+            .map(|(name, priority_weight)| Product { name: name.into(), priority_weight })
+            .into(),
         customers: ["acme".to_string()].into(),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
@@ -98,39 +100,39 @@
 }
 
 /// What a real report says, for an emulated server to say the same.
-fn state(of: &Value) -> State {
+fn state(of: &Value) -> LoadSample {
     let number = |value: &Value, key: &str| value[key].as_f64().unwrap();
-    let class = |class: &Value| Class {
+    let class = |class: &Value| ClassLoad {
         product: usize::from(class["product"] == "order"),
         customer: 0,
-        asked: number(class, "asked"),
-        declined: number(class, "declined"),
+        offered: number(class, "asked"),
+        rejected: number(class, "declined"),
     };
-    State {
-        limit: number(of, "limit"),
-        running: of["running"].as_u64().unwrap() as usize,
-        takes: number(of, "takes"),
+    LoadSample {
+        concurrency_limit: number(of, "limit"),
+        in_flight: of["running"].as_u64().unwrap() as usize,
+        service_time: number(of, "takes"),
         pressure: number(of, "pressure"),
         retry_after: number(of, "retry_after"),
         healthy: of["healthy"].as_bool().unwrap(),
-        leaving: of["leaving"].as_f64(),
-        settled: number(of, "settled"),
+        terminates_in: of["leaving"].as_f64(),
+        goodput: number(of, "settled"),
         classes: of["classes"].as_array().unwrap().iter().map(class).collect(),
     }
 }
 
 /// The same but for the last digit, which reading and writing a number may change.
-fn same(one: &State, two: &State) -> bool {
-    let numbers = |s: &State| {
-        let classes = s.classes.iter().flat_map(|c| [c.product as f64, c.asked, c.declined]);
+fn same(one: &LoadSample, two: &LoadSample) -> bool {
+    let numbers = |s: &LoadSample| {
+        let classes = s.classes.iter().flat_map(|c| [c.product as f64, c.offered, c.rejected]);
         let all = [
-            s.limit,
-            s.running as f64,
-            s.takes,
+            s.concurrency_limit,
+            s.in_flight as f64,
+            s.service_time,
             s.pressure,
             s.retry_after,
-            s.settled,
-            s.leaving.unwrap_or(-1.0),
+            s.goodput,
+            s.terminates_in.unwrap_or(-1.0),
         ];
         all.into_iter().chain(classes).collect::<Vec<f64>>()
     };
@@ -179,12 +181,12 @@
     let mut last: Option<(u64, f64)> = None;
     for _ in 0..count {
         let (line, value) = heard.line();
-        let (sequence, made) = (value["sequence"].as_u64().unwrap(), value["made"].as_f64().unwrap());
+        let (sequence, created_at) = (value["sequence"].as_u64().unwrap(), value["made"].as_f64().unwrap());
         if let Some((before, when)) = last {
             assert_eq!(sequence, before + 1, "{line}");
-            assert!(made - when >= EVERY.as_secs_f64(), "{when} {line}");
+            assert!(created_at - when >= EVERY.as_secs_f64(), "{when} {line}");
         }
-        last = Some((sequence, made));
+        last = Some((sequence, created_at));
     }
     last.unwrap().0
 }
--- a/crates/emulator/src/publisher.rs
+++ b/crates/emulator/src/publisher.rs
@@ -3,7 +3,7 @@
 //! next line. Nothing is read from it.
 
 use crate::connection_stats::{ConnectionStats, GaugeGuard, PeerConnection};
-use puffinladder_reports::{State, Who, WAIT};
+use puffinladder_reports::{LoadSample, ServerIdentity, IO_TIMEOUT};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,8 +20,8 @@
 
 /// Sends reports until it is dropped; `state` is asked what happened in each span, in seconds.
 pub async fn publish(
-    identity: Who,
-    mut state: impl FnMut(f64) -> State,
+    identity: ServerIdentity,
+    mut state: impl FnMut(f64) -> LoadSample,
     control: &[SocketAddr],
     interval: Duration,
     stats: &Arc<ConnectionStats>,
@@ -31,8 +31,8 @@
     let mut connected = None;
     for sequence in 1u64.. {
         tokio::time::sleep(interval).await;
-        let made = started.elapsed().as_secs_f64();
-        let line = identity.line(&state(interval.as_secs_f64()), sequence, made);
+        let created_at = started.elapsed().as_secs_f64();
+        let line = identity.report_line(&state(interval.as_secs_f64()), sequence, created_at);
         for (address, stream) in control.iter().zip(&mut streams) {
             stream.send(*address, line.as_bytes(), stats).await;
         }
@@ -69,15 +69,15 @@
 }
 
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let stream = timeout(WAIT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(IO_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     Some(stream)
 }
 
-/// Writes all, as long as something of it leaves within each [`WAIT`]: so does a blocking write with a timeout.
+/// Writes all, as long as something of it leaves within each [`IO_TIMEOUT`]: so does a blocking write with a timeout.
 async fn write_all(stream: &mut TcpStream, mut bytes: &[u8]) -> std::io::Result<()> {
     while !bytes.is_empty() {
-        let written = timeout(WAIT, stream.write(bytes)).await??;
+        let written = timeout(IO_TIMEOUT, stream.write(bytes)).await??;
         if written == 0 {
             return Err(std::io::ErrorKind::WriteZero.into());
         }
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::quota_client::{run_quota_client, QuotaClientConfig};
 use crate::traffic::{Load, Traffic};
 use crate::{instance_seed, names, staggered_starts};
-use puffinladder_reports::Who;
+use puffinladder_reports::{Product, ServerIdentity};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -59,8 +59,7 @@
 /// The names that all servers report. One list for all: thousands of names would be most of a server's memory.
 #[derive(Clone)]
 struct Catalogue {
-    /// Each product with its priority weight.
-    products: Arc<[(String, f64)]>,
+    products: Arc<[Product]>,
     customers: Arc<[String]>,
 }
 
@@ -96,7 +95,9 @@
     fn new(load: &Load) -> Catalogue {
         let weight = |number: usize| FIRST_WEIGHT + (number % WEIGHTS) as f64 * WEIGHT_STEP;
         Catalogue {
-            products: (0..load.products).map(|number| (names::product(number), weight(number))).collect(),
+            products: (0..load.products)
+                .map(|number| Product { name: names::product(number), priority_weight: weight(number) })
+                .collect(),
             customers: (0..load.customers).map(names::customer).collect(),
         }
     }
@@ -136,22 +137,22 @@
         }
     }
 
-    fn identity(&self) -> Who {
+    fn identity(&self) -> ServerIdentity {
         let (instance, address) = names::server(self.number);
-        Who {
+        ServerIdentity {
             instance,
             incarnation: microseconds_since_epoch(),
             zone: names::zone(self.number, self.config.zones),
             address,
             cores: CORES,
-            cold: None,
-            cold_share: 1.0,
+            warm_up_span: None,
+            initial_capacity: 1.0,
             products: self.catalogue.products.clone(),
             customers: self.catalogue.customers.clone(),
         }
     }
 
-    fn quota_client_config(&self, identity: &Who) -> Option<QuotaClientConfig> {
+    fn quota_client_config(&self, identity: &ServerIdentity) -> Option<QuotaClientConfig> {
         let config = &self.config;
         (!config.workers.is_empty()).then(|| QuotaClientConfig {
             server: identity.instance.clone(),
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What an emulated server reports of its load, drawn from a seed: no I/O, no clock.
 
 use puffinladder_leases::SeededRandom;
-use puffinladder_reports::{Class, State};
+use puffinladder_reports::{ClassLoad, LoadSample};
 use std::collections::BTreeMap;
 
 /// Share of the requests that is rejected.
@@ -34,7 +34,7 @@
     remainder: f64,
     limit: f64,
     /// The report that a calm server repeats.
-    repeated: Option<State>,
+    repeated: Option<LoadSample>,
 }
 
 /// Requests of one product and customer.
@@ -54,7 +54,7 @@
     }
 
     /// What happened in the `span` seconds since the last report. Customers with low numbers make most of the requests.
-    pub fn state(&mut self, span: f64) -> State {
+    pub fn state(&mut self, span: f64) -> LoadSample {
         if let Some(state) = &self.repeated {
             return state.clone();
         }
@@ -65,28 +65,28 @@
         self.repeated.insert(calmed(drawn)).clone()
     }
 
-    fn draw(&mut self, span: f64) -> State {
+    fn draw(&mut self, span: f64) -> LoadSample {
         let requests = self.due_requests(span);
         let counts = self.draw_requests(requests);
-        let settled: u32 = counts.values().map(|count| count.received - count.rejected).sum();
+        let completed: u32 = counts.values().map(|count| count.received - count.rejected).sum();
         let random = &mut self.random;
         self.limit = (self.limit * (LIMIT_STEP.0 + LIMIT_STEP.1 * random.next_unit()))
             .clamp(LIMIT_RANGE.0, LIMIT_RANGE.1);
-        let class = |(&(product, customer), count): (&ClassKey, &RequestCount)| Class {
+        let class = |(&(product, customer), count): (&ClassKey, &RequestCount)| ClassLoad {
             product,
             customer,
-            asked: f64::from(count.received) / span,
-            declined: f64::from(count.rejected) / span,
+            offered: f64::from(count.received) / span,
+            rejected: f64::from(count.rejected) / span,
         };
-        State {
-            limit: self.limit,
-            running: random.next_index(self.limit as usize + 1),
-            takes: if settled > 0 { 0.008 + 0.01 * random.next_unit() } else { 0.0 },
+        LoadSample {
+            concurrency_limit: self.limit,
+            in_flight: random.next_index(self.limit as usize + 1),
+            service_time: if completed > 0 { 0.008 + 0.01 * random.next_unit() } else { 0.0 },
             pressure: 0.3 * random.next_unit(),
             retry_after: 0.25 + 0.5 * random.next_unit(),
             healthy: true,
-            leaving: None,
-            settled: f64::from(settled) / span,
+            terminates_in: None,
+            goodput: f64::from(completed) / span,
             classes: counts.iter().map(class).collect(),
         }
     }
@@ -118,7 +118,15 @@
 }
 
 /// The state of a calm server: all are alike in what shares are calculated by, and nothing is rejected that proxies would drop.
-fn calmed(state: State) -> State {
-    let classes = state.classes.iter().map(|class| Class { declined: 0.0, ..*class }).collect();
-    State { limit: FIRST_LIMIT, running: 2, takes: 0.01, pressure: 0.0, retry_after: 0.25, classes, ..state }
+fn calmed(state: LoadSample) -> LoadSample {
+    let classes = state.classes.iter().map(|class| ClassLoad { rejected: 0.0, ..*class }).collect();
+    LoadSample {
+        concurrency_limit: FIRST_LIMIT,
+        in_flight: 2,
+        service_time: 0.01,
+        pressure: 0.0,
+        retry_after: 0.25,
+        classes,
+        ..state
+    }
 }
--- a/crates/emulator/tests/draw.rs
+++ b/crates/emulator/tests/draw.rs
@@ -33,14 +33,14 @@
         for _ in 0..400 {
             let state = one.state(0.25);
             assert_eq!(state, two.state(0.25), "seed {seed}");
-            assert!(state.classes.iter().all(|c| c.asked > 0.0 && c.declined <= c.asked), "seed {seed}");
+            assert!(state.classes.iter().all(|c| c.offered > 0.0 && c.rejected <= c.offered), "seed {seed}");
             assert!(state.classes.iter().all(|c| c.product < 7 && c.customer < 300), "seed {seed}");
-            assert!(state.running as f64 <= state.limit, "seed {seed}");
+            assert!(state.in_flight as f64 <= state.concurrency_limit, "seed {seed}");
             let pairs: BTreeSet<_> = state.classes.iter().map(|c| (c.product, c.customer)).collect();
             assert_eq!(pairs.len(), state.classes.len(), "seed {seed}");
-            asked += state.classes.iter().map(|c| c.asked).sum::<f64>() / 400.0;
-            declined += state.classes.iter().map(|c| c.declined).sum::<f64>() / 400.0;
-            settled += state.settled / 400.0;
+            asked += state.classes.iter().map(|c| c.offered).sum::<f64>() / 400.0;
+            declined += state.classes.iter().map(|c| c.rejected).sum::<f64>() / 400.0;
+            settled += state.goodput / 400.0;
         }
         // 37.5 requests a span: what is left over of one goes into the next.
         assert!(
@@ -50,7 +50,7 @@
         assert!(declined > 0.0 && declined < 15.0, "seed {seed}: {declined}");
     }
     let idle = Traffic::new(Load { products: 0, customers: 0, rate: 150.0, calm: false }, 1).state(0.25);
-    assert!(idle.classes.is_empty() && idle.settled == 0.0 && idle.takes == 0.0);
+    assert!(idle.classes.is_empty() && idle.goodput == 0.0 && idle.service_time == 0.0);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let load = Load { products: 7, customers: 300, rate: 150.0, calm: true };
     let mut calm = Traffic::new(load.clone(), 3);
     let first = calm.state(0.25);
-    assert!(first.classes.len() > 10 && first.classes.iter().all(|class| class.declined == 0.0));
+    assert!(first.classes.len() > 10 && first.classes.iter().all(|class| class.rejected == 0.0));
     assert!((0..20).all(|_| calm.state(0.25) == first));
     let mut lively = Traffic::new(Load { calm: false, ..load }, 3);
     let first = lively.state(0.25);
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -3,24 +3,26 @@
 use puffinladder_emulator::names::{customer, product, server, service, zone};
 use puffinladder_emulator::staggered_starts;
 use puffinladder_emulator::traffic::{Load, Traffic};
-use puffinladder_reports::Who;
+use puffinladder_reports::{Product, ServerIdentity};
 use std::time::Duration;
 
 fn reports(calm: bool, seed: u64) -> Vec<String> {
     let (instance, address) = server(70_007);
-    let who = Who {
+    let who = ServerIdentity {
         instance,
         incarnation: 1_700_000_000_000_000,
         zone: zone(7, 3),
         address,
         cores: 4.0,
-        cold: None,
-        cold_share: 1.0,
-        products: (0..3).map(|at| (product(at), 1.0 + at as f64 * 0.5)).collect(),
+        warm_up_span: None,
+        initial_capacity: 1.0,
+        products: (0..3)
+            .map(|at| Product { name: product(at), priority_weight: 1.0 + at as f64 * 0.5 })
+            .collect(),
         customers: (0..20).map(customer).collect(),
     };
     let mut traffic = Traffic::new(Load { products: 3, customers: 20, rate: 18.0, calm }, seed);
-    (1..=2).map(|sequence| who.line(&traffic.state(0.25), sequence, sequence as f64 * 0.25)).collect()
+    (1..=2).map(|sequence| who.report_line(&traffic.state(0.25), sequence, sequence as f64 * 0.25)).collect()
 }
 
 const LINES: [&str; 4] = [
--- a/crates/reports/src/lib.rs
+++ b/crates/reports/src/lib.rs
@@ -1,80 +1,127 @@
-//! The line by which a server tells a control service what it decided of late, made from plain values: no I/O, no clock. The serving
-//! process and the emulated servers write it by this one function, so that what is measured with the one holds of the other.
+//! The load report by which a server tells a control service what it decided of late, written from plain values: no I/O, no clock.
+//! The serving process and the emulated servers write it by this one function, so that what is measured with the one holds of the
+//! other. `puffinladder_control::report` reads it.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-use serde_json::json;
+use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a connection to a control service may take to open, and a line to leave.
-pub const WAIT: Duration = Duration::from_millis(200);
+/// How long a connection to a control service may take to open, and a line to leave: a server never waits longer for one.
+pub const IO_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// A product that a server serves.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Product {
+    /// Its name.
+    pub name: String,
+    /// Value of each unit of work, by which servers order whom they reject first.
+    pub priority_weight: f64,
+}
 
 /// What does not change while the process lives.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Who {
+pub struct ServerIdentity {
+    /// Name of the server, unique in the fleet.
     pub instance: String,
+    /// Grows with each start of the process.
     pub incarnation: u64,
+    /// Zone that the server runs in.
     pub zone: String,
+    /// Where the server listens for requests.
     pub address: SocketAddr,
+    /// Processor cores that the server may use.
     pub cores: f64,
-    /// s until it is warm, if it starts cold; and what it carries at first.
-    pub cold: Option<f64>,
-    pub cold_share: f64,
-    /// Each with its worth.
-    pub products: Arc<[(String, f64)]>,
+    /// Seconds from the start until the server is warm; none where it starts warm.
+    pub warm_up_span: Option<f64>,
+    /// What it carries at the start of its warm-up, as a fraction of what it carries once it is warm.
+    pub initial_capacity: f64,
+    /// Products that it serves.
+    pub products: Arc<[Product]>,
+    /// Names of the customers that it serves.
     pub customers: Arc<[String]>,
 }
 
-/// What was asked of one product by one customer since the last report, txns a second; both by their places in [`Who`].
+/// Load of one product of one customer since the last report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Class {
+pub struct ClassLoad {
+    /// Index in [`ServerIdentity::products`].
     pub product: usize,
+    /// Index in [`ServerIdentity::customers`].
     pub customer: usize,
-    pub asked: f64,
-    pub declined: f64,
+    /// Requests a second that arrived.
+    pub offered: f64,
+    /// Requests a second, of those that arrived, that were rejected.
+    pub rejected: f64,
 }
 
 /// What changes from one report to the next.
 #[derive(Clone, Debug, PartialEq)]
-pub struct State {
-    pub limit: f64,
-    pub running: usize,
-    /// s that a run takes, 0 where nothing ran.
-    pub takes: f64,
+pub struct LoadSample {
+    /// Requests that the server runs at once at the most; reported as 1 at the least.
+    pub concurrency_limit: f64,
+    /// Requests that run now.
+    pub in_flight: usize,
+    /// Seconds that one request takes to run; 0 where nothing ran.
+    pub service_time: f64,
+    /// Overload signal, from 0 (idle) to 1 (saturated).
     pub pressure: f64,
+    /// Retry-After that the server gives with a rejection, seconds.
     pub retry_after: f64,
+    /// Result of the server's own health check.
     pub healthy: bool,
-    /// s until the kill, once it was told to leave.
-    pub leaving: Option<f64>,
-    pub settled: f64,
-    /// Those that nobody asked for are left out.
-    pub classes: Vec<Class>,
+    /// Seconds until a draining server is terminated; none while it is not draining.
+    pub terminates_in: Option<f64>,
+    /// Requests a second that were completed within their latency objective.
+    pub goodput: f64,
+    /// Load by product and customer; those without requests are left out.
+    pub classes: Vec<ClassLoad>,
 }
 
-impl Who {
-    /// The report as it goes over the wire, with the end of its line. `made` is s by the server's monotonic clock since it started.
-    pub fn line(&self, state: &State, sequence: u64, made: f64) -> String {
-        let warmth = match self.cold {
-            Some(cold) => (self.cold_share + (1.0 - self.cold_share) * made / cold).min(1.0),
-            None => 1.0,
-        };
-        let class = |class: &Class| {
-            let (name, worth) =
-                self.products.get(class.product).map_or(("", 0.0), |(name, worth)| (name, *worth));
-            let customer = self.customers.get(class.customer).map_or("", String::as_str);
-            json!({
-                "product": name, "customer": customer, "worth": worth, "asked": class.asked, "declined": class.declined,
-            })
-        };
+impl ServerIdentity {
+    /// The report as it goes over the wire, with the end of its line. `created_at` is in seconds since the server started, by its
+    /// monotonic clock.
+    pub fn report_line(&self, sample: &LoadSample, sequence: u64, created_at: f64) -> String {
+        let classes: Vec<Value> = sample.classes.iter().map(|class| self.class_json(class)).collect();
         let report = json!({
-            "instance": self.instance, "incarnation": self.incarnation, "sequence": sequence, "made": made,
-            "zone": self.zone, "address": self.address, "cores": self.cores,
-            "limit": state.limit.max(1.0), "running": state.running, "takes": state.takes,
-            "pressure": state.pressure, "retry_after": state.retry_after, "healthy": state.healthy,
-            "leaving": state.leaving, "warmth": warmth, "settled": state.settled,
-            "classes": state.classes.iter().map(class).collect::<Vec<_>>(),
+            "instance": self.instance,
+            "incarnation": self.incarnation,
+            "sequence": sequence,
+            "made": created_at,
+            "zone": self.zone,
+            "address": self.address,
+            "cores": self.cores,
+            "limit": sample.concurrency_limit.max(1.0),
+            "running": sample.in_flight,
+            "takes": sample.service_time,
+            "pressure": sample.pressure,
+            "retry_after": sample.retry_after,
+            "healthy": sample.healthy,
+            "leaving": sample.terminates_in,
+            "warmth": self.warm_up_progress(created_at),
+            "settled": sample.goodput,
+            "classes": classes,
         });
         format!("{report}\n")
     }
+
+    /// Progress of the warm-up, from 0 to 1, so many seconds after the start.
+    fn warm_up_progress(&self, since_start: f64) -> f64 {
+        let Some(span) = self.warm_up_span else { return 1.0 };
+        (self.initial_capacity + (1.0 - self.initial_capacity) * since_start / span).min(1.0)
+    }
+
+    /// A class whose index is out of range has no name.
+    fn class_json(&self, class: &ClassLoad) -> Value {
+        let product = self.products.get(class.product);
+        json!({
+            "product": product.map_or("", |product| product.name.as_str()),
+            "customer": self.customers.get(class.customer).map_or("", String::as_str),
+            "worth": product.map_or(0.0, |product| product.priority_weight),
+            "asked": class.offered,
+            "declined": class.rejected,
+        })
+    }
 }
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -7,7 +7,7 @@
 use crate::runtime::clock::Clock;
 use crate::state::counters::{ClassRates, Counters};
 use puffinladder::RequestClass;
-use puffinladder_reports::{Class, State, Who, WAIT};
+use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity, IO_TIMEOUT};
 use puffinladder_settings::PublishSettings;
 use puffinladder_settings::ServerConfig;
 use std::io::Write;
@@ -18,7 +18,7 @@
 
 /// Sends the reports.
 struct Publisher {
-    identity: Who,
+    identity: ServerIdentity,
     control: Vec<SocketAddr>,
     interval: Duration,
     counters: Arc<Counters>,
@@ -49,19 +49,22 @@
 }
 
 /// What does not change while the process lives.
-fn identity(settings: &PublishSettings, config: &ServerConfig, listen: SocketAddr) -> Who {
+fn identity(settings: &PublishSettings, config: &ServerConfig, listen: SocketAddr) -> ServerIdentity {
     let (names, policy) = (&config.policy, &config.policy.settings);
-    let weight = |class: &RequestClass| class.priority_weight;
+    let product = |(name, class): (&String, &RequestClass)| Product {
+        name: name.clone(),
+        priority_weight: class.priority_weight,
+    };
     let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|span| *span > 0.0);
-    Who {
+    ServerIdentity {
         instance: config.name.clone(),
         incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
         zone: settings.zone.clone(),
         address: settings.advertised_address.unwrap_or(listen),
         cores: policy.cores,
-        cold: warm_up,
-        cold_share: policy.cold_capacity_fraction,
-        products: names.class_names.iter().cloned().zip(policy.classes.iter().map(weight)).collect(),
+        warm_up_span: warm_up,
+        initial_capacity: policy.cold_capacity_fraction,
+        products: names.class_names.iter().zip(&policy.classes).map(product).collect(),
         customers: names.tenant_names.as_slice().into(),
     }
 }
@@ -73,8 +76,8 @@
         let mut was_reached = true;
         for sequence in 1u64.. {
             thread::sleep(self.interval);
-            let made = started.elapsed().as_secs_f64();
-            let line = self.identity.line(&self.state(), sequence, made);
+            let created_at = started.elapsed().as_secs_f64();
+            let line = self.identity.report_line(&self.state(), sequence, created_at);
             let reached = self.send(&line, &mut streams);
             if reached != was_reached {
                 was_reached = reached;
@@ -100,30 +103,30 @@
         reached
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> LoadSample {
         let snapshot = self.counters.take(self.interval.as_secs_f64());
-        let class = |rates: &ClassRates| Class {
+        let class = |rates: &ClassRates| ClassLoad {
             product: rates.class,
             customer: rates.tenant,
-            asked: rates.received,
-            declined: rates.rejected,
+            offered: rates.received,
+            rejected: rates.rejected,
         };
-        State {
-            limit: snapshot.run_limit,
-            running: self.dispatcher.running(),
-            takes: snapshot.run_time,
+        LoadSample {
+            concurrency_limit: snapshot.run_limit,
+            in_flight: self.dispatcher.running(),
+            service_time: snapshot.run_time,
             pressure: snapshot.pressure,
             retry_after: snapshot.retry_after,
             healthy: snapshot.healthy,
-            leaving: snapshot.kill_time.map(|kill_time| (kill_time - self.clock.now()).max(0.0)),
-            settled: snapshot.completed,
+            terminates_in: snapshot.kill_time.map(|kill_time| (kill_time - self.clock.now()).max(0.0)),
+            goodput: snapshot.completed,
             classes: snapshot.classes.iter().map(class).collect(),
         }
     }
 }
 
 fn connect(address: &SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect_timeout(address, WAIT).ok()?;
-    let ready = stream.set_write_timeout(Some(WAIT)).is_ok() && stream.set_nodelay(true).is_ok();
+    let stream = TcpStream::connect_timeout(address, IO_TIMEOUT).ok()?;
+    let ready = stream.set_write_timeout(Some(IO_TIMEOUT)).is_ok() && stream.set_nodelay(true).is_ok();
     ready.then_some(stream)
 }
