--- a/crates/leases/src/table/change.rs
+++ b/crates/leases/src/table/change.rs
@@ -24,13 +24,6 @@
     pub cause: Cause,
 }
 
-impl Change {
-    /// The counter that counts changes of this kind and cause.
-    pub fn counter_name(&self) -> String {
-        format!("changes-{}-{}", self.kind.label(), self.cause.label())
-    }
-}
-
 /// What happened to a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
@@ -44,17 +37,6 @@
     Ended,
 }
 
-impl ChangeKind {
-    /// The kind's part of a counter's name.
-    fn label(self) -> &'static str {
-        match self {
-            ChangeKind::Granted => "given",
-            ChangeKind::Revoked => "takenback",
-            ChangeKind::Ended => "ended",
-        }
-    }
-}
-
 /// Why a lease began or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
@@ -89,33 +71,17 @@
     pub fn text(self) -> &'static str {
         match self {
             Cause::Vacant => "it was vacant",
-            Cause::Expired => "its owner was not heard for a term",
-            Cause::Released => "handed over",
-            Cause::ReleaseTimeout => "not handed over in time",
-            Cause::Draining => "its owner drains",
-            Cause::Stalled => "its owner got nothing done",
-            Cause::Rebalanced => "its owner has more than others",
+            Cause::Expired => "its holder was silent for a term",
+            Cause::Released => "released",
+            Cause::ReleaseTimeout => "not released in time",
+            Cause::Draining => "its holder drains",
+            Cause::Stalled => "its holder got nothing done",
+            Cause::Rebalanced => "its holder has more parts than others",
             Cause::Moved => "an operator moved it",
             Cause::Paused => "an operator paused it",
             Cause::Undeclared => "no longer declared",
         }
     }
-
-    /// The cause's part of a counter's name.
-    fn label(self) -> &'static str {
-        match self {
-            Cause::Vacant => "vacant",
-            Cause::Expired => "expired",
-            Cause::Released => "handedover",
-            Cause::ReleaseTimeout => "nothandedover",
-            Cause::Draining => "draining",
-            Cause::Stalled => "stalled",
-            Cause::Rebalanced => "levelled",
-            Cause::Moved => "moved",
-            Cause::Paused => "paused",
-            Cause::Undeclared => "dropped",
-        }
-    }
 }
 
 impl fmt::Display for Cause {
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -19,17 +19,17 @@
     assert_eq!(&postcard::from_bytes::<T>(&bytes).unwrap(), value);
 }
 
-fn duty(part: u32) -> Task {
+fn task(part: u32) -> Task {
     Task::new("gather", part)
 }
 
-fn said(name: &str, serial: u64) -> LeaseRequest {
-    let wants = ["gather".to_string(), "turns".to_string()].into();
+fn request(name: &str, serial: u64) -> LeaseRequest {
+    let tasks = ["gather".to_string(), "turns".to_string()].into();
     LeaseRequest {
         holder: HolderId::new(name, 7),
         zone: "east".into(),
         serial,
-        tasks: wants,
+        tasks,
         ..LeaseRequest::default()
     }
 }
@@ -42,29 +42,29 @@
 fn stored_table() -> LeaseTable {
     let mut table = LeaseTable::default();
     let rules = LeaseRules { stall_timeout: 4.0, max_flaps: 1, panic_window: 0.0, ..LeaseRules::default() };
-    let duties = vec![
+    let tasks = vec![
         TaskDeclaration { name: "gather".into(), parts: 3, zone: Some("east".into()) },
         TaskDeclaration { name: "turns".into(), parts: 1, zone: None },
     ];
-    let out = apply(&mut table, 0.0, Command::Declare { rules, tasks: duties });
-    assert_eq!(out.error, None);
-    apply(&mut table, 1.0, Command::Renew(vec![said("a", 1), said("b", 1), said("c", 1)]));
-    let held = table.lease_rows().into_iter().find(|row| row.task.name == "gather").unwrap();
-    let name = held.holder.unwrap().instance;
-    let mark = Progress { task: held.task, epoch: held.epoch, steps_done: 3, has_work: true };
+    let outcome = apply(&mut table, 0.0, Command::Declare { rules, tasks });
+    assert_eq!(outcome.error, None);
+    apply(&mut table, 1.0, Command::Renew(vec![request("a", 1), request("b", 1), request("c", 1)]));
+    let row = table.lease_rows().into_iter().find(|row| row.task.name == "gather").unwrap();
+    let name = row.holder.unwrap().instance;
+    let progress = Progress { task: row.task, epoch: row.epoch, steps_done: 3, has_work: true };
     for step in 1..=6u32 {
         let at = 1.0 + f64::from(step);
         let serial = 1 + u64::from(step);
-        let mut lines = vec![said("a", serial), said("b", serial)];
-        for line in &mut lines {
-            if line.holder.instance == name {
-                line.progress = vec![mark.clone()];
+        let mut requests = vec![request("a", serial), request("b", serial)];
+        for request in &mut requests {
+            if request.holder.instance == name {
+                request.progress = vec![progress.clone()];
             }
         }
-        apply(&mut table, at, Command::Renew(lines));
+        apply(&mut table, at, Command::Renew(requests));
         apply(&mut table, at + 0.25, Command::AdvanceTime);
     }
-    apply(&mut table, 7.5, Command::Move { task: duty(2), to: "b".into() });
+    apply(&mut table, 7.5, Command::Move { task: task(2), to: "b".into() });
     apply(&mut table, 7.75, Command::Pause { task: "turns".into(), paused: true });
     table
 }
@@ -72,18 +72,18 @@
 #[test]
 fn entries_of_the_log() {
     let rules = LeaseRules::default();
-    let duties = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
-    let mut line = said("a", 4);
-    line.draining = true;
-    line.progress = vec![Progress { task: duty(1), epoch: 5, steps_done: 6, has_work: true }];
-    line.released = vec![LeaseId::new(duty(2), 8)];
-    line.known_version = 9;
+    let tasks = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
+    let mut request = request("a", 4);
+    request.draining = true;
+    request.progress = vec![Progress { task: task(1), epoch: 5, steps_done: 6, has_work: true }];
+    request.released = vec![LeaseId::new(task(2), 8)];
+    request.known_version = 9;
     for (command, literal) in [
         (Command::AdvanceTime, "000000000000f83f00"),
-        (Command::Declare { rules, tasks: duties }, "000000000000f83f0100000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440000000000000004040010667617468657204010465617374"),
-        (Command::Renew(vec![line]), "000000000000f83f02010161070465617374040206676174686572057475726e73010106676174686572010506010106676174686572020809"),
+        (Command::Declare { rules, tasks }, "000000000000f83f0100000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440000000000000004040010667617468657204010465617374"),
+        (Command::Renew(vec![request]), "000000000000f83f02010161070465617374040206676174686572057475726e73010106676174686572010506010106676174686572020809"),
         (Command::Pause { task: "gather".into(), paused: true }, "000000000000f83f030667617468657201"),
-        (Command::Move { task: duty(1), to: "b".into() }, "000000000000f83f0406676174686572010162"),
+        (Command::Move { task: task(1), to: "b".into() }, "000000000000f83f0406676174686572010162"),
     ] {
         assert_stored(&LogEntry { at: 1.5, command }, literal);
     }
@@ -99,9 +99,9 @@
 #[test]
 fn the_records_of_a_fence() {
     let mut fence = Fence::default();
-    assert_eq!(fence.check_and_record(&duty(1), 5, 1), Verdict::New);
-    assert_eq!(fence.check_and_record(&duty(1), 5, 2), Verdict::New);
-    assert_eq!(fence.announce(&duty(2), 300), Verdict::New);
+    assert_eq!(fence.check_and_record(&task(1), 5, 1), Verdict::New);
+    assert_eq!(fence.check_and_record(&task(1), 5, 2), Verdict::New);
+    assert_eq!(fence.announce(&task(2), 300), Verdict::New);
     assert_stored(&fence, "02066761746865720105020667617468657202ac0200");
     assert_stored(&FenceRecord { epoch: 300, number: 6 }, "ac0206");
 }
--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -21,40 +21,40 @@
     assert_eq!(&serde_json::from_str::<T>(literal).unwrap(), value);
 }
 
-fn owner() -> HolderId {
+fn holder() -> HolderId {
     HolderId::new("n1", 7)
 }
 
-fn duty() -> Task {
+fn task() -> Task {
     Task::new("gather", 3)
 }
 
-fn said() -> LeaseRequest {
+fn request() -> LeaseRequest {
     LeaseRequest {
-        holder: owner(),
+        holder: holder(),
         zone: "east".into(),
         serial: 4,
         tasks: ["gather".to_string(), "quota".to_string()].into(),
         draining: true,
-        progress: vec![Progress { task: duty(), epoch: 5, steps_done: 6, has_work: true }],
-        released: vec![LeaseId::new(duty(), 8)],
+        progress: vec![Progress { task: task(), epoch: 5, steps_done: 6, has_work: true }],
+        released: vec![LeaseId::new(task(), 8)],
         known_version: 9,
     }
 }
 
-fn told() -> LeaseResponse {
+fn response() -> LeaseResponse {
     LeaseResponse {
-        holder: owner(),
+        holder: holder(),
         serial: 4,
         term: 2.0,
         version: 11,
-        leases: Some(vec![Lease { task: duty(), epoch: 5, revoked: true }]),
+        leases: Some(vec![Lease { task: task(), epoch: 5, revoked: true }]),
         rejection: None,
     }
 }
 
-fn change(what: ChangeKind, cause: Cause) -> Change {
-    Change { at: 1.5, task: duty(), holder: owner(), epoch: 5, kind: what, cause }
+fn change(kind: ChangeKind, cause: Cause) -> Change {
+    Change { at: 1.5, task: task(), holder: holder(), epoch: 5, kind, cause }
 }
 
 fn status() -> ReplicaStatus {
@@ -78,37 +78,37 @@
 
 #[test]
 fn names_and_lists_of_an_instance() {
-    assert_json(&owner(), r#"{"instance":"n1","incarnation":7}"#);
-    assert_json(&duty(), r#"{"name":"gather","part":3}"#);
+    assert_json(&holder(), r#"{"instance":"n1","incarnation":7}"#);
+    assert_json(&task(), r#"{"name":"gather","part":3}"#);
     assert_json(
-        &said(),
+        &request(),
         r#"{"owner":{"instance":"n1","incarnation":7},"zone":"east","serial":4,"wants":["gather","quota"],"leaving":true,"marks":[{"duty":{"name":"gather","part":3},"epoch":5,"done":6,"work":true}],"given":[[{"name":"gather","part":3},8]],"knows":9}"#,
     );
     assert_json(
-        &told(),
+        &response(),
         r#"{"owner":{"instance":"n1","incarnation":7},"serial":4,"term":2.0,"version":11,"grants":[{"duty":{"name":"gather","part":3},"epoch":5,"back":true}],"refused":null}"#,
     );
     assert_json(
         &LeaseResponse { leases: None, ..LeaseResponse::default() },
         r#"{"owner":{"instance":"","incarnation":0},"serial":0,"term":0.0,"version":0,"grants":null,"refused":null}"#,
     );
-    for (refused, literal) in [
+    for (rejection, literal) in [
         (Rejection::Superseded, r#""Superseded""#),
         (Rejection::CapacityExceeded, r#""Full""#),
         (Rejection::Invalid, r#""Unfit""#),
     ] {
-        assert_json(&Some(refused), literal);
+        assert_json(&Some(rejection), literal);
     }
 }
 
 #[test]
 fn what_is_left_out_has_a_default() {
     let short = r#"{"owner":{"instance":"n1","incarnation":7},"serial":1}"#;
-    let expected = LeaseRequest { holder: owner(), serial: 1, ..LeaseRequest::default() };
+    let expected = LeaseRequest { holder: holder(), serial: 1, ..LeaseRequest::default() };
     assert_eq!(serde_json::from_str::<LeaseRequest>(short).unwrap(), expected);
     let short = r#"{"owner":{"instance":"n1","incarnation":7},"serial":1,"term":2.0,"version":3}"#;
     let expected =
-        LeaseResponse { holder: owner(), serial: 1, term: 2.0, version: 3, leases: None, rejection: None };
+        LeaseResponse { holder: holder(), serial: 1, term: 2.0, version: 3, leases: None, rejection: None };
     assert_eq!(serde_json::from_str::<LeaseResponse>(short).unwrap(), expected);
     let short = r#"{"server":"n1","incarnation":7,"number":1,"state":"Serves"}"#;
     let expected = ServerReport { server: "n1".into(), incarnation: 7, number: 1, ..ServerReport::default() };
@@ -120,11 +120,11 @@
 
 #[test]
 fn commands_and_entries() {
-    let duties = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
+    let tasks = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
     for (command, literal) in [
         (Command::AdvanceTime, r#""Time""#),
         (
-            Command::Declare { rules: LeaseRules::default(), tasks: duties },
+            Command::Declare { rules: LeaseRules::default(), tasks },
             r#"{"Declare":{"rules":{"term":2.0,"drift":0.02,"stall":10.0,"barred":60.0,"flaps":3,"flap_span":60.0,"flap_rest":30.0,"panic":5.0,"calm":2.0,"moves":64},"duties":[{"name":"gather","parts":4,"zone":"east"}]}}"#,
         ),
         (
@@ -136,7 +136,7 @@
             r#"{"Pause":{"duty":"gather","paused":true}}"#,
         ),
         (
-            Command::Move { task: duty(), to: "n2".into() },
+            Command::Move { task: task(), to: "n2".into() },
             r#"{"Move":{"duty":{"name":"gather","part":3},"to":"n2"}}"#,
         ),
     ] {
@@ -147,7 +147,7 @@
 
 #[test]
 fn changes_with_their_causes() {
-    for (what, cause, literal) in [
+    for (kind, cause, literal) in [
         (
             ChangeKind::Granted,
             Cause::Vacant,
@@ -164,16 +164,16 @@
             r#"{"at":1.5,"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"what":"Ended","cause":"Expired"}"#,
         ),
     ] {
-        assert_json(&change(what, cause), literal);
+        assert_json(&change(kind, cause), literal);
     }
     for (cause, literal, text) in [
         (Cause::Vacant, r#""Vacant""#, "it was vacant"),
-        (Cause::Expired, r#""Expired""#, "its owner was not heard for a term"),
-        (Cause::Released, r#""HandedOver""#, "handed over"),
-        (Cause::ReleaseTimeout, r#""NotHandedOver""#, "not handed over in time"),
-        (Cause::Draining, r#""Draining""#, "its owner drains"),
-        (Cause::Stalled, r#""Stalled""#, "its owner got nothing done"),
-        (Cause::Rebalanced, r#""Levelled""#, "its owner has more than others"),
+        (Cause::Expired, r#""Expired""#, "its holder was silent for a term"),
+        (Cause::Released, r#""HandedOver""#, "released"),
+        (Cause::ReleaseTimeout, r#""NotHandedOver""#, "not released in time"),
+        (Cause::Draining, r#""Draining""#, "its holder drains"),
+        (Cause::Stalled, r#""Stalled""#, "its holder got nothing done"),
+        (Cause::Rebalanced, r#""Levelled""#, "its holder has more parts than others"),
         (Cause::Moved, r#""Moved""#, "an operator moved it"),
         (Cause::Paused, r#""Paused""#, "an operator paused it"),
         (Cause::Undeclared, r#""Dropped""#, "no longer declared"),
@@ -185,7 +185,7 @@
 
 #[test]
 fn requests_to_a_replica() {
-    for (ask, literal) in [
+    for (request, literal) in [
         (
             ReplicaRequest::Renew(LeaseRequest::default()),
             r#"{"say":{"owner":{"instance":"","incarnation":0},"zone":"","serial":0,"wants":[],"leaving":false,"marks":[],"given":[],"knows":0}}"#,
@@ -200,23 +200,23 @@
         ),
         (ReplicaRequest::RemoveReplica { number: 4 }, r#"{"remove":{"number":4}}"#),
     ] {
-        assert_json(&ask, literal);
+        assert_json(&request, literal);
     }
 }
 
 #[test]
 fn replies_of_a_replica() {
     let row =
-        LeaseRow { task: duty(), holder: Some(owner()), epoch: 5, since: 1.5, revoked: true, paused: false };
-    let seat = InstanceRow {
-        holder: owner(),
+        LeaseRow { task: task(), holder: Some(holder()), epoch: 5, since: 1.5, revoked: true, paused: false };
+    let instance = InstanceRow {
+        holder: holder(),
         zone: "east".into(),
         parts: 2,
         draining: true,
         session_remaining: 0.5,
         penalty_remaining: 1.5,
     };
-    for (answer, literal) in [
+    for (reply, literal) in [
         (
             ReplicaReply::Lease(LeaseResponse::default()),
             r#"{"told":{"owner":{"instance":"","incarnation":0},"serial":0,"term":0.0,"version":0,"grants":null,"refused":null}}"#,
@@ -234,7 +234,7 @@
             r#"{"status":{"number":1,"leader":2,"leads":false,"term":3,"applied":4,"log_entries":5,"voters":[1,2],"learners":[3],"retired":[4],"last_epoch":6,"instances":7,"slow":true,"up":8.5,"counts":{"lines":9}}}"#,
         ),
         (
-            ReplicaReply::Tasks { leases: vec![row], instances: vec![seat], at: 9.5 },
+            ReplicaReply::Tasks { leases: vec![row], instances: vec![instance], at: 9.5 },
             r#"{"duties":{"rows":[{"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"since":1.5,"back":true,"paused":false}],"seats":[{"owner":{"instance":"n1","incarnation":7},"zone":"east","has":2,"leaving":true,"left":0.5,"rests":1.5}],"at":9.5}}"#,
         ),
         (ReplicaReply::Done, r#""done""#),
@@ -243,17 +243,17 @@
             r#"{"failed":"no duty \"x\" is declared"}"#,
         ),
     ] {
-        assert_json(&answer, literal);
+        assert_json(&reply, literal);
     }
 }
 
 #[test]
 fn events() {
-    let judged = |piece: Option<&str>, verdict| Event::EffectChecked {
-        task: duty(),
+    let checked = |block: Option<&str>, verdict| Event::EffectChecked {
+        task: task(),
         epoch: 5,
         number: 6,
-        block: piece.map(String::from),
+        block: block.map(String::from),
         verdict,
     };
     for (event, literal) in [
@@ -264,11 +264,11 @@
         ),
         (Event::BecameLeader { replica: 1, term: 2 }, r#"{"leads":{"keeper":1,"term":2}}"#),
         (
-            Event::LeaseStarted { holder: owner(), task: duty(), epoch: 5 },
+            Event::LeaseStarted { holder: holder(), task: task(), epoch: 5 },
             r#"{"begin":{"owner":{"instance":"n1","incarnation":7},"duty":{"name":"gather","part":3},"epoch":5}}"#,
         ),
         (
-            Event::LeaseEnded { holder: owner(), task: duty(), epoch: 5, reason: "TermOver".into() },
+            Event::LeaseEnded { holder: holder(), task: task(), epoch: 5, reason: "TermOver".into() },
             r#"{"down":{"owner":{"instance":"n1","incarnation":7},"duty":{"name":"gather","part":3},"epoch":5,"why":"TermOver"}}"#,
         ),
         (
@@ -286,19 +286,19 @@
             r#"{"leaves":{"zone":"east","by":5}}"#,
         ),
         (
-            judged(Some("a.trace"), Verdict::New),
+            checked(Some("a.trace"), Verdict::New),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":"a.trace","verdict":"New"}}"#,
         ),
         (
-            judged(None, Verdict::Duplicate),
+            checked(None, Verdict::Duplicate),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":null,"verdict":"Repeat"}}"#,
         ),
         (
-            judged(None, Verdict::Stale { latest: 9 }),
+            checked(None, Verdict::Stale { latest: 9 }),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":null,"verdict":{"Late":{"seen":9}}}}"#,
         ),
         (
-            judged(None, Verdict::Gap { expected: 2 }),
+            checked(None, Verdict::Gap { expected: 2 }),
             r#"{"judged":{"duty":{"name":"gather","part":3},"epoch":5,"number":6,"piece":null,"verdict":{"Gap":{"expected":2}}}}"#,
         ),
     ] {
@@ -308,7 +308,7 @@
 
 #[test]
 fn reports_of_servers_and_replies_to_them() {
-    let asked =
+    let demand =
         TenantDemand { tenant: "a".into(), demand: 1.5, current: Some(AllocationId { epoch: 5, number: 6 }) };
     for (state, literal) in [
         (
@@ -330,40 +330,40 @@
             zone: "east".into(),
             number: 8,
             drain_state: state,
-            demands: vec![asked.clone()],
+            demands: vec![demand.clone()],
         };
         assert_json(&report, literal);
     }
-    let part = QuotaAllocation { epoch: 5, number: 6, report_number: 8, rate: 1.5, validity: 2.5 };
-    let turn = DrainSlot { epoch: 5, report_number: 8, start_within: 6.5 };
+    let allocation = QuotaAllocation { epoch: 5, number: 6, report_number: 8, rate: 1.5, validity: 2.5 };
+    let slot = DrainSlot { epoch: 5, report_number: 8, start_within: 6.5 };
     let reply = CoordinatorReply {
         server: "n1".into(),
         incarnation: 7,
-        allocations: vec![TenantAllocation { tenant: "a".into(), allocation: part.clone() }],
-        drain_slot: Some(turn.clone()),
+        allocations: vec![TenantAllocation { tenant: "a".into(), allocation: allocation.clone() }],
+        drain_slot: Some(slot.clone()),
     };
     assert_json(
         &reply,
         r#"{"server":"n1","incarnation":7,"parts":[["a",{"epoch":5,"number":6,"report":8,"rate":1.5,"span":2.5}]],"turn":{"epoch":5,"report":8,"begin":6.5}}"#,
     );
-    assert_json(&part, r#"{"epoch":5,"number":6,"report":8,"rate":1.5,"span":2.5}"#);
-    assert_json(&turn, r#"{"epoch":5,"report":8,"begin":6.5}"#);
-    let asked = DemandReport {
+    assert_json(&allocation, r#"{"epoch":5,"number":6,"report":8,"rate":1.5,"span":2.5}"#);
+    assert_json(&slot, r#"{"epoch":5,"report":8,"begin":6.5}"#);
+    let report = DemandReport {
         server: "n1".into(),
         incarnation: 7,
         report_number: 8,
         demand: 1.5,
         current: Some(AllocationId { epoch: 5, number: 6 }),
     };
-    assert_json(&asked, r#"{"server":"n1","incarnation":7,"report":8,"demand":1.5,"holds":[5,6]}"#);
-    let asked = DrainReport {
+    assert_json(&report, r#"{"server":"n1","incarnation":7,"report":8,"demand":1.5,"holds":[5,6]}"#);
+    let report = DrainReport {
         server: "n1".into(),
         incarnation: 7,
         report_number: 8,
         zone: "east".into(),
         state: DrainState::Waiting,
     };
-    assert_json(&asked, r#"{"server":"n1","incarnation":7,"report":8,"zone":"east","state":"Waits"}"#);
+    assert_json(&report, r#"{"server":"n1","incarnation":7,"report":8,"zone":"east","state":"Waits"}"#);
     assert_json(
         &DrainRules::default(),
         r#"{"most":10,"zone_share":0.1,"span":30.0,"drift":0.02,"silent":5.0}"#,
@@ -383,24 +383,6 @@
     }
 }
 
-#[test]
-fn counters_of_changes() {
-    for (what, cause, name) in [
-        (ChangeKind::Granted, Cause::Vacant, "changes-given-vacant"),
-        (ChangeKind::Revoked, Cause::Draining, "changes-takenback-draining"),
-        (ChangeKind::Revoked, Cause::Stalled, "changes-takenback-stalled"),
-        (ChangeKind::Revoked, Cause::Rebalanced, "changes-takenback-levelled"),
-        (ChangeKind::Revoked, Cause::Moved, "changes-takenback-moved"),
-        (ChangeKind::Revoked, Cause::Paused, "changes-takenback-paused"),
-        (ChangeKind::Revoked, Cause::Undeclared, "changes-takenback-dropped"),
-        (ChangeKind::Ended, Cause::Expired, "changes-ended-expired"),
-        (ChangeKind::Ended, Cause::Released, "changes-ended-handedover"),
-        (ChangeKind::Ended, Cause::ReleaseTimeout, "changes-ended-nothandedover"),
-    ] {
-        assert_eq!(change(what, cause).counter_name(), name);
-    }
-}
-
 #[test]
 fn texts_of_commands_that_are_not_carried_out() {
     let declare = |rules: LeaseRules, name: &str, parts: u32| Command::Declare {
@@ -429,7 +411,7 @@
         (declare(rules.clone(), "a", 100_001), "1 duties with 100001 parts are too many"),
         (declare(rules.clone(), "", 1), "duty \"\": its name or its parts can't be"),
         (Command::Pause { task: "x".into(), paused: true }, "no duty \"x\" is declared"),
-        (Command::Move { task: duty(), to: "n2".into() }, "\"n2\" is no instance that may have gather/3"),
+        (Command::Move { task: task(), to: "n2".into() }, "\"n2\" is no instance that may have gather/3"),
     ] {
         let outcome = LeaseTable::default().apply(&LogEntry { at: 1.0, command });
         assert_eq!(outcome.error.unwrap().to_string(), text);
