--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -13,7 +13,7 @@
 mod version_log;
 
 pub use last_good::LastGoodError;
-pub use receive::{MessageError, Received};
+pub use receive::{InvalidField, MessageError, Received};
 
 use crate::content::Content;
 use crate::digest::{Digest, Seal, VersionId};
--- a/crates/config-rollout/src/follower/receive.rs
+++ b/crates/config-rollout/src/follower/receive.rs
@@ -25,12 +25,32 @@
     Invalid(MessageError),
 }
 
+/// The field of a message that can't be true.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum InvalidField {
+    /// The body is empty or longer than any valid one.
+    #[error("a body's length")]
+    BodyLength,
+    /// The chunk is empty or reaches over the end of its body.
+    #[error("a place in its body")]
+    ChunkPosition,
+    /// The change leads to a version that is not newer than its base.
+    #[error("a change that leads back")]
+    BackwardChange,
+    /// The age is negative or no number.
+    #[error("an age")]
+    Age,
+    /// The tag is not that of the other fields.
+    #[error("its tag")]
+    Tag,
+}
+
 /// What is wrong with a message from a distributor.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// A number, length or tag in it is not valid; which one.
+    /// A number, length or tag in it is not valid.
     #[error("invalid field: {0}")]
-    InvalidField(&'static str),
+    InvalidField(#[from] InvalidField),
     /// The body of that version can't be decoded or applied.
     #[error("the body of version {0} can't be read")]
     Undecodable(u64),
@@ -63,10 +83,10 @@
 
     fn receive_target(&mut self, target: VersionId, age: f64, acknowledged: u64, tag: u64) -> Received {
         if !(age >= 0.0 && age.is_finite()) {
-            return self.invalid_field("an age");
+            return self.invalid_field(InvalidField::Age);
         }
         if tag != self.seal.tag(&self.server.instance, target, age, acknowledged) {
-            return self.invalid_field("its tag");
+            return self.invalid_field(InvalidField::Tag);
         }
         if let Some(conflict) = self.find_conflict(target) {
             return Received::Invalid(MessageError::Conflict(conflict));
@@ -112,7 +132,7 @@
         }
     }
 
-    fn invalid_field(&mut self, field: &'static str) -> Received {
+    fn invalid_field(&mut self, field: InvalidField) -> Received {
         self.counters.invalid += 1;
         Received::Invalid(MessageError::InvalidField(field))
     }
@@ -177,18 +197,18 @@
     }
 }
 
-/// Names the field of a chunk that can't be true.
-fn check_bounds(chunk: &Chunk) -> Result<(), &'static str> {
+/// Whether the lengths and numbers of a chunk can be true.
+fn check_bounds(chunk: &Chunk) -> Result<(), InvalidField> {
     let (total, offset) = (chunk.transfer.total_bytes as usize, chunk.offset as usize);
     if total == 0 || total > MAX_BODY_BYTES {
-        return Err("a body's length");
+        return Err(InvalidField::BodyLength);
     }
     let end = offset.checked_add(chunk.bytes.len());
     if chunk.bytes.is_empty() || end.is_none_or(|end| end > total) {
-        return Err("a place in its body");
+        return Err(InvalidField::ChunkPosition);
     }
     if chunk.transfer.base.is_some_and(|base| base.number >= chunk.transfer.target.number) {
-        return Err("a change that leads back");
+        return Err(InvalidField::BackwardChange);
     }
     Ok(())
 }
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -331,7 +331,7 @@
     for message in strange {
         assert_eq!(
             follower.receive(&message, &BoundsValidator),
-            Received::Invalid(MessageError::InvalidField("its tag"))
+            Received::Invalid(MessageError::InvalidField(InvalidField::Tag))
         );
         assert_eq!(follower.age(9.0), Some(4.5));
     }
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -6,6 +6,7 @@
 use crate::follower::ACK_INTERVAL;
 use crate::history::{CanaryPhase, Command, History, MAX_CANARIES};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
 /// Silence after which a server may have crashed, though it does not count as silent yet, s: one acknowledgement was lost.
 const QUIET_AFTER: f64 = 1.5 * ACK_INTERVAL;
@@ -29,6 +30,21 @@
     }
 }
 
+/// Why a version is reverted; the history keeps the text.
+#[derive(Debug, Error)]
+enum CanaryFailure {
+    #[error("{server} rejected it: {cause}")]
+    Rejected { server: String, cause: String },
+    #[error("{server} restarted while it was a canary")]
+    Restarted { server: String },
+    #[error("{server} is unhealthy under it")]
+    Unhealthy { server: String },
+    #[error("{server} fell silent while it was a canary")]
+    Silent { server: String },
+    #[error("no server could be found that would be a canary")]
+    NoCanaries,
+}
+
 /// What is seen of one canary.
 enum Observation {
     /// Healthy under the version for long enough.
@@ -37,8 +53,8 @@
     Waiting { quiet: bool },
     /// Gone, never heard here, or cut off with its zone: it shows nothing of the version.
     Lost,
-    /// It failed, for this cause.
-    Failed(String),
+    /// It failed.
+    Failed(CanaryFailure),
 }
 
 /// How many canaries were seen to do what.
@@ -101,7 +117,7 @@
         let watch = watch.clone();
         let tally = match self.tally(now, version, &watch) {
             Ok(tally) => tally,
-            Err(cause) => return Some(self.revert(number, cause)),
+            Err(failure) => return Some(self.revert(number, &failure)),
         };
         let overdue = now - watch.started > self.settings.patience;
         if self.may_release(&tally, overdue) {
@@ -139,10 +155,11 @@
             }
             return Some(Command::StartCanary { epoch: self.epoch, number, canaries });
         }
-        (room == 0).then(|| self.revert(number, "no server could be found that would be a canary".into()))
+        (room == 0).then(|| self.revert(number, &CanaryFailure::NoCanaries))
     }
 
-    fn revert(&self, number: u64, cause: String) -> Command {
+    fn revert(&self, number: u64, failure: &CanaryFailure) -> Command {
+        let cause = failure.to_string();
         Command::Revert { epoch: self.epoch, author: self.author.clone(), number, cause }
     }
 
@@ -154,8 +171,8 @@
         (*proposed == number && recent).then(|| canaries.clone())
     }
 
-    /// Counts what the canaries do; the cause where one of them failed.
-    fn tally(&self, now: f64, version: VersionId, watch: &CanaryWatch) -> Result<Tally, String> {
+    /// Counts what the canaries do; an error where one of them failed.
+    fn tally(&self, now: f64, version: VersionId, watch: &CanaryWatch) -> Result<Tally, CanaryFailure> {
         let mut tally = Tally::default();
         for (name, since) in &watch.canaries {
             match self.observe(now, version, name, *since) {
@@ -165,7 +182,7 @@
                     tally.quiet += usize::from(quiet);
                 }
                 Observation::Lost => tally.lost += 1,
-                Observation::Failed(cause) => return Err(cause),
+                Observation::Failed(failure) => return Err(failure),
             }
         }
         Ok(tally)
@@ -175,20 +192,23 @@
     fn observe(&self, now: f64, version: VersionId, name: &str, since: f64) -> Observation {
         let Some(server) = self.servers.get(name) else { return Observation::Lost };
         if let Some(rejected) = server.rejected.as_ref().filter(|rejected| rejected.version == version) {
-            return Observation::Failed(format!("{name} rejected it: {}", rejected.cause));
+            return Observation::Failed(CanaryFailure::Rejected {
+                server: name.into(),
+                cause: rejected.cause.clone(),
+            });
         }
         let has_version = server.active == Some(version);
         if server.restarted_at.is_some_and(|at| at > since) {
-            return Observation::Failed(format!("{name} restarted while it was a canary"));
+            return Observation::Failed(CanaryFailure::Restarted { server: name.into() });
         }
         if has_version && !server.healthy {
-            return Observation::Failed(format!("{name} is unhealthy under it"));
+            return Observation::Failed(CanaryFailure::Unhealthy { server: name.into() });
         }
         if self.is_silent(now, server) {
             if self.is_zone_cut_off(now, name, &server.zone) || server.active.is_none() {
                 return Observation::Lost;
             }
-            return Observation::Failed(format!("{name} fell silent while it was a canary"));
+            return Observation::Failed(CanaryFailure::Silent { server: name.into() });
         }
         if has_version && server.is_proven(self.settings.observation_time) {
             return Observation::Passed;
