--- a/crates/config-rollout/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -46,6 +46,13 @@
     pub stale_replicas: u64,
 }
 
+impl DistributorCounters {
+    fn count_line(&mut self, bytes: usize) {
+        self.bytes += bytes as u64;
+        self.lines += 1;
+    }
+}
+
 /// A message and the server it is for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
@@ -55,6 +62,16 @@
     pub message: DistributorMessage,
 }
 
+/// One round over all servers, by one replica of the history.
+struct Round<'a> {
+    now: f64,
+    history: &'a History,
+    /// How old the replica is, s.
+    age: f64,
+    /// To be sent in this round.
+    messages: Vec<OutgoingMessage>,
+}
+
 /// How far a replica of the history has come.
 #[derive(Clone, Copy, Default)]
 struct ReplicaPosition {
@@ -165,11 +182,11 @@
         self.expire(now);
         self.enqueue_lagging(history);
         self.bucket.refill(now, self.settings.total_rate, self.settings.total_burst);
-        let mut messages = Vec::new();
+        let mut round = Round { now, history, age, messages: Vec::new() };
         for name in self.round_order() {
-            self.serve(now, history, age, &name, &mut messages);
+            self.serve(&mut round, &name);
         }
-        messages
+        round.messages
     }
 
     /// All servers, from the one on that the last round had no bytes left for.
@@ -267,14 +284,8 @@
     }
 
     /// One server's turn in a round: chunks of its transfer, or its target where there is none.
-    fn serve(
-        &mut self,
-        now: f64,
-        history: &History,
-        age: f64,
-        name: &str,
-        messages: &mut Vec<OutgoingMessage>,
-    ) {
+    fn serve(&mut self, round: &mut Round, name: &str) {
+        let (now, history) = (round.now, round.history);
         let DistributorSettings { rate, burst, silence_timeout, .. } = self.settings;
         let Some(server) = self.servers.get_mut(name) else { return };
         server.bucket.refill(now, rate, burst);
@@ -291,55 +302,47 @@
             self.begin_transfer(now, history, name);
         }
         if self.is_sending_to(name) {
-            self.send_chunks(now, name, messages);
+            self.send_chunks(round, name);
         } else {
-            self.send_target(now, history, age, name, messages);
+            self.send_target(round, name);
         }
     }
 
-    fn send_chunks(&mut self, now: f64, name: &str, messages: &mut Vec<OutgoingMessage>) {
+    fn send_chunks(&mut self, round: &mut Round, name: &str) {
         let Some(server) = self.servers.get_mut(name) else { return };
         let Some(transfer) = &mut server.transfer else { return };
-        if transfer.retry_if_lost(now, self.settings.retry_timeout) {
+        if transfer.retry_if_lost(round.now, self.settings.retry_timeout) {
             self.counters.retries += 1;
         }
         while let Some(chunk) = transfer.next_chunk() {
             let end = chunk.offset as usize + chunk.bytes.len();
             let message = DistributorMessage::Chunk(chunk);
-            let cost = message.line_bytes() as f64;
-            if !self.bucket.has(cost) && self.next_server.is_empty() {
+            let cost = message.line_bytes();
+            if !self.bucket.has(cost as f64) && self.next_server.is_empty() {
                 self.next_server = name.to_owned();
             }
-            if !TokenBucket::take_from_both(&mut server.bucket, &mut self.bucket, cost) {
+            if !TokenBucket::take_from_both(&mut server.bucket, &mut self.bucket, cost as f64) {
                 break;
             }
-            self.counters.bytes += cost as u64;
-            self.counters.lines += 1;
-            transfer.sent_up_to(now, end);
-            messages.push(OutgoingMessage { server: name.to_owned(), message });
+            self.counters.count_line(cost);
+            transfer.sent_up_to(round.now, end);
+            round.messages.push(OutgoingMessage { server: name.to_owned(), message });
         }
     }
 
-    fn send_target(
-        &mut self,
-        now: f64,
-        history: &History,
-        age: f64,
-        name: &str,
-        messages: &mut Vec<OutgoingMessage>,
-    ) {
+    fn send_target(&mut self, round: &mut Round, name: &str) {
+        let history = round.history;
         let Some(target) = history.version_id(history.state().target(name)) else { return };
         let Some(server) = self.servers.get_mut(name) else { return };
-        if now - server.last_target < self.settings.target_interval {
+        if round.now - server.last_target < self.settings.target_interval {
             return;
         }
-        let message = DistributorMessage::target(history.seal(), name, target, age, server.sequence);
-        let cost = message.line_bytes() as f64;
-        if TokenBucket::take_from_both(&mut server.bucket, &mut self.bucket, cost) {
-            self.counters.bytes += cost as u64;
-            self.counters.lines += 1;
-            server.last_target = now;
-            messages.push(OutgoingMessage { server: name.to_owned(), message });
+        let message = DistributorMessage::target(history.seal(), name, target, round.age, server.sequence);
+        let cost = message.line_bytes();
+        if TokenBucket::take_from_both(&mut server.bucket, &mut self.bucket, cost as f64) {
+            self.counters.count_line(cost);
+            server.last_target = round.now;
+            round.messages.push(OutgoingMessage { server: name.to_owned(), message });
         }
     }
 }
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -11,12 +11,15 @@
 mod partial_bodies;
 mod receive;
 mod version_log;
+mod versioned_content;
 
-pub use last_good::LastGoodError;
+pub use last_good::{LastGoodError, PROBATION};
 pub use receive::{InvalidField, MessageError, Received};
+pub use version_log::Conflict;
+pub use versioned_content::VersionedContent;
 
 use crate::content::Content;
-use crate::digest::{Digest, Seal, VersionId};
+use crate::digest::{Seal, VersionId};
 use crate::messages::Acknowledgement;
 use crate::validation::ContentValidator;
 use last_good::LastGoodWriter;
@@ -31,33 +34,11 @@
 pub const ACK_INTERVAL: f64 = 1.0;
 /// The same for as long as a version is new, s, so that the lease holder soon knows how the server does under it.
 pub const NEW_VERSION_ACK_INTERVAL: f64 = 0.25;
-/// Time for which a server has to be healthy under a version before that is its last good one, s.
-pub const PROBATION: f64 = 1.0;
 /// Shortest time between two acknowledgements, s, so that a flood of invalid messages is not answered one by one.
 pub const MIN_ACK_INTERVAL: f64 = 0.02;
 /// Acknowledgements whose sending times stay known, for the messages that answer them.
 const MAX_UNANSWERED_ACKS: usize = 64;
 
-/// A content and the version it belongs to.
-#[derive(Clone, Debug, PartialEq)]
-pub struct VersionedContent {
-    /// The version.
-    pub version: VersionId,
-    /// The whole content after it.
-    pub content: Arc<Content>,
-}
-
-/// Two contents under one number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Conflict {
-    /// The number.
-    pub number: u64,
-    /// The digest that was known first and stays.
-    pub known: Digest,
-    /// The digest that came later.
-    pub other: Digest,
-}
-
 /// Events counted since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
--- a/crates/config-rollout/src/follower/last_good.rs
+++ b/crates/config-rollout/src/follower/last_good.rs
@@ -3,7 +3,7 @@
 //! A version becomes the last good one only after the server was healthy under it for a while. One under which the server crashes at once
 //! would otherwise make it crash at every start, faster than a newer version can reach it.
 
-use super::{VersionedContent, PROBATION};
+use super::versioned_content::VersionedContent;
 use crate::content::Content;
 use crate::digest::{Seal, VersionId};
 use crate::setting::ValidationError;
@@ -13,6 +13,9 @@
 use std::sync::Arc;
 use thiserror::Error;
 
+/// Time for which a server has to be healthy under a version before that is its last good one, s.
+pub const PROBATION: f64 = 1.0;
+
 const FORMAT: u32 = 1;
 
 /// The stored form, in postcard: the order of the fields must not change.
--- a/crates/config-rollout/src/follower/receive.rs
+++ b/crates/config-rollout/src/follower/receive.rs
@@ -1,7 +1,9 @@
 //! How a server takes messages from distributors in: bounds first, then the body, its digest, and the server's own checks.
 
 use super::partial_bodies::Extended;
-use super::{Conflict, Follower, VersionedContent};
+use super::version_log::Conflict;
+use super::versioned_content::VersionedContent;
+use super::Follower;
 use crate::change::Change;
 use crate::content::Content;
 use crate::digest::VersionId;
--- a/crates/config-rollout/src/follower/version_log.rs
+++ b/crates/config-rollout/src/follower/version_log.rs
@@ -1,6 +1,5 @@
 //! What a server remembers of the versions it has seen: their digests, those it rejected, and conflicts. All of it is bounded.
 
-use super::Conflict;
 use crate::digest::{Digest, VersionId};
 use crate::messages::RejectedVersion;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,6 +13,17 @@
 /// Bytes of a cause that are kept.
 const MAX_CAUSE_BYTES: usize = 256;
 
+/// Two contents under one number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Conflict {
+    /// The number.
+    pub number: u64,
+    /// The digest that was known first and stays.
+    pub known: Digest,
+    /// The digest that came later.
+    pub other: Digest,
+}
+
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct VersionLog {
     /// By version number; only digests that were found right here.
