--- a/crates/proving/src/picture.rs
+++ b/crates/proving/src/picture.rs
@@ -132,7 +132,7 @@
         }
         // Effects that came late and were refused.
         for (entry, event) in history.told() {
-            let Event::EffectChecked { task: duty, verdict: Verdict::Stale { .. }, chunk: Some(_), .. } =
+            let Event::EffectChecked { task: duty, verdict: Verdict::Stale { .. }, block: Some(_), .. } =
                 event
             else {
                 continue;
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -72,7 +72,7 @@
         } else {
             Vec::new()
         };
-        let event = Event::EffectChecked { task: task, epoch, number, chunk: None, verdict };
+        let event = Event::EffectChecked { task, epoch, number, block: None, verdict };
         Reply { response: Response::Announced { verdict, number, progress }, event: Some(event) }
     }
 
@@ -84,13 +84,15 @@
             self.stored_blocks += u64::from(!block.is_empty());
             self.pending_writes.push(PendingWrite { update, block });
         }
-        if let PutOutcome::Fence(Verdict::Stale { latest: seen }) = outcome {
-            tracing::warn!("{task}: rejected an effect of epoch {epoch}, which epoch {seen} has superseded");
+        if let PutOutcome::Fence(Verdict::Stale { latest }) = outcome {
+            tracing::warn!(
+                "{task}: rejected an effect of epoch {epoch}, which epoch {latest} has superseded"
+            );
         }
         let event = match outcome {
             PutOutcome::Fence(verdict) => {
-                let piece = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
-                Some(Event::EffectChecked { task: task, epoch, number, chunk: piece, verdict })
+                let block = Some(format!("{}/{}#{}", id.file.server, id.file.name, id.position));
+                Some(Event::EffectChecked { task, epoch, number, block, verdict })
             }
             _ => None,
         };
