--- a/crates/control/src/fleet/tests.rs
+++ b/crates/control/src/fleet/tests.rs
@@ -46,6 +46,7 @@
     let mut fleet = FleetView::new(FleetConfig::default());
     fleet.record(0.0, report("n1", 1, 5.0));
     assert_eq!(fleet.record(1.0, report("n1", 2, 4.0)), ReportOutcome::Invalid(InvalidReport::ClockWentBack));
+    assert_eq!(InvalidReport::ClockWentBack.to_string(), "its clock went back");
 }
 
 #[test]
--- a/crates/control/src/plan/tests.rs
+++ b/crates/control/src/plan/tests.rs
@@ -212,3 +212,22 @@
         }
     }
 }
+
+#[test]
+fn limits_of_a_share_are_stored_by_the_texts_that_they_are_shown_by() {
+    let texts = [
+        "",
+        "near its target",
+        "moved the other way just now",
+        "moves step by step",
+        "much moves at once",
+        "takes or gives what others move",
+        "leaves",
+        "says it is not well",
+        "was silent for too long",
+    ];
+    for text in texts {
+        let limit: ShareLimit = serde_json::from_value(text.into()).unwrap();
+        assert_eq!((limit.as_str(), serde_json::to_value(limit).unwrap()), (text, text.into()));
+    }
+}
