--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -227,3 +227,6 @@
     line.extend_from_slice(BASE64_STANDARD.encode(body).as_bytes());
     line.push(b'"');
 }
+
+#[cfg(test)]
+mod tests;
