--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! `puffinladder keeper`, `duties`, `worker` and `trace-store`: one owner at a time for work on behalf of the fleet.
+//! The commands around leases on the fleet's tasks: the lease store, the leases in it, workers and the trace store.
 
-pub mod duties;
-pub mod keeper;
+pub mod common;
+pub mod lease_store;
+pub mod leases;
 pub mod trace_store;
 pub mod worker;
 
@@ -22,8 +23,8 @@
     pub events: EventSink,
     /// ms that a keeper's syncs take longer.
     pub sync_pause: Arc<AtomicU64>,
-    /// A bug in the archive that the checkers must find.
-    pub planted: Option<InjectedBug>,
+    /// A bug in the trace store that the checkers must find.
+    pub injected_bug: Option<InjectedBug>,
 }
 
 impl Ground {
@@ -32,7 +33,7 @@
             clock: Clock::system(),
             events: EventSink(events),
             sync_pause: Arc::default(),
-            planted: None,
+            injected_bug: None,
         }
     }
 }
--- a/crates/cli/tests/hollow.rs
+++ b/crates/cli/tests/emulate.rs
@@ -1,8 +1,8 @@
-//! The hollow against the real: a serving process and a hollow server, each into a listener of its own, have to go through the same story.
+//! The emulated against the real: a serving process and an emulated server, each into a listener of its own, have to go through the same story.
 
-use puffinladder_hollow::counts::Counts;
-use puffinladder_hollow::servers::publish;
-use puffinladder_reports::{Class, State, Who};
+use puffinladder_emulator::connection_stats::ConnectionStats;
+use puffinladder_emulator::publisher::publish;
+use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity};
 use puffinladder_toy::town::Town;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -26,47 +26,49 @@
     Town::open(&["env", &set, PROGRAM, "serve"], |_| {})
 }
 
-/// A hollow one with the same names, and states as they are handed in.
-struct Hollow {
+/// An emulated one with the same names, and states as they are handed in.
+struct Emulated {
     _runtime: tokio::runtime::Runtime,
-    counts: Arc<Counts>,
-    states: Arc<Mutex<Option<State>>>,
+    stats: Arc<ConnectionStats>,
+    states: Arc<Mutex<Option<LoadSample>>>,
 }
 
-fn idle() -> State {
-    State {
-        limit: 1.0,
-        running: 0,
-        takes: 0.0,
+fn idle() -> LoadSample {
+    LoadSample {
+        concurrency_limit: 1.0,
+        in_flight: 0,
+        service_time: 0.0,
         pressure: 0.0,
         retry_after: 0.0,
         healthy: true,
-        leaving: None,
-        settled: 0.0,
+        terminates_in: None,
+        goodput: 0.0,
         classes: Vec::new(),
     }
 }
 
-fn hollow(control: SocketAddr, zone: &str, address: SocketAddr) -> Hollow {
-    let who = Who {
+fn emulate(control: SocketAddr, zone: &str, address: SocketAddr) -> Emulated {
+    let who = ServerIdentity {
         instance: "toy-1".into(),
         incarnation: 1_700_000_000_000_000,
         zone: zone.into(),
         address,
         cores: 4.0,
-        cold: None,
-        cold_share: 1.0,
-        products: [("quote".to_string(), 1.0), ("order".to_string(), 3.0)].into(),
+        warm_up_span: None,
+        initial_capacity: 1.0,
+        products: [("quote", 1.0), ("order", 3.0)]
+            .map(|(name, priority_weight)| Product { name: name.into(), priority_weight })
+            .into(),
         customers: ["acme".to_string()].into(),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let (counts, states) = (Arc::new(Counts::default()), Arc::new(Mutex::new(None)));
-    let (told, given) = (counts.clone(), states.clone());
+    let (stats, states) = (Arc::new(ConnectionStats::default()), Arc::new(Mutex::new(None)));
+    let (counted, given) = (stats.clone(), states.clone());
     runtime.spawn(async move {
         let state = |_: f64| given.lock().unwrap().clone().unwrap_or_else(idle);
-        publish(who, state, &[control], EVERY, &told).await;
+        publish(who, state, &[control], EVERY, &counted).await;
     });
-    Hollow { _runtime: runtime, counts, states }
+    Emulated { _runtime: runtime, stats, states }
 }
 
 struct Heard(BufReader<TcpStream>);
@@ -97,40 +99,40 @@
     }
 }
 
-/// What a real report says, for a hollow server to say the same.
-fn state(of: &Value) -> State {
+/// What a real report says, for an emulated server to say the same.
+fn state(of: &Value) -> LoadSample {
     let number = |value: &Value, key: &str| value[key].as_f64().unwrap();
-    let class = |class: &Value| Class {
+    let class = |class: &Value| ClassLoad {
         product: usize::from(class["product"] == "order"),
         customer: 0,
-        asked: number(class, "asked"),
-        declined: number(class, "declined"),
+        offered: number(class, "asked"),
+        rejected: number(class, "declined"),
     };
-    State {
-        limit: number(of, "limit"),
-        running: of["running"].as_u64().unwrap() as usize,
-        takes: number(of, "takes"),
+    LoadSample {
+        concurrency_limit: number(of, "limit"),
+        in_flight: of["running"].as_u64().unwrap() as usize,
+        service_time: number(of, "takes"),
         pressure: number(of, "pressure"),
         retry_after: number(of, "retry_after"),
         healthy: of["healthy"].as_bool().unwrap(),
-        leaving: of["leaving"].as_f64(),
-        settled: number(of, "settled"),
+        terminates_in: of["leaving"].as_f64(),
+        goodput: number(of, "settled"),
         classes: of["classes"].as_array().unwrap().iter().map(class).collect(),
     }
 }
 
 /// The same but for the last digit, which reading and writing a number may change.
-fn same(one: &State, two: &State) -> bool {
-    let numbers = |s: &State| {
-        let classes = s.classes.iter().flat_map(|c| [c.product as f64, c.asked, c.declined]);
+fn same(one: &LoadSample, two: &LoadSample) -> bool {
+    let numbers = |s: &LoadSample| {
+        let classes = s.classes.iter().flat_map(|c| [c.product as f64, c.offered, c.rejected]);
         let all = [
-            s.limit,
-            s.running as f64,
-            s.takes,
+            s.concurrency_limit,
+            s.in_flight as f64,
+            s.service_time,
             s.pressure,
             s.retry_after,
-            s.settled,
-            s.leaving.unwrap_or(-1.0),
+            s.goodput,
+            s.terminates_in.unwrap_or(-1.0),
         ];
         all.into_iter().chain(classes).collect::<Vec<f64>>()
     };
@@ -139,15 +141,15 @@
 }
 
 #[test]
-fn a_hollow_report_has_the_keys_kinds_and_bytes_of_a_real_one_in_the_same_state() {
+fn an_emulated_report_has_the_keys_kinds_and_bytes_of_a_real_one_in_the_same_state() {
     let folder = tempfile::tempdir().unwrap();
     let listeners = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let town = real(folder.path(), listeners[0].local_addr().unwrap(), "east");
     let mut heard = Heard::accept(&listeners[0]);
     let mut gateway = town.gateway();
-    let hollow = hollow(listeners[1].local_addr().unwrap(), "east", town.server);
+    let emulated = emulate(listeners[1].local_addr().unwrap(), "east", town.server);
     let mut other = Heard::accept(&listeners[1]);
-    // Until it is warm: a hollow one begins so.
+    // Until it is warm: an emulated one begins so.
     while heard.line().1["warmth"] != 1.0 {}
     // Idle at first, then with runs, then with a run that is open.
     let (mut lines, mut busy, mut kinds) = (0, 0, [BTreeSet::new(), BTreeSet::new()]);
@@ -161,7 +163,7 @@
         let (line, value) = heard.line();
         busy += usize::from(value["settled"].as_f64().unwrap() > 0.0);
         let state = state(&value);
-        *hollow.states.lock().unwrap() = Some(state.clone());
+        *emulated.states.lock().unwrap() = Some(state.clone());
         // Those under way were made of the state before.
         let said = (0..400).map(|_| other.line()).find(|(_, said)| same(&self::state(said), &state));
         let (said, value_) = said.unwrap_or_else(|| panic!("never said {state:?}"));
@@ -179,12 +181,12 @@
     let mut last: Option<(u64, f64)> = None;
     for _ in 0..count {
         let (line, value) = heard.line();
-        let (sequence, made) = (value["sequence"].as_u64().unwrap(), value["made"].as_f64().unwrap());
+        let (sequence, created_at) = (value["sequence"].as_u64().unwrap(), value["made"].as_f64().unwrap());
         if let Some((before, when)) = last {
             assert_eq!(sequence, before + 1, "{line}");
-            assert!(made - when >= EVERY.as_secs_f64(), "{when} {line}");
+            assert!(created_at - when >= EVERY.as_secs_f64(), "{when} {line}");
         }
-        last = Some((sequence, made));
+        last = Some((sequence, created_at));
     }
     last.unwrap().0
 }
@@ -213,9 +215,9 @@
     let _town = real(folder.path(), listener.local_addr().unwrap(), "east");
     dies(listener);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let hollow = hollow(listener.local_addr().unwrap(), "east", "127.0.0.1:1".parse().unwrap());
+    let emulated = emulate(listener.local_addr().unwrap(), "east", "127.0.0.1:1".parse().unwrap());
     dies(listener);
-    assert!(hollow.counts.reconnects.get() >= 2);
+    assert!(emulated.stats.reconnects.get() >= 2);
 }
 
 /// What both have to do when their peer stops to read: the connection is given up, if need be in the middle of a line, and the next
@@ -264,9 +266,9 @@
     let _town = real(folder.path(), listener.local_addr().unwrap(), &zone);
     hangs(&listener);
     let listener = narrow();
-    let hollow = hollow(listener.local_addr().unwrap(), &zone, "127.0.0.1:1".parse().unwrap());
+    let emulated = emulate(listener.local_addr().unwrap(), &zone, "127.0.0.1:1".parse().unwrap());
     hangs(&listener);
-    assert_eq!((hollow.counts.reconnects.get(), hollow.counts.links.get()), (1, 1));
+    assert_eq!((emulated.stats.reconnects.get(), emulated.stats.links.get()), (1, 1));
 }
 
 /// The command line, as other programs start it.
@@ -319,10 +321,10 @@
         .expect("its addresses");
     let rest = std::thread::spawn(move || log.count());
     let servers = Said::start(&format!(
-        "hollow servers --count 30 --control {reports} --every 100ms --zones 2 --start-within 100ms"
+        "emulate servers --count 30 --control {reports} --every 100ms --zones 2 --start-within 100ms"
     ));
     let callers = Said::start(&format!(
-        "hollow callers --count 30 --control {xds} --services 3 --zones 2 --start-within 100ms"
+        "emulate callers --count 30 --control {xds} --services 3 --zones 2 --start-within 100ms"
     ));
     let tick = callers.until(|said| said["acked"] == 30 && said["holding"] == 30);
     assert!(tick["event"] == "tick" && tick["connected"] == 30 && tick["version"].is_string(), "{tick}");
@@ -337,7 +339,7 @@
     assert!(tick["acked"].is_null() && (36..=60).contains(&tick["descriptors"].as_u64().unwrap()), "{tick}");
     assert!(servers.term()["messages_sent"].as_u64() >= tick["messages_sent"].as_u64());
     assert_eq!(callers.term()["connected"], 30);
-    let span = Said::start(&format!("hollow servers --count 1 --control {reports} --span 100ms"));
+    let span = Said::start(&format!("emulate servers --count 1 --control {reports} --span 100ms"));
     assert_eq!(span.until(|said| said["event"] == "end")["connected"], 0, "its first report is not due yet");
     let pid = rustix::process::Pid::from_child(&control);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
--- a/crates/config-rollout/src/follower/last_good.rs
+++ b/crates/config-rollout/src/follower/last_good.rs
@@ -3,7 +3,7 @@
 //! A version becomes the last good one only after the server was healthy under it for a while. One under which the server crashes at once
 //! would otherwise make it crash at every start, faster than a newer version can reach it.
 
-use super::{VersionedContent, PROBATION};
+use super::versioned_content::VersionedContent;
 use crate::content::Content;
 use crate::digest::{Seal, VersionId};
 use crate::setting::ValidationError;
@@ -13,6 +13,9 @@
 use std::sync::Arc;
 use thiserror::Error;
 
+/// Time for which a server has to be healthy under a version before that is its last good one, s.
+pub const PROBATION: f64 = 1.0;
+
 const FORMAT: u32 = 1;
 
 /// The stored form, in postcard: the order of the fields must not change.
@@ -27,19 +30,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LastGoodError {
     /// The bytes are no stored version.
-    #[error("its last good version can't be read: {0}")]
+    #[error("the last good version can't be read: {0}")]
     Decode(postcard::Error),
     /// It was written by another release of the program.
-    #[error("its last good version has format {0}, not {FORMAT}")]
+    #[error("the last good version has format {0}, not {FORMAT}")]
     Format(u32),
     /// Its digest is not that of its content.
-    #[error("its last good version is not what its digest says")]
+    #[error("the last good version has another digest than its content")]
     WrongDigest,
     /// A key or value is out of bounds.
     #[error("{0}")]
     OutOfBounds(ValidationError),
     /// The server's own checks reject it.
-    #[error("its last good version is rejected: {0}")]
+    #[error("the last good version is rejected: {0}")]
     Rejected(ValidationError),
 }
 
--- a/crates/hollow/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -1,11 +1,12 @@
 //! A control service and what is played round it, as the stories need them.
 #![allow(dead_code)]
 
-use puffinladder_control::core::Told as Core;
-use puffinladder_control::serve::{start, Running, Setup};
-use puffinladder_control::stream::Lease;
-use puffinladder_hollow::draw::Load;
-use puffinladder_hollow::{callers, servers};
+use puffinladder_control::serve::{start, RunningService, ServeConfig};
+use puffinladder_control::service::ServiceConfig;
+use puffinladder_control::stream::LeaseConfig;
+use puffinladder_emulator::callers::CallersConfig;
+use puffinladder_emulator::servers::ServersConfig;
+use puffinladder_emulator::traffic::Load;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -13,43 +14,43 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-pub async fn service() -> Running {
-    let lease = Lease { heartbeat: 0.2, ..Lease::default() };
-    let mut told = Core { lease, ..Core::default() };
-    (told.times.plan, told.times.settle) = (0.1, 0.2);
+pub async fn service() -> RunningService {
+    let lease = LeaseConfig { heartbeat_interval: 0.2, ..LeaseConfig::default() };
+    let mut config = ServiceConfig { lease, ..ServiceConfig::default() };
+    (config.schedule.interval, config.schedule.min_settle_time) = (0.1, 0.2);
     // So that the memory of those that fell silent is seen to be given back.
-    told.bounds.forget = 3.0;
-    let setup = Setup {
-        told,
+    config.fleet.forget_after = 3.0;
+    let setup = ServeConfig {
+        service: config,
         xds: any(),
         reports: any(),
         debug: None,
         snapshot: None,
-        most_proxies: 1000,
+        max_proxies: 1000,
         tls: None,
     };
     start(setup).await.unwrap()
 }
 
-pub fn some_servers(count: usize, control: &[SocketAddr]) -> servers::Told {
-    servers::Told {
+pub fn some_servers(count: usize, control: &[SocketAddr]) -> ServersConfig {
+    ServersConfig {
         count,
         first: 40,
         control: control.to_vec(),
-        stewards: Vec::new(),
+        workers: Vec::new(),
         load: Load { products: 3, customers: 20, rate: 50.0, calm: false },
-        every: Duration::from_millis(100),
+        report_interval: Duration::from_millis(100),
         zones: 3,
         seed: 7,
         start_within: Duration::from_millis(200),
-        fleet: count,
+        fleet_size: count,
         quota: 100.0,
-        patience: Duration::ZERO,
+        drain_patience: Duration::ZERO,
     }
 }
 
-pub fn some_callers(count: usize, control: &[SocketAddr], incremental: bool) -> callers::Told {
-    callers::Told {
+pub fn some_callers(count: usize, control: &[SocketAddr], incremental: bool) -> CallersConfig {
+    CallersConfig {
         count,
         first: 0,
         control: control.to_vec(),
@@ -58,7 +59,7 @@
         incremental,
         seed: 7,
         start_within: Duration::from_millis(200),
-        bound: Duration::from_secs(2),
+        lease: Duration::from_secs(2),
     }
 }
 
--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -299,7 +299,7 @@
     let mut lives: BTreeMap<&Task, u32> = BTreeMap::new();
     let mut pieces: BTreeSet<&str> = BTreeSet::new();
     for (entry, event) in history.told() {
-        let Event::EffectChecked { task: duty, epoch, number, chunk: piece, verdict } = event else {
+        let Event::EffectChecked { task: duty, epoch, number, block: piece, verdict } = event else {
             continue;
         };
         match verdict {
@@ -365,7 +365,7 @@
     }
 
     fn judged(epoch: Epoch, number: u64, piece: Option<&str>, verdict: Verdict) -> Event {
-        Event::EffectChecked { task: duty(), epoch, number, chunk: piece.map(String::from), verdict }
+        Event::EffectChecked { task: duty(), epoch, number, block: piece.map(String::from), verdict }
     }
 
     fn history(events: Vec<(&str, Event)>) -> History {
