--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -3,7 +3,7 @@
 use crate::say::{Done, Wrong};
 use crate::serve::runtime;
 use clap::{Args, Subcommand, ValueEnum};
-use puffinladder_control::stream::Lease;
+use puffinladder_control::stream::LeaseConfig;
 use puffinladder_emulator::callers::{CallersConfig, EmulatedCallers};
 use puffinladder_emulator::connection_stats::ConnectionStats;
 use puffinladder_emulator::names::{customer, product};
@@ -281,7 +281,7 @@
             incremental: matches!(self.mode, Mode::Delta),
             seed: common.seed,
             start_within: common.start_within,
-            lease: self.bound.unwrap_or(Duration::from_secs_f64(Lease::default().bound)),
+            lease: self.bound.unwrap_or(Duration::from_secs_f64(LeaseConfig::default().max_decision_age)),
         })
     }
 }
--- a/crates/emulator/tests/death.rs
+++ b/crates/emulator/tests/death.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{service, some_callers, some_servers, until};
-use puffinladder_control::serve::Running;
+use puffinladder_control::serve::RunningService;
 use puffinladder_emulator::callers::EmulatedCallers;
 use puffinladder_emulator::process_usage;
 use puffinladder_emulator::servers::EmulatedServers;
@@ -13,7 +13,8 @@
     let (one, two) = (service().await, service().await);
     let servers = EmulatedServers::start(&some_servers(20, &[one.reports, two.reports]));
     let callers = EmulatedCallers::start(&some_callers(40, &[one.xds, two.xds], true));
-    let peers = async |of: &Running| of.desk.ask(|core, _| core.peers()).await.unwrap_or_default();
+    let peers =
+        async |of: &RunningService| of.handle.query(|core, _| core.proxy_count()).await.unwrap_or_default();
     until("callers at both", async || {
         let (here, there) = (peers(&one).await, peers(&two).await);
         here > 0 && there > 0 && here + there == 40
--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -37,7 +37,7 @@
             Happened::Told(Event::EffectChecked {
                 task: duty,
                 epoch,
-                chunk: Some(_),
+                block: Some(_),
                 verdict: Verdict::New,
                 ..
             }) => {
@@ -80,7 +80,7 @@
         };
         let effect = |epoch, verdict| {
             let (duty, piece) = (duty.clone(), Some("a#0".to_string()));
-            Happened::Told(Event::EffectChecked { task: duty, epoch, number: 1, chunk: piece, verdict })
+            Happened::Told(Event::EffectChecked { task: duty, epoch, number: 1, block: piece, verdict })
         };
         history.tell(0.0, "k1", 1, change(1, "s1", ChangeKind::Granted));
         history.tell(1.0, "s1", 0, Happened::Begun { fault: "kill s1".into() });
