--- a/crates/cli/src/fleet/trace_store.rs
+++ b/crates/cli/src/fleet/trace_store.rs
@@ -1,5 +1,6 @@
 //! `puffinladder trace-store`: the trace store as a process, its status, and an export of what it holds.
 
+use super::common::{run_until_stopped, ServiceArgs};
 use super::{ask, failed, Ground};
 use crate::say::{bar, step, Done, Wrong};
 use crate::serve;
@@ -25,12 +26,8 @@
         puffinladder trace-store export --settings archive.scm fleet.trace     while it does not run"
 )]
 pub struct Line {
-    /// Settings with an (archive ...) in them
-    #[arg(long, value_name = "FILE")]
-    settings: Option<PathBuf>,
-    /// Tell what becomes of each block on standard output, a line of JSON each
-    #[arg(long)]
-    events: bool,
+    #[command(flatten)]
+    service: ServiceArgs,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -55,10 +52,8 @@
 pub fn run(line: Line) -> Done {
     match line.command {
         None => {
-            let (name, settings) = serve::settings(line.settings)?;
-            let section = serve::section(&name, SECTION, settings.trace_store.clone())?;
-            serve::log(&settings);
-            serve::runtime()?.block_on(run_service(&section, &Ground::usual(line.events)))
+            let (section, ground) = line.service.load(SECTION, |settings| settings.trace_store.clone())?;
+            serve::runtime()?.block_on(run_service(&section, &ground))
         }
         Some(Command::Status { at }) => serve::runtime()?.block_on(print_status(at)),
         Some(Command::Export { settings, into }) => {
@@ -79,12 +74,8 @@
         events: ground.events,
         injected_bug: ground.injected_bug,
     };
-    let mut running = start(config).await.map_err(|e| failed(e.to_string()))?;
-    let ended = match serve::until_told(running.ended()).await? {
-        Some(ended) => ended,
-        None => running.stop().await,
-    };
-    ended.map_err(|e| failed(e.to_string()))
+    let service = start(config).await.map_err(|e| failed(e.to_string()))?;
+    run_until_stopped(service).await
 }
 
 async fn print_status(at: SocketAddr) -> Done {
--- a/crates/cli/src/fleet/worker.rs
+++ b/crates/cli/src/fleet/worker.rs
@@ -1,5 +1,6 @@
 //! `puffinladder worker`: a process that runs the fleet's tasks that the lease store grants to it.
 
+use super::common::ServiceArgs;
 use super::{failed, Ground};
 use crate::say::Done;
 use crate::serve;
@@ -12,7 +13,7 @@
 use puffinladder_worker::incarnation;
 use puffinladder_worker::service::start;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 /// The section of the settings that is read.
 const SECTION: &str = "steward";
@@ -29,19 +30,13 @@
         SIGTERM hands them over first.\n\nExample:\n  puffinladder worker --settings steward.scm"
 )]
 pub struct Line {
-    /// Settings with a (steward ...) in them
-    #[arg(long, value_name = "FILE")]
-    settings: Option<PathBuf>,
-    /// Tell each grant on standard output, a line of JSON each
-    #[arg(long)]
-    events: bool,
+    #[command(flatten)]
+    service: ServiceArgs,
 }
 
 pub fn run(line: Line) -> Done {
-    let (name, settings) = serve::settings(line.settings)?;
-    let section = serve::section(&name, SECTION, settings.worker.clone())?;
-    serve::log(&settings);
-    serve::runtime()?.block_on(run_service(&section, &Ground::usual(line.events)))
+    let (section, ground) = line.service.load(SECTION, |settings| settings.worker.clone())?;
+    serve::runtime()?.block_on(run_service(&section, &ground))
 }
 
 /// Runs a worker until it is stopped, or a later incarnation of it has spoken.
--- a/crates/cli/tests/line.rs
+++ b/crates/cli/tests/line.rs
@@ -133,6 +133,8 @@
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("none.scm"), "(log)").unwrap();
     for (new, old, rest, section) in [
+        ("lease-store", "keeper", "--settings none.scm", "keeper"),
+        ("lease-store", "keeper", "--settings none.scm --found", "keeper"),
         ("worker", "steward", "--settings none.scm", "steward"),
         ("trace-store", "archive", "--settings none.scm", "archive"),
         ("trace-store", "archive", "export --settings none.scm out.trace", "archive"),
@@ -141,6 +143,11 @@
         assert_eq!(says(new), format!("puffinladder: none.scm: has no ({section} ...)\n"));
         assert_eq!(says(old), says(new));
     }
+    for rest in ["list", "show gather", "move gather/3 s1", "pause gather", "resume gather"] {
+        let says = |command: &str| fails(folder.path(), &format!("{command} {rest}"), 2);
+        assert!(says("leases").contains("--at should name keepers"));
+        assert_eq!(says("duties"), says("leases"));
+    }
 }
 
 #[test]
--- a/crates/lease-store/src/server/counters.rs
+++ b/crates/lease-store/src/server/counters.rs
@@ -1,6 +1,6 @@
-//! What the process counts since its start; the names are part of the status that operators' programs read.
+//! What the process counts since its start; the names are part of the status that operators' programs read. Changes of leases are counted
+//! under their own names, see [`puffinladder_leases::table::Change::counter_name`].
 
-use puffinladder_leases::table::{Cause, Change, ChangeKind};
 use std::collections::BTreeMap;
 
 /// Requests of instances.
@@ -48,33 +48,5 @@
     }
 }
 
-/// The name that changes of this kind and cause are counted under.
-pub(super) fn change_counter(change: &Change) -> String {
-    format!("changes-{}-{}", kind_name(change.kind), cause_name(change.cause))
-}
-
-fn kind_name(kind: ChangeKind) -> &'static str {
-    match kind {
-        ChangeKind::Granted => "given",
-        ChangeKind::Revoked => "takenback",
-        ChangeKind::Ended => "ended",
-    }
-}
-
-fn cause_name(cause: Cause) -> &'static str {
-    match cause {
-        Cause::Vacant => "vacant",
-        Cause::Expired => "expired",
-        Cause::Released => "handedover",
-        Cause::ReleaseTimeout => "nothandedover",
-        Cause::Draining => "draining",
-        Cause::Stalled => "stalled",
-        Cause::Rebalanced => "levelled",
-        Cause::Moved => "moved",
-        Cause::Paused => "paused",
-        Cause::Undeclared => "dropped",
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/lease-store/src/server/counters/tests.rs
+++ b/crates/lease-store/src/server/counters/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use puffinladder_leases::table::{Cause, Change, ChangeKind};
 use puffinladder_leases::{HolderId, Task};
 
 #[test]
@@ -24,7 +25,7 @@
             kind,
             cause,
         };
-        assert_eq!(change_counter(&change), name);
+        assert_eq!(change.counter_name(), name);
     }
 }
 
--- a/crates/lease-store/src/server/event_loop/output.rs
+++ b/crates/lease-store/src/server/event_loop/output.rs
@@ -69,7 +69,7 @@
     }
 
     fn record_change(&mut self, change: Change) {
-        self.counters.increment(&counters::change_counter(&change));
+        self.counters.increment(&change.counter_name());
         if self.replica.is_leader() {
             let verb = match change.kind {
                 ChangeKind::Granted => "granted to",
