--- a/crates/lease-store/src/server/counters/tests.rs
+++ b/crates/lease-store/src/server/counters/tests.rs
@@ -1,5 +1,4 @@
 use super::*;
-use puffinladder_leases::table::{Cause, Change, ChangeKind};
 use puffinladder_leases::{HolderId, Task};
 
 #[test]
@@ -25,7 +24,7 @@
             kind,
             cause,
         };
-        assert_eq!(change.counter_name(), name);
+        assert_eq!(change_counter(&change), name);
     }
 }
 
