--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -881,7 +881,7 @@
         let answer: Option<ReplicaReply> = ask(at, &what).await;
         match answer {
             Some(ReplicaReply::Done) if pause.is_some() => {
-                drop(steps.send(Step::Answered { who, paused: None }))
+                let _ = steps.send(Step::Answered { who, paused: None });
             }
             Some(ReplicaReply::Tasks { leases: rows, .. }) if pause.is_none() => {
                 let paused = rows.iter().any(|row| row.task.name == SPARE && row.paused);
