--- a/crates/cli/src/capacity/bounds.rs
+++ b/crates/cli/src/capacity/bounds.rs
@@ -16,9 +16,14 @@
             "steward-quota",
             "customers",
             coordination::MAX_TENANTS,
-            "CUSTOMERS of crates/leases/src/desk.rs",
+            "MAX_TENANTS of crates/leases/src/coordination.rs",
+        ),
+        bound(
+            "keeper",
+            "instances",
+            table::MAX_INSTANCES,
+            "MAX_INSTANCES of crates/leases/src/table/limits.rs",
         ),
-        bound("keeper", "instances", table::MAX_INSTANCES, "INSTANCES of crates/leases/src/table.rs"),
     ];
     // What holds where a control service's settings say nothing.
     let usual = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\"))";
--- a/crates/gauging/src/control.rs
+++ b/crates/gauging/src/control.rs
@@ -18,7 +18,7 @@
 const CALLERS: usize = 2500;
 const ZONES: usize = 6;
 
-/// What a emulator process says each second.
+/// What an emulator process says each second.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 struct Line {
     at: f64,
@@ -105,7 +105,7 @@
     for (then, now) in before.iter().zip(after) {
         let span = now.at - then.at;
         if span <= 0.0 {
-            return Err("a emulator process said nothing while it was measured".into());
+            return Err("an emulator process said nothing while it was measured".into());
         }
         if now.reconnects > then.reconnects {
             return Err(format!(
@@ -163,7 +163,7 @@
     let mut call = Emulators::start(gauge, folder.path(), "callers", callers, CALLERS, xds, &[])?;
     settle(&mut control, &mut report, &mut call).await?;
     let look = |report: &Emulators, call: &Emulators, control: &Child| -> Result<_, String> {
-        let untold = || "a emulator process says nothing".to_string();
+        let untold = || "an emulator process says nothing".to_string();
         Ok((control.usage()?, report.last().ok_or_else(untold)?, call.last().ok_or_else(untold)?))
     };
     // They say a line a second: of less than two nothing could be told.
--- a/crates/proving/src/scale/stories.rs
+++ b/crates/proving/src/scale/stories.rs
@@ -370,7 +370,7 @@
     Ok(())
 }
 
-/// Shuts the relays before a emulator process, or opens them.
+/// Shuts the relays before an emulator process, or opens them.
 fn shut(world: &World<'_>, party: usize, shut: bool) {
     world.relays(party).for_each(|relay| relay.trouble(Way::Both, |trouble| trouble.shut = shut));
 }
--- a/crates/proving/src/scale/world.rs
+++ b/crates/proving/src/scale/world.rs
@@ -27,7 +27,7 @@
 const FORGET: f64 = 6.0;
 /// Plans without any content after which nothing moves any more.
 const STILL: f64 = 8.0;
-/// How long a emulator process lives if the ground is gone.
+/// How long an emulator process lives if the ground is gone.
 const SPAN: &str = "1h";
 /// s between two reports of a server, as it is told.
 pub const EVERY: f64 = 0.25;
@@ -114,13 +114,13 @@
     Callers,
 }
 
-/// The last that a emulator process told.
+/// The last that an emulator process told.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct Tick {
     pub reconnects: u64,
 }
 
-/// What a emulator process plays.
+/// What an emulator process plays.
 #[derive(Clone, Debug)]
 pub struct Part {
     pub kind: Kind,
@@ -221,7 +221,7 @@
         at.get(place).copied().ok_or_else(|| format!("control service {service} never started"))
     }
 
-    /// Starts a emulator process; all of it comes within the time given, `0s` is at once.
+    /// Starts an emulator process; all of it comes within the time given, `0s` is at once.
     pub async fn play(&mut self, part: Part, within: &str) -> Result<usize, String> {
         let mut relays = Vec::new();
         for &(service, through) in &part.to {
