--- a/crates/gauging/src/seats.rs
+++ b/crates/gauging/src/seats.rs
@@ -1,5 +1,5 @@
 //! Servers as a steward sees them: each a connection that reports four times a second and takes what comes back, all decided by the server's own side of
-//! the two duties ([`Seat`]). Tasks of this process.
+//! the quota and drain tasks ([`QuotaClient`]). Tasks of this process.
 
 use puffinladder_leases::coordination::{CoordinatorReply, QuotaClient};
 use puffinladder_transport::{connect, write_line, LineReader};
