--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -1,61 +1,62 @@
 //! Arrivals: what is queued, replayed from an earlier attempt, or rejected at once.
 
-use super::averages::NEW_SAMPLE;
+use super::averages::EWMA_WEIGHT;
 use super::in_flight::{InFlight, Stage};
 use super::state::AdmissionPolicy;
-use super::timing::MARGIN;
+use super::timing::DEADLINE_MARGIN_S;
 use crate::{Decisions, Idempotency, Reason, Request};
 
 impl AdmissionPolicy {
     /// Queues a request that was read, or replays or rejects it at once.
-    pub(super) fn arrived(&mut self, now: f64, request: &Request, out: &mut impl Decisions) {
-        let request = self.stamp(now, request);
+    pub(super) fn handle_arrival(&mut self, now: f64, request: &Request, decisions: &mut impl Decisions) {
+        let request = self.in_flight_request(now, request);
         let input = request.input;
         let class = &self.classes[input.class];
         let is_keyed = class.settings.idempotency == Idempotency::Keyed;
-        self.retry_advice.learn_arrival(input.is_retry, NEW_SAMPLE);
+        self.retry_advice.record_arrival(input.is_retry, EWMA_WEIGHT);
         if now < request.deadline && !request.over_quota {
-            self.pressure.learn_wait(input.time_unread / class.wait_threshold);
+            self.pressure.record_wait(input.time_unread / class.wait_threshold);
         }
         let arrived = request.arrived;
-        let at = self.requests.insert(request);
-        self.places.insert(input.id, at);
+        let index = self.requests.insert(request);
+        self.index_by_id.insert(input.id, index);
         self.memory.add(input.memory);
         // A retry of a request that is in flight or has run gets that one's result, never a run of its own.
         if input.earlier_attempt != 0 && is_keyed {
-            self.requests[at].stage = Stage::Replaying;
-            out.replay_result(input.id);
+            self.requests[index].stage = Stage::Replaying;
+            decisions.replay_result(input.id);
             return;
         }
-        self.queue.push(at);
-        if self.drain.is_some_and(|drain| arrived > drain.last_arrival - MARGIN) {
-            return self.reject(at, Reason::Draining, out);
+        self.queue.push(index);
+        if self.drain.is_some_and(|drain| arrived > drain.admit_until - DEADLINE_MARGIN_S) {
+            return self.reject(index, Reason::Draining, decisions);
         }
         if is_keyed {
-            self.remember_key(now, at, out);
+            self.remember_key(now, index, decisions);
         }
     }
 
     /// Remembers the key of a queued request, or rejects it: without the memory of its key a retry could run.
-    fn remember_key(&mut self, now: f64, at: usize, out: &mut impl Decisions) {
+    fn remember_key(&mut self, now: f64, index: usize, decisions: &mut impl Decisions) {
         if !self.memory.has_room_for_key() {
-            return self.reject(at, Reason::KeyMemoryFull, out);
+            return self.reject(index, Reason::KeyMemoryFull, decisions);
         }
-        let request = &mut self.requests[at];
+        let request = &mut self.requests[index];
         let dedup_window = self.classes[request.input.class].settings.dedup_window;
-        let span = (dedup_window - request.input.time_unread).max(MARGIN) + MARGIN;
-        out.remember_key(request.input.id, span);
-        request.key_until = Some(now + span);
+        let duration = (dedup_window - request.input.time_unread).max(DEADLINE_MARGIN_S) + DEADLINE_MARGIN_S;
+        decisions.remember_key(request.input.id, duration);
+        request.key_expires_at = Some(now + duration);
         self.memory.add_key();
     }
 
     /// What holds for a request for as long as it is in flight.
-    fn stamp(&mut self, now: f64, request: &Request) -> InFlight {
+    fn in_flight_request(&mut self, now: f64, request: &Request) -> InFlight {
         let input = Request { class: request.class.min(self.classes.len() - 1), ..*request };
         let class = &self.classes[input.class];
         let arrived = now - input.time_unread;
-        let given_up = if input.deadline > 0.0 { input.deadline } else { arrived + class.settings.timeout };
-        let deadline = self.drain.map_or(given_up, |drain| given_up.min(drain.last_answer));
+        let caller_deadline =
+            if input.deadline > 0.0 { input.deadline } else { arrived + class.settings.timeout };
+        let deadline = self.drain.map_or(caller_deadline, |drain| caller_deadline.min(drain.answer_by));
         let objective = class.settings.latency_objective + class.settings.objective_stretch * input.cost_hint;
         let is_hinted = input.cost_hint > 0.0 && class.mean_hint > 0.0;
         let relative_hint = if is_hinted { input.cost_hint / class.mean_hint } else { 1.0 };
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -2,35 +2,35 @@
 
 use super::in_flight::Stage;
 use super::state::AdmissionPolicy;
-use super::timing::MARGIN;
+use super::timing::DEADLINE_MARGIN_S;
 use crate::{Decisions, Reason};
 
 impl AdmissionPolicy {
     /// Fails what is due, and has those that waited too long for a call go on without it.
-    pub(super) fn answer_due(&mut self, now: f64, out: &mut impl Decisions) {
-        for at in 0..self.requests.capacity() {
-            let Some(request) = self.requests.get(at) else { continue };
+    pub(super) fn handle_due_requests(&mut self, now: f64, decisions: &mut impl Decisions) {
+        for index in 0..self.requests.capacity() {
+            let Some(request) = self.requests.get(index) else { continue };
             if request.answered || request.stage == Stage::Queued {
                 continue;
             }
-            if now >= request.deadline - MARGIN {
-                self.fail_due(at, out);
-            } else if self.has_waited_too_long_for_call(now, request) {
+            if now >= request.deadline - DEADLINE_MARGIN_S {
+                self.fail_at_deadline(index, decisions);
+            } else if self.is_call_wait_exceeded(now, request) {
                 self.running += 1;
-                self.give_up_call(now, at, out);
+                self.give_up_call(now, index, decisions);
             }
         }
     }
 
-    fn fail_due(&mut self, at: usize, out: &mut impl Decisions) {
+    fn fail_at_deadline(&mut self, index: usize, decisions: &mut impl Decisions) {
         let is_preemptible = self.is_preemptible();
-        let request = &mut self.requests[at];
-        out.fail(request.input.id, Reason::DeadlineReached);
+        let request = &mut self.requests[index];
+        decisions.fail(request.input.id, Reason::DeadlineReached);
         request.answered = true;
         if request.stage == Stage::Running && is_preemptible {
-            out.preempt(request.input.id);
+            decisions.preempt(request.input.id);
         } else if request.stage == Stage::Replaying {
-            self.remove(at, out);
+            self.remove(index, decisions);
         }
     }
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,33 +1,33 @@
 //! Estimates that the other modules judge by: what runs take, how much cost hints tell, when callers give up.
 
-use super::averages::{moving_average, NEW_SAMPLE, NEW_SAMPLE_QUICK};
-use super::timing::RATE_SPAN;
+use super::averages::{moving_average, EWMA_WEIGHT, FAST_EWMA_WEIGHT};
+use super::timing::RATE_TIME_CONSTANT_S;
 use crate::{Idempotency, RequestClass};
 
 /// Runs over which a base is taken: longer than a fault should count.
-pub(super) const BASE_RUNS: f64 = 200.0;
+pub(super) const BASELINE_SAMPLES: f64 = 200.0;
 /// Runs before a base says anything: the first to end are the short ones.
-const FIRST_RUNS: f64 = 20.0;
+const MIN_BASELINE_SAMPLES: f64 = 20.0;
 /// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes
 /// as much.
-pub(super) const RUN_TIME_RISE: f64 = 1.3;
+pub(super) const TOLERATED_RUN_TIME_RATIO: f64 = 1.3;
 /// Share of its latency objective that a run on a sound machine takes at most.
-const USUAL_SHARE: f64 = 0.33;
+const MAX_REFERENCE_RUN_FRACTION: f64 = 0.33;
 /// Share of the timeout that a request may wait for a slot: the design page's fifth.
-const WAIT_SHARE: f64 = 0.2;
+const WAIT_THRESHOLD_FRACTION: f64 = 0.2;
 /// The same for classes of low weight: tighter, yet over a tenth, so that they queue first.
-const WAIT_SHARE_LOW: f64 = 0.12;
+const LOW_WEIGHT_WAIT_THRESHOLD_FRACTION: f64 = 0.12;
 /// Share of the dearest class's weight up to which a class is of low weight.
-const LOW_WEIGHT: f64 = 0.5;
+const LOW_WEIGHT_FRACTION: f64 = 0.5;
 /// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not
 /// decide.
-const LONGEST_COUNTED: f64 = 3.0;
+const MAX_TIME_TO_HINT_RATIO: f64 = 3.0;
 /// The least work that a request counts for, over the mean of its class: hints can't make it free.
-const LEAST_RELATIVE_WORK: f64 = 0.05;
+const MIN_RELATIVE_WORK: f64 = 0.05;
 /// Weight of a caller in the share of those that gave up: a small server sees one in a second or so.
-const NEW_CALLER: f64 = 0.2;
+const ABANDONMENT_EWMA_WEIGHT: f64 = 0.2;
 /// Share of callers that gave up by their usual age, at which that age is a limit: most do.
-const MOST_GIVE_UP: f64 = 0.5;
+const ABANDONMENT_THRESHOLD_FRACTION: f64 = 0.5;
 
 /// Terms of a class, and what its runs have shown.
 #[derive(Default)]
@@ -46,17 +46,22 @@
     /// Mean cost hint of what ran, not of what came: callers may claim what they like.
     pub mean_hint: f64,
     /// When one of its runs was last open.
-    pub last_open: f64,
+    pub last_open_at: f64,
 }
 
 /// The classes before any run.
 pub(super) fn class_states(classes: &[RequestClass]) -> Vec<ClassState> {
-    let dearest = classes.iter().map(|class| class.priority_weight).max_by(f64::total_cmp);
-    let dearest = dearest.expect("settings that pass validation hold a class");
+    let highest_weight = classes.iter().map(|class| class.priority_weight).max_by(f64::total_cmp);
+    let highest_weight = highest_weight.expect("settings that pass validation hold a class");
     let state = |class: &RequestClass| {
-        let low = class.priority_weight <= LOW_WEIGHT * dearest;
-        let share = if low { WAIT_SHARE_LOW } else { WAIT_SHARE };
-        ClassState { settings: class.clone(), wait_threshold: share * class.timeout, ..ClassState::default() }
+        let is_low_weight = class.priority_weight <= LOW_WEIGHT_FRACTION * highest_weight;
+        let fraction =
+            if is_low_weight { LOW_WEIGHT_WAIT_THRESHOLD_FRACTION } else { WAIT_THRESHOLD_FRACTION };
+        ClassState {
+            settings: class.clone(),
+            wait_threshold: fraction * class.timeout,
+            ..ClassState::default()
+        }
     };
     classes.iter().map(state).collect()
 }
@@ -73,83 +78,87 @@
     }
 
     /// Takes in a run's time on the cores, over its relative work.
-    pub fn learn(&mut self, run_time: f64) {
-        self.run_time = moving_average(self.run_time, run_time, NEW_SAMPLE);
+    pub fn record(&mut self, run_time: f64) {
+        self.run_time = moving_average(self.run_time, run_time, EWMA_WEIGHT);
         self.runs += 1.0;
-        let most = if self.runs < FIRST_RUNS { f64::MAX } else { RUN_TIME_RISE * self.base_run_time };
-        let weight = 1.0 / self.runs.min(BASE_RUNS);
-        self.base_run_time = moving_average(self.base_run_time, run_time.min(most), weight);
+        let max_run_time = if self.runs < MIN_BASELINE_SAMPLES {
+            f64::MAX
+        } else {
+            TOLERATED_RUN_TIME_RATIO * self.base_run_time
+        };
+        let weight = 1.0 / self.runs.min(BASELINE_SAMPLES);
+        self.base_run_time = moving_average(self.base_run_time, run_time.min(max_run_time), weight);
     }
 
     /// What a run of mean size takes at most on a sound machine, by what ran so far.
-    pub fn sound_run_time(&self) -> f64 {
-        self.base_run_time.min(USUAL_SHARE * self.settings.latency_objective)
+    pub fn reference_run_time(&self) -> f64 {
+        self.base_run_time.min(MAX_REFERENCE_RUN_FRACTION * self.settings.latency_objective)
     }
 
     /// The same where nothing may have run yet. One that was slow from its first run has no base to tell
     /// by: runs that outlast their latency objective tell.
-    pub fn usual_run_time(&self) -> f64 {
-        let known = if self.runs < FIRST_RUNS { f64::MAX } else { self.base_run_time };
-        known.min(USUAL_SHARE * self.settings.latency_objective)
+    pub fn expected_run_time(&self) -> f64 {
+        let baseline = if self.runs < MIN_BASELINE_SAMPLES { f64::MAX } else { self.base_run_time };
+        baseline.min(MAX_REFERENCE_RUN_FRACTION * self.settings.latency_objective)
     }
 
     /// Guards against a class once found too slow and never tried again: what no run confirms fades.
-    pub fn fade_unconfirmed(&mut self, now: f64, fade: f64) {
-        if now - self.last_open > RATE_SPAN && self.run_time > self.base_run_time {
-            self.run_time = self.base_run_time + fade * (self.run_time - self.base_run_time);
+    pub fn decay_stale_run_time(&mut self, now: f64, decay: f64) {
+        if now - self.last_open_at > RATE_TIME_CONSTANT_S && self.run_time > self.base_run_time {
+            self.run_time = self.base_run_time + decay * (self.run_time - self.base_run_time);
         }
     }
 }
 
 /// How far cost hints have told the times of runs so far: the slope of one over the other.
 #[derive(Default)]
-pub(super) struct HintTrust {
+pub(super) struct HintRegression {
     covariance: f64,
     variance: f64,
 }
 
-impl HintTrust {
+impl HintRegression {
     /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests
     /// would be given up.
     pub fn relative_work(&self, relative_hint: f64) -> f64 {
-        let trust = ((self.covariance + NEW_SAMPLE) / (self.variance + NEW_SAMPLE)).clamp(0.0, 1.0);
-        (1.0 + trust * (relative_hint - 1.0)).max(LEAST_RELATIVE_WORK)
+        let slope = ((self.covariance + EWMA_WEIGHT) / (self.variance + EWMA_WEIGHT)).clamp(0.0, 1.0);
+        (1.0 + slope * (relative_hint - 1.0)).max(MIN_RELATIVE_WORK)
     }
 
     /// Takes in a run whose time was so many times the class's mean.
-    pub fn learn(&mut self, relative_hint: f64, relative_time: f64) {
-        let hint = relative_hint - 1.0;
-        let time = relative_time.min(LONGEST_COUNTED * relative_hint) - 1.0;
-        self.covariance += NEW_SAMPLE * (hint * time - self.covariance);
-        self.variance += NEW_SAMPLE * (hint * hint - self.variance);
+    pub fn record(&mut self, relative_hint: f64, relative_time: f64) {
+        let hint_deviation = relative_hint - 1.0;
+        let time_deviation = relative_time.min(MAX_TIME_TO_HINT_RATIO * relative_hint) - 1.0;
+        self.covariance += EWMA_WEIGHT * (hint_deviation * time_deviation - self.covariance);
+        self.variance += EWMA_WEIGHT * (hint_deviation * hint_deviation - self.variance);
     }
 }
 
 /// When callers give up without saying so beforehand.
 #[derive(Default)]
-pub(super) struct CallerPatience {
+pub(super) struct CallerAbandonment {
     /// Mean age of a request when its caller gave it up, in seconds.
-    age: f64,
+    mean_age: f64,
     /// Share of callers that gave up by that age.
-    share: f64,
+    abandoned_fraction: f64,
 }
 
-impl CallerPatience {
+impl CallerAbandonment {
     /// A caller gave its request up at this age, in seconds.
-    pub fn gave_up(&mut self, age: f64) {
-        self.age = moving_average(self.age, age, NEW_SAMPLE_QUICK);
-        self.share += NEW_CALLER * (1.0 - self.share);
+    pub fn record_abandoned(&mut self, age: f64) {
+        self.mean_age = moving_average(self.mean_age, age, FAST_EWMA_WEIGHT);
+        self.abandoned_fraction += ABANDONMENT_EWMA_WEIGHT * (1.0 - self.abandoned_fraction);
     }
 
     /// A run ended for a caller that was still there, at this age of its request.
-    pub fn waited_to_the_end(&mut self, age: f64) {
-        if age > self.age {
-            self.share -= NEW_CALLER * self.share;
+    pub fn record_completed(&mut self, age: f64) {
+        if age > self.mean_age {
+            self.abandoned_fraction -= ABANDONMENT_EWMA_WEIGHT * self.abandoned_fraction;
         }
     }
 
     /// The age past which a run is in vain, if most callers are gone by then.
-    pub fn limit(&self) -> Option<f64> {
-        (self.share > MOST_GIVE_UP).then_some(self.age)
+    pub fn age_limit(&self) -> Option<f64> {
+        (self.abandoned_fraction > ABANDONMENT_THRESHOLD_FRACTION).then_some(self.mean_age)
     }
 }
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -32,19 +32,19 @@
     /// Its cost hint over the mean hint of its class; 1 without one.
     pub relative_hint: f64,
     /// Until when its idempotency key is remembered.
-    pub key_until: Option<f64>,
+    pub key_expires_at: Option<f64>,
     /// Where it stands.
     pub stage: Stage,
     /// Its answer is out, or nobody waits for one; the run goes on to its end.
     pub answered: bool,
     /// When its run began, moved on by the time it spent at calls.
-    pub run_began: f64,
+    pub run_started_at: f64,
     /// When it reached its downstream call.
-    pub reached_call: f64,
+    pub call_reached_at: f64,
     /// Calls that failed.
-    pub call_failures: u8,
+    pub failed_calls: u8,
     /// When its call may be made, or made again.
-    pub call_at: f64,
+    pub next_call_at: f64,
     /// It went on to a degraded answer.
     pub call_skipped: bool,
     /// Whether it was beyond its tenant's quota on arrival.
@@ -54,7 +54,7 @@
 impl InFlight {
     /// Goes on after the call that it reached, or without it. The time at the call is no run time.
     pub fn resume(&mut self, now: f64) {
-        self.run_began = self.run_began + now - self.reached_call;
+        self.run_started_at = self.run_started_at + now - self.call_reached_at;
         self.stage = Stage::Running;
     }
 }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -2,25 +2,25 @@
 
 use super::in_flight::{InFlight, Stage};
 use super::state::AdmissionPolicy;
-use super::timing::MARGIN;
+use super::timing::DEADLINE_MARGIN_S;
 use crate::{Decisions, Reason};
 use std::cmp::Ordering;
 
 /// Share of the timeout that a retry may wait for a slot, the source's 10 of 250 ms: its time is mostly gone.
-const WAIT_SHARE_RETRY: f64 = 0.04;
+const RETRY_WAIT_THRESHOLD_FRACTION: f64 = 0.04;
 /// Share of its weight at which a retry is queued: its latency objective began unseen.
-const RETRY_WEIGHT: f64 = 0.3;
+const RETRY_WEIGHT_FACTOR: f64 = 0.3;
 
 /// Place in the queue, and among those that wait for a call: higher weight first, then the older.
 #[derive(Clone, Copy)]
-pub(super) struct Rank {
+pub(super) struct QueuePriority {
     weight: f64,
     negated_arrival: f64,
 }
 
-impl Rank {
+impl QueuePriority {
     /// The greater goes first.
-    pub fn compare(self, other: Rank) -> Ordering {
+    pub fn compare(self, other: QueuePriority) -> Ordering {
         let by_weight = self.weight.total_cmp(&other.weight);
         by_weight.then(self.negated_arrival.total_cmp(&other.negated_arrival))
     }
@@ -28,40 +28,41 @@
 
 impl AdmissionPolicy {
     /// Where a request stands in the order.
-    pub(super) fn rank(&self, at: usize) -> Rank {
-        let request = &self.requests[at];
-        Rank { weight: self.weight_per_work(request), negated_arrival: -request.arrived }
+    pub(super) fn priority(&self, index: usize) -> QueuePriority {
+        let request = &self.requests[index];
+        QueuePriority { weight: self.weight_per_work(request), negated_arrival: -request.arrived }
     }
 
     /// Priority weight of a queued request for each unit of work.
     fn weight_per_work(&self, request: &InFlight) -> f64 {
         let class = &self.classes[request.input.class];
-        let quota = if request.over_quota { self.settings.over_quota_fraction } else { 1.0 };
+        let quota_factor = if request.over_quota { self.settings.over_quota_fraction } else { 1.0 };
         let work = if self.settings.weight_per_work || class.run_time == 0.0 {
             1.0
         } else {
-            class.run_time * self.hints.relative_work(request.relative_hint)
+            class.run_time * self.hint_regression.relative_work(request.relative_hint)
         };
-        let attempt = if request.input.is_retry { RETRY_WEIGHT } else { 1.0 };
-        class.settings.priority_weight * quota * attempt / work
+        let retry_factor = if request.input.is_retry { RETRY_WEIGHT_FACTOR } else { 1.0 };
+        class.settings.priority_weight * quota_factor * retry_factor / work
     }
 
     /// The mechanism: why a queued request is not to run, judged by how long it waited. `contended` says that
     /// another request wants the slot.
-    fn judge(&self, now: f64, request: &InFlight, contended: bool) -> Option<Reason> {
+    fn rejection_reason(&self, now: f64, request: &InFlight, contended: bool) -> Option<Reason> {
         let class = &self.classes[request.input.class];
-        let last = request.deadline - MARGIN;
+        let due = request.deadline - DEADLINE_MARGIN_S;
         // A late answer is worth something to its caller while no one else wants the slot.
-        let limit = if !contended { last } else { last.min(request.arrived + request.objective) };
+        let end_by = if !contended { due } else { due.min(request.arrived + request.objective) };
         // Guards against callers that give up early, unannounced.
-        let limit = self.patience.limit().map_or(limit, |age| limit.min(request.arrived + age));
-        let run_time = class.run_time.max(class.base_run_time * self.slowdown.by_open_runs());
-        let needed = run_time * self.hints.relative_work(request.relative_hint) + class.call_time;
-        if now + needed > limit {
+        let end_by = self.abandonment.age_limit().map_or(end_by, |age| end_by.min(request.arrived + age));
+        let run_time = class.run_time.max(class.base_run_time * self.slowdown.open_run_ratio());
+        let expected_time =
+            run_time * self.hint_regression.relative_work(request.relative_hint) + class.call_time;
+        if now + expected_time > end_by {
             return Some(Reason::InsufficientTime);
         }
         let threshold = if request.input.is_retry {
-            WAIT_SHARE_RETRY * class.settings.timeout
+            RETRY_WAIT_THRESHOLD_FRACTION * class.settings.timeout
         } else {
             class.wait_threshold
         };
@@ -69,66 +70,67 @@
     }
 
     /// Gives freed slots to the best of those that have not waited too long.
-    pub(super) fn start_runs(&mut self, now: f64, out: &mut impl Decisions) {
-        let limit = self.limit.slots(self.warm_up.crowd(now));
-        while self.running < limit && self.crowd_room(now) > 0.0 {
-            let ranks = self.queue.iter().map(|at| self.rank(*at)).enumerate();
-            let Some((place, _)) = ranks.rev().max_by(|a, b| a.1.compare(b.1)) else { return };
-            let at = self.queue[place];
-            let request = &self.requests[at];
-            if let Some(reason) = self.judge(now, request, self.queue.len() > 1) {
-                self.reject(at, reason, out);
+    pub(super) fn start_runs(&mut self, now: f64, decisions: &mut impl Decisions) {
+        let slots = self.concurrency_limit.slots(self.warm_up.sustainable_concurrency(now));
+        while self.running < slots && self.concurrency_headroom(now) > 0.0 {
+            let priorities = self.queue.iter().map(|index| self.priority(*index)).enumerate();
+            let Some((position, _)) = priorities.rev().max_by(|a, b| a.1.compare(b.1)) else { return };
+            let index = self.queue[position];
+            let request = &self.requests[index];
+            if let Some(reason) = self.rejection_reason(now, request, self.queue.len() > 1) {
+                self.reject(index, reason, decisions);
                 continue;
             }
             if self.memory.is_too_full_to_run(request) && self.running + self.calling > 0 {
                 return;
             }
-            self.queue.swap_remove(place);
-            self.start_run(now, at, out);
+            self.queue.swap_remove(position);
+            self.start_run(now, index, decisions);
         }
     }
 
-    fn start_run(&mut self, now: f64, at: usize, out: &mut impl Decisions) {
-        let request = &mut self.requests[at];
+    fn start_run(&mut self, now: f64, index: usize, decisions: &mut impl Decisions) {
+        let request = &mut self.requests[index];
         request.stage = Stage::Running;
-        request.run_began = now;
+        request.run_started_at = now;
         self.memory.start_run(request);
         self.running += 1;
-        out.run(request.input.id);
+        decisions.run(request.input.id);
     }
 
     /// Judges the queue between slots too, so that what is given up is answered at once.
-    pub(super) fn judge_queue(&mut self, now: f64, out: &mut impl Decisions) {
-        for place in (0..self.queue.len()).rev() {
-            let at = self.queue[place];
-            let request = &self.requests[at];
-            let counts = !request.input.is_retry && !request.over_quota;
-            let waited = if counts { now - request.arrived } else { 0.0 };
-            self.pressure.learn_wait(waited / self.classes[request.input.class].wait_threshold);
-            if let Some(reason) = self.judge(now, request, true) {
-                self.reject(at, reason, out);
+    pub(super) fn reject_overdue(&mut self, now: f64, decisions: &mut impl Decisions) {
+        for position in (0..self.queue.len()).rev() {
+            let index = self.queue[position];
+            let request = &self.requests[index];
+            let counts_for_pressure = !request.input.is_retry && !request.over_quota;
+            let waited = if counts_for_pressure { now - request.arrived } else { 0.0 };
+            self.pressure.record_wait(waited / self.classes[request.input.class].wait_threshold);
+            if let Some(reason) = self.rejection_reason(now, request, true) {
+                self.reject(index, reason, decisions);
             }
         }
     }
 
     /// Keeps queued memory under the machine's, and what a cold server has in flight within its ramp, lowest
     /// rank first.
-    pub(super) fn cut_queue(&mut self, now: f64, out: &mut impl Decisions) {
-        let mut was_cut_for_ramp = false;
+    pub(super) fn shed_queue(&mut self, now: f64, decisions: &mut impl Decisions) {
+        let mut shed_for_warm_up = false;
         loop {
-            let over_memory = self.memory.is_over();
-            let over_ramp = self.ramp_left(now) < 0.0;
-            if !over_memory && !over_ramp {
+            let is_over_memory = self.memory.is_over();
+            let is_over_in_flight_limit = self.in_flight_headroom(now) < 0.0;
+            if !is_over_memory && !is_over_in_flight_limit {
                 break;
             }
-            let ranks = self.queue.iter().map(|&at| (at, self.rank(at)));
-            let Some((at, _)) = ranks.min_by(|a, b| a.1.compare(b.1)) else { break };
-            let reason = if over_memory { Reason::MemoryPressure } else { Reason::WarmingUp };
-            self.reject(at, reason, out);
-            was_cut_for_ramp |= !over_memory;
+            let priorities = self.queue.iter().map(|&index| (index, self.priority(index)));
+            let Some((index, _)) = priorities.min_by(|a, b| a.1.compare(b.1)) else { break };
+            let reason = if is_over_memory { Reason::MemoryPressure } else { Reason::WarmingUp };
+            self.reject(index, reason, decisions);
+            shed_for_warm_up |= !is_over_memory;
         }
-        if was_cut_for_ramp {
-            self.send_signal(now, 1.0, out); // the rejected hear it, not what was sent a step ago
+        if shed_for_warm_up {
+            // The rejected callers must receive the present signal, not that of the last control step.
+            self.send_signal(now, 1.0, decisions);
         }
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -3,27 +3,27 @@
 use crate::Tenant;
 
 /// Seconds of a quota that a bucket holds, beside what chance puts on it: bursts are over by then.
-const QUOTA_BURST: f64 = 1.0;
+const QUOTA_BURST_S: f64 = 1.0;
 
 /// This server's part of a tenant's quota, as a bucket that fills at that rate.
 pub(super) struct QuotaBucket {
     /// Tokens a second.
     rate: f64,
     tokens: f64,
-    filled_at: f64,
+    refilled_at: f64,
 }
 
 impl QuotaBucket {
     /// An empty bucket for one of so many servers.
     pub fn new(tenant: &Tenant, servers: f64) -> QuotaBucket {
-        QuotaBucket { rate: tenant.quota / servers, tokens: 0.0, filled_at: 0.0 }
+        QuotaBucket { rate: tenant.quota / servers, tokens: 0.0, refilled_at: 0.0 }
     }
 
     /// Whether a request that comes now is beyond the quota. Only a first attempt within it takes a token.
     pub fn is_over(&mut self, now: f64, is_first_attempt: bool) -> bool {
-        let most = QUOTA_BURST * self.rate + self.rate.sqrt();
-        self.tokens = (self.tokens + (now - self.filled_at) * self.rate).min(most);
-        self.filled_at = now;
+        let capacity = QUOTA_BURST_S * self.rate + self.rate.sqrt();
+        self.tokens = (self.tokens + (now - self.refilled_at) * self.rate).min(capacity);
+        self.refilled_at = now;
         let is_over = self.tokens < 1.0;
         if is_first_attempt && !is_over {
             self.tokens -= 1.0;
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -5,44 +5,45 @@
 use crate::{Decisions, Reason};
 
 /// Rise of run time up to which a crowded machine counts as sound.
-const SOUND_RISE: f64 = 2.5;
+const HEALTHY_RUN_TIME_RATIO: f64 = 2.5;
 /// Requests of its caller that a rejection may keep away: a few, since it is one of many.
-const KEPT_AWAY: f64 = 4.0;
+const MAX_DEFERRED_REQUESTS: f64 = 4.0;
 /// Runs a second that count as finished at least: the advice is divided by them.
-const LEAST_RATE: f64 = 0.1;
+const MIN_COMPLETION_RATE: f64 = 0.1;
 
 impl AdmissionPolicy {
     /// Rejects a queued request, which never ran here, with advice to keep off.
-    pub(super) fn reject(&mut self, at: usize, reason: Reason, out: &mut impl Decisions) {
-        let request = self.remove(at, out);
+    pub(super) fn reject(&mut self, index: usize, reason: Reason, decisions: &mut impl Decisions) {
+        let request = self.remove(index, decisions);
         // Where retries are frequent the others are full too: to forward it would only cost reading.
-        let is_full_everywhere = request.input.is_retry || self.retry_advice.is_full_everywhere();
-        let last = reason != Reason::Draining && is_full_everywhere;
+        let is_fleet_overloaded = request.input.is_retry || self.retry_advice.is_fleet_overloaded();
+        let do_not_forward = reason != Reason::Draining && is_fleet_overloaded;
         let retry_after = self.retry_after();
-        out.reject(request.input.id, retry_after, last, reason);
+        decisions.reject(request.input.id, retry_after, do_not_forward, reason);
         self.rejections.add(request.input.class, reason);
     }
 
     /// Logs what was rejected, once an interval.
-    pub(super) fn log_rejections(&mut self, now: f64, out: &mut impl Decisions) {
+    pub(super) fn log_rejections(&mut self, now: f64, decisions: &mut impl Decisions) {
         if let Some(counts) = self.rejections.take_text(now) {
-            let (runs, calls) = (self.limit.runs(), self.calls.window());
-            out.log(&format!("rejected:{counts} limit {runs:.1}, calls {calls:.1}"));
+            let (runs, calls) = (self.concurrency_limit.runs(), self.call_window.window());
+            decisions.log(&format!("rejected:{counts} limit {runs:.1}, calls {calls:.1}"));
         }
     }
 
     fn retry_after(&mut self) -> f64 {
-        let is_sound = self.slowdown.rise() < SOUND_RISE && self.drain.is_none();
-        let drawn = self.retry_advice.draw_retry_after(is_sound);
+        let is_healthy = self.slowdown.run_time_ratio() < HEALTHY_RUN_TIME_RATIO && self.drain.is_none();
+        let delay = self.retry_advice.random_retry_after(is_healthy);
         // Where callers are few each brings much: kept off for long they would leave the cores idle in turns.
-        let bounded = drawn.min(KEPT_AWAY * self.callers / self.completion_rate.max(LEAST_RATE));
-        if self.ramp_left(self.last_round) >= 1.0 {
+        let bounded =
+            delay.min(MAX_DEFERRED_REQUESTS * self.callers / self.completion_rate.max(MIN_COMPLETION_RATE));
+        if self.in_flight_headroom(self.last_round) >= 1.0 {
             return bounded;
         }
         // While it is cold and its ramp is used up, all callers together come back no faster than its crowd
         // is renewed.
-        let crowd = self.warm_up.crowd(self.last_round);
-        let turn = self.callers * self.settings.overload_window / crowd;
-        bounded.max(turn.min(self.retry_advice.longest()))
+        let sustainable_concurrency = self.warm_up.sustainable_concurrency(self.last_round);
+        let renewal_time = self.callers * self.settings.overload_window / sustainable_concurrency;
+        bounded.max(renewal_time.min(self.retry_advice.max_retry_after()))
     }
 }
--- a/src/policy/rounds.rs
+++ b/src/policy/rounds.rs
@@ -1,164 +1,176 @@
 //! A round: the order in which the policy reads what happened, and the steps of what adapts slowly.
 
-use super::averages::{moving_average, NEW_SAMPLE};
+use super::averages::{moving_average, EWMA_WEIGHT};
 use super::health::RunAges;
 use super::in_flight::Stage;
 use super::state::{AdmissionPolicy, Drain};
-use super::timing::{MARGIN, RATE_SPAN, STEP, TICK};
+use super::timing::{CONTROL_INTERVAL_S, DEADLINE_MARGIN_S, RATE_TIME_CONSTANT_S, TICK_INTERVAL_S};
 use crate::{Completion, Decisions, Gauges, Outcome, Round};
 
 impl AdmissionPolicy {
     /// Takes in all that happened since the last round and writes what is decided.
-    pub fn decide(&mut self, round: &Round, out: &mut impl Decisions) {
+    pub fn decide(&mut self, round: &Round, decisions: &mut impl Decisions) {
         let now = round.now;
         if !self.warm_up.has_started() {
-            self.begin(now, out);
+            self.start(now, decisions);
         }
-        round.finished_calls.iter().for_each(|completion| self.call_finished(now, completion, out));
-        round.awaiting_call.iter().for_each(|id| self.call_reached(now, *id));
-        round.finished_runs.iter().for_each(|completion| self.run_finished(now, completion, out));
-        let alone = round.abandoned.len() == 1;
-        round.abandoned.iter().for_each(|id| self.abandoned(now, *id, alone, out));
-        if let Some(kill) = round.drain_deadline {
-            self.begin_drain(now, kill, out);
+        round
+            .finished_calls
+            .iter()
+            .for_each(|completion| self.handle_call_finished(now, completion, decisions));
+        round.awaiting_call.iter().for_each(|id| self.handle_call_reached(now, *id));
+        round
+            .finished_runs
+            .iter()
+            .for_each(|completion| self.handle_run_finished(now, completion, decisions));
+        let is_single = round.abandoned.len() == 1;
+        round.abandoned.iter().for_each(|id| self.handle_abandonment(now, *id, is_single, decisions));
+        if let Some(kill_at) = round.drain_deadline {
+            self.begin_drain(now, kill_at, decisions);
         }
-        self.take_stock(now);
-        round.arrivals.iter().for_each(|request| self.arrived(now, request, out));
+        self.update_usage(now);
+        round.arrivals.iter().for_each(|request| self.handle_arrival(now, request, decisions));
         if let Some(gauges) = round.tick {
-            self.tick(now, &gauges, out);
+            self.tick(now, &gauges, decisions);
         }
-        self.open_calls(now, out);
-        self.start_runs(now, out);
+        self.open_calls(now, decisions);
+        self.start_runs(now, decisions);
     }
 
     /// The first round of the process.
-    fn begin(&mut self, now: f64, out: &mut impl Decisions) {
+    fn start(&mut self, now: f64, decisions: &mut impl Decisions) {
         self.warm_up.start(now);
         self.rejections.start(now);
-        (self.last_round, self.last_step) = (now, now);
-        out.set_health(true, true);
-        out.schedule_tick(TICK);
+        (self.last_round, self.last_control_step) = (now, now);
+        decisions.set_health(true, true);
+        decisions.schedule_tick(TICK_INTERVAL_S);
         if self.warm_up.may_be_cold() {
-            self.step_signal(now, 0.0, out); // the first answer carries it: callers come unprompted
+            // Callers send to a new server at once, so that its first answer must carry the signal.
+            self.step_signal(now, 0.0, decisions);
         }
     }
 
     /// Serves what arrives within the grace, and answers all before the kill.
-    fn begin_drain(&mut self, now: f64, kill: f64, out: &mut impl Decisions) {
-        let last_answer = kill - MARGIN;
-        self.drain = Some(Drain { last_arrival: now + self.settings.drain_grace, last_answer });
-        out.set_health(false, true);
+    fn begin_drain(&mut self, now: f64, kill_at: f64, decisions: &mut impl Decisions) {
+        let answer_by = kill_at - DEADLINE_MARGIN_S;
+        self.drain = Some(Drain { admit_until: now + self.settings.drain_grace, answer_by });
+        decisions.set_health(false, true);
         for (_, request) in &mut self.requests {
-            request.deadline = request.deadline.min(last_answer);
+            request.deadline = request.deadline.min(answer_by);
         }
     }
 
-    fn run_finished(&mut self, now: f64, completion: &Completion, out: &mut impl Decisions) {
-        let Some(&at) = self.places.get(&completion.id) else { return };
-        let request = &self.requests[at];
+    fn handle_run_finished(&mut self, now: f64, completion: &Completion, decisions: &mut impl Decisions) {
+        let Some(&index) = self.index_by_id.get(&completion.id) else { return };
+        let request = &self.requests[index];
         if request.stage == Stage::Queued {
             return;
         }
-        self.completion_rate += 1.0 / RATE_SPAN;
+        self.completion_rate += 1.0 / RATE_TIME_CONSTANT_S;
         if !request.answered {
-            self.patience.waited_to_the_end(now - request.arrived);
+            self.abandonment.record_completed(now - request.arrived);
         }
         if completion.outcome == Outcome::Completed
             && request.stage == Stage::Running
             && !request.call_skipped
         {
-            self.learn_run_time(now, at);
+            self.record_run_time(now, index);
         }
-        if self.requests[at].stage == Stage::Calling {
-            self.calls.abandon(now);
+        if self.requests[index].stage == Stage::Calling {
+            self.call_window.abandon(now);
         }
-        self.remove(at, out);
+        self.remove(index, decisions);
     }
 
     /// A caller gave its request up. Those that go together went with their connection or gateway; one that
     /// goes `alone` has lost patience.
-    fn abandoned(&mut self, now: f64, id: u32, alone: bool, out: &mut impl Decisions) {
-        let Some(&at) = self.places.get(&id) else { return };
+    fn handle_abandonment(&mut self, now: f64, id: u32, is_single: bool, decisions: &mut impl Decisions) {
+        let Some(&index) = self.index_by_id.get(&id) else { return };
         let is_preemptible = self.is_preemptible();
-        let request = &mut self.requests[at];
+        let request = &mut self.requests[index];
         request.answered = true;
         let class = &self.classes[request.input.class];
         // One that goes before any run could have ended is not waiting for one.
-        if alone && now - request.arrived > class.base_run_time {
-            self.patience.gave_up(now - request.arrived);
+        if is_single && now - request.arrived > class.base_run_time {
+            self.abandonment.record_abandoned(now - request.arrived);
         }
         match request.stage {
-            Stage::Queued | Stage::Replaying => drop(self.remove(at, out)),
+            Stage::Queued | Stage::Replaying => drop(self.remove(index, decisions)),
             // Nobody waits: free the core. A keyed run goes on, since a retry may want its result.
-            Stage::Running if is_preemptible && class.is_idempotent() => out.preempt(id),
+            Stage::Running if is_preemptible && class.is_idempotent() => decisions.preempt(id),
             _ => {}
         }
     }
 
     /// Counts what runs, what calls and the memory in use, and how old the open runs are.
-    fn take_stock(&mut self, now: f64) {
-        self.calls.update_mean(now - self.last_round, self.calling);
+    fn update_usage(&mut self, now: f64) {
+        self.call_window.update_mean(now - self.last_round, self.calling);
         self.last_round = now;
         self.memory.begin_count(now);
         (self.running, self.calling) = (0, 0);
-        let mut ages = RunAges::default();
+        let mut run_ages = RunAges::default();
         for (_, request) in &self.requests {
             self.memory.count(request);
             self.calling += usize::from(request.stage == Stage::Calling);
             if request.stage == Stage::Running {
                 self.running += 1;
                 let class = &mut self.classes[request.input.class];
-                class.last_open = now;
-                let usual = class.usual_run_time() * self.hints.relative_work(request.relative_hint);
-                ages.add(now, request.run_began, usual);
+                class.last_open_at = now;
+                let expected =
+                    class.expected_run_time() * self.hint_regression.relative_work(request.relative_hint);
+                run_ages.add(now, request.run_started_at, expected);
             }
         }
-        self.slowdown.compare_ages(&ages, self.running, self.settings.cores);
+        self.slowdown.update_open_runs(&run_ages, self.running, self.settings.cores);
     }
 
     /// The work of a scheduled tick; once a step, of all that adapts slowly.
-    fn tick(&mut self, now: f64, gauges: &Gauges, out: &mut impl Decisions) {
-        out.schedule_tick(TICK);
-        self.answer_due(now, out);
-        self.judge_queue(now, out);
-        self.cut_queue(now, out);
-        if now - self.last_step < STEP {
+    fn tick(&mut self, now: f64, gauges: &Gauges, decisions: &mut impl Decisions) {
+        decisions.schedule_tick(TICK_INTERVAL_S);
+        self.handle_due_requests(now, decisions);
+        self.reject_overdue(now, decisions);
+        self.shed_queue(now, decisions);
+        if now - self.last_control_step < CONTROL_INTERVAL_S {
             return;
         }
-        let fade = (-(now - self.last_step) / RATE_SPAN).exp();
-        self.last_step = now;
-        self.completion_rate *= fade;
-        self.classes.iter_mut().for_each(|class| class.fade_unconfirmed(now, fade));
-        let rise = self.slowdown.by_finished_runs();
-        self.limit.step(gauges, self.running, self.queue.is_empty(), rise);
-        self.step_signal(now, gauges.busy.unwrap_or(0.0), out);
-        self.step_health(now, out);
+        let decay = (-(now - self.last_control_step) / RATE_TIME_CONSTANT_S).exp();
+        self.last_control_step = now;
+        self.completion_rate *= decay;
+        self.classes.iter_mut().for_each(|class| class.decay_stale_run_time(now, decay));
+        let run_time_ratio = self.slowdown.finished_run_ratio();
+        self.concurrency_limit.step(gauges, self.running, self.queue.is_empty(), run_time_ratio);
+        self.step_signal(now, gauges.busy.unwrap_or(0.0), decisions);
+        self.step_health(now, decisions);
         self.keepalive.step(gauges.sockets.unwrap_or(0.0));
-        out.set_keepalive(self.keepalive.span());
-        out.record_limits(self.limit.runs(), self.calls.window(), self.pressure.value());
+        decisions.set_keepalive(self.keepalive.timeout());
+        decisions.record_limits(
+            self.concurrency_limit.runs(),
+            self.call_window.window(),
+            self.pressure.value(),
+        );
         self.pressure.begin_step();
-        self.log_rejections(now, out);
+        self.log_rejections(now, decisions);
     }
 
     /// Takes in the time of a run that completed with all its calls.
-    fn learn_run_time(&mut self, now: f64, at: usize) {
-        let request = &self.requests[at];
-        let span = now - request.run_began;
-        let on_cores = span / self.hints.relative_work(request.relative_hint);
+    fn record_run_time(&mut self, now: f64, index: usize) {
+        let request = &self.requests[index];
+        let run_time = now - request.run_started_at;
+        let normalized_run_time = run_time / self.hint_regression.relative_work(request.relative_hint);
         let class = &mut self.classes[request.input.class];
         if request.input.cost_hint > 0.0 {
-            class.mean_hint = moving_average(class.mean_hint, request.input.cost_hint, NEW_SAMPLE);
+            class.mean_hint = moving_average(class.mean_hint, request.input.cost_hint, EWMA_WEIGHT);
         }
-        self.hints.learn(request.relative_hint, span / class.run_time);
-        class.learn(on_cores);
-        self.slowdown.learn_run(on_cores / class.sound_run_time());
+        self.hint_regression.record(request.relative_hint, run_time / class.run_time);
+        class.record(normalized_run_time);
+        self.slowdown.record_run(normalized_run_time / class.reference_run_time());
     }
 
-    fn step_health(&mut self, now: f64, out: &mut impl Decisions) {
-        let rise = self.slowdown.rise();
-        self.health.observe(now, rise, self.pressure.are_waits_short());
+    fn step_health(&mut self, now: f64, decisions: &mut impl Decisions) {
+        let run_time_ratio = self.slowdown.run_time_ratio();
+        self.health.observe(now, run_time_ratio, self.pressure.are_waits_short());
         if self.settings.endpoints_follow_health && self.drain.is_none() {
-            self.health.step(now, rise, out);
+            self.health.step(now, run_time_ratio, decisions);
         }
     }
 }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -2,7 +2,7 @@
 
 use super::call_window::CallWindow;
 use super::concurrency::{self, ConcurrencyLimit};
-use super::estimates::{self, CallerPatience, ClassState, HintTrust};
+use super::estimates::{self, CallerAbandonment, ClassState, HintRegression};
 use super::health::{Health, Keepalive, Slowdown};
 use super::in_flight::{InFlight, Stage};
 use super::memory::MemoryBudget;
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy)]
 pub(super) struct Drain {
     /// Requests that arrive later must not run.
-    pub last_arrival: f64,
+    pub admit_until: f64,
     /// All requests are answered by then.
-    pub last_answer: f64,
+    pub answer_by: f64,
 }
 
 /// The policy of one server, for as long as its process lives.
@@ -33,18 +33,19 @@
 
     /// Requests in flight, by place.
     pub(super) requests: Slab<InFlight>,
-    pub(super) places: HashMap<u32, usize>,
+    pub(super) index_by_id: HashMap<u32, usize>,
     /// Places of those that are queued.
     pub(super) queue: Vec<usize>,
     /// Requests on the cores, and those with a downstream call open.
     pub(super) running: usize,
+    /// Number of requests with an open downstream call.
     pub(super) calling: usize,
 
     pub(super) memory: MemoryBudget,
-    pub(super) hints: HintTrust,
-    pub(super) patience: CallerPatience,
-    pub(super) limit: ConcurrencyLimit,
-    pub(super) calls: CallWindow,
+    pub(super) hint_regression: HintRegression,
+    pub(super) abandonment: CallerAbandonment,
+    pub(super) concurrency_limit: ConcurrencyLimit,
+    pub(super) call_window: CallWindow,
     pub(super) warm_up: WarmUp,
     pub(super) pressure: Pressure,
     pub(super) slowdown: Slowdown,
@@ -55,7 +56,7 @@
 
     pub(super) drain: Option<Drain>,
     pub(super) last_round: f64,
-    pub(super) last_step: f64,
+    pub(super) last_control_step: f64,
     /// Runs that end, a second.
     pub(super) completion_rate: f64,
 }
@@ -77,15 +78,15 @@
                 .map(|tenant| QuotaBucket::new(tenant, settings.servers))
                 .collect(),
             requests: Slab::new(),
-            places: HashMap::new(),
+            index_by_id: HashMap::new(),
             queue: Vec::new(),
             running: 0,
             calling: 0,
             memory: MemoryBudget::new(settings),
-            hints: HintTrust::default(),
-            patience: CallerPatience::default(),
-            limit: ConcurrencyLimit::new(settings),
-            calls: CallWindow::new(settings),
+            hint_regression: HintRegression::default(),
+            abandonment: CallerAbandonment::default(),
+            concurrency_limit: ConcurrencyLimit::new(settings),
+            call_window: CallWindow::new(settings),
             warm_up: WarmUp::new(settings),
             pressure: Pressure::new(settings),
             slowdown: Slowdown::default(),
@@ -95,7 +96,7 @@
             rejections: RejectionLog::default(),
             drain: None,
             last_round: 0.0,
-            last_step: 0.0,
+            last_control_step: 0.0,
             completion_rate: 0.0,
         }
     }
@@ -106,27 +107,30 @@
     }
 
     /// Drops a request that is no longer in flight. One that never ran leaves no idempotency key behind.
-    pub(super) fn remove(&mut self, at: usize, out: &mut impl Decisions) -> InFlight {
-        let request = self.requests.remove(at);
-        self.places.remove(&request.input.id);
+    pub(super) fn remove(&mut self, index: usize, decisions: &mut impl Decisions) -> InFlight {
+        let request = self.requests.remove(index);
+        self.index_by_id.remove(&request.input.id);
         if request.stage == Stage::Queued {
             self.memory.release_queued(&request);
-            self.queue.retain(|queued| *queued != at);
-            if request.key_until.is_some() {
-                out.forget_key(request.input.id);
+            self.queue.retain(|queued| *queued != index);
+            if request.key_expires_at.is_some() {
+                decisions.forget_key(request.input.id);
             }
         }
         request
     }
 
     /// How many more may run or call.
-    pub(super) fn crowd_room(&self, now: f64) -> f64 {
-        concurrency::room_with_calls(self.warm_up.crowd(now), self.running + self.calling)
+    pub(super) fn concurrency_headroom(&self, now: f64) -> f64 {
+        concurrency::headroom_with_calls(
+            self.warm_up.sustainable_concurrency(now),
+            self.running + self.calling,
+        )
     }
 
     /// How many more a cold server may have in flight, queued and run. Guards against all callers finding it
     /// at once, each of which knows only what it sends itself.
-    pub(super) fn ramp_left(&self, now: f64) -> f64 {
-        self.warm_up.ramp(now) - (self.queue.len() + self.running + self.calling) as f64
+    pub(super) fn in_flight_headroom(&self, now: f64) -> f64 {
+        self.warm_up.in_flight_limit(now) - (self.queue.len() + self.running + self.calling) as f64
     }
 }
