--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! Admission policy of one server: which requests it admits, runs and rejects, and what it tells its callers.
+//! Admission policy of one server: which requests it admits, runs and rejects, and what it signals to
+//! callers.
 //!
-//! [`AdmissionPolicy`] makes every decision. A host feeds it one [`Round`] at a time, with everything that
-//! happened since the round before, and the policy answers through the host's [`Decisions`]. The package
-//! knows no protocol, no clock and no thread: the host translates its own messages and carries out what is
-//! decided.
+//! [`AdmissionPolicy`] makes every decision. A host passes it one [`Round`] at a time with all events since
+//! the previous round, and the policy writes its decisions to the host's [`Decisions`]. The crate has no
+//! protocol, clock or threads: the host translates its own messages and carries out the decisions.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,70 +1,70 @@
-//! How runs and calls come out, and why requests are not settled.
+//! Outcomes of runs and calls, and reasons of rejections and failures.
 
-/// How a run or a downstream call came out.
+/// Outcome of a run or a downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It delivered its result.
+    /// It returned its result.
     Completed,
     /// It ended with an error.
     Failed,
     /// It was rejected before it ran.
     Rejected,
-    /// It did not end within its time-out.
+    /// It did not end within its timeout.
     TimedOut,
-    /// Nobody answered at the other side.
+    /// No server answered.
     Unreachable,
     /// The connection broke while it ran.
     ConnectionLost,
-    /// It was stopped on purpose.
+    /// It was cancelled.
     Cancelled,
-    /// It was over before it began.
+    /// It ended before it started.
     NotNeeded,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that nothing ran.
+    /// Returns whether the outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotNeeded)
     }
 }
 
-/// Why a request was rejected or failed, whoever decided it: logs, traces and answers give the same reason.
+/// Reason why a request was rejected or failed, as it appears in logs, traces and answers.
 ///
-/// The discriminants are the codes in trace files: variants are only ever added at the end.
+/// The discriminants are the codes in trace files: append new variants at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Reason {
-    /// It was queued for longer than its class's threshold.
+    /// It was queued for longer than the threshold of its class.
     WaitedTooLong,
     /// It could not finish in the time left.
     InsufficientTime,
-    /// The queue was cut to stay within memory.
+    /// The queue was shed to stay within memory.
     MemoryPressure,
-    /// It has an idempotency key, for which there was no memory.
+    /// Its idempotency key did not fit in memory.
     KeyMemoryFull,
-    /// It arrived after the drain's grace.
+    /// It arrived after the drain grace period.
     Draining,
-    /// Its deadline came.
+    /// Its deadline was reached.
     DeadlineReached,
-    /// It could not get a downstream call that it can't do without.
+    /// It could not make a downstream call that it requires.
     DownstreamUnavailable,
-    // The host's own, from here on: the policy never hears of these requests, or not of their ends.
-    /// The process has no room for one more request.
+    // Reasons of the host, for requests that it does not pass to the policy or whose end it handles itself.
+    /// The process is at its limit of requests.
     ProcessAtCapacity,
     /// Its run failed.
     RunFailed,
-    /// The earlier attempt under its idempotency key failed, or left no result.
+    /// The earlier attempt with its idempotency key failed or left no result.
     EarlierAttemptFailed,
-    /// A request of the same name is in flight.
+    /// A request with the same name is in flight.
     DuplicateName,
-    /// Its idempotency key belongs to a request of other content.
+    /// Its idempotency key belongs to a request with different content.
     KeyConflict,
-    /// Whatever handled it in the host ended early.
+    /// The handler of the request in the host ended early.
     HandlerLost,
-    // The policy's again.
-    /// The server is warming up and has as much in flight as it can bear.
+    // A reason of the policy.
+    /// The server is warming up and has reached its limit of requests in flight.
     WarmingUp,
-    // The host's.
-    /// The agent did not know the requests that came before it on its connection.
+    // A reason of the host.
+    /// The agent does not know the earlier requests on its connection.
     UnknownToAgent,
 }
 
@@ -87,17 +87,17 @@
         (Reason::UnknownToAgent, "unknown"),
     ];
 
-    /// As logs, traces and load reports write it.
+    /// Returns the text used in logs, traces and load reports.
     pub fn text(self) -> &'static str {
         Reason::ALL[self as usize].1
     }
 
-    /// The code in trace files, under 16; it never changes its meaning.
+    /// Returns the code in trace files, which is stable and below 16.
     pub fn code(self) -> u8 {
         self as u8
     }
 
-    /// The reason with this code in trace files, if there is one.
+    /// Returns the reason with the given code in trace files.
     pub fn from_code(code: u8) -> Option<Reason> {
         Reason::ALL.get(usize::from(code)).map(|known| known.0)
     }
--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals: what is queued, replayed from an earlier attempt, or rejected at once.
+//! Arrivals: queues a request, replays an earlier attempt's result, or rejects the request immediately.
 
 use super::averages::EWMA_WEIGHT;
 use super::in_flight::{InFlight, Stage};
@@ -7,7 +7,7 @@
 use crate::{Decisions, Idempotency, Reason, Request};
 
 impl AdmissionPolicy {
-    /// Queues a request that was read, or replays or rejects it at once.
+    /// Queues a request that was read, or replays or rejects it immediately.
     pub(super) fn handle_arrival(&mut self, now: f64, request: &Request, decisions: &mut impl Decisions) {
         let request = self.in_flight_request(now, request);
         let input = request.input;
@@ -21,7 +21,8 @@
         let index = self.requests.insert(request);
         self.index_by_id.insert(input.id, index);
         self.memory.add(input.memory);
-        // A retry of a request that is in flight or has run gets that one's result, never a run of its own.
+        // A retry whose earlier attempt is in flight or has run receives that attempt's result and never
+        // runs itself.
         if input.earlier_attempt != 0 && is_keyed {
             self.requests[index].stage = Stage::Replaying;
             decisions.replay_result(input.id);
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Remembers the key of a queued request, or rejects it: without the memory of its key a retry could run.
+    /// Remembers the idempotency key of a queued request. Rejects the request if the key does not fit in
+    /// memory, since a retry could then run a second time.
     fn remember_key(&mut self, now: f64, index: usize, decisions: &mut impl Decisions) {
         if !self.memory.has_room_for_key() {
             return self.reject(index, Reason::KeyMemoryFull, decisions);
@@ -49,7 +51,8 @@
         self.memory.add_key();
     }
 
-    /// What holds for a request for as long as it is in flight.
+    /// Creates the in-flight state of a request: its deadline, latency objective, relative cost hint and
+    /// quota status.
     fn in_flight_request(&mut self, now: f64, request: &Request) -> InFlight {
         let input = Request { class: request.class.min(self.classes.len() - 1), ..*request };
         let class = &self.classes[input.class];
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -1,34 +1,36 @@
-//! The window of downstream calls: how many may be open, by how quick and how sound those before were.
+//! Concurrency window of downstream calls, adapted to their latency and errors.
 
 use super::averages::{moving_average, EWMA_WEIGHT};
 use super::estimates::BASELINE_SAMPLES;
 use crate::{Downstream, Outcome, PolicySettings};
 use std::collections::VecDeque;
 
-/// Share of this server's part of what the dependency survives that the window may reach.
+/// Largest window, as a fraction of this server's share of the shared dependency's capacity.
 const SHARED_MAX_FRACTION: f64 = 0.8;
-/// The same at the start: the dependency slows down long before it falls.
+/// Initial window, as a fraction of the same share; a dependency slows down well before it collapses.
 const SHARED_INITIAL_FRACTION: f64 = 0.25;
-/// Calls a core to a next tier: it decides for itself, this bounds a stuck one.
+/// Largest window to a next tier, in calls per core. The next tier has its own admission control; this
+/// bounds the calls to a hung one.
 const NEXT_TIER_CALLS_PER_CORE: f64 = 8.0;
-/// Share of those always open: hung calls must not close the way to sound servers.
+/// Smallest window to a next tier, as a fraction of the largest: hung calls must not block calls to healthy
+/// servers.
 const NEXT_TIER_MIN_FRACTION: f64 = 0.5;
-/// Share of the dependency's averaging window over which the mean of open calls is taken: it must not lag.
+/// Averaging time of the number of open calls, as a fraction of the dependency's averaging window.
 const MEAN_WINDOW_FRACTION: f64 = 0.3;
-/// Seconds over which that mean is taken at least.
+/// Shortest averaging time of the number of open calls, in seconds.
 const MIN_MEAN_WINDOW_S: f64 = 0.1;
-/// Share to which a failed or slow call cuts the window: a usual step.
+/// Factor by which a rejected or slow call reduces the window.
 const WINDOW_DECREASE_FACTOR: f64 = 0.7;
-/// Rise of a call's time over its base that counts as slow: past mere chance.
+/// Ratio of a call's recent time to its baseline above which calls count as slow.
 const SLOW_CALL_TIME_RATIO: f64 = 2.5;
 
-/// How many calls may be open, and what is known of those that were.
+/// Limit on open downstream calls, with the call statistics that adapt it.
 pub(super) struct CallWindow {
     window: f64,
     max_window: f64,
     min_window: f64,
     decreased_at: f64,
-    /// Seconds that a call takes of late, and at its best.
+    /// Moving average of the time of a call, in seconds.
     recent_time: f64,
     /// Baseline of `recent_time`, in seconds.
     base_time: f64,
@@ -38,12 +40,12 @@
     mean_window: f64,
     /// Time for which an abandoned call occupies the dependency, in seconds.
     linger: f64,
-    /// When calls that were given up leave the dependency.
+    /// When each abandoned call stops occupying the dependency.
     lingering_until: VecDeque<f64>,
 }
 
 impl CallWindow {
-    /// The window at the start, for what the settings say of the downstream.
+    /// Creates the initial window for the downstream of `settings`.
     pub fn new(settings: &PolicySettings) -> CallWindow {
         let share = settings.call_concurrency_share;
         let (window, max_window, min_window) = if settings.downstream == Downstream::SharedDependency {
@@ -67,42 +69,43 @@
         }
     }
 
-    /// Calls that may be open.
+    /// Returns the limit on open calls.
     pub fn window(&self) -> f64 {
         self.window
     }
 
-    /// Calls that occupy the dependency: those open, and those given up that linger.
+    /// Returns the number of calls that occupy the dependency: open calls and lingering abandoned ones.
     fn occupied(&self, open: usize) -> f64 {
         (open + self.lingering_until.len()) as f64
     }
 
-    /// Takes in how many calls were open for the time that has passed.
+    /// Updates the mean number of occupying calls after `elapsed` seconds with `open` calls.
     pub fn update_mean(&mut self, elapsed: f64, open: usize) {
         let occupied = self.occupied(open);
         self.mean_open += (occupied - self.mean_open) * (elapsed / self.mean_window).min(1.0);
     }
 
-    /// A call was given up at this end: it goes on below for a while.
+    /// Records a call abandoned by this server; it occupies the dependency for the linger time.
     pub fn abandon(&mut self, now: f64) {
         self.lingering_until.push_back(now + self.linger);
     }
 
-    /// A call failed: one that timed out goes on below, any other counts until the next look.
+    /// Records a failed call. A call that timed out lingers; any other failure counts until the next
+    /// `headroom`.
     pub fn add_failure(&mut self, now: f64, outcome: Outcome) {
         let linger = if outcome == Outcome::TimedOut { self.linger } else { 0.0 };
         self.lingering_until.push_back(now + linger);
     }
 
-    /// Takes in how long a completed call took, in seconds.
+    /// Records the duration of a completed call, in seconds.
     pub fn record_time(&mut self, duration: f64) {
         let weight = if duration < self.base_time { EWMA_WEIGHT } else { 1.0 / BASELINE_SAMPLES };
         self.base_time = moving_average(self.base_time, duration, weight);
         self.recent_time = moving_average(self.recent_time, duration, EWMA_WEIGHT);
     }
 
-    /// Grows by one in a turn of calls while they are quick, is cut once in a turn when they are slow or
-    /// rejected.
+    /// Adapts the window to the outcome of a call: grows by one call per round trip while calls are fast,
+    /// and shrinks at most once per round trip when they are slow, rejected or time out.
     pub fn adapt(&mut self, now: f64, outcome: Outcome) {
         if outcome == Outcome::Completed && self.recent_time <= SLOW_CALL_TIME_RATIO * self.base_time {
             self.window += (1.0 / self.window).min(self.window);
@@ -114,7 +117,7 @@
         }
     }
 
-    /// How many more calls the dependency bears now.
+    /// Returns how many more calls may be opened.
     pub fn headroom(&mut self, now: f64, open: usize) -> f64 {
         while self.lingering_until.front().is_some_and(|&end| end <= now) {
             self.lingering_until.pop_front();
@@ -123,7 +126,8 @@
         self.window.max(1.0) - self.occupied(open)
     }
 
-    /// A share under one call is kept as a mean, or a whole fleet's single calls would fell what is below.
+    /// Returns whether the mean number of open calls is below the window. Enforces windows below one call,
+    /// where a call from each server of the fleet would overload the dependency.
     pub fn mean_allows_more(&self) -> bool {
         self.mean_open < self.window
     }
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -1,4 +1,4 @@
-//! Downstream calls: who may call and for how long; failed calls are retried where that is safe, or left out.
+//! Downstream calls: which requests may call, call timeouts, retries of failed calls, and degraded answers.
 
 use super::averages::{moving_average, EWMA_WEIGHT};
 use super::in_flight::{InFlight, Stage};
@@ -6,17 +6,17 @@
 use super::timing::DEADLINE_MARGIN_S;
 use crate::{Completion, Decisions, Outcome, Reason};
 
-/// Seconds before a call is retried, doubled each time: a full tier has moved on by then.
+/// Backoff before a call is retried, in seconds, doubled with each failure.
 const CALL_RETRY_BACKOFF_S: f64 = 0.025;
-/// Failures up to which that backoff doubles.
+/// Number of failures up to which the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u8 = 6;
-/// Share of the time left to the latency objective that a dispensable call gets.
+/// Timeout of an optional call, as a fraction of the time left to the latency objective.
 const CALL_TIMEOUT_FRACTION: f64 = 0.5;
-/// Share of the latency objective to wait for a call before it is left out.
+/// Longest wait for an optional call, as a fraction of the latency objective.
 const CALL_WAIT_FRACTION: f64 = 0.25;
 
-/// The time-out of a call. A hung call must hold neither its request till the end nor its place in the
-/// window: it is left out in good time, where it may, else given up with the latency objective.
+/// Returns the timeout of a call, in seconds. A hung optional call leaves time for a degraded answer; a
+/// required call may take the time left to the latency objective.
 fn call_timeout(now: f64, request: &InFlight, is_optional: bool) -> f64 {
     let remaining = request.arrived + request.objective - now;
     let timeout = if is_optional {
@@ -28,7 +28,7 @@
 }
 
 impl AdmissionPolicy {
-    /// A run has reached its downstream call.
+    /// Records that a run has reached its downstream call.
     pub(super) fn handle_call_reached(&mut self, now: f64, id: u32) {
         let Some(&index) = self.index_by_id.get(&id) else { return };
         let request = &mut self.requests[index];
@@ -38,7 +38,8 @@
         request.next_call_at = now;
     }
 
-    /// The end of a call. What can't have run may be retried; an idempotent request's call always may.
+    /// Handles the end of a call. A failed call is retried if it cannot have run, or if its request is
+    /// idempotent.
     pub(super) fn handle_call_finished(
         &mut self,
         now: f64,
@@ -77,18 +78,18 @@
         request.next_call_at = now + CALL_RETRY_BACKOFF_S * f64::from(1 << request.failed_calls);
     }
 
-    /// Whether a failed call is not to be retried.
+    /// Returns whether a failed call must not be retried.
     fn should_give_up_call(&self, index: usize, outcome: Outcome) -> bool {
         let request = &self.requests[index];
         let class = &self.classes[request.input.class];
         let may_retry = outcome.never_ran() || class.is_idempotent();
-        // A broken connection says nothing of the next one: once more before a degraded answer.
+        // A broken connection does not predict the next attempt: retry once before a degraded answer.
         let is_first_break =
             matches!(outcome, Outcome::ConnectionLost | Outcome::Unreachable) && request.failed_calls == 1;
         !request.answered && (class.has_degraded_answer() && !is_first_break || !may_retry)
     }
 
-    /// A request whose call can't be had: a degraded answer where one is worth something, else an error.
+    /// Resumes a request without its call if it has a degraded answer, and fails it otherwise.
     pub(super) fn give_up_call(&mut self, now: f64, index: usize, decisions: &mut impl Decisions) {
         let request = &mut self.requests[index];
         if self.classes[request.input.class].has_degraded_answer() {
@@ -101,8 +102,7 @@
         }
     }
 
-    /// The wait threshold at the second queue: whether a request waited so long for a call that it leaves it
-    /// out.
+    /// Returns whether a request has waited so long for its call that it continues without it.
     pub(super) fn is_call_wait_exceeded(&self, now: f64, request: &InFlight) -> bool {
         request.stage == Stage::AwaitingCall
             && now - request.call_reached_at > CALL_WAIT_FRACTION * request.objective
@@ -110,12 +110,11 @@
             && self.concurrency_headroom(now) > 0.0
     }
 
-    /// Lets the best of those that wait for a call make it.
+    /// Opens calls for the waiting requests with the highest priority, up to the call window.
     pub(super) fn open_calls(&mut self, now: f64, decisions: &mut impl Decisions) {
         let mut headroom = self.call_window.headroom(now, self.calling);
-        // As much of the crowd as a run needs to start, or with a small crowd new runs take every place that
-        // frees and those that wait for a call stay there, their memory held, until nobody wants them any
-        // more.
+        // Calls need the same concurrency headroom as new runs; otherwise new runs would take each freed
+        // place and waiting requests would hold their memory until they expire.
         while headroom >= 1.0 && self.concurrency_headroom(now) > 0.0 && self.call_window.mean_allows_more() {
             let Some(index) = self.next_call(now) else { return };
             let request = &mut self.requests[index];
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: nothing in flight passes its own unanswered, whatever it is doing.
+//! Deadlines: answers every request in flight before its deadline.
 
 use super::in_flight::Stage;
 use super::state::AdmissionPolicy;
@@ -6,7 +6,7 @@
 use crate::{Decisions, Reason};
 
 impl AdmissionPolicy {
-    /// Fails what is due, and has those that waited too long for a call go on without it.
+    /// Fails requests that are due, and resumes those that have waited too long for a downstream call.
     pub(super) fn handle_due_requests(&mut self, now: f64, decisions: &mut impl Decisions) {
         for index in 0..self.requests.capacity() {
             let Some(request) = self.requests.get(index) else { continue };
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,58 +1,57 @@
-//! Estimates that the other modules judge by: what runs take, how much cost hints tell, when callers give up.
+//! Estimates used by the other modules: run times, accuracy of cost hints, and caller abandonment.
 
 use super::averages::{moving_average, EWMA_WEIGHT, FAST_EWMA_WEIGHT};
 use super::timing::RATE_TIME_CONSTANT_S;
 use crate::{Idempotency, RequestClass};
 
-/// Runs over which a base is taken: longer than a fault should count.
+/// Number of runs over which a baseline is averaged; longer than a fault should affect it.
 pub(super) const BASELINE_SAMPLES: f64 = 200.0;
-/// Runs before a base says anything: the first to end are the short ones.
+/// Number of runs before a baseline is valid; the first runs to end are the short ones.
 const MIN_BASELINE_SAMPLES: f64 = 20.0;
-/// Rise of run time over its base that the base follows, and that the limit bears: reading beside runs makes
-/// as much.
+/// Largest ratio of run time to baseline that updates the baseline and does not shrink the concurrency
+/// limit.
 pub(super) const TOLERATED_RUN_TIME_RATIO: f64 = 1.3;
-/// Share of its latency objective that a run on a sound machine takes at most.
+/// Largest reference run time, as a fraction of the latency objective.
 const MAX_REFERENCE_RUN_FRACTION: f64 = 0.33;
-/// Share of the timeout that a request may wait for a slot: the design page's fifth.
+/// Wait threshold of a class, as a fraction of its timeout.
 const WAIT_THRESHOLD_FRACTION: f64 = 0.2;
-/// The same for classes of low weight: tighter, yet over a tenth, so that they queue first.
+/// Wait threshold of a class of low weight, as a fraction of its timeout.
 const LOW_WEIGHT_WAIT_THRESHOLD_FRACTION: f64 = 0.12;
-/// Share of the dearest class's weight up to which a class is of low weight.
+/// Fraction of the highest class weight up to which a class is of low weight.
 const LOW_WEIGHT_FRACTION: f64 = 0.5;
-/// Times its relative hint that one run's time may count for in the trust in hints: one outlier must not
-/// decide.
+/// Largest ratio of relative run time to relative hint that a sample contributes; limits the effect of
+/// outliers.
 const MAX_TIME_TO_HINT_RATIO: f64 = 3.0;
-/// The least work that a request counts for, over the mean of its class: hints can't make it free.
+/// Least expected work of a request, relative to the mean of its class.
 const MIN_RELATIVE_WORK: f64 = 0.05;
-/// Weight of a caller in the share of those that gave up: a small server sees one in a second or so.
+/// Weight of a new sample in the fraction of callers that abandon.
 const ABANDONMENT_EWMA_WEIGHT: f64 = 0.2;
-/// Share of callers that gave up by their usual age, at which that age is a limit: most do.
+/// Fraction of abandoning callers above which their mean age limits the run.
 const ABANDONMENT_THRESHOLD_FRACTION: f64 = 0.5;
 
-/// Terms of a class, and what its runs have shown.
+/// Settings of a class and the statistics of its runs.
 #[derive(Default)]
 pub(super) struct ClassState {
-    /// As the settings give it.
     pub settings: RequestClass,
-    /// Seconds that a first attempt may wait for a slot.
+    /// Longest wait of a first attempt for a run slot, in seconds.
     pub wait_threshold: f64,
-    /// Seconds that a run of mean size takes outside its calls, of late.
+    /// Moving average of run time without calls, for a request of mean size, in seconds.
     pub run_time: f64,
-    /// The same at its best.
+    /// Baseline of `run_time`, in seconds.
     pub base_run_time: f64,
-    /// Seconds that a run spends at its calls.
+    /// Moving average of the time that a run spends at its calls, in seconds.
     pub call_time: f64,
     runs: f64,
-    /// Mean cost hint of what ran, not of what came: callers may claim what they like.
+    /// Mean cost hint of the requests that ran; arrivals may claim any hint.
     pub mean_hint: f64,
     /// When one of its runs was last open.
     pub last_open_at: f64,
 }
 
-/// The classes before any run.
+/// Returns the initial state of each class.
 pub(super) fn class_states(classes: &[RequestClass]) -> Vec<ClassState> {
     let highest_weight = classes.iter().map(|class| class.priority_weight).max_by(f64::total_cmp);
-    let highest_weight = highest_weight.expect("settings that pass validation hold a class");
+    let highest_weight = highest_weight.expect("validated settings have a request class");
     let state = |class: &RequestClass| {
         let is_low_weight = class.priority_weight <= LOW_WEIGHT_FRACTION * highest_weight;
         let fraction =
@@ -67,17 +66,17 @@
 }
 
 impl ClassState {
-    /// Whether its requests may run any number of times.
+    /// Returns whether requests of the class may run more than once.
     pub fn is_idempotent(&self) -> bool {
         self.settings.idempotency == Idempotency::Idempotent
     }
 
-    /// Whether an answer without the downstream call is worth something.
+    /// Returns whether an answer without the downstream call has a weight.
     pub fn has_degraded_answer(&self) -> bool {
         self.settings.degraded_weight_fraction > 0.0
     }
 
-    /// Takes in a run's time on the cores, over its relative work.
+    /// Records a run time, in seconds, divided by the relative work of the request.
     pub fn record(&mut self, run_time: f64) {
         self.run_time = moving_average(self.run_time, run_time, EWMA_WEIGHT);
         self.runs += 1.0;
@@ -90,19 +89,21 @@
         self.base_run_time = moving_average(self.base_run_time, run_time.min(max_run_time), weight);
     }
 
-    /// What a run of mean size takes at most on a sound machine, by what ran so far.
+    /// Returns the reference for the slowdown of finished runs: the baseline, bounded by the latency
+    /// objective.
     pub fn reference_run_time(&self) -> f64 {
         self.base_run_time.min(MAX_REFERENCE_RUN_FRACTION * self.settings.latency_objective)
     }
 
-    /// The same where nothing may have run yet. One that was slow from its first run has no base to tell
-    /// by: runs that outlast their latency objective tell.
+    /// Returns the reference for the age of open runs. Without a valid baseline it derives from the latency
+    /// objective, so that a machine that is slow from its first run is detected.
     pub fn expected_run_time(&self) -> f64 {
         let baseline = if self.runs < MIN_BASELINE_SAMPLES { f64::MAX } else { self.base_run_time };
         baseline.min(MAX_REFERENCE_RUN_FRACTION * self.settings.latency_objective)
     }
 
-    /// Guards against a class once found too slow and never tried again: what no run confirms fades.
+    /// Decays the run time of a class without open runs to its baseline, so that a class rejected as too
+    /// slow is tried again.
     pub fn decay_stale_run_time(&mut self, now: f64, decay: f64) {
         if now - self.last_open_at > RATE_TIME_CONSTANT_S && self.run_time > self.base_run_time {
             self.run_time = self.base_run_time + decay * (self.run_time - self.base_run_time);
@@ -110,7 +111,7 @@
     }
 }
 
-/// How far cost hints have told the times of runs so far: the slope of one over the other.
+/// Regression of relative run time on relative cost hint.
 #[derive(Default)]
 pub(super) struct HintRegression {
     covariance: f64,
@@ -118,14 +119,14 @@
 }
 
 impl HintRegression {
-    /// Expected work over the class's mean. Guards against stale or lying hints, by which large requests
-    /// would be given up.
+    /// Returns the expected work relative to the mean of the class. The slope discounts hints that do not
+    /// predict run time.
     pub fn relative_work(&self, relative_hint: f64) -> f64 {
         let slope = ((self.covariance + EWMA_WEIGHT) / (self.variance + EWMA_WEIGHT)).clamp(0.0, 1.0);
         (1.0 + slope * (relative_hint - 1.0)).max(MIN_RELATIVE_WORK)
     }
 
-    /// Takes in a run whose time was so many times the class's mean.
+    /// Records a run with its run time relative to the mean of its class.
     pub fn record(&mut self, relative_hint: f64, relative_time: f64) {
         let hint_deviation = relative_hint - 1.0;
         let time_deviation = relative_time.min(MAX_TIME_TO_HINT_RATIO * relative_hint) - 1.0;
@@ -134,30 +135,30 @@
     }
 }
 
-/// When callers give up without saying so beforehand.
+/// Estimate of when callers abandon requests without announcing a deadline.
 #[derive(Default)]
 pub(super) struct CallerAbandonment {
-    /// Mean age of a request when its caller gave it up, in seconds.
+    /// Mean age of abandoned requests, in seconds.
     mean_age: f64,
-    /// Share of callers that gave up by that age.
+    /// Fraction of callers that abandon by that age.
     abandoned_fraction: f64,
 }
 
 impl CallerAbandonment {
-    /// A caller gave its request up at this age, in seconds.
+    /// Records a request abandoned at `age` seconds.
     pub fn record_abandoned(&mut self, age: f64) {
         self.mean_age = moving_average(self.mean_age, age, FAST_EWMA_WEIGHT);
         self.abandoned_fraction += ABANDONMENT_EWMA_WEIGHT * (1.0 - self.abandoned_fraction);
     }
 
-    /// A run ended for a caller that was still there, at this age of its request.
+    /// Records a run that ended at `age` seconds while its caller still waited.
     pub fn record_completed(&mut self, age: f64) {
         if age > self.mean_age {
             self.abandoned_fraction -= ABANDONMENT_EWMA_WEIGHT * self.abandoned_fraction;
         }
     }
 
-    /// The age past which a run is in vain, if most callers are gone by then.
+    /// Returns the age in seconds by which a run must end, if most callers abandon by then.
     pub fn age_limit(&self) -> Option<f64> {
         (self.abandoned_fraction > ABANDONMENT_THRESHOLD_FRACTION).then_some(self.mean_age)
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,32 +1,33 @@
-//! Health: whether this machine has slowed down, and the health checks and keepalive that follow.
+//! Health: slowdown of this machine, the health-check answer and the keepalive timeout.
 
 use super::averages::{moving_average, FAST_EWMA_WEIGHT};
 use super::timing::CONTROL_INTERVAL_S;
 use crate::{Decisions, PolicySettings};
 
-/// Rise of run time from which the machine is slow: crowding alone stays under it.
+/// Ratio of run time to its reference from which the machine is slow; overload alone stays below it.
 const SLOW_RUN_TIME_RATIO: f64 = 4.0;
-/// Seconds for which it must look so: over one step, which may be chance.
+/// Time for which the machine must look slow before it turns unhealthy, in seconds; longer than one control
+/// step.
 const SLOW_CONFIRMATION_S: f64 = 0.15;
-/// Seconds off the endpoint list for a slow machine: the list is seconds late, less isn't seen.
+/// Time for which a slow server reports unhealthy, in seconds; endpoint lists lag by seconds.
 const UNHEALTHY_DURATION_S: f64 = 8.0;
-/// Open connections for each request of the crowd survived: no more are ever at work.
+/// Open connections per sustainable request above which the keepalive timeout shrinks.
 const CONNECTIONS_PER_REQUEST: f64 = 1.0;
-/// Share by which the keepalive moves a step: a tenfold change takes two seconds.
+/// Fraction by which the keepalive timeout changes per control step.
 const KEEPALIVE_STEP_FRACTION: f64 = 0.1;
 
-/// How old the open runs are together.
+/// Ages of the open runs, in seconds.
 #[derive(Default)]
 pub(super) struct RunAges {
     total_age: f64,
-    /// What they usually take.
+    /// Sum of their reference run times.
     total_expected: f64,
-    /// Runs that are far older than usual.
+    /// Number of runs older than `SLOW_RUN_TIME_RATIO` times their reference.
     overdue: usize,
 }
 
 impl RunAges {
-    /// Adds an open run and the seconds that it usually takes.
+    /// Adds an open run with its reference run time in seconds.
     pub fn add(&mut self, now: f64, started_at: f64, expected: f64) {
         self.total_age = self.total_age + now - started_at;
         self.total_expected += expected;
@@ -34,7 +35,7 @@
     }
 }
 
-/// How many times its usual time a run takes now.
+/// Ratio of run time to its reference, by finished and by open runs.
 pub(super) struct Slowdown {
     finished_run_ratio: f64,
     open_run_ratio: f64,
@@ -47,54 +48,54 @@
 }
 
 impl Slowdown {
-    /// By the runs that finished of late.
+    /// Returns the moving average over finished runs.
     pub fn finished_run_ratio(&self) -> f64 {
         self.finished_run_ratio
     }
 
-    /// By the age of the runs that are open.
+    /// Returns the ratio by the age of open runs.
     pub fn open_run_ratio(&self) -> f64 {
         self.open_run_ratio
     }
 
-    /// By whichever shows more.
+    /// Returns the larger of the two ratios.
     pub fn run_time_ratio(&self) -> f64 {
         self.finished_run_ratio.max(self.open_run_ratio)
     }
 
-    /// Takes in a finished run that took so many times its usual time.
+    /// Records the ratio of a finished run.
     pub fn record_run(&mut self, run_time_ratio: f64) {
         self.finished_run_ratio = moving_average(self.finished_run_ratio, run_time_ratio, FAST_EWMA_WEIGHT);
     }
 
-    /// Open runs are on average as old as a run takes. Where most are far older the machine has slowed or
-    /// hangs, which finished runs tell only later; a few long ones that pin their slots don't count.
+    /// Updates the ratio of the open runs. Their mean age normally equals the run time; if most are far
+    /// older and all cores are in use, the machine has slowed down or hangs. A few long runs are ignored.
     pub fn update_open_runs(&mut self, run_ages: &RunAges, running: usize, cores: f64) {
         let is_slow = 2 * run_ages.overdue > running && running as f64 >= cores;
         self.open_run_ratio = if is_slow { run_ages.total_age / run_ages.total_expected } else { 1.0 };
     }
 }
 
-/// What health checks hear.
+/// State of the health-check answer.
 #[derive(Default)]
 pub(super) struct Health {
-    /// Since when the server is off the endpoint list.
+    /// When the server turned unhealthy, if it is.
     unhealthy_since: Option<f64>,
-    /// When the machine last looked sound.
+    /// When the machine was last not slow.
     last_healthy_at: f64,
 }
 
 impl Health {
-    /// The machine was seen: `is_sound` says that no work suffers, whatever its runs take.
+    /// Records the state of the machine; `waits_are_short` overrides a high run time ratio.
     pub fn observe(&mut self, now: f64, run_time_ratio: f64, waits_are_short: bool) {
         if run_time_ratio < SLOW_RUN_TIME_RATIO || waits_are_short {
             self.last_healthy_at = now;
         }
     }
 
-    /// Guards against a slow machine where the endpoint list follows health: what is sent here is forwarded
-    /// too late, so the server leaves the list for a while, then tries again. Judged by its runs against
-    /// their base, never by load, or a crowded fleet would list itself out.
+    /// Reports a slow machine as unhealthy for `UNHEALTHY_DURATION_S`, then as healthy again. Depends on
+    /// run time relative to its reference, not on load: an overloaded fleet must not remove all its servers
+    /// from the endpoint list.
     pub fn step(&mut self, now: f64, run_time_ratio: f64, decisions: &mut impl Decisions) {
         match self.unhealthy_since {
             None if now - self.last_healthy_at > SLOW_CONFIRMATION_S => {
@@ -111,27 +112,28 @@
     }
 }
 
-/// How long callers may keep an unused connection open.
+/// Adaptive keepalive timeout of unused connections.
 pub(super) struct Keepalive {
     timeout: f64,
     max_timeout: f64,
-    /// Connections over which it shrinks.
+    /// Number of open connections above which the timeout shrinks.
     connection_threshold: f64,
 }
 
 impl Keepalive {
-    /// The keepalive that the settings name, until connections crowd.
+    /// Creates the keepalive with the idle timeout of `settings`.
     pub fn new(settings: &PolicySettings) -> Keepalive {
         let connection_threshold = CONNECTIONS_PER_REQUEST * settings.cores * settings.overload_multiple;
         Keepalive { timeout: settings.idle_timeout, max_timeout: settings.idle_timeout, connection_threshold }
     }
 
-    /// The keepalive, in seconds.
+    /// Returns the timeout, in seconds.
     pub fn timeout(&self) -> f64 {
         self.timeout
     }
 
-    /// Guards against a table full of idle connections: it taxes the cores and turns callers back unseen.
+    /// Adapts the timeout to the number of open connections, so that idle ones cannot fill the connection
+    /// table.
     pub fn step(&mut self, connections: f64) {
         let step = if connections > self.connection_threshold {
             -KEEPALIVE_STEP_FRACTION
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -1,16 +1,16 @@
-//! One request from its arrival until nothing of it is left on this server.
+//! State of one request in flight.
 
 use crate::Request;
 
-/// Where a request stands.
+/// Stage of a request.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Waits for a run slot.
     #[default]
     Queued,
-    /// On the cores.
+    /// Holds a run slot.
     Running,
-    /// Reached its downstream call and waits for leave to make it.
+    /// Reached its downstream call and waits for permission to make it.
     AwaitingCall,
     /// Its downstream call is open.
     Calling,
@@ -18,41 +18,40 @@
     Replaying,
 }
 
-/// A request in flight. Times are on the host's clock.
+/// A request in flight. Times are on the host's clock, in seconds.
 #[derive(Default)]
 pub(super) struct InFlight {
-    /// As the host handed it in.
+    /// The request as received from the host.
     pub input: Request,
-    /// When it reached the machine, unread time counted.
+    /// When it reached the machine, before it was read.
     pub arrived: f64,
-    /// Seconds from arrival within which an answer is on time.
+    /// Time from arrival within which an answer is on time, in seconds.
     pub objective: f64,
-    /// When it has to be answered.
+    /// When it must be answered.
     pub deadline: f64,
-    /// Its cost hint over the mean hint of its class; 1 without one.
+    /// Its cost hint divided by the mean hint of its class; 1 without a hint.
     pub relative_hint: f64,
-    /// Until when its idempotency key is remembered.
+    /// When its idempotency key expires.
     pub key_expires_at: Option<f64>,
-    /// Where it stands.
     pub stage: Stage,
-    /// Its answer is out, or nobody waits for one; the run goes on to its end.
+    /// Whether its answer was sent or its caller has left; a run continues to its end.
     pub answered: bool,
-    /// When its run began, moved on by the time it spent at calls.
+    /// When its run started, shifted by the time spent at calls.
     pub run_started_at: f64,
     /// When it reached its downstream call.
     pub call_reached_at: f64,
-    /// Calls that failed.
+    /// Number of failed calls.
     pub failed_calls: u8,
-    /// When its call may be made, or made again.
+    /// Earliest time of its next call attempt.
     pub next_call_at: f64,
-    /// It went on to a degraded answer.
+    /// Whether it continued without its call, to a degraded answer.
     pub call_skipped: bool,
-    /// Whether it was beyond its tenant's quota on arrival.
+    /// Whether it exceeded its tenant's quota on arrival.
     pub over_quota: bool,
 }
 
 impl InFlight {
-    /// Goes on after the call that it reached, or without it. The time at the call is no run time.
+    /// Resumes the run after its call or without it. Time at the call does not count as run time.
     pub fn resume(&mut self, now: f64) {
         self.run_started_at = self.run_started_at + now - self.call_reached_at;
         self.stage = Stage::Running;
--- a/src/policy/load_signal.rs
+++ b/src/policy/load_signal.rs
@@ -1,4 +1,4 @@
-//! The load signal on answers, as a minimum rank, as tokens or as a bias.
+//! Load signal on answers, as a minimum rank, tokens or a selection bias.
 
 use super::concurrency::SATURATED_BUSY_FRACTION;
 use super::pressure::PRESSURE_INCREMENT;
@@ -6,26 +6,28 @@
 use super::timing::RATE_TIME_CONSTANT_S;
 use crate::{Decisions, LoadSignal};
 
-/// Steps of pressure by which a cold server's caution goes while cores are free.
+/// Decay of a cold server's capacity deficit per control step while cores are free, in pressure increments.
 const DEFICIT_DECAY_INCREMENTS: f64 = 2.0;
-/// Share of its callers that a full server may have pass it over: some must test it.
+/// Largest reduction of the selection bias; some callers must still probe a full server.
 const MAX_BIAS_REDUCTION: f64 = 0.9;
-/// Share of the shortest wait for whose work tokens are given: the rest is unread.
+/// Fraction of the shortest wait threshold that tokens may fill with work; the rest allows for unread
+/// requests.
 const TOKEN_WAIT_FRACTION: f64 = 0.5;
-/// Share of the rate's span that counts as seen at least: the rate of a new process is divided by it.
+/// Least observed fraction of the rate's time constant, by which the completion rate of a new process is
+/// divided.
 const MIN_OBSERVED_FRACTION: f64 = 0.1;
-/// Times the room of a full server that idle ones offer: a burst must fit.
+/// Factor on the tokens of an idle server, which must absorb a burst.
 const IDLE_TOKEN_MULTIPLE: f64 = 3.0;
 
 impl AdmissionPolicy {
-    /// `busy` is the share of the cores that is busy.
+    /// Updates the pressure and the load signal. `busy` is the busy fraction of the cores.
     pub(super) fn step_signal(&mut self, now: f64, busy: f64, decisions: &mut impl Decisions) {
         let is_idle = self.queue.is_empty() && busy < SATURATED_BUSY_FRACTION;
         self.pressure.step(is_idle);
         self.send_signal(now, busy, decisions);
     }
 
-    /// Sends the signal if it has changed.
+    /// Sends the load signal if it has changed.
     pub(super) fn send_signal(&mut self, now: f64, busy: f64, decisions: &mut impl Decisions) {
         let has_spare_cores = self.running > 0 && self.queue.is_empty() && busy < SATURATED_BUSY_FRACTION;
         let decay = has_spare_cores.then_some(DEFICIT_DECAY_INCREMENTS * PRESSURE_INCREMENT);
@@ -43,8 +45,9 @@
         }
     }
 
-    /// Tokens for each caller: what can be finished within the shortest wait, beside what runs; far more
-    /// while nothing waits. Never under the bias, since a caller takes a small fraction for a chance.
+    /// Returns the tokens for each caller: the work that completes within the shortest wait threshold, in
+    /// addition to the running requests, and a multiple of that while the server is idle. Not below `bias`,
+    /// since callers treat a fraction of a token as a probability.
     fn tokens(&self, now: f64, busy: f64, bias: f64) -> f64 {
         let shortest_threshold =
             self.classes.iter().map(|class| class.wait_threshold).fold(f64::MAX, f64::min);
@@ -54,7 +57,7 @@
                 * shortest_threshold;
         let is_idle = self.pressure.are_waits_short() && busy < SATURATED_BUSY_FRACTION;
         let tokens = (capacity * if is_idle { IDLE_TOKEN_MULTIPLE } else { 1.0 } / self.callers).max(bias);
-        // What all callers may have here together, whichever of them came unprompted.
+        // While warming up, the tokens of all callers together stay within the in-flight headroom.
         tokens.min(self.in_flight_headroom(now).max(0.0) / self.callers)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,40 +1,43 @@
-//! Every decision of one server: what it admits, runs and rejects, and what it tells its callers.
+//! Admission policy of one server: which requests it admits, runs and rejects, and what it signals to
+//! callers.
 //!
-//! A host makes `AdmissionPolicy::new(&settings, seed)` when its process starts and calls
-//! `policy.decide(&round, &mut decisions)` once a round with all that happened since the last one. What goes in
-//! is in `src/settings.rs`, `request.rs` and `round.rs`, what comes out in `decisions.rs` and `outcome.rs`.
-//! `docs/design.md` tells where the mechanism comes from and what each constant rests on.
+//! A host creates `AdmissionPolicy::new(&settings, seed)` when its process starts and calls
+//! `policy.decide(&round, &mut decisions)` once per round with all events since the last one. Inputs are
+//! defined in `src/settings.rs`, `request.rs` and `round.rs`, outputs in `decisions.rs` and `outcome.rs`.
+//! `docs/design.md` describes the mechanism.
 //!
-//! A request is stamped with its arrival (the time it lay unread counts) and queued until a run slot frees.
-//! Then its wait is judged against its class's threshold, and it runs or is rejected ([`queue`]). The rest
-//! guards the rules, one concern a module. These decide:
+//! A request is queued with its arrival time, which includes the time before it was read, until a run slot
+//! is free. Its wait is then compared with the threshold of its class, and it runs or is rejected
+//! ([`queue`]).
+//!
+//! Modules that make decisions:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`rounds`] | the order of a round; what an abandoned request and a notice to drain change |
-//! | [`arrivals`] | what is queued, replayed or rejected on arrival; which idempotency keys are remembered |
-//! | [`queue`] | the order of the queue, wait thresholds, which request takes a freed slot |
-//! | [`calls`] | which downstream calls are made, their time-outs, their retries, degraded answers |
-//! | [`deadlines`] | the error that is sent before a deadline passes unanswered |
-//! | [`rejection`] | Retry-After, and whether another server is worth a try |
-//! | [`load_signal`] | the load signal that answers carry |
+//! | [`rounds`] | order of a round, abandoned requests, drain |
+//! | [`arrivals`] | queueing, replay and rejection on arrival; which idempotency keys are remembered |
+//! | [`queue`] | queue order, wait thresholds, assignment of run slots |
+//! | [`calls`] | downstream calls, their timeouts and retries, degraded answers |
+//! | [`deadlines`] | errors sent before a deadline expires |
+//! | [`rejection`] | Retry-After, and whether to try another server |
+//! | [`load_signal`] | load signal on answers |
 //!
-//! And these hold the limits and estimates that they decide by, all of it in [`state`]:
+//! Modules that hold limits and estimates, which [`state`] combines:
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`concurrency`] | how many requests may run at once |
-//! | [`call_window`] | how many downstream calls may be open |
-//! | [`quota`] | which requests are beyond their tenant's quota |
-//! | [`memory`] | what may start, queue and be remembered within the machine's memory |
-//! | [`warm_up`] | what a server that started cold can bear |
-//! | [`health`] | whether this machine has slowed down, and its health and keepalive because of it |
-//! | [`pressure`] | how near to their thresholds requests wait |
-//! | [`retry_advice`] | what rejected callers are told, and the counts for the log |
-//! | [`estimates`] | what runs take, what cost hints are worth, when callers give up |
-//! | [`averages`] | the learned means that the others keep |
-//! | [`in_flight`] | one request and where it stands |
-//! | [`timing`] | intervals that several modules share |
+//! | [`concurrency`] | limit on running requests |
+//! | [`call_window`] | limit on open downstream calls |
+//! | [`quota`] | tenant quotas |
+//! | [`memory`] | memory budget for runs, queue and idempotency keys |
+//! | [`warm_up`] | capacity of a server that started cold |
+//! | [`health`] | slowdown of the machine, health and keepalive |
+//! | [`pressure`] | waits relative to their thresholds |
+//! | [`retry_advice`] | Retry-After and rejection counts |
+//! | [`estimates`] | run times, accuracy of cost hints, caller abandonment |
+//! | [`averages`] | moving averages |
+//! | [`in_flight`] | state of one request |
+//! | [`timing`] | shared time constants |
 
 mod arrivals;
 mod averages;
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,33 +1,32 @@
-//! The pressure behind the load signal: it rises while requests wait near their thresholds.
+//! Pressure behind the load signal: rises while requests wait close to their thresholds.
 
 use crate::PolicySettings;
 
-/// Share of its threshold waited from which the signal tightens; under half of it the signal loosens.
+/// Ratio of wait to threshold above which the pressure rises; below half of it the pressure decays.
 const HIGH_WAIT_RATIO: f64 = 0.6;
-/// Pressure gained a step, full in three seconds: callers hear late.
+/// Increase of the pressure per control step.
 pub(super) const PRESSURE_INCREMENT: f64 = 0.03;
-/// Parts of that step that are lost: half while the server is busy; at once while cores are free, since free
-/// cores are lost at once and callers that heard of a full server come back late.
+/// Decay of the pressure per control step while the server is busy, in increments.
 const BUSY_DECAY_FACTOR: f64 = 0.5;
 /// Decay of the pressure per control step while cores are free, in increments; idle cores are wasted at once,
 /// and callers return late.
 const IDLE_DECAY_FACTOR: f64 = 2.0;
-/// Change of the signal that is worth sending.
+/// Smallest change of the load signal that is sent.
 const MIN_SIGNAL_CHANGE: f64 = 1e-3;
 
-/// How hard the server is pressed, and what of it was sent.
+/// Pressure of the server and the load signal last sent.
 pub(super) struct Pressure {
     /// From 0 to 1.
     value: f64,
-    /// The highest minimum rank: it never cuts the class of the highest weight.
+    /// Highest minimum rank; it never drops the class of the highest weight.
     max_minimum_rank: f64,
-    /// The longest wait of this step, over its class's threshold.
+    /// Longest wait in this control step, as a ratio to its class's threshold.
     max_wait_ratio: f64,
     last_sent: f64,
 }
 
 impl Pressure {
-    /// No pressure; the settings say how many weights a minimum rank can cut.
+    /// Creates the state without pressure for the class weights of `settings`.
     pub fn new(settings: &PolicySettings) -> Pressure {
         let mut weights: Vec<f64> = settings.classes.iter().map(|class| class.priority_weight).collect();
         weights.sort_by(f64::total_cmp);
@@ -36,27 +35,27 @@
         Pressure { value: 0.0, max_minimum_rank, max_wait_ratio: 0.0, last_sent: 0.0 }
     }
 
-    /// The pressure, from 0 to 1.
+    /// Returns the pressure, from 0 to 1.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes in the wait of a first attempt within its quota, over its class's threshold.
+    /// Records the wait of a first attempt within its quota, as a ratio to its class's threshold.
     pub fn record_wait(&mut self, wait_ratio: f64) {
         self.max_wait_ratio = self.max_wait_ratio.max(wait_ratio);
     }
 
-    /// Forgets the waits of the step that ends.
+    /// Clears the recorded waits for the next control step.
     pub fn begin_step(&mut self) {
         self.max_wait_ratio = 0.0;
     }
 
-    /// The minimum rank at this pressure.
+    /// Returns the minimum rank at the given pressure.
     pub fn minimum_rank(&self, pressure: f64) -> f64 {
         self.max_minimum_rank * pressure
     }
 
-    /// Whether an amount differs enough from the one sent last; then it counts as sent.
+    /// Returns whether the signal differs enough from the last one sent, and records it as sent if so.
     pub fn should_send(&mut self, signal: f64) -> bool {
         let differs = (signal - self.last_sent).abs() > MIN_SIGNAL_CHANGE;
         if differs {
@@ -65,12 +64,13 @@
         differs
     }
 
-    /// Whether no request of this step waited for long.
+    /// Returns whether all waits of this control step were short.
     pub fn are_waits_short(&self) -> bool {
         self.max_wait_ratio < HIGH_WAIT_RATIO / 2.0
     }
 
-    /// Adapts to the waits of this step; `is_idle` says that cores are free and nothing is queued.
+    /// Adapts the pressure to the waits of this control step; `is_idle` means free cores and an empty
+    /// queue.
     pub fn step(&mut self, is_idle: bool) {
         if self.max_wait_ratio > HIGH_WAIT_RATIO {
             self.value = (self.value + PRESSURE_INCREMENT).min(1.0);
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: its order, the wait thresholds, and which request takes a freed slot.
+//! Request queue: priorities, wait thresholds, and assignment of run slots.
 
 use super::in_flight::{InFlight, Stage};
 use super::state::AdmissionPolicy;
@@ -6,12 +6,12 @@
 use crate::{Decisions, Reason};
 use std::cmp::Ordering;
 
-/// Share of the timeout that a retry may wait for a slot, the source's 10 of 250 ms: its time is mostly gone.
+/// Wait threshold of a retry, as a fraction of the timeout; most of its caller's time has passed.
 const RETRY_WAIT_THRESHOLD_FRACTION: f64 = 0.04;
-/// Share of its weight at which a retry is queued: its latency objective began unseen.
+/// Factor on the weight of a retry, since part of its latency objective passed before it arrived.
 const RETRY_WEIGHT_FACTOR: f64 = 0.3;
 
-/// Place in the queue, and among those that wait for a call: higher weight first, then the older.
+/// Priority among queued requests and among those that wait for a call: higher weight first, then older.
 #[derive(Clone, Copy)]
 pub(super) struct QueuePriority {
     weight: f64,
@@ -19,7 +19,7 @@
 }
 
 impl QueuePriority {
-    /// The greater goes first.
+    /// Compares two priorities; the greater one goes first.
     pub fn compare(self, other: QueuePriority) -> Ordering {
         let by_weight = self.weight.total_cmp(&other.weight);
         by_weight.then(self.negated_arrival.total_cmp(&other.negated_arrival))
@@ -27,13 +27,13 @@
 }
 
 impl AdmissionPolicy {
-    /// Where a request stands in the order.
+    /// Returns the priority of a request.
     pub(super) fn priority(&self, index: usize) -> QueuePriority {
         let request = &self.requests[index];
         QueuePriority { weight: self.weight_per_work(request), negated_arrival: -request.arrived }
     }
 
-    /// Priority weight of a queued request for each unit of work.
+    /// Returns the priority weight of a request per unit of work.
     fn weight_per_work(&self, request: &InFlight) -> f64 {
         let class = &self.classes[request.input.class];
         let quota_factor = if request.over_quota { self.settings.over_quota_fraction } else { 1.0 };
@@ -46,14 +46,13 @@
         class.settings.priority_weight * quota_factor * retry_factor / work
     }
 
-    /// The mechanism: why a queued request is not to run, judged by how long it waited. `contended` says that
-    /// another request wants the slot.
+    /// Returns why a queued request must not run, by its wait and its remaining time. `contended` means
+    /// that another request is queued for the slot.
     fn rejection_reason(&self, now: f64, request: &InFlight, contended: bool) -> Option<Reason> {
         let class = &self.classes[request.input.class];
         let due = request.deadline - DEADLINE_MARGIN_S;
-        // A late answer is worth something to its caller while no one else wants the slot.
+        // A late answer still has a value while no other request needs the slot.
         let end_by = if !contended { due } else { due.min(request.arrived + request.objective) };
-        // Guards against callers that give up early, unannounced.
         let end_by = self.abandonment.age_limit().map_or(end_by, |age| end_by.min(request.arrived + age));
         let run_time = class.run_time.max(class.base_run_time * self.slowdown.open_run_ratio());
         let expected_time =
@@ -69,7 +68,7 @@
         (now - request.arrived > threshold).then_some(Reason::WaitedTooLong)
     }
 
-    /// Gives freed slots to the best of those that have not waited too long.
+    /// Fills free run slots with the requests of highest priority that pass their wait threshold check.
     pub(super) fn start_runs(&mut self, now: f64, decisions: &mut impl Decisions) {
         let slots = self.concurrency_limit.slots(self.warm_up.sustainable_concurrency(now));
         while self.running < slots && self.concurrency_headroom(now) > 0.0 {
@@ -98,7 +97,8 @@
         decisions.run(request.input.id);
     }
 
-    /// Judges the queue between slots too, so that what is given up is answered at once.
+    /// Rejects queued requests past their threshold or without enough time left, and records waits as
+    /// pressure.
     pub(super) fn reject_overdue(&mut self, now: f64, decisions: &mut impl Decisions) {
         for position in (0..self.queue.len()).rev() {
             let index = self.queue[position];
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Keeps queued memory under the machine's, and what a cold server has in flight within its ramp, lowest
-    /// rank first.
+    /// Rejects queued requests of lowest priority until memory and in-flight requests are within their
+    /// limits.
     pub(super) fn shed_queue(&mut self, now: f64, decisions: &mut impl Decisions) {
         let mut shed_for_warm_up = false;
         loop {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,25 +1,26 @@
-//! Quotas: a token bucket for each tenant decides which of its requests are beyond its share of this server.
+//! Tenant quotas: a token bucket per tenant marks requests beyond its share of this server.
 
 use crate::Tenant;
 
-/// Seconds of a quota that a bucket holds, beside what chance puts on it: bursts are over by then.
+/// Seconds of quota that a bucket holds, in addition to the square root of its rate for random arrivals.
 const QUOTA_BURST_S: f64 = 1.0;
 
-/// This server's part of a tenant's quota, as a bucket that fills at that rate.
+/// Token bucket for this server's share of a tenant's quota.
 pub(super) struct QuotaBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     tokens: f64,
     refilled_at: f64,
 }
 
 impl QuotaBucket {
-    /// An empty bucket for one of so many servers.
+    /// Creates an empty bucket for one of `servers` servers.
     pub fn new(tenant: &Tenant, servers: f64) -> QuotaBucket {
         QuotaBucket { rate: tenant.quota / servers, tokens: 0.0, refilled_at: 0.0 }
     }
 
-    /// Whether a request that comes now is beyond the quota. Only a first attempt within it takes a token.
+    /// Returns whether a request at `now` exceeds the quota. Only a first attempt within the quota takes a
+    /// token.
     pub fn is_over(&mut self, now: f64, is_first_attempt: bool) -> bool {
         let capacity = QUOTA_BURST_S * self.rate + self.rate.sqrt();
         self.tokens = (self.tokens + (now - self.refilled_at) * self.rate).min(capacity);
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -1,32 +1,32 @@
-//! What rejected callers are told, and the counts of them for the log.
+//! Retry-After of rejected requests and rejection counts for the log.
 
 use crate::{PolicySettings, Reason};
 use std::collections::BTreeMap;
 
-/// Seconds of Retry-After at the most, as in the design; latency objectives bound it too.
+/// Longest Retry-After, in seconds; latency objectives bound it too.
 const MAX_RETRY_AFTER_S: f64 = 1.0;
-/// Mean share of it drawn by a sound server: callers neither go nor return together.
+/// Mean Retry-After of a healthy server, as a fraction of the longest; drawn at random to spread callers.
 const MEAN_RETRY_AFTER_FRACTION: f64 = 0.25;
-/// Share of retries among arrivals from which the other servers count as full too.
+/// Fraction of retries among arrivals above which the whole fleet counts as overloaded.
 const FLEET_OVERLOAD_RETRY_FRACTION: f64 = 0.1;
-/// Of the multiply-with-carry generator: a multiplier of full period, and the half that is drawn.
+/// Multiplier of the multiply-with-carry generator; gives the full period.
 const MWC_MULTIPLIER: u64 = 0xffff_da61;
 /// Mask of the low word of the generator state, which is the random number.
 const LOW_WORD_MASK: u64 = 0xffff_ffff;
-/// Seconds between log lines of what was rejected.
+/// Time between log lines with rejection counts, in seconds.
 const LOG_INTERVAL_S: f64 = 10.0;
 
-/// What rejected callers are told.
+/// State from which the Retry-After of rejections is drawn.
 pub(super) struct RetryAdvice {
-    /// Seconds of Retry-After at the most.
+    /// Longest Retry-After, in seconds.
     max_retry_after: f64,
-    /// Share of retries among arrivals.
+    /// Moving average of the fraction of retries among arrivals.
     retry_fraction: f64,
     random_state: u64,
 }
 
 impl RetryAdvice {
-    /// Advice within the settings' longest Retry-After and latency objectives.
+    /// Creates the state within the Retry-After limit and the latency objectives of `settings`.
     pub fn new(settings: &PolicySettings, seed: u64) -> RetryAdvice {
         let max_retry_after = settings.max_retry_after.min(MAX_RETRY_AFTER_S);
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
@@ -37,42 +37,42 @@
         }
     }
 
-    /// Takes in whether an arrival is a retry.
+    /// Records whether an arrival is a retry.
     pub fn record_arrival(&mut self, is_retry: bool, weight: f64) {
         self.retry_fraction += weight * (f64::from(u8::from(is_retry)) - self.retry_fraction);
     }
 
-    /// A random number from 0 to under 1: multiply with carry, from the wire's seed.
+    /// Returns a random number in [0, 1) from the multiply-with-carry generator.
     fn next_random(&mut self) -> f64 {
         self.random_state = MWC_MULTIPLIER * (self.random_state & LOW_WORD_MASK) + (self.random_state >> 32);
         (self.random_state & LOW_WORD_MASK) as f64 / (LOW_WORD_MASK + 1) as f64
     }
 
-    /// Seconds of Retry-After at the most.
+    /// Returns the longest Retry-After, in seconds.
     pub fn max_retry_after(&self) -> f64 {
         self.max_retry_after
     }
 
-    /// Whether retries are so frequent that the other servers are full too.
+    /// Returns whether retries are so frequent that the other servers are overloaded too.
     pub fn is_fleet_overloaded(&self) -> bool {
         self.retry_fraction > FLEET_OVERLOAD_RETRY_FRACTION
     }
 
-    /// Seconds to keep off a server in this state.
+    /// Returns a Retry-After in seconds: random on a healthy server, else the longest.
     pub fn random_retry_after(&mut self, is_healthy: bool) -> f64 {
         self.max_retry_after
             * if is_healthy { 2.0 * MEAN_RETRY_AFTER_FRACTION * self.next_random() } else { 1.0 }
     }
 }
 
-/// What the log counts together.
+/// Key under which rejections are counted.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RejectionKey {
     class: usize,
     reason: Reason,
 }
 
-/// What was rejected since the last log line.
+/// Rejections since the last log line.
 #[derive(Default)]
 pub(super) struct RejectionLog {
     counts: BTreeMap<RejectionKey, u32>,
@@ -80,7 +80,7 @@
 }
 
 impl RejectionLog {
-    /// The first interval begins now.
+    /// Starts the first log interval.
     pub fn start(&mut self, now: f64) {
         self.logged_at = now;
     }
@@ -90,7 +90,7 @@
         *self.counts.entry(RejectionKey { class, reason }).or_default() += 1;
     }
 
-    /// Takes the counts out as text, once an interval: a line each would fill the log in a flood.
+    /// Returns the counts as text and resets them, at most once per log interval.
     pub fn take_text(&mut self, now: f64) -> Option<String> {
         if now - self.logged_at <= LOG_INTERVAL_S || self.counts.is_empty() {
             return None;
--- a/src/policy/rounds.rs
+++ b/src/policy/rounds.rs
@@ -1,4 +1,4 @@
-//! A round: the order in which the policy reads what happened, and the steps of what adapts slowly.
+//! Decision rounds: the order in which the policy processes events, and the control steps.
 
 use super::averages::{moving_average, EWMA_WEIGHT};
 use super::health::RunAges;
@@ -8,7 +8,7 @@
 use crate::{Completion, Decisions, Gauges, Outcome, Round};
 
 impl AdmissionPolicy {
-    /// Takes in all that happened since the last round and writes what is decided.
+    /// Processes all events since the last round and writes the decisions.
     pub fn decide(&mut self, round: &Round, decisions: &mut impl Decisions) {
         let now = round.now;
         if !self.warm_up.has_started() {
@@ -37,7 +37,7 @@
         self.start_runs(now, decisions);
     }
 
-    /// The first round of the process.
+    /// Initializes the process in its first round.
     fn start(&mut self, now: f64, decisions: &mut impl Decisions) {
         self.warm_up.start(now);
         self.rejections.start(now);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Serves what arrives within the grace, and answers all before the kill.
+    /// Starts the drain: admits arrivals within the grace, and answers every request before `kill_at`.
     fn begin_drain(&mut self, now: f64, kill_at: f64, decisions: &mut impl Decisions) {
         let answer_by = kill_at - DEADLINE_MARGIN_S;
         self.drain = Some(Drain { admit_until: now + self.settings.drain_grace, answer_by });
@@ -82,27 +82,27 @@
         self.remove(index, decisions);
     }
 
-    /// A caller gave its request up. Those that go together went with their connection or gateway; one that
-    /// goes `alone` has lost patience.
+    /// Handles an abandoned request. Several at once point to a lost connection or gateway; only a single
+    /// one counts as a caller that stopped waiting.
     fn handle_abandonment(&mut self, now: f64, id: u32, is_single: bool, decisions: &mut impl Decisions) {
         let Some(&index) = self.index_by_id.get(&id) else { return };
         let is_preemptible = self.is_preemptible();
         let request = &mut self.requests[index];
         request.answered = true;
         let class = &self.classes[request.input.class];
-        // One that goes before any run could have ended is not waiting for one.
+        // A request abandoned sooner than a run takes was not waiting for its result.
         if is_single && now - request.arrived > class.base_run_time {
             self.abandonment.record_abandoned(now - request.arrived);
         }
         match request.stage {
             Stage::Queued | Stage::Replaying => drop(self.remove(index, decisions)),
-            // Nobody waits: free the core. A keyed run goes on, since a retry may want its result.
+            // Free the core. A keyed run continues, since a retry may need its result.
             Stage::Running if is_preemptible && class.is_idempotent() => decisions.preempt(id),
             _ => {}
         }
     }
 
-    /// Counts what runs, what calls and the memory in use, and how old the open runs are.
+    /// Recounts running and calling requests, used memory and the age of open runs.
     fn update_usage(&mut self, now: f64) {
         self.call_window.update_mean(now - self.last_round, self.calling);
         self.last_round = now;
@@ -124,7 +124,7 @@
         self.slowdown.update_open_runs(&run_ages, self.running, self.settings.cores);
     }
 
-    /// The work of a scheduled tick; once a step, of all that adapts slowly.
+    /// Handles a scheduled tick, with a control step if one is due.
     fn tick(&mut self, now: f64, gauges: &Gauges, decisions: &mut impl Decisions) {
         decisions.schedule_tick(TICK_INTERVAL_S);
         self.handle_due_requests(now, decisions);
@@ -152,7 +152,7 @@
         self.log_rejections(now, decisions);
     }
 
-    /// Takes in the time of a run that completed with all its calls.
+    /// Records the run time of a run that completed with its call.
     fn record_run_time(&mut self, now: f64, index: usize) {
         let request = &self.requests[index];
         let run_time = now - request.run_started_at;
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -1,4 +1,4 @@
-//! All that the policy knows: its settings, the requests in flight, and what each guard has learned.
+//! State of the admission policy: settings, requests in flight and adaptive limits.
 
 use super::call_window::CallWindow;
 use super::concurrency::{self, ConcurrencyLimit};
@@ -14,29 +14,28 @@
 use slab::Slab;
 use std::collections::HashMap;
 
-/// After the notice to drain.
+/// Limits that apply after the notice to drain.
 #[derive(Clone, Copy)]
 pub(super) struct Drain {
     /// Requests that arrive later must not run.
     pub admit_until: f64,
-    /// All requests are answered by then.
+    /// When every request must be answered.
     pub answer_by: f64,
 }
 
-/// The policy of one server, for as long as its process lives.
+/// Admission policy of one server process.
 pub struct AdmissionPolicy {
     pub(super) settings: PolicySettings,
-    /// Callers that send here, at least one.
+    /// Callers of this server, at least one.
     pub(super) callers: f64,
     pub(super) classes: Vec<ClassState>,
     pub(super) quotas: Vec<QuotaBucket>,
 
-    /// Requests in flight, by place.
     pub(super) requests: Slab<InFlight>,
     pub(super) index_by_id: HashMap<u32, usize>,
-    /// Places of those that are queued.
+    /// Indices of the queued requests.
     pub(super) queue: Vec<usize>,
-    /// Requests on the cores, and those with a downstream call open.
+    /// Number of requests that hold a run slot.
     pub(super) running: usize,
     /// Number of requests with an open downstream call.
     pub(super) calling: usize,
@@ -57,16 +56,16 @@
     pub(super) drain: Option<Drain>,
     pub(super) last_round: f64,
     pub(super) last_control_step: f64,
-    /// Runs that end, a second.
+    /// Moving average of runs that end, per second.
     pub(super) completion_rate: f64,
 }
 
 impl AdmissionPolicy {
-    /// A policy for a process that has just started. `seed` feeds what the policy draws at random.
+    /// Creates the policy of a new process. `seed` seeds its random numbers.
     ///
     /// # Panics
     ///
-    /// If the settings hold no request class, which [`PolicySettings::validate`] excludes.
+    /// If the settings hold no request class, which [`PolicySettings::validate`] rejects.
     pub fn new(settings: &PolicySettings, seed: u64) -> AdmissionPolicy {
         AdmissionPolicy {
             settings: settings.clone(),
@@ -101,12 +100,12 @@
         }
     }
 
-    /// Whether runs can be taken off the cores.
+    /// Returns whether running requests can be preempted.
     pub(super) fn is_preemptible(&self) -> bool {
         self.settings.preemption != Preemption::Never
     }
 
-    /// Drops a request that is no longer in flight. One that never ran leaves no idempotency key behind.
+    /// Removes a request from the in-flight state. Forgets the idempotency key of one that never ran.
     pub(super) fn remove(&mut self, index: usize, decisions: &mut impl Decisions) -> InFlight {
         let request = self.requests.remove(index);
         self.index_by_id.remove(&request.input.id);
@@ -120,7 +119,7 @@
         request
     }
 
-    /// How many more may run or call.
+    /// Returns how many more requests may run or call.
     pub(super) fn concurrency_headroom(&self, now: f64) -> f64 {
         concurrency::headroom_with_calls(
             self.warm_up.sustainable_concurrency(now),
@@ -128,8 +127,8 @@
         )
     }
 
-    /// How many more a cold server may have in flight, queued and run. Guards against all callers finding it
-    /// at once, each of which knows only what it sends itself.
+    /// Returns how many more requests a warming server may have in flight, queued ones included. Limits the
+    /// burst when all callers discover a new server at once.
     pub(super) fn in_flight_headroom(&self, now: f64) -> f64 {
         self.warm_up.in_flight_limit(now) - (self.queue.len() + self.running + self.calling) as f64
     }
--- a/src/policy/timing.rs
+++ b/src/policy/timing.rs
@@ -1,10 +1,11 @@
-//! The intervals that several modules share.
+//! Time constants shared by several modules.
 
-/// Seconds between looks at the queue: well under any latency objective, yet few timers.
+/// Time between ticks, in seconds; well below any latency objective.
 pub(super) const TICK_INTERVAL_S: f64 = 0.02;
-/// Seconds between steps of limit, signal and health: some runs end in it.
+/// Time between control steps of limits, signal and health, in seconds.
 pub(super) const CONTROL_INTERVAL_S: f64 = 0.1;
-/// Seconds before its deadline at which an answer is forced: two ticks and a round.
+/// Time before its deadline at which a request is answered with an error, in seconds: two ticks and a
+/// round.
 pub(super) const DEADLINE_MARGIN_S: f64 = 0.05;
-/// Seconds over which rates are taken, and after which what no run confirms fades.
+/// Time constant of rates and of the decay of unconfirmed run times, in seconds.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 3.0;
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -1,28 +1,28 @@
-//! Warming up: what a server that may have started cold can bear, and the ramp that bounds what it has in
-//! flight.
+//! Warm-up: capacity of a server that may have started cold, and its limit on requests in flight.
 
 use crate::PolicySettings;
 
-/// Standard deviations, and whole requests, over the crowd borne while cold: the operators' ramp.
+/// Headroom of the in-flight limit above the sustainable concurrency, in standard deviations and again in
+/// requests.
 const WARM_UP_HEADROOM: f64 = 2.0;
-/// Seconds that a warm-up takes at least: its rate is divided by it.
+/// Shortest warm-up, in seconds, since the duration is a divisor.
 const MIN_WARM_UP_S: f64 = 1e-3;
 
-/// How far the process has warmed up, at the least.
+/// Lower bound on the warm-up progress of the process.
 pub(super) struct WarmUp {
     started_at: Option<f64>,
-    /// Share of its speed at the start.
+    /// Fraction of full speed at the start.
     cold_fraction: f64,
     duration: f64,
     cores: f64,
-    /// Running requests a core that a warm server survives, beside the one that has the core.
+    /// Sustainable runs per core of a warm server beyond the one that uses the core.
     extra_per_core: f64,
-    /// Share of its speed that the server is taken to lack.
+    /// Fraction of full speed that the server is assumed to lack.
     capacity_deficit: f64,
 }
 
 impl WarmUp {
-    /// A process that has yet to begin its first round.
+    /// Creates the state before the first round.
     pub fn new(settings: &PolicySettings) -> WarmUp {
         let cold_fraction = if settings.starts_cold { settings.cold_capacity_fraction.min(1.0) } else { 1.0 };
         WarmUp {
@@ -35,40 +35,40 @@
         }
     }
 
-    /// The first round begins now.
+    /// Records the start of the first round.
     pub fn start(&mut self, now: f64) {
         self.started_at = Some(now);
     }
 
-    /// Whether the first round has begun.
+    /// Returns whether the first round has started.
     pub fn has_started(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Whether the settings let the process start cold.
+    /// Returns whether the settings allow a cold start.
     pub fn may_be_cold(&self) -> bool {
         self.cold_fraction < 1.0
     }
 
-    /// Seconds since the first round.
+    /// Returns the seconds since the first round.
     pub fn uptime(&self, now: f64) -> f64 {
         now - self.started_at.unwrap_or(now)
     }
 
-    /// The share of its speed that the server has reached at the least.
+    /// Returns the least fraction of full speed reached so far.
     fn capacity_fraction(&self, now: f64) -> f64 {
         let progress = self.uptime(now) / self.duration;
         (self.cold_fraction + (1.0 - self.cold_fraction) * progress).min(1.0)
     }
 
-    /// The crowd of running requests that the server survives, with the warmth it has at the least.
+    /// Returns the number of running requests that the server sustains at its present capacity.
     pub fn sustainable_concurrency(&self, now: f64) -> f64 {
         self.cores * (1.0 + self.extra_per_core * self.capacity_fraction(now))
     }
 
-    /// Guards against a full share for a cold server: it asks for no more than the share of its speed, until
-    /// work that leaves cores free shows that it has more than the settings promise. `eased` is what that
-    /// takes off now.
+    /// Updates and returns the capacity deficit. It shrinks with the warm-up, and by `decay` when free
+    /// cores show that the server is faster than the settings guarantee. Keeps a cold server from taking a
+    /// full share of requests.
     pub fn update_capacity_deficit(&mut self, now: f64, decay: Option<f64>) -> f64 {
         self.capacity_deficit = self.capacity_deficit.min(1.0 - self.capacity_fraction(now));
         if let Some(decay) = decay {
@@ -77,7 +77,7 @@
         self.capacity_deficit
     }
 
-    /// Requests in flight that its ramp bears; no bound once it is warm.
+    /// Returns the limit on requests in flight; unbounded once the server is warm.
     pub fn in_flight_limit(&self, now: f64) -> f64 {
         let sustainable_concurrency = self.sustainable_concurrency(now);
         if self.capacity_fraction(now) < 1.0 {
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,31 +1,29 @@
-//! A request as the host hands it to the policy.
+//! Input of the policy for one request.
 
-/// A request that was read and now waits in the queue.
+/// A request that was read and waits in the queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// The host's id; unique among requests in flight.
+    /// Id assigned by the host, unique among requests in flight.
     pub id: u32,
     /// Index in [`PolicySettings::classes`](crate::PolicySettings::classes).
     pub class: usize,
-    /// Index in [`PolicySettings::tenants`](crate::PolicySettings::tenants); meaningless where there are
-    /// none.
+    /// Index in [`PolicySettings::tenants`](crate::PolicySettings::tenants); ignored if there are none.
     pub tenant: usize,
-    /// When its caller gives this attempt up, on the host's clock in seconds; 0 where the caller does not
-    /// say.
+    /// When the caller abandons this attempt, on the host's clock in seconds; 0 if unknown.
     pub deadline: f64,
-    /// The caller's estimate of its core time, in seconds; 0 for none.
+    /// Caller's estimate of the CPU time, in seconds; 0 for none.
     pub cost_hint: f64,
-    /// Memory that it takes while queued, in kilobytes.
+    /// Memory while queued, in kilobytes.
     pub memory: f64,
-    /// Place from 0 to under 1 in the order that [`LoadSignal::MinimumRank`](crate::LoadSignal::MinimumRank)
-    /// cuts, lowest first.
+    /// Rank in [0, 1) that [`LoadSignal::MinimumRank`](crate::LoadSignal::MinimumRank) compares; lower
+    /// ranks are dropped first.
     pub rank: f64,
-    /// Which caller sent it.
+    /// Id of the caller that sent it.
     pub caller: u32,
     /// Whether it is a retry or a hedged request.
     pub is_retry: bool,
-    /// How long it lay in the socket before it was read, in seconds.
+    /// Time in the socket before it was read, in seconds.
     pub time_unread: f64,
-    /// Id of an earlier attempt at the same request, known by its idempotency key; 0 for none.
+    /// Id of an earlier attempt with the same idempotency key; 0 for none.
     pub earlier_attempt: u32,
 }
--- a/src/round.rs
+++ b/src/round.rs
@@ -1,74 +1,74 @@
-//! What the host tells the policy, once a round.
+//! Input of the policy for one round.
 
 use crate::{Outcome, Request};
 
-/// The end of a run or of a downstream call.
+/// End of a run or of a downstream call.
 #[derive(Clone, Copy, Debug)]
 pub struct Completion {
-    /// The request that ran or called.
+    /// Id of the request that ran or called.
     pub id: u32,
-    /// How it came out.
+    /// Outcome of the run or call.
     pub outcome: Outcome,
-    /// How long it took, in seconds.
+    /// Duration of the run or call, in seconds.
     pub duration: f64,
 }
 
-/// What the machine measures when a tick fires; absent where it has no such gauge.
+/// Measurements of the machine at a tick; `None` where it has no such gauge.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Share of the cores busy, over a short while.
+    /// Recent busy fraction of the cores.
     pub busy: Option<f64>,
-    /// Threads that want a core now, running or not.
+    /// Number of runnable threads, including the running ones.
     pub runnable: Option<f64>,
-    /// Share of the memory in use.
+    /// Fraction of the memory in use.
     pub memory: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub sockets: Option<f64>,
 }
 
-/// All that happened since the last round; the policy reads the fields in the order in which they stand here.
+/// All events since the last round. The policy processes the fields in the order of declaration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Round<'a> {
     /// The host's clock, in seconds.
     pub now: f64,
     /// Downstream calls that ended.
     pub finished_calls: &'a [Completion],
-    /// Running requests that have reached their downstream call and wait for leave to make it.
+    /// Running requests that have reached their downstream call and wait for permission to make it.
     pub awaiting_call: &'a [u32],
     /// Runs that ended.
     pub finished_runs: &'a [Completion],
-    /// Requests whose callers gave them up.
+    /// Requests abandoned by their callers.
     pub abandoned: &'a [u32],
     /// Requests that were read.
     pub arrivals: &'a [Request],
-    /// Notice to drain: when the process will be killed, on the host's clock.
+    /// Notice to drain: when the process will be killed, on the host's clock in seconds.
     pub drain_deadline: Option<f64>,
-    /// The gauges, if the tick that the policy scheduled is due.
+    /// The gauges, if the scheduled tick is due.
     pub tick: Option<Gauges>,
 }
 
-/// A [`Round`] as it is gathered, for hosts that learn of events one by one.
+/// Buffers for the events of the next [`Round`], for hosts that receive events one at a time.
 #[derive(Debug, Default)]
 pub struct RoundInput {
     /// Downstream calls that ended.
     pub finished_calls: Vec<Completion>,
-    /// Running requests that have reached their downstream call and wait for leave to make it.
+    /// Running requests that have reached their downstream call and wait for permission to make it.
     pub awaiting_call: Vec<u32>,
     /// Runs that ended.
     pub finished_runs: Vec<Completion>,
-    /// Requests whose callers gave them up.
+    /// Requests abandoned by their callers.
     pub abandoned: Vec<u32>,
     /// Requests that were read.
     pub arrivals: Vec<Request>,
-    /// Notice to drain: when the process will be killed, on the host's clock.
+    /// Notice to drain: when the process will be killed, on the host's clock in seconds.
     pub drain_deadline: Option<f64>,
-    /// The gauges, if the tick that the policy scheduled is due.
+    /// The gauges, if the scheduled tick is due.
     pub tick: Option<Gauges>,
 }
 
 impl RoundInput {
-    /// All of it as one round at `now`. A request that arrived and was abandoned meanwhile needs no decision
-    /// and is left out.
+    /// Returns the buffered events as one round at `now`. Requests that arrived and were abandoned within
+    /// the round are left out.
     pub fn round(&mut self, now: f64) -> Round<'_> {
         let abandoned = &self.abandoned;
         if !abandoned.is_empty() {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Empties it for the next round and keeps the allocations.
+    /// Clears the buffers for the next round and keeps their allocations.
     pub fn clear(&mut self) {
         self.finished_calls.clear();
         self.awaiting_call.clear();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of the policy: the server, its request classes and tenants, and what they may ask for.
+//! Settings of the policy: the server, its request classes and its tenants.
 //!
-//! All durations are seconds, all sizes of memory kilobytes, as the simulator and the server's settings give
-//! them. [`PolicySettings::validate`] has to pass before a policy is made of them.
+//! Durations are in seconds, memory sizes in kilobytes. [`PolicySettings::validate`] must succeed before a
+//! policy is created.
 
 use thiserror::Error;
 
@@ -11,156 +11,156 @@
     /// May run any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key, by which a retry is recognised; must not run twice within the class's
+    /// Carries an idempotency key that identifies retries; must not run twice within the class's
     /// [`dedup_window`](RequestClass::dedup_window).
     Keyed,
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// What requests call while they run.
+/// Downstream of running requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Downstream {
-    /// Nothing.
+    /// No downstream calls.
     #[default]
     None,
-    /// One dependency that all servers of the fleet load together.
+    /// One dependency shared by all servers of the fleet.
     SharedDependency,
-    /// A further tier of servers, which run a policy of their own.
+    /// Another tier of servers with its own admission control.
     NextTier,
 }
 
-/// Whether a running request can be taken off the cores.
+/// Whether and how a running request can be preempted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
-    /// It can't.
+    /// No preemption.
     #[default]
     Never,
-    /// It falls back into the queue and its work is lost.
+    /// The request returns to the queue and its work is lost.
     Discard,
-    /// It keeps its progress and its memory.
+    /// The request keeps its progress and its memory.
     Suspend,
 }
 
-/// The meaning of the one load signal that every answer carries to its caller.
+/// Meaning of the load signal that every answer carries to its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Answers carry none.
+    /// Answers carry no load signal.
     #[default]
     None,
-    /// Callers send no request whose [`rank`](crate::Request::rank) is lower.
+    /// Callers send no request with a lower [`rank`](crate::Request::rank).
     MinimumRank,
     /// Most requests that each caller may have outstanding at this server.
     Tokens,
-    /// Probability with which a caller that would pick this server does not pass it over.
+    /// Probability with which a caller that selects this server sends to it rather than to another.
     SelectionBias,
 }
 
-/// The terms on which requests of one class are served.
+/// Settings of one request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestClass {
     /// Time from arrival within which an answer is on time, in seconds.
     pub latency_objective: f64,
-    /// Seconds that the latency objective gains for each second of a request's expected work.
+    /// Seconds added to the latency objective per second of expected work.
     pub objective_stretch: f64,
-    /// Time from arrival after which an answer is worth nothing, in seconds.
+    /// Time from arrival after which an answer has no value, in seconds.
     pub timeout: f64,
-    /// Worth of one request against those of other classes.
+    /// Weight of one request relative to other classes.
     pub priority_weight: f64,
-    /// Share of the weight that an answer between latency objective and timeout still earns.
+    /// Fraction of the weight of an answer between latency objective and timeout.
     pub late_weight_fraction: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: how long after its arrival a request may be retried, in seconds.
+    /// For keyed classes: time from arrival within which a request may be retried, in seconds.
     pub dedup_window: f64,
-    /// Whether its requests call the downstream.
+    /// Whether its requests make a downstream call.
     pub makes_calls: bool,
-    /// Share of the weight that a degraded answer, without the downstream call, earns; 0 where the call is
-    /// indispensable.
+    /// Fraction of the weight of a degraded answer without the downstream call; 0 if the call is required.
     pub degraded_weight_fraction: f64,
 }
 
-/// One tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over the whole fleet, up to which its requests keep their weight.
+    /// Requests per second, over the whole fleet, up to which its requests keep their weight.
     pub quota: f64,
 }
 
-/// What a policy is told when its process starts.
+/// Settings of the policy of one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicySettings {
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub servers: f64,
-    /// Callers that send to this server.
+    /// Number of callers that send to this server.
     pub callers: f64,
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: f64,
     /// Memory of this server, in kilobytes.
     pub memory: f64,
-    /// Memory of a running request over that of a queued one.
+    /// Ratio of the memory of a running request to that of a queued one.
     pub running_memory_factor: f64,
     /// Memory of one remembered idempotency key, in kilobytes.
     pub key_memory: f64,
-    /// Request classes; a request names one by its index.
+    /// Request classes; a request refers to one by index.
     pub classes: Vec<RequestClass>,
-    /// Tenants, empty where requests belong to none; a request names one by its index.
+    /// Tenants, empty if requests belong to none; a request refers to one by index.
     pub tenants: Vec<Tenant>,
-    /// Share of its weight that a request beyond its tenant's quota keeps.
+    /// Fraction of its weight that a request beyond its tenant's quota keeps.
     pub over_quota_fraction: f64,
-    /// Whether weight counts for each unit of work rather than for each request.
+    /// Whether weight applies per unit of work rather than per request.
     pub weight_per_work: bool,
-    /// What requests call while they run.
+    /// Downstream of running requests.
     pub downstream: Downstream,
-    /// This server's share of the calls that the shared dependency survives, as a mean number of calls open.
+    /// This server's share of the calls that the shared dependency sustains, as a mean number of open
+    /// calls.
     pub call_concurrency_share: f64,
-    /// The time over which the dependency takes that mean, in seconds.
+    /// Time over which the dependency averages open calls, in seconds.
     pub call_averaging_window: f64,
-    /// How long a call that was given up still occupies the dependency, in seconds.
+    /// Time for which an abandoned call still occupies the dependency, in seconds.
     pub abandoned_call_linger: f64,
-    /// Whether a running request can be taken off the cores.
+    /// Whether and how running requests can be preempted.
     pub preemption: Preemption,
-    /// The meaning of the load signal on answers.
+    /// Meaning of the load signal on answers.
     pub load_signal: LoadSignal,
-    /// Whether the fleet's endpoint list follows the health that this server reports.
+    /// Whether the fleet's endpoint list follows the health of this server.
     pub endpoints_follow_health: bool,
     /// Whether the process may have started cold.
     pub starts_cold: bool,
-    /// Share of its speed that a cold server has at the start.
+    /// Fraction of full speed of a cold server at the start.
     pub cold_capacity_fraction: f64,
     /// Time from a cold start to full speed, in seconds.
     pub warm_up_duration: f64,
-    /// Running requests a core at which a warm server collapses.
+    /// Running requests per core at which a warm server collapses.
     pub overload_multiple: f64,
-    /// The time over which those are averaged, in seconds.
+    /// Time over which those are averaged, in seconds.
     pub overload_window: f64,
-    /// Requests that arrive later than this after the notice to drain must not run, in seconds.
+    /// Time after the notice to drain after which arriving requests must not run, in seconds.
     pub drain_grace: f64,
-    /// The longest Retry-After that callers heed, in seconds; 0 where none is passed on.
+    /// Longest Retry-After that callers respect, in seconds; 0 if none is passed on.
     pub max_retry_after: f64,
-    /// How long callers keep an unused connection open unless told otherwise, in seconds.
+    /// Default time for which callers keep an unused connection open, in seconds.
     pub idle_timeout: f64,
 }
 
-/// What makes settings unusable.
+/// Error in the settings of a policy.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A figure of the server is negative, not finite, or 0 where it must not be.
+    /// A server setting is negative, not finite, or 0 where it must be positive.
     #[error("policy settings: {field} is out of range: {value}")]
     OutOfRange {
-        /// The field of [`PolicySettings`].
+        /// Name of the setting in [`PolicySettings`].
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: f64,
     },
-    /// A figure of a request class is negative, not finite, or 0 where it must not be.
+    /// A class setting is negative, not finite, or 0 where it must be positive.
     #[error("policy settings: {field} of class {class} is out of range: {value}")]
     ClassOutOfRange {
-        /// The field of [`RequestClass`].
+        /// Name of the setting in [`RequestClass`].
         field: &'static str,
         /// Index of the class.
         class: usize,
-        /// What it holds.
+        /// Its value.
         value: f64,
     },
     /// A tenant's quota is negative or not finite.
@@ -168,10 +168,10 @@
     QuotaOutOfRange {
         /// Index of the tenant.
         tenant: usize,
-        /// What it holds.
+        /// Its value.
         value: f64,
     },
-    /// Every request belongs to a class, and there is none.
+    /// There is no request class.
     #[error("policy settings: no request classes")]
     NoClasses,
 }
@@ -185,7 +185,7 @@
 }
 
 impl RequestClass {
-    /// The first figure that is out of range, with its name.
+    /// Returns the name and value of the first setting that is out of range.
     fn out_of_range(&self) -> Option<(&'static str, f64)> {
         let positive = [("latency objective", self.latency_objective), ("timeout", self.timeout)];
         let non_negative = [
@@ -208,11 +208,11 @@
 }
 
 impl PolicySettings {
-    /// Checks that a policy can work by these settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// The first figure that is out of range, or [`SettingsError::NoClasses`].
+    /// The first setting that is out of range, or [`SettingsError::NoClasses`].
     pub fn validate(&self) -> Result<(), SettingsError> {
         if let Some((field, value)) = self.out_of_range() {
             return Err(SettingsError::OutOfRange { field, value });
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    /// The first figure of the server that is out of range, with its name.
+    /// Returns the name and value of the first server setting that is out of range.
     fn out_of_range(&self) -> Option<(&'static str, f64)> {
         let positive = [
             ("servers", self.servers),
