--- a/src/outcome/tests.rs
+++ b/src/outcome/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn every_reason_has_its_own_code_and_text() {
-    for (at, (reason, text)) in Reason::ALL.into_iter().enumerate() {
-        assert_eq!((usize::from(reason.code()), reason.text()), (at, text));
+fn reason_codes_round_trip() {
+    for (position, (reason, text)) in Reason::ALL.into_iter().enumerate() {
+        assert_eq!((usize::from(reason.code()), reason.text()), (position, text));
         assert_eq!(Reason::from_code(reason.code()), Some(reason));
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -15,26 +15,29 @@
 }
 
 #[test]
-fn an_error_names_the_figure_and_what_it_holds() {
+fn errors_name_setting_and_value() {
     assert_eq!(settings().validate(), Ok(()));
-    let text = |change: fn(&mut PolicySettings)| {
+    let error_text = |change: fn(&mut PolicySettings)| {
         let mut settings = settings();
         change(&mut settings);
         settings.validate().unwrap_err().to_string()
     };
-    assert_eq!(text(|s| s.cores = 0.0), "policy settings: cores is out of range: 0");
-    assert_eq!(text(|s| s.drain_grace = -1.0), "policy settings: drain grace is out of range: -1");
+    assert_eq!(error_text(|settings| settings.cores = 0.0), "policy settings: cores is out of range: 0");
     assert_eq!(
-        text(|s| s.classes[1].timeout = f64::INFINITY),
+        error_text(|settings| settings.drain_grace = -1.0),
+        "policy settings: drain grace is out of range: -1"
+    );
+    assert_eq!(
+        error_text(|settings| settings.classes[1].timeout = f64::INFINITY),
         "policy settings: timeout of class 1 is out of range: inf"
     );
     assert_eq!(
-        text(|s| s.classes[0].dedup_window = -2.5),
+        error_text(|settings| settings.classes[0].dedup_window = -2.5),
         "policy settings: dedup window of class 0 is out of range: -2.5"
     );
     assert_eq!(
-        text(|s| s.tenants[0].quota = f64::NAN),
+        error_text(|settings| settings.tenants[0].quota = f64::NAN),
         "policy settings: quota of tenant 0 is out of range: NaN"
     );
-    assert_eq!(text(|s| s.classes.clear()), "policy settings: no request classes");
+    assert_eq!(error_text(|settings| settings.classes.clear()), "policy settings: no request classes");
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,14 +1,13 @@
-//! A small host for tests: it plays rounds to a policy, one event at a time, and logs what the policy
-//! decides.
+//! Test host: passes rounds to a policy, one event at a time, and records its decisions.
 
 use puffinladder::*;
 
 pub struct Host {
     pub policy: AdmissionPolicy,
     pub now: f64,
-    /// What the machine measures at each tick.
+    /// Gauges of each tick.
     pub gauges: Gauges,
-    /// All that was decided, as "verb id" with figures behind.
+    /// All decisions, as a verb, the id and the arguments.
     pub log: DecisionLog,
 }
 
@@ -21,8 +20,8 @@
     fn run(&mut self, id: u32) {
         self.lines.push(format!("run {id}"));
     }
-    fn reject(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
-        self.lines.push(format!("reject {id} {retry_after} {last}"));
+    fn reject(&mut self, id: u32, retry_after: f64, do_not_forward: bool, _reason: Reason) {
+        self.lines.push(format!("reject {id} {retry_after} {do_not_forward}"));
     }
     fn fail(&mut self, id: u32, _reason: Reason) {
         self.lines.push(format!("fail {id}"));
@@ -30,14 +29,14 @@
     fn preempt(&mut self, id: u32) {
         self.lines.push(format!("preempt {id}"));
     }
-    fn allow_call(&mut self, id: u32, limit: f64) {
-        self.lines.push(format!("call {id} {limit:.3}"));
+    fn allow_call(&mut self, id: u32, timeout: f64) {
+        self.lines.push(format!("call {id} {timeout:.3}"));
     }
     fn skip_call(&mut self, id: u32) {
         self.lines.push(format!("skip {id}"));
     }
-    fn remember_key(&mut self, id: u32, span: f64) {
-        self.lines.push(format!("remember {id} {span:.3}"));
+    fn remember_key(&mut self, id: u32, duration: f64) {
+        self.lines.push(format!("remember {id} {duration:.3}"));
     }
     fn forget_key(&mut self, id: u32) {
         self.lines.push(format!("forget {id}"));
@@ -45,23 +44,23 @@
     fn replay_result(&mut self, id: u32) {
         self.lines.push(format!("replay {id}"));
     }
-    fn set_health(&mut self, good: bool, _stored: bool) {
-        self.lines.push(format!("health {good}"));
+    fn set_health(&mut self, is_healthy: bool, _is_cacheable: bool) {
+        self.lines.push(format!("health {is_healthy}"));
     }
-    fn set_load_signal(&mut self, amount: f64) {
-        self.lines.push(format!("signal {amount:.2}"));
+    fn set_load_signal(&mut self, signal: f64) {
+        self.lines.push(format!("signal {signal:.2}"));
     }
-    fn set_keepalive(&mut self, span: f64) {
-        self.lines.push(format!("keepalive {span:.1}"));
+    fn set_keepalive(&mut self, timeout: f64) {
+        self.lines.push(format!("keepalive {timeout:.1}"));
     }
-    fn schedule_tick(&mut self, _after: f64) {}
+    fn schedule_tick(&mut self, _delay: f64) {}
     fn log(&mut self, text: &str) {
         self.lines.push(format!("log {text}"));
     }
 }
 
-/// A server of two cores: class 0 weighs much and is idempotent, 1 weighs little, 2 is keyed, 3 not
-/// idempotent.
+/// Returns settings of a server of two cores. Class 0 is idempotent with a high weight, class 1 idempotent
+/// with a low weight, class 2 keyed and class 3 not idempotent.
 pub fn settings() -> PolicySettings {
     let class = |priority_weight, idempotency, degraded_weight_fraction| RequestClass {
         latency_objective: 4.0,
@@ -124,7 +123,7 @@
         host.play(Round::default());
         host
     }
-    /// One round now; returns what was decided.
+    /// Plays one round at the present time and returns its decisions.
     pub fn play(&mut self, round: Round) -> Vec<String> {
         let from = self.log.lines.len();
         self.policy.decide(&Round { now: self.now, ..round }, &mut self.log);
@@ -142,16 +141,16 @@
     pub fn end_call(&mut self, id: u32, outcome: Outcome, duration: f64) -> Vec<String> {
         self.play(Round { finished_calls: &[completion(id, outcome, duration)], ..Round::default() })
     }
-    /// Lets time pass in ticks and returns all that was decided meanwhile.
-    pub fn advance(&mut self, span: f64) -> Vec<String> {
+    /// Advances time in ticks and returns the decisions.
+    pub fn advance(&mut self, seconds: f64) -> Vec<String> {
         let from = self.log.lines.len();
-        for _ in 0..(span / 0.02).round() as u32 {
+        for _ in 0..(seconds / 0.02).round() as u32 {
             self.now += 0.02;
             self.play(Round { tick: Some(self.gauges), ..Round::default() });
         }
         self.log.lines[from..].to_vec()
     }
-    /// How many decisions begin like this.
+    /// Returns the number of decisions that start with `start`.
     pub fn count(&self, start: &str) -> usize {
         count(&self.log.lines, start)
     }
