--- a/crates/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -1,7 +1,7 @@
 //! One batch: its records go to the instances that this process hosts, and those that got any decide.
 
 use crate::error::{BatchError, RecordError};
-use crate::events::{read_event, Code, Schema};
+use crate::events::{read_event, RecordCode, Schema};
 use crate::fields::Fields;
 use crate::frame::Header;
 use crate::reply::Reply;
@@ -24,7 +24,7 @@
         let length = fields.u32()? as usize;
         let text = fields.take(length)?;
         let config = puffinladder_settings::parse_policy_config(text)?;
-        let schema = Schema { meters: config.gauges, classes: config.settings.classes.len() };
+        let schema = Schema { gauges: config.gauges, classes: config.settings.classes.len() };
         Ok(Instance {
             policy: AdmissionPolicy::new(&config.settings, seed),
             schema,
@@ -39,7 +39,7 @@
 pub struct Instances {
     by_id: HashMap<u32, Instance>,
     /// Instances with input in this batch, in the order in which it came.
-    order: Vec<u32>,
+    pending: Vec<u32>,
     reply: Reply,
 }
 
@@ -52,16 +52,16 @@
     /// Decodes one batch, lets each instance that it holds anything for decide, and leaves the reply ready.
     pub fn run_batch(&mut self, header: &Header, body: &[u8]) -> Result<(), BatchError> {
         self.reply.clear();
-        self.order.clear();
+        self.pending.clear();
         let mut fields = Fields::new(body);
         let mut instance = None;
         for record in 1..=header.records {
-            let at = fields.at();
+            let offset = fields.offset();
             let read = self.read_record(&mut fields, &mut instance);
-            read.map_err(|source| BatchError::Record { record, at, source })?;
+            read.map_err(|source| BatchError::Record { record, offset, source })?;
         }
-        if fields.left() > 0 {
-            return Err(BatchError::LeftOver { left: fields.left(), records: header.records });
+        if fields.remaining() > 0 {
+            return Err(BatchError::TrailingBytes { remaining: fields.remaining(), records: header.records });
         }
         self.decide(header.now);
         Ok(())
@@ -69,7 +69,7 @@
 
     /// Each instance with input decides, in the order in which the input came.
     fn decide(&mut self, now: f64) {
-        for id in &self.order {
+        for id in &self.pending {
             // It may have stopped since, or have decided already after a restart.
             let Some(instance) = self.by_id.get_mut(id) else { continue };
             if !std::mem::take(&mut instance.has_input) {
@@ -82,26 +82,26 @@
     }
 
     /// Reads one record; `to` is the instance that the records are for.
-    fn read_record(&mut self, fields: &mut Fields, to: &mut Option<u32>) -> Result<(), RecordError> {
-        let code = Code::read(fields)?;
-        if code == Code::To {
-            *to = Some(fields.u32()?);
+    fn read_record(&mut self, fields: &mut Fields, target: &mut Option<u32>) -> Result<(), RecordError> {
+        let code = RecordCode::read(fields)?;
+        if code == RecordCode::To {
+            *target = Some(fields.u32()?);
             return Ok(());
         }
-        let id = to.ok_or(RecordError::NoInstance)?;
-        if code == Code::Start {
+        let id = target.ok_or(RecordError::NoTarget)?;
+        if code == RecordCode::Start {
             self.by_id.insert(id, Instance::read(fields)?);
-            self.order.push(id);
+            self.pending.push(id);
             return Ok(());
         }
         let unknown = RecordError::UnknownInstance { code: code as u8, instance: id };
         let instance = self.by_id.get_mut(&id).ok_or(unknown)?;
-        if code == Code::Stop {
+        if code == RecordCode::Stop {
             self.by_id.remove(&id);
             return Ok(());
         }
         if !std::mem::replace(&mut instance.has_input, true) {
-            self.order.push(id);
+            self.pending.push(id);
         }
         read_event(code, fields, &instance.schema, &mut instance.input)
     }
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -25,7 +25,7 @@
     Write(io::Error),
     /// The input ended before a header was whole.
     #[error("the input ended inside a header, after {read} of {length} bytes")]
-    HeaderCutOff {
+    HeaderTruncated {
         /// Bytes that came.
         read: usize,
         /// Bytes of a header.
@@ -33,7 +33,7 @@
     },
     /// The input ended before a frame was whole.
     #[error("the input ended inside a frame, after {read} of {length} bytes")]
-    FrameCutOff {
+    FrameTruncated {
         /// Bytes that came.
         read: usize,
         /// Bytes that were announced.
@@ -41,28 +41,28 @@
     },
     /// The announced length is shorter than the clock that it counts.
     #[error("a length of {0} leaves no room for the clock")]
-    NoRoomForClock(usize),
+    LengthBelowClock(usize),
     /// The announced length is longer than any batch.
     #[error("an oversized frame of {0} bytes")]
-    Oversized(usize),
+    FrameTooLong(usize),
     /// The clock is infinite or no number.
     #[error("the clock is not a number")]
-    NoClock,
+    InvalidClock,
     /// A record can't be decoded.
-    #[error("record {record} at byte {at}: {source}")]
+    #[error("record {record} at byte {offset}: {source}")]
     Record {
         /// The record, counted from 1.
         record: u32,
         /// Where in the batch it begins.
-        at: usize,
+        offset: usize,
         /// What is wrong with it.
         source: RecordError,
     },
     /// The batch is longer than its records.
-    #[error("{left} bytes are left over behind record {records}")]
-    LeftOver {
+    #[error("{remaining} bytes are left over behind record {records}")]
+    TrailingBytes {
         /// Bytes behind the last record.
-        left: usize,
+        remaining: usize,
         /// Records of the batch.
         records: u32,
     },
@@ -72,12 +72,12 @@
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The batch ends before a field does.
-    #[error("a field of {size} bytes at byte {at} is cut off")]
-    FieldCutOff {
+    #[error("a field of {size} bytes at byte {offset} is cut off")]
+    FieldTruncated {
         /// Bytes of the field.
         size: usize,
         /// Where in the batch it begins.
-        at: usize,
+        offset: usize,
     },
     /// No event has this code.
     #[error("unknown code {0}")]
@@ -87,7 +87,7 @@
     UnknownOutcome(u8),
     /// No instance was named yet.
     #[error("an event before any To")]
-    NoInstance,
+    NoTarget,
     /// The event is for an instance that does not run.
     #[error("code {code} for instance {instance}, which was never launched")]
     UnknownInstance {
--- a/crates/sim-adapter/src/events.rs
+++ b/crates/sim-adapter/src/events.rs
@@ -8,7 +8,7 @@
 /// What a record is.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Code {
+pub enum RecordCode {
     /// An instance starts, with a seed and its start text.
     Start = 10,
     /// A request was read.
@@ -31,20 +31,20 @@
     To = 100,
 }
 
-impl Code {
+impl RecordCode {
     /// Reads a record's code.
-    pub fn read(fields: &mut Fields) -> Result<Code, RecordError> {
+    pub fn read(fields: &mut Fields) -> Result<RecordCode, RecordError> {
         Ok(match fields.u8()? {
-            10 => Code::Start,
-            20 => Code::Submit,
-            30 => Code::RunFinished,
-            40 => Code::CallReached,
-            50 => Code::CallFinished,
-            60 => Code::Drain,
-            70 => Code::Abandoned,
-            80 => Code::Tick,
-            90 => Code::Stop,
-            100 => Code::To,
+            10 => RecordCode::Start,
+            20 => RecordCode::Submit,
+            30 => RecordCode::RunFinished,
+            40 => RecordCode::CallReached,
+            50 => RecordCode::CallFinished,
+            60 => RecordCode::Drain,
+            70 => RecordCode::Abandoned,
+            80 => RecordCode::Tick,
+            90 => RecordCode::Stop,
+            100 => RecordCode::To,
             other => return Err(RecordError::UnknownCode(other)),
         })
     }
@@ -53,27 +53,28 @@
 /// What an instance's start text says of the records that follow.
 pub struct Schema {
     /// The gauges of a tick, in the order in which their values come.
-    pub meters: Vec<GaugeKind>,
+    pub gauges: Vec<GaugeKind>,
     /// Request classes.
     pub classes: usize,
 }
 
 /// Reads the rest of an event for an instance that runs, and enters it into its next round.
 pub fn read_event(
-    code: Code,
+    code: RecordCode,
     fields: &mut Fields,
     schema: &Schema,
     input: &mut RoundInput,
 ) -> Result<(), RecordError> {
     match code {
-        Code::Submit => input.arrivals.push(read_request(fields, schema)?),
-        Code::RunFinished => input.finished_runs.push(fields.completion()?),
-        Code::CallReached => input.awaiting_call.push(fields.u32()?),
-        Code::CallFinished => input.finished_calls.push(fields.completion()?),
-        Code::Drain => input.drain_deadline = Some(fields.seconds()?),
-        Code::Abandoned => input.abandoned.push(fields.u32()?),
-        Code::Tick => input.tick = Some(read_gauges(fields, schema)?),
-        Code::Start | Code::Stop | Code::To => {} // about instances, not for them
+        RecordCode::Submit => input.arrivals.push(read_request(fields, schema)?),
+        RecordCode::RunFinished => input.finished_runs.push(fields.completion()?),
+        RecordCode::CallReached => input.awaiting_call.push(fields.u32()?),
+        RecordCode::CallFinished => input.finished_calls.push(fields.completion()?),
+        RecordCode::Drain => input.drain_deadline = Some(fields.seconds()?),
+        RecordCode::Abandoned => input.abandoned.push(fields.u32()?),
+        RecordCode::Tick => input.tick = Some(read_gauges(fields, schema)?),
+        // Handled before the records of an instance.
+        RecordCode::Start | RecordCode::Stop | RecordCode::To => {}
     }
     Ok(())
 }
@@ -114,12 +115,12 @@
 
 fn read_gauges(fields: &mut Fields, schema: &Schema) -> Result<Gauges, RecordError> {
     let _label = fields.u32()?;
-    let mut gauges = Gauges::default();
-    for at in 0..fields.u8()?.into() {
+    let mut measured = Gauges::default();
+    for position in 0..fields.u8()?.into() {
         let value = fields.f32()?;
-        if let Some(meter) = schema.meters.get(at) {
-            meter.record(value, &mut gauges);
+        if let Some(gauge) = schema.gauges.get(position) {
+            gauge.record(value, &mut measured);
         }
     }
-    Ok(gauges)
+    Ok(measured)
 }
--- a/crates/sim-adapter/src/fields.rs
+++ b/crates/sim-adapter/src/fields.rs
@@ -4,36 +4,36 @@
 use puffinladder::{Completion, Outcome};
 
 /// Milliseconds of the wire to a second of the policy.
-pub const MILLISECONDS: f64 = 1e3;
+pub const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 /// Takes fields off a frame, one after another.
 pub struct Fields<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
 impl<'a> Fields<'a> {
     /// The fields of a whole frame.
     pub fn new(bytes: &'a [u8]) -> Fields<'a> {
-        Fields { bytes, at: 0 }
+        Fields { bytes, offset: 0 }
     }
 
     /// Where the next field begins.
-    pub fn at(&self) -> usize {
-        self.at
+    pub fn offset(&self) -> usize {
+        self.offset
     }
 
     /// Bytes that are left.
-    pub fn left(&self) -> usize {
-        self.bytes.len() - self.at
+    pub fn remaining(&self) -> usize {
+        self.bytes.len() - self.offset
     }
 
     /// The next `size` bytes.
     pub fn take(&mut self, size: usize) -> Result<&'a [u8], RecordError> {
-        let end = self.at.checked_add(size).filter(|&end| end <= self.bytes.len());
-        let end = end.ok_or(RecordError::FieldCutOff { size, at: self.at })?;
-        let field = &self.bytes[self.at..end];
-        self.at = end;
+        let end = self.offset.checked_add(size).filter(|&end| end <= self.bytes.len());
+        let end = end.ok_or(RecordError::FieldTruncated { size, offset: self.offset })?;
+        let field = &self.bytes[self.offset..end];
+        self.offset = end;
         Ok(field)
     }
 
@@ -75,7 +75,7 @@
 
     /// A time or duration, which the wire gives in milliseconds, in seconds.
     pub fn seconds(&mut self) -> Result<f64, RecordError> {
-        Ok(self.f64()? / MILLISECONDS)
+        Ok(self.f64()? / MILLISECONDS_PER_SECOND)
     }
 
     fn outcome(&mut self) -> Result<Outcome, RecordError> {
--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -1,15 +1,15 @@
 //! Frames of the input: a header with the number of records, a length and the clock, then the records.
 
 use crate::error::BatchError;
-use crate::fields::MILLISECONDS;
+use crate::fields::MILLISECONDS_PER_SECOND;
 use std::io::{ErrorKind, Read};
 
 /// No batch of any deployment comes near this; a longer one is a broken stream.
-const MOST_BODY: usize = 1 << 30;
+const MAX_BODY_BYTES: usize = 1 << 30;
 /// Bytes of a header.
-const HEADER: usize = 16;
+const HEADER_BYTES: usize = 16;
 /// Bytes of the clock, which the length in the header counts with the records.
-const CLOCK: usize = 8;
+const CLOCK_BYTES: usize = 8;
 
 /// What stands before the records of a batch.
 pub struct Header {
@@ -37,27 +37,27 @@
 
 /// The next header, or `None` where the input ends between two batches.
 pub fn read_header(input: &mut impl Read) -> Result<Option<Header>, BatchError> {
-    let mut bytes = [0; HEADER];
+    let mut bytes = [0; HEADER_BYTES];
     match fill(input, &mut bytes)? {
         0 => Ok(None),
-        HEADER => decode_header(&bytes).map(Some),
-        read => Err(BatchError::HeaderCutOff { read, length: HEADER }),
+        HEADER_BYTES => decode_header(&bytes).map(Some),
+        read => Err(BatchError::HeaderTruncated { read, length: HEADER_BYTES }),
     }
 }
 
-fn decode_header(bytes: &[u8; HEADER]) -> Result<Header, BatchError> {
+fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, BatchError> {
     let [r0, r1, r2, r3, l0, l1, l2, l3, clock @ ..] = *bytes;
     let records = u32::from_le_bytes([r0, r1, r2, r3]);
     let length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
-    let now = f64::from_le_bytes(clock) / MILLISECONDS;
-    let Some(body_length) = length.checked_sub(CLOCK) else {
-        return Err(BatchError::NoRoomForClock(length));
+    let now = f64::from_le_bytes(clock) / MILLISECONDS_PER_SECOND;
+    let Some(body_length) = length.checked_sub(CLOCK_BYTES) else {
+        return Err(BatchError::LengthBelowClock(length));
     };
-    if body_length > MOST_BODY {
-        return Err(BatchError::Oversized(length));
+    if body_length > MAX_BODY_BYTES {
+        return Err(BatchError::FrameTooLong(length));
     }
     if !now.is_finite() {
-        return Err(BatchError::NoClock);
+        return Err(BatchError::InvalidClock);
     }
     Ok(Header { records, body_length, now })
 }
@@ -67,7 +67,7 @@
     body.clear();
     let read = input.take(length as u64).read_to_end(body).map_err(BatchError::Read)?;
     if read < length {
-        return Err(BatchError::FrameCutOff { read, length });
+        return Err(BatchError::FrameTruncated { read, length });
     }
     Ok(())
 }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -17,11 +17,11 @@
 use std::process::ExitCode;
 
 /// Bytes of buffer at each end: a batch of an ordinary round fits.
-const BUFFER: usize = 1 << 16;
+const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(BUFFER, io::stdin().lock());
-    let output = BufWriter::with_capacity(BUFFER, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     match serve::serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -1,6 +1,6 @@
 //! The reply to a batch: what the policies decide, encoded as it is written.
 
-use crate::fields::MILLISECONDS;
+use crate::fields::MILLISECONDS_PER_SECOND;
 use puffinladder::{Decisions, Reason};
 
 /// Codes of the actions in a reply.
@@ -38,9 +38,9 @@
 }
 
 /// Bytes of the length at the start, which does not count itself.
-const LENGTH: usize = 4;
+const LENGTH_BYTES: usize = 4;
 /// Bytes before the first action: the length and the number of records.
-const HEADER: usize = 8;
+const HEADER_BYTES: usize = 8;
 
 /// The reply as it grows: actions of one instance stand behind its instance record.
 #[derive(Default)]
@@ -55,7 +55,7 @@
     /// Begins the reply to the next batch and keeps the allocation.
     pub fn clear(&mut self) {
         self.bytes.clear();
-        self.bytes.extend([0; HEADER]);
+        self.bytes.extend([0; HEADER_BYTES]);
         self.records = 0;
         self.instance = None;
     }
@@ -67,9 +67,9 @@
 
     /// The whole reply, with its header filled in.
     pub fn finish(&mut self) -> &[u8] {
-        let length = (self.bytes.len() - LENGTH) as u32;
-        self.bytes[..LENGTH].copy_from_slice(&length.to_le_bytes());
-        self.bytes[LENGTH..HEADER].copy_from_slice(&self.records.to_le_bytes());
+        let length = (self.bytes.len() - LENGTH_BYTES) as u32;
+        self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+        self.bytes[LENGTH_BYTES..HEADER_BYTES].copy_from_slice(&self.records.to_le_bytes());
         &self.bytes
     }
 
@@ -94,11 +94,11 @@
 
 /// Seconds as the wire's milliseconds.
 fn milliseconds(seconds: f64) -> [u8; 8] {
-    (seconds * MILLISECONDS).to_le_bytes()
+    (seconds * MILLISECONDS_PER_SECOND).to_le_bytes()
 }
 
 /// As much of a text as its length of two bytes can tell, cut between two characters.
-fn cut_to_u16(text: &str) -> &str {
+fn truncate_to_u16_length(text: &str) -> &str {
     let mut end = text.len().min(u16::MAX.into());
     while !text.is_char_boundary(end) {
         end -= 1;
@@ -111,10 +111,10 @@
         self.put_request(code::RUN, id);
     }
 
-    fn reject(&mut self, id: u32, retry_after: f64, last: bool, _reason: Reason) {
+    fn reject(&mut self, id: u32, retry_after: f64, do_not_forward: bool, _reason: Reason) {
         let bytes = self.put_request(code::REJECT, id);
         bytes.extend(milliseconds(retry_after));
-        bytes.push(last.into());
+        bytes.push(do_not_forward.into());
     }
 
     fn fail(&mut self, id: u32, _reason: Reason) {
@@ -125,16 +125,16 @@
         self.put_request(code::PREEMPT, id);
     }
 
-    fn allow_call(&mut self, id: u32, limit: f64) {
-        self.put_request(code::ALLOW_CALL, id).extend(milliseconds(limit));
+    fn allow_call(&mut self, id: u32, timeout: f64) {
+        self.put_request(code::ALLOW_CALL, id).extend(milliseconds(timeout));
     }
 
     fn skip_call(&mut self, id: u32) {
         self.put_request(code::SKIP_CALL, id);
     }
 
-    fn remember_key(&mut self, id: u32, span: f64) {
-        self.put_request(code::REMEMBER_KEY, id).extend(milliseconds(span));
+    fn remember_key(&mut self, id: u32, duration: f64) {
+        self.put_request(code::REMEMBER_KEY, id).extend(milliseconds(duration));
     }
 
     fn forget_key(&mut self, id: u32) {
@@ -145,27 +145,27 @@
         self.put_request(code::REPLAY_RESULT, id);
     }
 
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.put(code::HEALTH).extend([u8::from(good), u8::from(stored)]);
+    fn set_health(&mut self, is_healthy: bool, is_cacheable: bool) {
+        self.put(code::HEALTH).extend([u8::from(is_healthy), u8::from(is_cacheable)]);
     }
 
-    fn set_load_signal(&mut self, amount: f64) {
-        self.put(code::LOAD_SIGNAL).extend((amount as f32).to_le_bytes());
+    fn set_load_signal(&mut self, signal: f64) {
+        self.put(code::LOAD_SIGNAL).extend((signal as f32).to_le_bytes());
     }
 
-    fn set_keepalive(&mut self, span: f64) {
-        self.put(code::KEEPALIVE).extend(milliseconds(span));
+    fn set_keepalive(&mut self, timeout: f64) {
+        self.put(code::KEEPALIVE).extend(milliseconds(timeout));
     }
 
-    fn schedule_tick(&mut self, after: f64) {
+    fn schedule_tick(&mut self, delay: f64) {
         let label = 0u32; // one timer is all that the policy needs
         let bytes = self.put(code::TICK);
-        bytes.extend(milliseconds(after));
+        bytes.extend(milliseconds(delay));
         bytes.extend(label.to_le_bytes());
     }
 
     fn log(&mut self, text: &str) {
-        let text = cut_to_u16(text);
+        let text = truncate_to_u16_length(text);
         let bytes = self.put(code::LOG);
         bytes.extend((text.len() as u16).to_le_bytes());
         bytes.extend(text.as_bytes());
