--- a/crates/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! One batch: its records go to the instances that this process hosts, and those that got any decide.
+//! Processing of one batch: its records are dispatched to the policy instances, which then decide.
 
 use crate::error::{BatchError, RecordError};
 use crate::events::{read_event, RecordCode, Schema};
@@ -8,12 +8,12 @@
 use puffinladder::{AdmissionPolicy, RoundInput};
 use std::collections::HashMap;
 
-/// One instance and the round that gathers for it.
+/// A policy instance and the input of its next round.
 struct Instance {
     policy: AdmissionPolicy,
     schema: Schema,
     input: RoundInput,
-    /// Whether this batch holds anything for it.
+    /// Whether the present batch holds records for it.
     has_input: bool,
 }
 
@@ -34,22 +34,22 @@
     }
 }
 
-/// All instances of this process.
+/// All policy instances of this process.
 #[derive(Default)]
 pub struct Instances {
     by_id: HashMap<u32, Instance>,
-    /// Instances with input in this batch, in the order in which it came.
+    /// Instances with input in this batch, in order of arrival.
     pending: Vec<u32>,
     reply: Reply,
 }
 
 impl Instances {
-    /// The reply to the last batch.
+    /// Returns the reply to the last batch.
     pub fn reply(&mut self) -> &[u8] {
         self.reply.finish()
     }
 
-    /// Decodes one batch, lets each instance that it holds anything for decide, and leaves the reply ready.
+    /// Decodes one batch, lets each instance with input decide, and encodes the reply.
     pub fn run_batch(&mut self, header: &Header, body: &[u8]) -> Result<(), BatchError> {
         self.reply.clear();
         self.pending.clear();
@@ -67,10 +67,10 @@
         Ok(())
     }
 
-    /// Each instance with input decides, in the order in which the input came.
+    /// Lets each instance with input decide, in the order of arrival.
     fn decide(&mut self, now: f64) {
         for id in &self.pending {
-            // It may have stopped since, or have decided already after a restart.
+            // The instance may have stopped, or have decided already after a restart.
             let Some(instance) = self.by_id.get_mut(id) else { continue };
             if !std::mem::take(&mut instance.has_input) {
                 continue;
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Reads one record; `to` is the instance that the records are for.
+    /// Reads one record; `target` is the instance that the following records are for.
     fn read_record(&mut self, fields: &mut Fields, target: &mut Option<u32>) -> Result<(), RecordError> {
         let code = RecordCode::read(fields)?;
         if code == RecordCode::To {
             *target = Some(fields.u32()?);
             return Ok(());
         }
-        let id = target.ok_or(RecordError::NoTarget)?;
+        let id = target.ok_or(RecordError::NoTarget { code: code as u8 })?;
         if code == RecordCode::Start {
             self.by_id.insert(id, Instance::read(fields)?);
             self.pending.push(id);
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,110 +1,122 @@
-//! What can be wrong with the simulator's stream.
+//! Errors in the simulator's stream.
 
 use puffinladder_settings::ConfigError;
 use std::io;
 use thiserror::Error;
 
-/// Why the program ends early.
+/// Error that ends the program.
 #[derive(Debug, Error)]
 #[error("batch {batch}: {source}")]
 pub struct AdapterError {
-    /// The batch, counted from 1.
+    /// Number of the batch, from 1.
     pub batch: usize,
-    /// What is wrong with it.
+    /// Error in the batch.
     pub source: BatchError,
 }
 
-/// What is wrong with a batch.
+/// Error in a batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// Standard input failed.
-    #[error("the input could not be read: {0}")]
+    /// Reading standard input failed.
+    #[error("cannot read standard input: {0}")]
     Read(io::Error),
-    /// Standard output failed.
-    #[error("the reply could not be written: {0}")]
+    /// Writing standard output failed.
+    #[error("cannot write the reply to standard output: {0}")]
     Write(io::Error),
-    /// The input ended before a header was whole.
-    #[error("the input ended inside a header, after {read} of {length} bytes")]
+    /// The input ended inside a header.
+    #[error("input ended inside a header: got {read} of {length} bytes")]
     HeaderTruncated {
-        /// Bytes that came.
+        /// Bytes received.
         read: usize,
         /// Bytes of a header.
         length: usize,
     },
-    /// The input ended before a frame was whole.
-    #[error("the input ended inside a frame, after {read} of {length} bytes")]
+    /// The input ended inside a frame.
+    #[error("input ended inside a frame: got {read} of {length} bytes")]
     FrameTruncated {
-        /// Bytes that came.
+        /// Bytes received.
         read: usize,
-        /// Bytes that were announced.
+        /// Bytes announced by the header.
         length: usize,
     },
-    /// The announced length is shorter than the clock that it counts.
-    #[error("a length of {0} leaves no room for the clock")]
+    /// The announced length is shorter than the clock that it includes.
+    #[error("frame length {0} is shorter than the clock of 8 bytes")]
     LengthBelowClock(usize),
-    /// The announced length is longer than any batch.
-    #[error("an oversized frame of {0} bytes")]
-    FrameTooLong(usize),
-    /// The clock is infinite or no number.
-    #[error("the clock is not a number")]
-    InvalidClock,
-    /// A record can't be decoded.
+    /// The announced length exceeds the limit.
+    #[error("frame of {length} bytes exceeds the limit of {limit} bytes")]
+    FrameTooLong {
+        /// Bytes announced by the header.
+        length: usize,
+        /// Most bytes of a frame.
+        limit: usize,
+    },
+    /// The clock is infinite or not a number.
+    #[error("clock is not a finite number: {0}")]
+    InvalidClock(f64),
+    /// A record cannot be decoded.
     #[error("record {record} at byte {offset}: {source}")]
     Record {
-        /// The record, counted from 1.
+        /// Number of the record, from 1.
         record: u32,
-        /// Where in the batch it begins.
+        /// Offset of the record in the batch, in bytes.
         offset: usize,
-        /// What is wrong with it.
+        /// Error in the record.
         source: RecordError,
     },
     /// The batch is longer than its records.
-    #[error("{remaining} bytes are left over behind record {records}")]
+    #[error("{remaining} bytes follow the last of {records} records")]
     TrailingBytes {
-        /// Bytes behind the last record.
+        /// Bytes after the last record.
         remaining: usize,
-        /// Records of the batch.
+        /// Number of records in the batch.
         records: u32,
     },
 }
 
-/// What is wrong with a record.
+/// Error in a record.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The batch ends before a field does.
-    #[error("a field of {size} bytes at byte {offset} is cut off")]
+    /// The batch ends inside a field.
+    #[error("truncated field at byte {offset}: got {remaining} of {size} bytes")]
     FieldTruncated {
         /// Bytes of the field.
         size: usize,
-        /// Where in the batch it begins.
+        /// Bytes left in the batch.
+        remaining: usize,
+        /// Offset of the field in the batch, in bytes.
         offset: usize,
     },
-    /// No event has this code.
-    #[error("unknown code {0}")]
+    /// No record has this code.
+    #[error("unknown code {0} of a record")]
     UnknownCode(u8),
     /// No outcome has this code.
-    #[error("unknown outcome {0}")]
+    #[error("unknown code {0} of an outcome")]
     UnknownOutcome(u8),
-    /// No instance was named yet.
-    #[error("an event before any To")]
-    NoTarget,
-    /// The event is for an instance that does not run.
-    #[error("code {code} for instance {instance}, which was never launched")]
+    /// The record precedes any record that names an instance.
+    #[error("code {code} before any To record")]
+    NoTarget {
+        /// Code of the record.
+        code: u8,
+    },
+    /// The record is for an instance that is not running.
+    #[error("code {code} for instance {instance}, which is not running")]
     UnknownInstance {
-        /// The event's code.
+        /// Code of the record.
         code: u8,
-        /// The instance's id.
+        /// Id of the instance.
         instance: u32,
     },
-    /// The request names a class that its instance's start text lacks.
-    #[error("request {request} names class {class}, which the start text lacks")]
+    /// The request has a class that the start text does not define.
+    #[error("request {request} has class {class}, but the start text defines {classes} classes")]
     UnknownClass {
-        /// The request's id.
+        /// Id of the request.
         request: u32,
         /// Index of the class.
         class: usize,
+        /// Number of classes that the start text defines.
+        classes: usize,
     },
-    /// The start text is no usable settings.
+    /// The start text holds no valid settings.
     #[error(transparent)]
     Settings(#[from] ConfigError),
 }
--- a/crates/sim-adapter/src/events.rs
+++ b/crates/sim-adapter/src/events.rs
@@ -1,11 +1,11 @@
-//! Records of the input: what each code means, and how its fields read.
+//! Decoding of the input records.
 
 use crate::error::RecordError;
 use crate::fields::Fields;
 use puffinladder::{Gauges, Request, RoundInput};
 use puffinladder_settings::GaugeKind;
 
-/// What a record is.
+/// Code of an input record.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RecordCode {
@@ -21,18 +21,18 @@
     CallFinished = 50,
     /// Notice to drain.
     Drain = 60,
-    /// A caller gave its request up.
+    /// A caller abandoned its request.
     Abandoned = 70,
     /// A scheduled tick is due.
     Tick = 80,
-    /// An instance is gone.
+    /// An instance stops.
     Stop = 90,
-    /// The records that follow are for this instance.
+    /// The following records are for this instance.
     To = 100,
 }
 
 impl RecordCode {
-    /// Reads a record's code.
+    /// Reads the code of a record.
     pub fn read(fields: &mut Fields) -> Result<RecordCode, RecordError> {
         Ok(match fields.u8()? {
             10 => RecordCode::Start,
@@ -50,15 +50,15 @@
     }
 }
 
-/// What an instance's start text says of the records that follow.
+/// Properties of an instance that are needed to decode its records.
 pub struct Schema {
-    /// The gauges of a tick, in the order in which their values come.
+    /// Gauges of a tick, in the order of their values.
     pub gauges: Vec<GaugeKind>,
-    /// Request classes.
+    /// Number of request classes.
     pub classes: usize,
 }
 
-/// Reads the rest of an event for an instance that runs, and enters it into its next round.
+/// Reads the fields of an event and adds it to the next round of its instance.
 pub fn read_event(
     code: RecordCode,
     fields: &mut Fields,
@@ -73,15 +73,15 @@
         RecordCode::Drain => input.drain_deadline = Some(fields.seconds()?),
         RecordCode::Abandoned => input.abandoned.push(fields.u32()?),
         RecordCode::Tick => input.tick = Some(read_gauges(fields, schema)?),
-        // Handled before the records of an instance.
+        // Handled by `Instances::read_record`.
         RecordCode::Start | RecordCode::Stop | RecordCode::To => {}
     }
     Ok(())
 }
 
-/// Bit of a request's options: its cost hint is given.
+/// Bit of the request options: the cost hint is set.
 const HAS_HINT: u8 = 1;
-/// Bit of a request's options: it is a retry or a hedged request.
+/// Bit of the request options: the request is a retry or a hedged request.
 const IS_RETRY: u8 = 2;
 
 fn read_request(fields: &mut Fields, schema: &Schema) -> Result<Request, RecordError> {
@@ -108,7 +108,7 @@
         earlier_attempt: fields.u32()?,
     };
     if class >= schema.classes {
-        return Err(RecordError::UnknownClass { request: id, class });
+        return Err(RecordError::UnknownClass { request: id, class, classes: schema.classes });
     }
     Ok(request)
 }
--- a/crates/sim-adapter/src/fields.rs
+++ b/crates/sim-adapter/src/fields.rs
@@ -1,37 +1,41 @@
-//! Fields of a frame: little-endian numbers, one behind another.
+//! Decoding of the little-endian fields of a frame.
 
 use crate::error::RecordError;
 use puffinladder::{Completion, Outcome};
 
-/// Milliseconds of the wire to a second of the policy.
+/// The wire gives times in milliseconds, the policy takes seconds.
 pub const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Takes fields off a frame, one after another.
+/// Reader of the consecutive fields of a frame.
 pub struct Fields<'a> {
     bytes: &'a [u8],
     offset: usize,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a whole frame.
+    /// Creates a reader at the start of a frame.
     pub fn new(bytes: &'a [u8]) -> Fields<'a> {
         Fields { bytes, offset: 0 }
     }
 
-    /// Where the next field begins.
+    /// Returns the offset of the next field, in bytes.
     pub fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Bytes that are left.
+    /// Returns the number of unread bytes.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.offset
     }
 
-    /// The next `size` bytes.
+    /// Reads `size` bytes.
     pub fn take(&mut self, size: usize) -> Result<&'a [u8], RecordError> {
         let end = self.offset.checked_add(size).filter(|&end| end <= self.bytes.len());
-        let end = end.ok_or(RecordError::FieldTruncated { size, offset: self.offset })?;
+        let end = end.ok_or(RecordError::FieldTruncated {
+            size,
+            remaining: self.remaining(),
+            offset: self.offset,
+        })?;
         let field = &self.bytes[self.offset..end];
         self.offset = end;
         Ok(field)
@@ -43,37 +47,37 @@
         Ok(out)
     }
 
-    /// A byte.
+    /// Reads an unsigned integer of one byte.
     pub fn u8(&mut self) -> Result<u8, RecordError> {
         Ok(self.array::<1>()?[0])
     }
 
-    /// A number of two bytes.
+    /// Reads an unsigned integer of two bytes.
     pub fn u16(&mut self) -> Result<u16, RecordError> {
         Ok(u16::from_le_bytes(self.array()?))
     }
 
-    /// A number of four bytes.
+    /// Reads an unsigned integer of four bytes.
     pub fn u32(&mut self) -> Result<u32, RecordError> {
         Ok(u32::from_le_bytes(self.array()?))
     }
 
-    /// A number of eight bytes.
+    /// Reads an unsigned integer of eight bytes.
     pub fn u64(&mut self) -> Result<u64, RecordError> {
         Ok(u64::from_le_bytes(self.array()?))
     }
 
-    /// A fraction of four bytes.
+    /// Reads a floating-point number of four bytes.
     pub fn f32(&mut self) -> Result<f64, RecordError> {
         Ok(f32::from_le_bytes(self.array()?).into())
     }
 
-    /// A fraction of eight bytes.
+    /// Reads a floating-point number of eight bytes.
     pub fn f64(&mut self) -> Result<f64, RecordError> {
         Ok(f64::from_le_bytes(self.array()?))
     }
 
-    /// A time or duration, which the wire gives in milliseconds, in seconds.
+    /// Reads a time or duration of the wire, in milliseconds, and returns it in seconds.
     pub fn seconds(&mut self) -> Result<f64, RecordError> {
         Ok(self.f64()? / MILLISECONDS_PER_SECOND)
     }
@@ -92,7 +96,7 @@
         })
     }
 
-    /// The end of a run or a call.
+    /// Reads the end of a run or a call.
     pub fn completion(&mut self) -> Result<Completion, RecordError> {
         Ok(Completion { id: self.u32()?, outcome: self.outcome()?, duration: self.seconds()? })
     }
--- a/crates/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -1,27 +1,28 @@
-//! Frames of the input: a header with the number of records, a length and the clock, then the records.
+//! Frames of the input: a header with the number of records, the length and the clock, followed by the
+//! records.
 
 use crate::error::BatchError;
 use crate::fields::MILLISECONDS_PER_SECOND;
 use std::io::{ErrorKind, Read};
 
-/// No batch of any deployment comes near this; a longer one is a broken stream.
+/// Largest body of a frame, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 30;
 /// Bytes of a header.
 const HEADER_BYTES: usize = 16;
-/// Bytes of the clock, which the length in the header counts with the records.
+/// Bytes of the clock, which the length in the header includes.
 const CLOCK_BYTES: usize = 8;
 
-/// What stands before the records of a batch.
+/// Header of a batch.
 pub struct Header {
-    /// Records that follow.
+    /// Number of records in the batch.
     pub records: u32,
-    /// Bytes that they take.
+    /// Length of the records, in bytes.
     pub body_length: usize,
     /// The simulator's clock, in seconds.
     pub now: f64,
 }
 
-/// Fills `buffer` as far as the input goes, and returns how far that is; 0 bytes is the end of input.
+/// Reads until `buffer` is full or the input ends, and returns the number of bytes read.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, BatchError> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -35,7 +36,7 @@
     Ok(filled)
 }
 
-/// The next header, or `None` where the input ends between two batches.
+/// Reads the next header; `None` if the input ends between two batches.
 pub fn read_header(input: &mut impl Read) -> Result<Option<Header>, BatchError> {
     let mut bytes = [0; HEADER_BYTES];
     match fill(input, &mut bytes)? {
@@ -54,15 +55,15 @@
         return Err(BatchError::LengthBelowClock(length));
     };
     if body_length > MAX_BODY_BYTES {
-        return Err(BatchError::FrameTooLong(length));
+        return Err(BatchError::FrameTooLong { length, limit: MAX_BODY_BYTES + CLOCK_BYTES });
     }
     if !now.is_finite() {
-        return Err(BatchError::InvalidClock);
+        return Err(BatchError::InvalidClock(now));
     }
     Ok(Header { records, body_length, now })
 }
 
-/// Reads the records of a batch into `body`, whose allocation is reused.
+/// Reads the records of a batch into `body` and reuses its allocation.
 pub fn read_body(input: &mut impl Read, length: usize, body: &mut Vec<u8>) -> Result<(), BatchError> {
     body.clear();
     let read = input.take(length as u64).read_to_end(body).map_err(BatchError::Read)?;
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,8 +1,6 @@
-//! Runs the admission policy on the wire of the bench's simulator: batches of events on standard input,
-//! replies with decisions on standard output, one [`AdmissionPolicy`](puffinladder::AdmissionPolicy) for each
-//! instance.
-//!
-//! The program frames, decodes and encodes; it decides nothing.
+//! Runs the admission policy on the wire protocol of the bench simulator: batches of events on standard
+//! input, replies with decisions on standard output, one [`AdmissionPolicy`](puffinladder::AdmissionPolicy)
+//! per instance.
 #![deny(missing_docs)]
 
 mod batch;
@@ -16,7 +14,7 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Bytes of buffer at each end: a batch of an ordinary round fits.
+/// Size of the input and output buffers, in bytes; a batch of an ordinary round fits.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -1,58 +1,58 @@
-//! The reply to a batch: what the policies decide, encoded as it is written.
+//! Encoding of the reply to a batch: the decisions of the policies.
 
 use crate::fields::MILLISECONDS_PER_SECOND;
 use puffinladder::{Decisions, Reason};
 
 /// Codes of the actions in a reply.
 mod code {
-    /// Give a request to the cores.
+    /// Run a request.
     pub const RUN: u8 = 10;
-    /// Turn a request away, with a Retry-After.
+    /// Reject a request, with a Retry-After.
     pub const REJECT: u8 = 20;
-    /// Answer a request with an error.
+    /// Fail a request.
     pub const FAIL: u8 = 30;
-    /// Take a run off the cores.
+    /// Preempt a run.
     pub const PREEMPT: u8 = 40;
-    /// Let a request make its downstream call.
+    /// Permit a request to make its downstream call.
     pub const ALLOW_CALL: u8 = 50;
-    /// Have a request go on without its call.
+    /// Resume a request without its call.
     pub const SKIP_CALL: u8 = 60;
-    /// Recognise retries of a request.
+    /// Remember the idempotency key of a request.
     pub const REMEMBER_KEY: u8 = 70;
-    /// Drop the key of a request.
+    /// Forget the idempotency key of a request.
     pub const FORGET_KEY: u8 = 80;
     /// Settle a retry with an earlier result.
     pub const REPLAY_RESULT: u8 = 90;
-    /// The answer to health checks.
+    /// Set the health-check answer.
     pub const HEALTH: u8 = 100;
-    /// The load signal on answers.
+    /// Set the load signal on answers.
     pub const LOAD_SIGNAL: u8 = 110;
-    /// How long unused connections stay open.
+    /// Set the keepalive timeout of unused connections.
     pub const KEEPALIVE: u8 = 120;
-    /// Ask for a round with gauges.
+    /// Schedule a round with gauges.
     pub const TICK: u8 = 130;
-    /// A line for the operators.
+    /// Log a line for operators.
     pub const LOG: u8 = 140;
-    /// The actions that follow are this instance's.
+    /// The following actions are for this instance.
     pub const INSTANCE: u8 = 160;
 }
 
-/// Bytes of the length at the start, which does not count itself.
+/// Bytes of the length field, which it does not include.
 const LENGTH_BYTES: usize = 4;
 /// Bytes before the first action: the length and the number of records.
 const HEADER_BYTES: usize = 8;
 
-/// The reply as it grows: actions of one instance stand behind its instance record.
+/// Buffer of the reply. The actions of an instance follow its instance record.
 #[derive(Default)]
 pub struct Reply {
     bytes: Vec<u8>,
     records: u32,
-    /// The instance that decides now, until its first action is written.
+    /// Instance that decides now, until its first action is written.
     instance: Option<u32>,
 }
 
 impl Reply {
-    /// Begins the reply to the next batch and keeps the allocation.
+    /// Clears the buffer for the next reply and keeps its allocation.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.bytes.extend([0; HEADER_BYTES]);
@@ -60,12 +60,12 @@
         self.instance = None;
     }
 
-    /// What is written from now on is this instance's.
+    /// Sets the instance of the following actions.
     pub fn begin_instance(&mut self, id: u32) {
         self.instance = Some(id);
     }
 
-    /// The whole reply, with its header filled in.
+    /// Fills in the header and returns the whole reply.
     pub fn finish(&mut self) -> &[u8] {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
@@ -73,7 +73,7 @@
         &self.bytes
     }
 
-    /// Begins an action; its fields follow.
+    /// Starts an action and returns the buffer for its fields.
     fn put(&mut self, code: u8) -> &mut Vec<u8> {
         if let Some(instance) = self.instance.take() {
             self.bytes.push(code::INSTANCE);
@@ -92,12 +92,12 @@
     }
 }
 
-/// Seconds as the wire's milliseconds.
+/// Encodes seconds as milliseconds of the wire.
 fn milliseconds(seconds: f64) -> [u8; 8] {
     (seconds * MILLISECONDS_PER_SECOND).to_le_bytes()
 }
 
-/// As much of a text as its length of two bytes can tell, cut between two characters.
+/// Truncates a text at a character boundary to a length that fits in two bytes.
 fn truncate_to_u16_length(text: &str) -> &str {
     let mut end = text.len().min(u16::MAX.into());
     while !text.is_char_boundary(end) {
@@ -158,7 +158,7 @@
     }
 
     fn schedule_tick(&mut self, delay: f64) {
-        let label = 0u32; // one timer is all that the policy needs
+        let label = 0u32; // the policy uses a single timer
         let bytes = self.put(code::TICK);
         bytes.extend(milliseconds(delay));
         bytes.extend(label.to_le_bytes());
--- a/crates/sim-adapter/src/serve.rs
+++ b/crates/sim-adapter/src/serve.rs
@@ -1,11 +1,11 @@
-//! The loop over batches, until the input ends.
+//! Main loop over the batches of the input.
 
 use crate::batch::Instances;
 use crate::error::{AdapterError, BatchError};
 use crate::frame::{read_body, read_header};
 use std::io::{Read, Write};
 
-/// Answers batches until the input ends between two of them.
+/// Processes batches until the input ends.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances = Instances::default();
     let mut body = Vec::new();
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// Answers the next batch; false where the input has ended.
+/// Processes the next batch; returns false at the end of the input.
 fn serve_batch(
     input: &mut impl Read,
     output: &mut impl Write,
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,7 +1,8 @@
-//! A recorded stream through the whole process: what it writes stays byte for byte what it wrote.
+//! Replays a recorded stream through the adapter process and compares its replies byte for byte, except log
+//! texts.
 //!
-//! `golden/batches.bin` holds every kind of event, for three instances of different settings, and
-//! `golden/replies.bin` what was answered, with every kind of action.
+//! `golden/batches.bin` holds every kind of event for three instances with different settings, and
+//! `golden/replies.bin` the replies with every kind of action.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -9,9 +10,9 @@
 const BATCHES: &[u8] = include_bytes!("golden/batches.bin");
 const REPLIES: &[u8] = include_bytes!("golden/replies.bin");
 
-const NOTE: u8 = 140;
+const LOG: u8 = 140;
 
-/// Bytes of an action behind its code.
+/// Returns the number of bytes of an action after its code.
 fn size(code: u8, rest: &[u8]) -> usize {
     match code {
         10 | 30 | 40 | 60 | 80 | 90 | 110 | 160 => 4,
@@ -19,14 +20,14 @@
         50 | 70 | 130 => 12,
         100 => 2,
         120 => 8,
-        NOTE => 2 + usize::from(u16::from_le_bytes([rest[0], rest[1]])),
+        LOG => 2 + usize::from(u16::from_le_bytes([rest[0], rest[1]])),
         other => panic!("unknown action {other}"),
     }
 }
 
-/// The actions of all replies, one by one, without the texts of notes, which are for people to read.
+/// Splits replies into their actions, without the texts of log actions.
 fn actions(mut replies: &[u8]) -> Vec<Vec<Vec<u8>>> {
-    let mut all = Vec::new();
+    let mut batches = Vec::new();
     while !replies.is_empty() {
         let length = u32::from_le_bytes(replies[..4].try_into().unwrap()) as usize;
         let records = u32::from_le_bytes(replies[4..8].try_into().unwrap());
@@ -34,18 +35,18 @@
         let mut reply = Vec::new();
         for _ in 0..records {
             let (record, rest) = body.split_at(1 + size(body[0], &body[1..]));
-            reply.push(if record[0] == NOTE { vec![NOTE] } else { record.to_vec() });
+            reply.push(if record[0] == LOG { vec![LOG] } else { record.to_vec() });
             body = rest;
         }
         assert!(body.is_empty());
-        all.push(reply);
+        batches.push(reply);
         replies = rest;
     }
-    all
+    batches
 }
 
 #[test]
-fn a_recorded_stream_gets_the_recorded_replies() {
+fn replays_recorded_stream() {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_puffinladder-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -56,9 +57,9 @@
     let output = adapter.wait_with_output().unwrap();
     writer.join().unwrap();
     assert!(output.status.success());
-    let (found, wanted) = (actions(&output.stdout), actions(REPLIES));
-    assert_eq!(found.len(), wanted.len());
-    for (batch, (found, wanted)) in found.iter().zip(&wanted).enumerate() {
-        assert_eq!(found, wanted, "batch {batch}");
+    let (actual, expected) = (actions(&output.stdout), actions(REPLIES));
+    assert_eq!(actual.len(), expected.len());
+    for (batch, (actual, expected)) in actual.iter().zip(&expected).enumerate() {
+        assert_eq!(actual, expected, "batch {batch}");
     }
 }
