--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -9,27 +9,32 @@
 use puffinladder_trace::row::Topic;
 
 /// Ends a request that never ran: its key is released, and its coroutine hears of it.
-pub(super) fn end_unrun(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, event: Event) {
+pub(super) fn remove_unrun(
+    in_flight: &mut InFlightRequests,
+    keys: &mut IdempotencyKeys,
+    id: u32,
+    event: Event,
+) {
     if let Some(request) = in_flight.remove(id) {
         if let Some(key) = &request.key {
             keys.release(key, id);
         }
-        request.tell_second(false);
+        request.notify_duplicate(false);
         request.mailbox.send(event);
     }
 }
 
 /// The duty to answer a request is over: its run goes on, and one that does not run is over with it.
-pub(super) fn end_answer(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, now: f64) {
+pub(super) fn mark_answered(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, now: f64) {
     match in_flight.get_mut(id) {
         Some(request) if request.running => drop(request.answered_at.get_or_insert(now)),
-        Some(_) => end_unrun(in_flight, keys, id, Event::Forgotten),
+        Some(_) => remove_unrun(in_flight, keys, id, Event::Discarded),
         None => {}
     }
 }
 
 /// Turns the decisions of one round into events for the requests that they concern.
-pub(super) struct DecisionWriter<'a> {
+pub(super) struct DecisionHandler<'a> {
     /// Health and load signal.
     pub published: &'a PublishedState,
     /// Where decisions are recorded.
@@ -46,7 +51,7 @@
     pub keepalive: &'a mut f64,
 }
 
-impl DecisionWriter<'_> {
+impl DecisionHandler<'_> {
     fn send(&mut self, id: u32, event: Event) {
         if let Some(request) = self.in_flight.get_mut(id) {
             request.mailbox.send(event);
@@ -54,7 +59,7 @@
     }
 }
 
-impl Decisions for DecisionWriter<'_> {
+impl Decisions for DecisionHandler<'_> {
     fn run(&mut self, id: u32) {
         if let Some(request) = self.in_flight.get_mut(id) {
             request.running = true;
@@ -63,12 +68,12 @@
     }
 
     fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
-        end_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
+        remove_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
     }
 
     fn fail(&mut self, id: u32, reason: Reason) {
         self.send(id, Event::Fail(reason));
-        end_answer(self.in_flight, self.keys, id, self.now);
+        mark_answered(self.in_flight, self.keys, id, self.now);
     }
 
     fn preempt(&mut self, id: u32) {
@@ -107,7 +112,7 @@
 
     fn set_load_signal(&mut self, amount: f64) {
         self.published.set_load_signal(amount);
-        self.log.note_change(self.now, Topic::SIGNAL, amount);
+        self.log.record_change(self.now, Topic::SIGNAL, amount);
     }
 
     fn set_keepalive(&mut self, span: f64) {
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -15,12 +15,12 @@
 use published::PublishedState;
 use puffinladder::{AdmissionPolicy, Completion, Gauges, Outcome};
 use rounds::Rounds;
-pub use rounds::{CycleTimes, Offer};
+pub use rounds::{CycleTimes, SubmitOutcome};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 
 /// Seconds before its deadline, or the kill, at which a request that waits for a key is rejected: a housekeeping, and the time of
 /// an answer.
-pub const CONTENTION_LEAD: f64 = 0.2;
+pub const CONTENTION_MARGIN_SECONDS: f64 = 0.2;
 
 /// The admission policy, and all that it decides with and on.
 pub struct Dispatcher {
@@ -38,7 +38,7 @@
 /// What a cycle of the dispatcher asks of the rest of the server.
 pub trait CycleHooks {
     /// Looks at what is idle, stuck or due to be tried again. Connections may lie unused for `keepalive` seconds.
-    fn keep_house(&self, now: f64, keepalive: f64);
+    fn run_housekeeping(&self, now: f64, keepalive: f64);
     /// Asks the agent for its gauges.
     fn poll_gauges(&self, tag: u64);
     /// Has the next cycle begin after `delay` seconds at the latest.
@@ -89,24 +89,24 @@
 
     /// Offers a request to the policy. For a key that a request of other content holds it waits till `deadline` at
     /// the most.
-    pub fn offer(
+    pub fn submit(
         &self,
         received: &ReceivedRequest,
         arrived: f64,
         mailbox: &Arc<Mailbox>,
         deadline: f64,
-    ) -> Offer {
+    ) -> SubmitOutcome {
         let mut rounds = self.rounds();
-        let offer = rounds.offer(received, arrived, mailbox, deadline);
+        let outcome = rounds.submit(received, arrived, mailbox, deadline);
         drop(rounds);
-        if let Offer::Accepted(_) = offer {
+        if let SubmitOutcome::Accepted(_) = outcome {
             self.wake();
         }
-        offer
+        outcome
     }
 
     /// A run waits at a downstream call.
-    pub fn report_call_wanted(&self, id: u32) {
+    pub fn report_call_pending(&self, id: u32) {
         self.add_input(|rounds| rounds.input.awaiting_call.push(id));
     }
 
@@ -119,7 +119,7 @@
     pub fn report_ended(&self, id: u32, outcome: Outcome, duration: f64) {
         self.add_input(|rounds| {
             if let Some(request) = rounds.in_flight.remove(id) {
-                request.tell_second(outcome != Outcome::NotNeeded);
+                request.notify_duplicate(outcome != Outcome::NotNeeded);
             }
             rounds.input.finished_runs.push(Completion { id, outcome, duration });
         });
@@ -136,7 +136,7 @@
         self.log.record_drain(now, kill_time);
         self.add_input(|rounds| {
             rounds.input.drain_deadline = Some(kill_time);
-            rounds.keys.answer_by(kill_time - CONTENTION_LEAD);
+            rounds.keys.set_answer_deadline(kill_time - CONTENTION_MARGIN_SECONDS);
         });
     }
 
@@ -165,13 +165,13 @@
     }
 
     /// The agent has said something of this attempt's run; where its request waits for events.
-    pub fn hear_of(&self, attempt: &AttemptId) -> Option<Arc<Mailbox>> {
-        self.rounds().in_flight.hear_of(attempt).cloned()
+    pub fn record_run_notice(&self, attempt: &AttemptId) -> Option<Arc<Mailbox>> {
+        self.rounds().in_flight.record_run_notice(attempt).cloned()
     }
 
     /// The agent has dropped notices that were not read: any of the runs may have ended unheard.
-    pub fn note_missing_notices(&self, now: f64) {
-        self.rounds().in_flight.note_missing_notices(now);
+    pub fn mark_outcomes_uncertain(&self, now: f64) {
+        self.rounds().in_flight.mark_outcomes_uncertain(now);
     }
 
     /// The agent's link is back: all in flight repeat what the agent may have missed.
@@ -220,10 +220,10 @@
         if now >= rounds.housekeeping_at {
             rounds.housekeeping_at = now + times.housekeeping_interval;
             rounds.keys.expire(now);
-            rounds.end_unheard(now);
+            rounds.fail_lost_runs(now);
             let keepalive = rounds.keepalive;
             drop(rounds);
-            hooks.keep_house(now, keepalive);
+            hooks.run_housekeeping(now, keepalive);
             rounds = self.rounds();
         }
         let tick = rounds.next_tick(now, times.gauge_timeout, |tag| hooks.poll_gauges(tag));
--- a/crates/server/src/dispatcher/rounds.rs
+++ b/crates/server/src/dispatcher/rounds.rs
@@ -1,6 +1,6 @@
 //! The rounds of the policy: what has come in for the next one, and what they decide on.
 
-use super::decisions::{end_answer, DecisionWriter};
+use super::decisions::{mark_answered, DecisionHandler};
 use super::published::PublishedState;
 use crate::runtime::clock;
 use crate::state::idempotency::{IdempotencyKeys, KeyLookup};
@@ -13,22 +13,22 @@
 
 /// Seconds for which a request that was answered keeps its place after notices were missed that may have told the end of its run.
 /// A run that still goes on then costs no more than a place that is given twice until it ends.
-const UNHEARD_RUN_SPAN: f64 = 5.0;
+const LOST_RUN_TIMEOUT_SECONDS: f64 = 5.0;
 
 /// What becomes of a request that is offered to the policy.
-pub enum Offer {
+pub enum SubmitOutcome {
     /// It is in flight under this number.
     Accepted(u32),
     /// A request in flight has its attempt id; it waits at its mailbox, unknown to the policy, for that one's end.
-    AttemptContended,
+    AwaitingAttemptId,
     /// A request in flight has its attempt id, and another waits for that already.
     DuplicateAttempt,
     /// A request of other content holds its key; it waits at its mailbox, unknown to the policy.
-    KeyContended,
+    AwaitingKey,
     /// A request of other content ran under its key.
     KeyConflict,
     /// There is no room for its key: a retry could run, so this one must not.
-    KeysFull,
+    KeyTableFull,
 }
 
 /// The times of a cycle, s.
@@ -89,15 +89,15 @@
     }
 
     /// Enters a request for the next round, if its attempt id and its key allow it.
-    pub(super) fn offer(
+    pub(super) fn submit(
         &mut self,
         received: &ReceivedRequest,
         arrived: f64,
         mailbox: &Arc<Mailbox>,
         deadline: f64,
-    ) -> Offer {
+    ) -> SubmitOutcome {
         let Some(id) = self.in_flight.insert(received.attempt, received.key, mailbox.clone()) else {
-            return self.contend_for_attempt(received, mailbox, deadline);
+            return self.await_attempt_id(received, mailbox, deadline);
         };
         let lookup = received
             .key
@@ -105,60 +105,60 @@
         let earlier_attempt = match lookup {
             KeyLookup::Acquired => 0,
             KeyLookup::SameRequest(earlier_attempt) => earlier_attempt,
-            refused => {
+            unavailable => {
                 self.in_flight.remove(id);
-                return self.refuse(refused, received, mailbox, deadline);
+                return self.reject_lookup(unavailable, received, mailbox, deadline);
             }
         };
         self.input.arrivals.push(Request { id, earlier_attempt, ..received.request });
         self.arrival_timestamps.push(received.timestamp);
         self.has_input = true;
-        Offer::Accepted(id)
+        SubmitOutcome::Accepted(id)
     }
 
     /// The offer of a request whose attempt id is in flight. The agent refuses whichever of the two was made up.
-    fn contend_for_attempt(
+    fn await_attempt_id(
         &mut self,
         received: &ReceivedRequest,
         mailbox: &Arc<Mailbox>,
         deadline: f64,
-    ) -> Offer {
+    ) -> SubmitOutcome {
         if !self.in_flight.await_end(&received.attempt, mailbox) {
-            return Offer::DuplicateAttempt;
+            return SubmitOutcome::DuplicateAttempt;
         }
-        self.keys.reject_after(deadline, mailbox);
-        Offer::AttemptContended
+        self.keys.add_contender(deadline, mailbox);
+        SubmitOutcome::AwaitingAttemptId
     }
 
     /// The offer of a request whose key another request holds.
-    fn refuse(
+    fn reject_lookup(
         &mut self,
         lookup: KeyLookup,
         received: &ReceivedRequest,
         mailbox: &Arc<Mailbox>,
         deadline: f64,
-    ) -> Offer {
+    ) -> SubmitOutcome {
         match (lookup, &received.key) {
             (KeyLookup::Contended, Some(key)) => {
-                self.keys.contend(key, received.digest, mailbox, deadline);
-                Offer::KeyContended
+                self.keys.await_key(key, received.digest, mailbox, deadline);
+                SubmitOutcome::AwaitingKey
             }
-            (KeyLookup::Conflict, _) => Offer::KeyConflict,
-            _ => Offer::KeysFull,
+            (KeyLookup::Conflict, _) => SubmitOutcome::KeyConflict,
+            _ => SubmitOutcome::KeyTableFull,
         }
     }
 
     /// Ends requests whose run has ended unheard: its outcome never comes, and the place that it holds would be gone for good. The run
     /// may have had its effect, so that its key stays used.
-    pub(super) fn end_unheard(&mut self, now: f64) {
-        let unheard = self.in_flight.take_unheard(now, UNHEARD_RUN_SPAN);
-        if !unheard.is_empty() {
+    pub(super) fn fail_lost_runs(&mut self, now: f64) {
+        let lost = self.in_flight.take_lost_runs(now, LOST_RUN_TIMEOUT_SECONDS);
+        if !lost.is_empty() {
             tracing::warn!(
                 "agent: {} runs ended in notices that are missing: their places are free",
-                unheard.len()
+                lost.len()
             );
         }
-        unheard.iter().for_each(|mailbox| mailbox.send(Event::OutcomeMissed));
+        lost.iter().for_each(|mailbox| mailbox.send(Event::OutcomeLost));
     }
 
     /// Takes the answer to a poll of the gauges; whether it was waited for.
@@ -209,10 +209,10 @@
             request.time_unread = clock::seconds_since(timestamp);
         }
         input.tick = tick;
-        let mut writer = DecisionWriter { published, log, in_flight, keys, now, tick_at, keepalive };
-        policy.decide(&input.round(now), &mut writer);
+        let mut handler = DecisionHandler { published, log, in_flight, keys, now, tick_at, keepalive };
+        policy.decide(&input.round(now), &mut handler);
         for &id in &input.abandoned {
-            end_answer(in_flight, keys, id, now);
+            mark_answered(in_flight, keys, id, now);
         }
         input.clear();
         self.has_input = false;
--- a/crates/server/src/lifecycle/dispatch_loop.rs
+++ b/crates/server/src/lifecycle/dispatch_loop.rs
@@ -64,7 +64,7 @@
 }
 
 impl CycleHooks for DispatchLoop {
-    fn keep_house(&self, now: f64, keepalive: f64) {
+    fn run_housekeeping(&self, now: f64, keepalive: f64) {
         self.connections.close_idle(keepalive);
         self.agent.break_unmarked_since(now - self.limits.replay_timeout);
         self.summary.report(now, self.limits.summary_interval, || self.activity());
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -164,7 +164,7 @@
     let store = peers.store.map_or("nowhere".into(), |store| store.to_string());
     let found = if changed { "now" } else { "still" };
     tracing::info!("reload: agent {found} at {}, registry {}, store {store}", peers.agent, peers.registry);
-    server.dispatcher.log.note(server.clock.now(), Topic::RELOAD, f64::from(u8::from(changed)));
+    server.dispatcher.log.record_value(server.clock.now(), Topic::RELOAD, f64::from(u8::from(changed)));
     server.agent.recheck_address();
     server.housekeeping.wake_all();
 }
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -8,7 +8,7 @@
 /// Descriptors that the process keeps for itself, however many connect: 10 beside its links (`tests/process.rs` counts
 /// them: standard streams, pipe, listener, event loop), two links to the agent while one replaces the other, a report
 /// and a connection that is being accepted, and two to spare.
-const OWN_DESCRIPTORS: usize = 16;
+const INTERNAL_DESCRIPTORS: usize = 16;
 /// Of the other descriptors one in so many is the store's.
 const STORE_DESCRIPTOR_DIVISOR: usize = 4;
 /// Gateways may take five eighths of all descriptors: the half that is theirs, and an eighth for those of others.
@@ -20,17 +20,17 @@
 /// Share of the memory, in percent, that requests may take when each touches its whole stack and holds a body.
 const REQUEST_MEMORY_PERCENT: usize = 45;
 /// Bytes of a request's stack and of its body.
-const REQUEST_BYTES: usize = 32768 + 4096;
+const REQUEST_FOOTPRINT_BYTES: usize = 32768 + 4096;
 /// Fewest requests in flight that are allowed, however small the memory.
-const MIN_REQUESTS: usize = 64;
+const MIN_REQUESTS_IN_FLIGHT: usize = 64;
 /// Requests that may be open on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
 /// Bytes of a message of a gateway.
 const MAX_MESSAGE_BYTES: usize = 4096;
 /// Bytes that an answer has beside its body.
-const ANSWER_OVERHEAD_BYTES: usize = 256;
+const RESPONSE_OVERHEAD_BYTES: usize = 256;
 /// Bytes of a key with all that belongs to it.
-const KEY_BYTES: usize = 256;
+const KEY_ENTRY_BYTES: usize = 256;
 
 /// Every size, count and time of the process. Times are seconds where they are no [`Duration`].
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
     /// Coroutines kept for the next request.
     pub coroutine_pool_size: usize,
     /// Lines about faults of peers between two summaries; more are only counted.
-    pub fault_lines: u32,
+    pub max_fault_lines: u32,
     /// How long the worker sleeps while nothing happens.
     pub idle_poll_timeout: Duration,
     /// Between lines that sum up what was done.
@@ -140,7 +140,7 @@
 }
 
 /// The longest, s, that a request with a key may lie unread and yet be run: until its timeout.
-fn longest_unread(config: &ServerConfig) -> f64 {
+fn max_unread_time(config: &ServerConfig) -> f64 {
     let classes = config.policy.settings.classes.iter();
     classes
         .filter(|class| class.idempotency == Idempotency::Keyed)
@@ -157,10 +157,10 @@
 
 impl DescriptorShares {
     fn new(descriptors: usize) -> DescriptorShares {
-        let store = descriptors.saturating_sub(OWN_DESCRIPTORS) / STORE_DESCRIPTOR_DIVISOR;
+        let store = descriptors.saturating_sub(INTERNAL_DESCRIPTORS) / STORE_DESCRIPTOR_DIVISOR;
         let closing = (descriptors / CLOSING_DESCRIPTOR_DIVISOR).max(1);
-        let rest = descriptors.saturating_sub(OWN_DESCRIPTORS + store + 2 * closing);
-        let gateways = (descriptors * GATEWAY_DESCRIPTOR_EIGHTHS / 8).min(rest).max(1);
+        let remaining = descriptors.saturating_sub(INTERNAL_DESCRIPTORS + store + 2 * closing);
+        let gateways = (descriptors * GATEWAY_DESCRIPTOR_EIGHTHS / 8).min(remaining).max(1);
         DescriptorShares { gateways, closing, store: store.max(1) }
     }
 }
@@ -176,23 +176,24 @@
             closing_allowance: shares.closing,
             max_gateway_descriptors: shares.gateways + 2 * shares.closing,
             max_store_connections: shares.store,
-            max_requests: (memory * REQUEST_MEMORY_PERCENT / 100 / REQUEST_BYTES).max(MIN_REQUESTS),
+            max_requests: (memory * REQUEST_MEMORY_PERCENT / 100 / REQUEST_FOOTPRINT_BYTES)
+                .max(MIN_REQUESTS_IN_FLIGHT),
             max_open_requests: MAX_OPEN_REQUESTS,
             max_remembered_tags: 256,
             max_element_bytes: 2048,
             max_message_bytes: MAX_MESSAGE_BYTES,
             read_turn_bytes: 65536,
-            max_unsent_bytes: MAX_OPEN_REQUESTS * (MAX_MESSAGE_BYTES + ANSWER_OVERHEAD_BYTES),
+            max_unsent_bytes: MAX_OPEN_REQUESTS * (MAX_MESSAGE_BYTES + RESPONSE_OVERHEAD_BYTES),
             max_total_unsent_bytes: memory / 8,
             fair_unsent_bytes: 2 * MAX_MESSAGE_BYTES,
             max_line_bytes: 65536,
             max_agent_unsent_bytes: memory / 16,
             max_head_bytes: 4096,
             max_reply_bytes: 32768,
-            max_keys: memory / 12 / KEY_BYTES,
+            max_keys: memory / 12 / KEY_ENTRY_BYTES,
             max_result_bytes: memory / 8,
             key_clock_tolerance: 0.002,
-            key_retention: longest_unread(config),
+            key_retention: max_unread_time(config),
             key_contention_timeout: 1.0,
             min_buffer_bytes: 4096,
             stack_words: 4096,
@@ -201,7 +202,7 @@
             recorder_stack_bytes: 1 << 20,
             max_queued_log_lines: 1024,
             coroutine_pool_size: 64,
-            fault_lines: 20,
+            max_fault_lines: 20,
             idle_poll_timeout: Duration::from_secs(1),
             summary_interval: 10.0,
             housekeeping_interval: Duration::from_millis(100),
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -3,7 +3,7 @@
 
 use super::context::RequestContext;
 use super::reply::{InFlightGuard, PendingReply};
-use crate::dispatcher::{Offer, CONTENTION_LEAD};
+use crate::dispatcher::{SubmitOutcome, CONTENTION_MARGIN_SECONDS};
 use crate::runtime::clock;
 use crate::state::mailbox::{Event, Mailbox};
 use crate::state::received_request::ReceivedRequest;
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct PendingCall {
     /// Sequence number of the notice that asked for it.
-    notice: u64,
+    notice_sequence: u64,
     body: Vec<u8>,
     reply: Vec<u8>,
     /// How often it was made.
@@ -46,17 +46,17 @@
     /// In flight under this number; as a probe of its connection or not.
     Accepted { id: u32, is_probe: bool },
     /// It waited for its key, and is to be offered again with this mailbox.
-    OfferAgain(Arc<Mailbox>),
+    Resubmit(Arc<Mailbox>),
     /// It is over.
-    Over,
+    Finished,
 }
 
 /// How a request left the policy's hands.
 enum ExecutionEnd {
     /// It is over.
-    Over,
+    Finished,
     /// The attempt that it waited for never ran: it is to be offered again with this mailbox.
-    OfferAgain(Arc<Mailbox>),
+    Resubmit(Arc<Mailbox>),
 }
 
 /// Follows a request from its first offer to the end of its run. It is offered once; again only if it waited for another
@@ -70,56 +70,58 @@
 ) {
     let mut reply = PendingReply::new(context, connection, tag, received);
     loop {
-        let offered = Offering { context, received, connection, tag }.offer(&mailbox, &mut reply);
-        let (id, is_probe) = match offered {
+        let admission = Submission { context, received, connection, tag }.submit(&mailbox, &mut reply);
+        let (id, is_probe) = match admission {
             Admission::Accepted { id, is_probe } => (id, is_probe),
-            Admission::OfferAgain(new) => {
+            Admission::Resubmit(new) => {
                 mailbox = new;
                 continue;
             }
-            Admission::Over => return,
+            Admission::Finished => return,
         };
         let mut execution = Execution::new(context, received, connection, tag, id, &mut reply);
         execution.is_probe = is_probe;
         match execution.run(&mailbox) {
-            ExecutionEnd::Over => return,
-            ExecutionEnd::OfferAgain(new) => mailbox = new,
+            ExecutionEnd::Finished => return,
+            ExecutionEnd::Resubmit(new) => mailbox = new,
         }
     }
 }
 
 /// A request that is offered to the policy.
-struct Offering<'a> {
+struct Submission<'a> {
     context: &'a RequestContext,
     received: &'a ReceivedRequest,
     connection: &'a Connection,
     tag: u64,
 }
 
-impl Offering<'_> {
-    fn offer(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
-        let Offering { context, received, tag, .. } = self;
+impl Submission<'_> {
+    fn submit(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
+        let Submission { context, received, tag, .. } = self;
         let now = context.clock.now();
         let standing = self.connection.refusals.judge(now);
         if standing == Standing::Suspected {
             reply.reject(0.0, false, Reason::UnknownToAgent);
-            return Admission::Over;
+            return Admission::Finished;
         }
         let arrived = now - clock::seconds_since(received.timestamp);
         let deadline = self.contention_deadline(now, arrived);
-        match context.dispatcher.offer(received, arrived, mailbox, deadline) {
-            Offer::Accepted(id) => return Admission::Accepted { id, is_probe: standing == Standing::Probe },
-            Offer::AttemptContended => return self.wait_for_attempt(mailbox, reply),
-            Offer::DuplicateAttempt => self.fail_duplicate(reply),
-            Offer::KeyConflict => {
+        match context.dispatcher.submit(received, arrived, mailbox, deadline) {
+            SubmitOutcome::Accepted(id) => {
+                return Admission::Accepted { id, is_probe: standing == Standing::Probe }
+            }
+            SubmitOutcome::AwaitingAttemptId => return self.wait_for_attempt(mailbox, reply),
+            SubmitOutcome::DuplicateAttempt => self.fail_duplicate(reply),
+            SubmitOutcome::KeyConflict => {
                 let message = format_args!("request: tag {tag} failed: its key belongs to other content");
                 context.faults.warn(message);
                 reply.fail(Reason::KeyConflict);
             }
-            Offer::KeysFull => reply.reject(0.0, false, Reason::KeyMemoryFull),
-            Offer::KeyContended => return self.wait_for_key(mailbox, reply),
+            SubmitOutcome::KeyTableFull => reply.reject(0.0, false, Reason::KeyMemoryFull),
+            SubmitOutcome::AwaitingKey => return self.wait_for_key(mailbox, reply),
         }
-        Admission::Over
+        Admission::Finished
     }
 
     /// Another request has its attempt id. If that one runs, this may be the same once more, and fails: it may not be said to have
@@ -127,11 +129,11 @@
     fn wait_for_attempt(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its attempt id", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
-            (Event::AttemptReleased, Some(new)) => return Admission::OfferAgain(new),
+            (Event::AttemptReleased, Some(new)) => return Admission::Resubmit(new),
             (Event::Cancelled, _) => reply.cancel(),
             _ => self.fail_duplicate(reply),
         }
-        Admission::Over
+        Admission::Finished
     }
 
     fn fail_duplicate(&self, reply: &mut PendingReply) {
@@ -142,22 +144,22 @@
 
     /// Until when it may wait for its key or attempt id: it has to be answered in its own time, and the policy does not know of it.
     fn contention_deadline(&self, now: f64, arrived: f64) -> f64 {
-        let Offering { context, received, .. } = self;
+        let Submission { context, received, .. } = self;
         let request = &received.request;
         let class = &context.config.policy.settings.classes[request.class];
         let due = if request.deadline > 0.0 { request.deadline } else { arrived + class.timeout };
-        (now + context.limits.key_contention_timeout).min(due - CONTENTION_LEAD)
+        (now + context.limits.key_contention_timeout).min(due - CONTENTION_MARGIN_SECONDS)
     }
 
     fn wait_for_key(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its key", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
-            (Event::KeyReleased, Some(new)) => return Admission::OfferAgain(new),
+            (Event::KeyReleased, Some(new)) => return Admission::Resubmit(new),
             (Event::Reject { retry_after, last, reason }, _) => reply.reject(retry_after, last, reason),
             (Event::Cancelled, _) => reply.cancel(),
             _ => {}
         }
-        Admission::Over
+        Admission::Finished
     }
 }
 
@@ -218,14 +220,14 @@
 
     fn handle(&mut self, event: Event, mailbox: &Arc<Mailbox>) -> ControlFlow<ExecutionEnd> {
         match event {
-            Event::Run if self.is_made_up() => {
-                self.reject_made_up();
-                return ControlFlow::Break(ExecutionEnd::Over);
+            Event::Run if self.is_suspected() => {
+                self.reject_suspected();
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Run => self.launch_or_thaw(),
             Event::Pause => self.freeze(),
             Event::Replay => self.await_result(mailbox),
-            Event::AtCall { sequence, body } => self.wait_at_call(sequence, body),
+            Event::AtCall { sequence, body } => self.request_call(sequence, body),
             Event::Call { limit } => self.make_call(limit, mailbox),
             Event::Returned { outcome, took, body } => self.deliver_reply(outcome, took, body),
             Event::SkipCall => self.skip_call(),
@@ -244,43 +246,43 @@
             Event::Reject { retry_after, last, reason } => {
                 self.reply.reject(retry_after, last, reason);
                 self.guard.disarm();
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            Event::KeyReleased => return ControlFlow::Break(self.take_key_over()),
+            Event::KeyReleased => return ControlFlow::Break(self.resubmit()),
             Event::Result(result) => {
                 self.finish_with_result(result);
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Refused => {
                 self.connection.refusals.note_refused();
                 self.finish(Outcome::NotNeeded, 0.0, Vec::new());
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Ended { outcome, took, body } => {
                 self.connection.refusals.note_known();
                 self.finish(outcome, took, body);
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            Event::OutcomeMissed => {
+            Event::OutcomeLost => {
                 self.finish(Outcome::Failed, 0.0, Vec::new());
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             // For those that wait to be offered again: this one was offered.
             Event::AttemptReleased | Event::AttemptTaken => {}
-            Event::Forgotten | Event::Shutdown => {
+            Event::Discarded | Event::Shutdown => {
                 self.guard.disarm();
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
         }
         ControlFlow::Continue(())
     }
 
     /// Whether it was queued before its connection was suspected, and never ran.
-    fn is_made_up(&self) -> bool {
+    fn is_suspected(&self) -> bool {
         !self.paused && !self.is_probe && self.connection.refusals.is_suspected()
     }
 
-    fn reject_made_up(&mut self) {
+    fn reject_suspected(&mut self) {
         self.reply.reject(0.0, false, Reason::UnknownToAgent);
         self.context.dispatcher.release_key(self.received.key.as_ref(), self.id);
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
@@ -312,11 +314,11 @@
     }
 
     /// The attempt that it waited for never ran after all: this one is the first now, with a mailbox of its own.
-    fn take_key_over(&mut self) -> ExecutionEnd {
+    fn resubmit(&mut self) -> ExecutionEnd {
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
         match self.connection.renew_mailbox(self.tag) {
-            Some(new) => ExecutionEnd::OfferAgain(new),
-            None => ExecutionEnd::Over,
+            Some(new) => ExecutionEnd::Resubmit(new),
+            None => ExecutionEnd::Finished,
         }
     }
 
@@ -335,13 +337,13 @@
     }
 
     /// The run stands at a call, which is made once the policy allows it.
-    fn wait_at_call(&mut self, notice: u64, body: Vec<u8>) {
+    fn request_call(&mut self, notice_sequence: u64, body: Vec<u8>) {
         self.last_command = AgentCommand::None;
-        self.pending_call.notice = notice;
+        self.pending_call.notice_sequence = notice_sequence;
         self.pending_call.body = body;
         self.pending_call.attempts = 0;
         self.reply.entry.record(Step::AT_CALL);
-        self.context.dispatcher.report_call_wanted(self.id);
+        self.context.dispatcher.report_call_pending(self.id);
     }
 
     fn make_call(&mut self, limit: f64, mailbox: &Arc<Mailbox>) {
@@ -406,7 +408,7 @@
             AgentCommand::Freeze => agent.freeze(attempt),
             AgentCommand::Thaw => agent.thaw(attempt),
             AgentCommand::Deliver => agent.deliver(attempt, &self.pending_call.reply),
-            AgentCommand::Forgo => agent.forgo(attempt, self.pending_call.notice),
+            AgentCommand::Forgo => agent.forgo(attempt, self.pending_call.notice_sequence),
         };
     }
 }
--- a/crates/server/src/request/tests.rs
+++ b/crates/server/src/request/tests.rs
@@ -1,6 +1,6 @@
 use super::reply::InFlightGuard;
 use super::*;
-use crate::dispatcher::Offer;
+use crate::dispatcher::SubmitOutcome;
 use crate::lifecycle::Server;
 use crate::limits::Limits;
 use crate::state::mailbox::Event;
@@ -11,7 +11,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 #[test]
-fn a_panic_in_a_request_still_answers_it_and_sets_its_key_free() {
+fn panic_in_request_answers_it_and_releases_its_key() {
     let config =
         puffinladder_settings::parse_server_config(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
     let config = config.unwrap();
@@ -20,7 +20,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let connection = Connection::new(server.connections.context(), &stream);
-    let (mailbox, waits, key) = (Arc::new(Mailbox::default()), Arc::new(Mailbox::default()), [b'a'; 32]);
+    let (mailbox, retry_mailbox, key) =
+        (Arc::new(Mailbox::default()), Arc::new(Mailbox::default()), [b'a'; 32]);
     connection.open(7, &mailbox);
     let request = Request { class: 1, ..Request::default() };
     let received = ReceivedRequest {
@@ -31,16 +32,16 @@
         request,
         body: Vec::new(),
     };
-    let Offer::Accepted(id) = server.dispatcher.offer(&received, 0.0, &mailbox, 0.0) else {
+    let SubmitOutcome::Accepted(id) = server.dispatcher.submit(&received, 0.0, &mailbox, 0.0) else {
         panic!("not taken")
     };
-    server.dispatcher.await_result(&key, 5, &waits);
-    let died = catch_unwind(AssertUnwindSafe(|| {
+    server.dispatcher.await_result(&key, 5, &retry_mailbox);
+    let panicked = catch_unwind(AssertUnwindSafe(|| {
         let _reply = PendingReply::new(&server.requests, &connection, 7, &received);
         let _guard = InFlightGuard::new(&server.requests, Some(key), id);
         panic!("as a request might");
     }));
-    assert!(died.is_err());
+    assert!(panicked.is_err());
     assert_eq!(connection.unsent(), b"*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n");
-    assert!(matches!(waits.receive(), Event::Result(None)));
+    assert!(matches!(retry_mailbox.receive(), Event::Result(None)));
 }
--- a/crates/server/src/runtime/fault_log.rs
+++ b/crates/server/src/runtime/fault_log.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::{Arc, Mutex};
 
-/// Writes warnings about peers, at most `Limits::fault_lines` in each `Limits::summary_interval`.
+/// Writes warnings about peers, at most `Limits::max_fault_lines` in each `Limits::summary_interval`.
 pub struct FaultLog {
     clock: Arc<Clock>,
     limits: Arc<Limits>,
@@ -31,14 +31,14 @@
         let now = self.clock.now();
         let mut window = lock(&self.window);
         if now - window.start > self.limits.summary_interval {
-            let suppressed = window.lines.saturating_sub(self.limits.fault_lines);
+            let suppressed = window.lines.saturating_sub(self.limits.max_fault_lines);
             if suppressed > 0 {
                 tracing::warn!("log: {suppressed} lines about faults of peers were suppressed");
             }
             *window = Window { start: now, lines: 0 };
         }
         window.lines += 1;
-        if window.lines <= self.limits.fault_lines {
+        if window.lines <= self.limits.max_fault_lines {
             tracing::warn!("{message}");
         }
     }
--- a/crates/server/src/state/counters.rs
+++ b/crates/server/src/state/counters.rs
@@ -109,9 +109,9 @@
     }
 
     /// Counts a run that ended after so many seconds.
-    pub fn count_run(&self, took: f64) {
+    pub fn count_run(&self, duration: f64) {
         self.runs.fetch_add(1, Ordering::Relaxed);
-        let microseconds = (took.clamp(0.0, MAX_RUN_TIME) * MICROSECONDS_PER_SECOND) as u64;
+        let microseconds = (duration.clamp(0.0, MAX_RUN_TIME) * MICROSECONDS_PER_SECOND) as u64;
         self.run_microseconds.fetch_add(microseconds, Ordering::Relaxed);
     }
 
@@ -143,9 +143,9 @@
         let microseconds = self.run_microseconds.swap(0, Ordering::Relaxed);
         let run_seconds = microseconds as f64 / MICROSECONDS_PER_SECOND;
         let kill_time = self.kill_time.get();
-        let rates = |(place, cell): (usize, &Cell)| ClassRates {
-            class: place / self.tenants,
-            tenant: place % self.tenants,
+        let rates = |(index, cell): (usize, &Cell)| ClassRates {
+            class: index / self.tenants,
+            tenant: index % self.tenants,
             received: rate(&cell.received),
             rejected: rate(&cell.rejected),
         };
--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -38,7 +38,7 @@
     NoResult,
 }
 
-struct Entry {
+struct KeyEntry {
     id: u32,
     digest: ContentDigest,
     /// Until when an attempt that arrives is a retry, s.
@@ -79,14 +79,14 @@
 
 /// All keys known, and the stored results.
 pub struct IdempotencyKeys {
-    entries: HashMap<IdempotencyKey, Entry>,
+    entries: HashMap<IdempotencyKey, KeyEntry>,
     /// Keys whose attempts have ended, in the order in which they ended.
     expiries: VecDeque<Expiry>,
     /// Oldest first.
     results: VecDeque<StoredResult>,
     contenders: Vec<Contender>,
     /// When all who wait have to be answered, whatever their deadline, s.
-    answer_by: f64,
+    answer_deadline: f64,
     result_bytes: usize,
     bounds: KeyBounds,
 }
@@ -95,8 +95,8 @@
     /// No keys yet, and these bounds.
     pub fn new(bounds: KeyBounds) -> IdempotencyKeys {
         let (entries, expiries, results, contenders) = Default::default();
-        let answer_by = f64::MAX;
-        IdempotencyKeys { entries, expiries, results, contenders, answer_by, result_bytes: 0, bounds }
+        let answer_deadline = f64::MAX;
+        IdempotencyKeys { entries, expiries, results, contenders, answer_deadline, result_bytes: 0, bounds }
     }
 
     /// Looks up who holds this key; if nobody does, `id` holds it from now on. `arrived` is when the request came to
@@ -123,12 +123,12 @@
             return KeyLookup::Full;
         }
         let progress = Progress::Open(Vec::new());
-        self.entries.insert(key, Entry { id, digest, valid_until: f64::MAX, progress });
+        self.entries.insert(key, KeyEntry { id, digest, valid_until: f64::MAX, progress });
         KeyLookup::Acquired
     }
 
     /// Has a request of other content than the holder's wait for the key until `deadline`.
-    pub fn contend(
+    pub fn await_key(
         &mut self,
         key: &IdempotencyKey,
         digest: ContentDigest,
@@ -136,17 +136,17 @@
         deadline: f64,
     ) {
         self.await_result(key, digest, mailbox);
-        self.reject_after(deadline, mailbox);
+        self.add_contender(deadline, mailbox);
     }
 
     /// Rejects whoever waits at this mailbox, for a key or for an attempt id, after `deadline`.
-    pub fn reject_after(&mut self, deadline: f64, mailbox: &Arc<Mailbox>) {
+    pub fn add_contender(&mut self, deadline: f64, mailbox: &Arc<Mailbox>) {
         self.contenders.push(Contender { deadline, mailbox: mailbox.clone() });
     }
 
     /// Has all who wait, and whoever comes to wait, answered by this time: nobody else knows of them.
-    pub fn answer_by(&mut self, time: f64) {
-        self.answer_by = time;
+    pub fn set_answer_deadline(&mut self, deadline: f64) {
+        self.answer_deadline = deadline;
     }
 
     /// Keeps the key until `until` at the least.
@@ -206,10 +206,10 @@
     pub fn await_result(&mut self, key: &IdempotencyKey, digest: ContentDigest, mailbox: &Arc<Mailbox>) {
         match self.entries.get_mut(key) {
             None => mailbox.send(Event::KeyReleased),
-            Some(Entry { progress: Progress::Open(waiters), .. }) => {
+            Some(KeyEntry { progress: Progress::Open(waiters), .. }) => {
                 waiters.push(Waiter { digest, mailbox: mailbox.clone() });
             }
-            Some(Entry { progress: Progress::Completed(body), digest: own, .. }) if *own == digest => {
+            Some(KeyEntry { progress: Progress::Completed(body), digest: own, .. }) if *own == digest => {
                 mailbox.send(Event::Result(Some(body.clone())));
             }
             Some(_) => mailbox.send(Event::Result(None)),
@@ -224,9 +224,9 @@
     }
 
     fn reject_contenders(&mut self, now: f64) {
-        let answer_by = self.answer_by;
-        let waited_enough = |contender: &mut Contender| contender.deadline.min(answer_by) < now;
-        for contender in self.contenders.extract_if(.., waited_enough) {
+        let answer_deadline = self.answer_deadline;
+        let is_overdue = |contender: &mut Contender| contender.deadline.min(answer_deadline) < now;
+        for contender in self.contenders.extract_if(.., is_overdue) {
             let reason = Reason::KeyConflict;
             contender.mailbox.send(Event::Reject { retry_after: 0.0, last: false, reason });
         }
--- a/crates/server/src/state/idempotency/tests.rs
+++ b/crates/server/src/state/idempotency/tests.rs
@@ -16,7 +16,7 @@
 const KEY: IdempotencyKey = [b'a'; 32];
 
 #[test]
-fn whoever_came_to_the_machine_within_the_window_is_a_retry_however_late_it_is_read() {
+fn attempt_that_arrived_within_window_is_retry_when_read_late() {
     let mut keys = keys();
     assert_eq!(keys.acquire(KEY, 5, 1, 100.0), KeyLookup::Acquired);
     keys.extend(&KEY, 1, 150.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_open_run_holds_its_key_past_the_window() {
+fn open_run_holds_its_key_past_the_window() {
     let mut keys = keys();
     keys.acquire(KEY, 5, 1, 100.0);
     keys.extend(&KEY, 1, 101.0);
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn those_who_wait_hear_the_result_and_only_those_of_the_same_content() {
+fn result_is_sent_only_to_waiters_with_same_content() {
     let (mut keys, mailboxes) = (keys(), [(); 4].map(|()| Arc::new(Mailbox::default())));
     keys.acquire(KEY, 5, 2, 100.0);
     assert_eq!(keys.acquire(KEY, 6, 3, 100.0), KeyLookup::Contended);
     keys.await_result(&KEY, 5, &mailboxes[0]);
-    keys.contend(&KEY, 6, &mailboxes[1], 101.0);
+    keys.await_key(&KEY, 6, &mailboxes[1], 101.0);
     keys.finish(&KEY, 2, result(b"two"));
     keys.await_result(&KEY, 5, &mailboxes[2]);
     keys.await_result(&KEY, 6, &mailboxes[3]);
@@ -53,37 +53,37 @@
 }
 
 #[test]
-fn behind_an_attempt_that_never_ran_the_key_is_free_for_whoever_waited() {
+fn key_of_unrun_attempt_is_released_to_waiters() {
     let (mut keys, mailboxes) = (keys(), [(); 2].map(|()| Arc::new(Mailbox::default())));
     keys.acquire(KEY, 5, 1, 100.0);
     keys.await_result(&KEY, 5, &mailboxes[0]);
-    keys.contend(&KEY, 6, &mailboxes[1], 101.0);
+    keys.await_key(&KEY, 6, &mailboxes[1], 101.0);
     keys.release(&KEY, 1);
     assert!(mailboxes.iter().all(|mailbox| matches!(mailbox.receive(), Event::KeyReleased)));
     assert_eq!(keys.acquire(KEY, 6, 2, 100.0), KeyLookup::Acquired, "what never ran leaves no forerunner");
 }
 
 #[test]
-fn beyond_their_number_no_key_is_taken_and_those_known_still_are() {
+fn rejects_new_keys_at_capacity_and_finds_known_keys() {
     let mut keys = keys();
-    let taken = |keys: &mut IdempotencyKeys, key: u8| keys.acquire([key; 32], 5, u32::from(key), 100.0);
-    assert!((1..=4).all(|key| taken(&mut keys, key) == KeyLookup::Acquired));
-    assert_eq!((taken(&mut keys, 5), taken(&mut keys, 4)), (KeyLookup::Full, KeyLookup::SameRequest(4)));
+    let acquire = |keys: &mut IdempotencyKeys, key: u8| keys.acquire([key; 32], 5, u32::from(key), 100.0);
+    assert!((1..=4).all(|key| acquire(&mut keys, key) == KeyLookup::Acquired));
+    assert_eq!((acquire(&mut keys, 5), acquire(&mut keys, 4)), (KeyLookup::Full, KeyLookup::SameRequest(4)));
     keys.release(&[1; 32], 1);
-    assert_eq!(taken(&mut keys, 5), KeyLookup::Acquired);
+    assert_eq!(acquire(&mut keys, 5), KeyLookup::Acquired);
 }
 
 #[test]
-fn nobody_waits_long_for_a_key_that_one_of_other_content_holds() {
+fn rejects_contender_past_its_deadline() {
     let (mut keys, mailbox) = (keys(), Arc::new(Mailbox::default()));
     keys.acquire(KEY, 5, 1, 100.0);
-    keys.contend(&KEY, 6, &mailbox, 101.0);
+    keys.await_key(&KEY, 6, &mailbox, 101.0);
     keys.expire(101.1);
     assert!(matches!(mailbox.receive(), Event::Reject { .. }));
 }
 
 #[test]
-fn results_beyond_the_budget_are_dropped_oldest_first_and_their_keys_stay_known() {
+fn evicts_oldest_results_over_budget_and_keeps_their_keys() {
     let (mut keys, mailbox) = (keys(), Arc::new(Mailbox::default()));
     for id in 1..=3 {
         let key = [id as u8; 32];
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_attempt_that_broke_off_before_it_was_remembered_holds_up_no_other_key() {
+fn attempt_aborted_before_extension_does_not_block_expiry() {
     let (mut keys, mailbox) = (keys(), Arc::new(Mailbox::default()));
     keys.acquire(KEY, 5, 1, 100.0);
     keys.await_result(&KEY, 5, &mailbox);
--- a/crates/server/src/state/in_flight.rs
+++ b/crates/server/src/state/in_flight.rs
@@ -18,16 +18,16 @@
     /// When it got its final answer while its run went on, s.
     pub answered_at: Option<f64>,
     /// Where the request that came second under the same attempt id waits: it is offered again if this one never ran.
-    pub second: Option<Arc<Mailbox>>,
+    pub duplicate: Option<Arc<Mailbox>>,
     /// Since when the outcome of its run may be one that the agent has dropped, s; none once its run is heard of again.
-    pub unheard_since: Option<f64>,
+    pub outcome_uncertain_since: Option<f64>,
 }
 
 impl InFlightRequest {
     /// Tells the second request under its attempt id, if there is one, that this one is over.
-    pub fn tell_second(&self, ran: bool) {
-        if let Some(second) = &self.second {
-            second.send(if ran { Event::AttemptTaken } else { Event::AttemptReleased });
+    pub fn notify_duplicate(&self, ran: bool) {
+        if let Some(duplicate) = &self.duplicate {
+            duplicate.send(if ran { Event::AttemptTaken } else { Event::AttemptReleased });
         }
     }
 }
@@ -59,8 +59,8 @@
             mailbox,
             running: false,
             answered_at: None,
-            second: None,
-            unheard_since: None,
+            duplicate: None,
+            outcome_uncertain_since: None,
         };
         self.by_id.insert(self.last_id, request);
         Some(self.last_id)
@@ -69,8 +69,8 @@
     /// Has a request wait for the end of the one in flight under its attempt id; `false` where another waits already.
     pub fn await_end(&mut self, attempt: &AttemptId, mailbox: &Arc<Mailbox>) -> bool {
         let first = self.by_attempt.get(attempt).and_then(|id| self.by_id.get_mut(id));
-        let Some(first) = first.filter(|first| first.second.is_none()) else { return false };
-        first.second = Some(mailbox.clone());
+        let Some(first) = first.filter(|first| first.duplicate.is_none()) else { return false };
+        first.duplicate = Some(mailbox.clone());
         true
     }
 
@@ -87,32 +87,33 @@
     }
 
     /// The agent has said something of this attempt's run; where its request waits for events.
-    pub fn hear_of(&mut self, attempt: &AttemptId) -> Option<&Arc<Mailbox>> {
+    pub fn record_run_notice(&mut self, attempt: &AttemptId) -> Option<&Arc<Mailbox>> {
         let request = self.by_id.get_mut(self.by_attempt.get(attempt)?)?;
-        request.unheard_since = None;
+        request.outcome_uncertain_since = None;
         Some(&request.mailbox)
     }
 
     /// Notices are missing: any of the runs may have ended unheard.
-    pub fn note_missing_notices(&mut self, now: f64) {
+    pub fn mark_outcomes_uncertain(&mut self, now: f64) {
         for request in self.by_id.values_mut().filter(|request| request.running) {
-            request.unheard_since = Some(now);
+            request.outcome_uncertain_since = Some(now);
         }
     }
 
     /// Requests whose run may have ended unheard, once both that and their answer are `span` seconds past. Each is given once.
-    pub fn take_unheard(&mut self, now: f64, span: f64) -> Vec<Arc<Mailbox>> {
-        let mut unheard = Vec::new();
+    pub fn take_lost_runs(&mut self, now: f64, span: f64) -> Vec<Arc<Mailbox>> {
+        let mut lost = Vec::new();
         for request in self.by_id.values_mut() {
-            let (Some(since), Some(answered_at)) = (request.unheard_since, request.answered_at) else {
+            let (Some(since), Some(answered_at)) = (request.outcome_uncertain_since, request.answered_at)
+            else {
                 continue;
             };
             if now - since.max(answered_at) >= span {
-                request.unheard_since = None;
-                unheard.push(request.mailbox.clone());
+                request.outcome_uncertain_since = None;
+                lost.push(request.mailbox.clone());
             }
         }
-        unheard
+        lost
     }
 
     /// How many of them run.
--- a/crates/server/src/state/mailbox.rs
+++ b/crates/server/src/state/mailbox.rs
@@ -51,7 +51,7 @@
     /// The agent refuses to run it, as a request that it does not know.
     Refused,
     /// Its run has ended in a notice that the agent has dropped, for all that is known.
-    OutcomeMissed,
+    OutcomeLost,
     /// The agent's link is back, and all notices from before have been read.
     Resume,
     /// The store has answered the call, or the call has failed.
@@ -74,7 +74,7 @@
     /// The gateway has cancelled it or is gone.
     Cancelled,
     /// The policy no longer knows this request.
-    Forgotten,
+    Discarded,
     /// The process ends.
     Shutdown,
 }
@@ -94,7 +94,7 @@
             Event::AtCall { .. } => "at call",
             Event::Ended { .. } => "ended",
             Event::Refused => "refused",
-            Event::OutcomeMissed => "outcome missed",
+            Event::OutcomeLost => "outcome missed",
             Event::Resume => "resume",
             Event::Returned { .. } => "returned",
             Event::Result(_) => "result",
@@ -102,7 +102,7 @@
             Event::AttemptReleased => "attempt released",
             Event::AttemptTaken => "attempt taken",
             Event::Cancelled => "gone",
-            Event::Forgotten => "forgotten",
+            Event::Discarded => "forgotten",
             Event::Shutdown => "shut down",
         }
     }
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -47,12 +47,15 @@
         }
         let (request, now, time_unread) = (&received.request, unix_now(), seconds_since(received.timestamp));
         let class = &policy.settings.classes[request.class];
-        let due = now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
+        let objective_deadline =
+            now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
         let counted = self.counters.as_deref().map(|counters| {
             let cell = counters.count_received(request.class, request.tenant);
             CountedRequest { counters, cell }
         });
-        let Some(trace) = &self.trace else { return RequestEntry { recorded: None, counted, due } };
+        let Some(trace) = &self.trace else {
+            return RequestEntry { recorded: None, counted, objective_deadline };
+        };
         let mut entry = Entry::new(now, received.attempt);
         entry.unread = time_unread;
         entry.product = request.class as u16;
@@ -60,11 +63,11 @@
         (entry.caller, entry.rank, entry.hint) = (request.caller, request.rank, request.cost_hint);
         (entry.memory, entry.repeat, entry.key) = (request.memory, request.is_retry, received.key);
         let recorded = Some(RecordedRequest { recorder: &trace.recorder, entry });
-        RequestEntry { recorded, counted, due }
+        RequestEntry { recorded, counted, objective_deadline }
     }
 
     /// Notes a value in the trace.
-    pub fn note(&self, now: f64, topic: Topic, value: f64) {
+    pub fn record_value(&self, now: f64, topic: Topic, value: f64) {
         if let Some(trace) = &self.trace {
             trace.recorder.note(now, topic, value);
         }
@@ -72,7 +75,7 @@
 
     /// Records the notice to drain: the process is killed at `kill_time`.
     pub fn record_drain(&self, now: f64, kill_time: f64) {
-        self.note(now, Topic::LEAVE, kill_time - now);
+        self.record_value(now, Topic::LEAVE, kill_time - now);
         if let Some(counters) = &self.counters {
             counters.set_kill_time(kill_time);
         }
@@ -80,7 +83,7 @@
 
     /// Records what the policy says of this server's health.
     pub fn record_health(&self, now: f64, healthy: bool) {
-        self.note_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
+        self.record_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
         if let Some(counters) = &self.counters {
             counters.set_health(healthy);
         }
@@ -88,19 +91,19 @@
 
     /// Records the policy's limits on runs and calls, and its pressure.
     pub fn record_limits(&self, now: f64, runs: f64, calls: f64, pressure: f64) {
-        self.note_change(now, Topic::LIMIT, runs);
-        self.note_change(now, Topic::CALLS, calls);
+        self.record_change(now, Topic::LIMIT, runs);
+        self.record_change(now, Topic::CALLS, calls);
         if let Some(counters) = &self.counters {
             counters.set_limits(runs, pressure);
         }
     }
 
     /// Notes the value of a decision if it has changed.
-    pub fn note_change(&self, now: f64, topic: Topic, value: f64) {
-        self.note_change_of(now, topic, value, MIN_DECISION_CHANGE);
+    pub fn record_change(&self, now: f64, topic: Topic, value: f64) {
+        self.record_change_above(now, topic, value, MIN_DECISION_CHANGE);
     }
 
-    fn note_change_of(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
+    fn record_change_above(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
         if let Some(trace) = &self.trace {
             if lock(&trace.changes).news(now, topic.0, value, min_change) {
                 trace.recorder.note(now, topic, value);
@@ -113,15 +116,15 @@
         if self.trace.is_none() {
             return;
         }
-        let shown = [
+        let gauge_values = [
             (Topic::BUSY, gauges.busy),
             (Topic::RUNNABLE, gauges.runnable),
             (Topic::MEMORY, gauges.memory),
             (Topic::SOCKETS, gauges.sockets),
         ];
-        for (topic, value) in shown {
+        for (topic, value) in gauge_values {
             if let Some(value) = value {
-                self.note_change_of(unix_now(), topic, value, MIN_GAUGE_CHANGE);
+                self.record_change_above(unix_now(), topic, value, MIN_GAUGE_CHANGE);
             }
         }
     }
@@ -133,7 +136,7 @@
     recorded: Option<RecordedRequest<'a>>,
     counted: Option<CountedRequest<'a>>,
     /// When its latency objective ends, s of the recorder's clock.
-    due: f64,
+    objective_deadline: f64,
 }
 
 struct RecordedRequest<'a> {
@@ -159,8 +162,8 @@
 
     /// The step that a completion at this moment counts as.
     pub fn completion_step(&self) -> Step {
-        let watched = self.recorded.is_some() || self.counted.is_some();
-        if watched && unix_now() > self.due {
+        let is_observed = self.recorded.is_some() || self.counted.is_some();
+        if is_observed && unix_now() > self.objective_deadline {
             Step::SETTLED_LATE
         } else {
             Step::SETTLED
@@ -178,9 +181,9 @@
     }
 
     /// Records that its run ended after so many seconds.
-    pub fn record_run(&self, took: f64) {
+    pub fn record_run(&self, duration: f64) {
         if let Some(counted) = &self.counted {
-            counted.counters.count_run(took);
+            counted.counters.count_run(duration);
         }
     }
 }
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -142,7 +142,7 @@
             // Counted before it is read further: one that can't be read would come again on every new link.
             if sequence > *last_notice + 1 {
                 tracing::warn!("agent: notices {} to {} are missing", *last_notice + 1, sequence - 1);
-                self.dispatcher.note_missing_notices(self.clock.now());
+                self.dispatcher.mark_outcomes_uncertain(self.clock.now());
             }
             *last_notice = sequence;
         }
@@ -193,7 +193,7 @@
     fn send(&self, line: &Value, event: Event) {
         let id = notice::text(line, "id");
         let attempt = AttemptId::try_from(id.as_bytes()).ok();
-        match attempt.and_then(|attempt| self.dispatcher.hear_of(&attempt)) {
+        match attempt.and_then(|attempt| self.dispatcher.record_run_notice(&attempt)) {
             Some(mailbox) => mailbox.send(event),
             None => {
                 let op = notice::text(line, "op");
