--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy decides.
+//! Carries out the decisions of the policy.
 
 use super::published::PublishedState;
 use crate::state::idempotency::IdempotencyKeys;
@@ -8,7 +8,7 @@
 use puffinladder::{Decisions, Reason};
 use puffinladder_trace::row::Topic;
 
-/// Ends a request that never ran: its key is released, and its coroutine hears of it.
+/// Removes a request that never ran, releases its key and sends `event` to its coroutine.
 pub(super) fn remove_unrun(
     in_flight: &mut InFlightRequests,
     keys: &mut IdempotencyKeys,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The duty to answer a request is over: its run goes on, and one that does not run is over with it.
+/// Records that a request needs no further answer: a running one continues, any other is removed.
 pub(super) fn mark_answered(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, now: f64) {
     match in_flight.get_mut(id) {
         Some(request) if request.running => drop(request.answered_at.get_or_insert(now)),
@@ -33,21 +33,21 @@
     }
 }
 
-/// Turns the decisions of one round into events for the requests that they concern.
+/// Handler of the decisions of one round: turns each into an event for the request concerned.
 pub(super) struct DecisionHandler<'a> {
-    /// Health and load signal.
+    /// Health and load signal reported to gateways.
     pub published: &'a PublishedState,
-    /// Where decisions are recorded.
+    /// Log of the decisions.
     pub log: &'a RequestLog,
-    /// The requests in flight.
+    /// Requests in flight.
     pub in_flight: &'a mut InFlightRequests,
-    /// The idempotency keys.
+    /// Idempotency keys and results.
     pub keys: &'a mut IdempotencyKeys,
-    /// The round's time, s.
+    /// Time of the round, s.
     pub now: f64,
-    /// When the policy wants its next tick, s.
+    /// Time of the next tick that the policy requested, s.
     pub tick_at: &'a mut f64,
-    /// How long gateways may keep an unused connection, s.
+    /// Idle time allowed to gateway connections, s.
     pub keepalive: &'a mut f64,
 }
 
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -1,5 +1,5 @@
-//! Owns the admission policy: gathers what happens into rounds, runs the policy on them, carries out its decisions and
-//! wakes the requests that they concern.
+//! Owns the admission policy: collects its input into rounds, runs them, carries out the decisions and wakes
+//! the requests concerned.
 
 mod decisions;
 mod published;
@@ -18,35 +18,36 @@
 pub use rounds::{CycleTimes, SubmitOutcome};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 
-/// Seconds before its deadline, or the kill, at which a request that waits for a key is rejected: a housekeeping, and the time of
-/// an answer.
+/// Seconds before its deadline, or the end of a drain, at which a request that waits for a key or attempt id
+/// is rejected: one housekeeping interval and the time to send a response.
 pub const CONTENTION_MARGIN_SECONDS: f64 = 0.2;
 
-/// The admission policy, and all that it decides with and on.
+/// Admission policy with its input and state. Shared by all requests.
 pub struct Dispatcher {
     rounds: Mutex<Rounds>,
-    /// The coroutine that runs the rounds.
+    /// Coroutine that runs the rounds.
     worker: OnceLock<Coroutine>,
-    /// Health and load signal.
     published: PublishedState,
-    /// When the process is killed, after a notice to drain.
+    /// Time at which a draining process is killed, s.
     kill_time: OnceLock<f64>,
-    /// Where requests and decisions are recorded.
+    /// Log of requests and decisions.
     pub log: RequestLog,
 }
 
-/// What a cycle of the dispatcher asks of the rest of the server.
+/// Callbacks of a dispatcher cycle into the rest of the server.
 pub trait CycleHooks {
-    /// Looks at what is idle, stuck or due to be tried again. Connections may lie unused for `keepalive` seconds.
+    /// Closes idle connections and handles timeouts and retries. `keepalive` is the idle time allowed to
+    /// gateways, s.
     fn run_housekeeping(&self, now: f64, keepalive: f64);
-    /// Asks the agent for its gauges.
+    /// Polls the agent for its gauges.
     fn poll_gauges(&self, tag: u64);
-    /// Has the next cycle begin after `delay` seconds at the latest.
+    /// Schedules the next cycle in `delay` seconds at the latest.
     fn set_alarm(&self, delay: f64);
 }
 
 impl Dispatcher {
-    /// A dispatcher for this policy; connections may lie unused for `keepalive` seconds until it says otherwise.
+    /// Returns a dispatcher for `policy`. `keepalive` is the idle time allowed to gateways until the policy
+    /// sets it, s.
     pub fn new(
         policy: AdmissionPolicy,
         keys: IdempotencyKeys,
@@ -66,7 +67,7 @@
         lock(&self.rounds)
     }
 
-    /// Makes the calling coroutine the one that runs the rounds.
+    /// Registers the calling coroutine as the one that runs the rounds.
     pub fn set_worker(&self) {
         self.worker.get_or_init(coroutine::current);
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Enters input for the next round.
+    /// Adds input for the next round and wakes the worker.
     fn add_input(&self, add: impl FnOnce(&mut Rounds)) {
         let mut rounds = self.rounds();
         add(&mut rounds);
@@ -87,8 +88,8 @@
         self.wake();
     }
 
-    /// Offers a request to the policy. For a key that a request of other content holds it waits till `deadline` at
-    /// the most.
+    /// Submits a request to the policy. A request that has to wait for its key or attempt id is rejected
+    /// after `deadline` (s); `arrived` is when it reached the machine, s.
     pub fn submit(
         &self,
         received: &ReceivedRequest,
@@ -105,17 +106,18 @@
         outcome
     }
 
-    /// A run waits at a downstream call.
+    /// Reports that a run waits for permission to make a downstream call.
     pub fn report_call_pending(&self, id: u32) {
         self.add_input(|rounds| rounds.input.awaiting_call.push(id));
     }
 
-    /// A downstream call has ended.
+    /// Reports that a downstream call ended after `duration` seconds.
     pub fn report_call_finished(&self, id: u32, outcome: Outcome, duration: f64) {
         self.add_input(|rounds| rounds.input.finished_calls.push(Completion { id, outcome, duration }));
     }
 
-    /// A request is over; its attempt id is free from now on, whenever the policy gets to hear of it.
+    /// Reports that a request ended after `duration` seconds of running. Its attempt id is free at once,
+    /// before the policy runs its next round.
     pub fn report_ended(&self, id: u32, outcome: Outcome, duration: f64) {
         self.add_input(|rounds| {
             if let Some(request) = rounds.in_flight.remove(id) {
@@ -125,12 +127,12 @@
         });
     }
 
-    /// Nobody waits for this request's answer any more.
+    /// Reports that the gateway no longer waits for the answer.
     pub fn report_cancelled(&self, id: u32) {
         self.add_input(|rounds| rounds.input.abandoned.push(id));
     }
 
-    /// Starts the drain: the process is killed at `kill_time`.
+    /// Starts the drain. The process is killed at `kill_time` (s).
     pub fn start_drain(&self, kill_time: f64, now: f64) {
         self.kill_time.get_or_init(|| kill_time);
         self.log.record_drain(now, kill_time);
@@ -140,51 +142,51 @@
         });
     }
 
-    /// When the process is killed, if it drains.
+    /// Returns the time at which the process is killed (s), if it is draining.
     pub fn kill_time(&self) -> Option<f64> {
         self.kill_time.get().copied()
     }
 
-    /// A run under this key has ended, with a result or without.
+    /// Records the end of the run under this key, with its result if it completed.
     pub fn finish_key(&self, key: Option<&IdempotencyKey>, id: u32, result: Option<&Arc<Vec<u8>>>) {
         if let Some(key) = key {
             self.rounds().keys.finish(key, id, result.cloned());
         }
     }
 
-    /// A request that held this key never ran.
+    /// Releases the key of a request that never ran.
     pub fn release_key(&self, key: Option<&IdempotencyKey>, id: u32) {
         if let Some(key) = key {
             self.rounds().keys.release(key, id);
         }
     }
 
-    /// Sends `mailbox` the result of the attempt that holds this key, as soon as there is one.
+    /// Sends the result of the attempt that holds this key to `mailbox`, now or when that attempt ends.
     pub fn await_result(&self, key: &IdempotencyKey, digest: ContentDigest, mailbox: &Arc<Mailbox>) {
         self.rounds().keys.await_result(key, digest, mailbox);
     }
 
-    /// The agent has said something of this attempt's run; where its request waits for events.
+    /// Records that a notice on this attempt was received. Returns the mailbox of its request.
     pub fn record_run_notice(&self, attempt: &AttemptId) -> Option<Arc<Mailbox>> {
         self.rounds().in_flight.record_run_notice(attempt).cloned()
     }
 
-    /// The agent has dropped notices that were not read: any of the runs may have ended unheard.
+    /// Marks the outcome of each run as uncertain, after the agent dropped unread notices.
     pub fn mark_outcomes_uncertain(&self, now: f64) {
         self.rounds().in_flight.mark_outcomes_uncertain(now);
     }
 
-    /// The agent's link is back: all in flight repeat what the agent may have missed.
+    /// Notifies each request in flight that the agent reconnected, so that it resends a missed command.
     pub fn resume_all(&self) {
         self.rounds().in_flight.mailboxes().for_each(|mailbox| mailbox.send(Event::Resume));
     }
 
-    /// The process ends: what is still in flight closes its log entry.
+    /// Notifies each request in flight that the process exits, so that it closes its log entry.
     pub fn shut_down(&self) {
         self.rounds().in_flight.mailboxes().for_each(|mailbox| mailbox.send(Event::Shutdown));
     }
 
-    /// Takes the answer to the poll of the gauges of this tag.
+    /// Stores the gauges that answer the poll with this tag.
     pub fn receive_gauges(&self, tag: u64, gauges: Gauges) {
         self.log.record_gauges(&gauges);
         let mut rounds = self.rounds();
@@ -194,27 +196,27 @@
         }
     }
 
-    /// The agent is up: runs a round, so that the policy begins.
+    /// Triggers the first round once the agent is connected.
     pub fn start(&self) {
         self.add_input(|_| {});
     }
 
-    /// How many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.rounds().in_flight.running()
     }
 
-    /// What the policy says of this server's health.
+    /// Returns whether the policy considers this server healthy.
     pub fn healthy(&self) -> bool {
         self.published.healthy()
     }
 
-    /// Appends the load signal's field, if there is one.
+    /// Appends the load signal field to `out`, if one was set.
     pub fn write_load_signal(&self, out: &mut Vec<u8>) {
         self.published.write_load_signal(out);
     }
 
-    /// One cycle: housekeeping and a tick if they are due, a round if there is anything to decide.
+    /// Runs one cycle: housekeeping if it is due, and a round if there is input or a tick.
     pub fn run_cycle(&self, now: f64, times: CycleTimes, hooks: &impl CycleHooks) {
         let mut rounds = self.rounds();
         if now >= rounds.housekeeping_at {
--- a/crates/server/src/dispatcher/rounds.rs
+++ b/crates/server/src/dispatcher/rounds.rs
@@ -1,4 +1,4 @@
-//! The rounds of the policy: what has come in for the next one, and what they decide on.
+//! Rounds of the policy: collects the input of the next round and runs it.
 
 use super::decisions::{mark_answered, DecisionHandler};
 use super::published::PublishedState;
@@ -11,68 +11,67 @@
 use puffinladder::{AdmissionPolicy, Gauges, Request, RoundInput};
 use std::sync::Arc;
 
-/// Seconds for which a request that was answered keeps its place after notices were missed that may have told the end of its run.
-/// A run that still goes on then costs no more than a place that is given twice until it ends.
+/// Seconds after which an answered request is failed if its outcome may have been in a lost notice. A run
+/// that is still active by then exceeds the run limit by one until it ends.
 const LOST_RUN_TIMEOUT_SECONDS: f64 = 5.0;
 
-/// What becomes of a request that is offered to the policy.
+/// Result of submitting a request to the policy.
 pub enum SubmitOutcome {
-    /// It is in flight under this number.
+    /// The request is in flight under this id.
     Accepted(u32),
-    /// A request in flight has its attempt id; it waits at its mailbox, unknown to the policy, for that one's end.
+    /// A request in flight has the same attempt id. Its end is announced in the mailbox; the policy does not
+    /// know of the waiting request.
     AwaitingAttemptId,
-    /// A request in flight has its attempt id, and another waits for that already.
+    /// A request in flight has the same attempt id, and another request already waits for its end.
     DuplicateAttempt,
-    /// A request of other content holds its key; it waits at its mailbox, unknown to the policy.
+    /// A request with different content holds the idempotency key. Its release is announced in the mailbox;
+    /// the policy does not know of the waiting request.
     AwaitingKey,
-    /// A request of other content ran under its key.
+    /// A request with different content ran under the same idempotency key.
     KeyConflict,
-    /// There is no room for its key: a retry could run, so this one must not.
+    /// The key table is full. Without an entry a retry could run a second time, so the request must not run.
     KeyTableFull,
 }
 
-/// The times of a cycle, s.
+/// Intervals and timeouts of a dispatcher cycle, s.
 #[derive(Clone, Copy, Debug)]
 pub struct CycleTimes {
-    /// Between two housekeepings.
+    /// Interval between two housekeeping runs.
     pub housekeeping_interval: f64,
-    /// How long a tick waits for its gauges.
+    /// Longest time that a tick waits for gauges.
     pub gauge_timeout: f64,
 }
 
-/// The policy, its input and the requests in flight.
+/// Policy, input of its next round, and requests in flight.
 pub(super) struct Rounds {
     policy: AdmissionPolicy,
-    /// The requests in flight.
     pub(super) in_flight: InFlightRequests,
-    /// The idempotency keys.
     pub(super) keys: IdempotencyKeys,
-    /// What has come in since the last round.
+    /// Input since the last round.
     pub(super) input: RoundInput,
-    /// When each of the arrivals came to the machine, s of the Unix clock.
+    /// Unix time at which each request in `input.arrivals` reached the machine, s.
     arrival_timestamps: Vec<f64>,
-    /// There is input for a round.
     pub(super) has_input: bool,
-    /// When the policy wants its next tick.
+    /// Time of the next tick that the policy requested, s.
     pub(super) tick_at: f64,
     gauge_poll: GaugePoll,
-    /// How long gateways may keep an unused connection, s.
+    /// Idle time allowed to gateway connections, s.
     pub(super) keepalive: f64,
-    /// When the next housekeeping is due.
+    /// Time of the next housekeeping run, s.
     pub(super) housekeeping_at: f64,
 }
 
-/// The poll of the agent's gauges for the next tick.
+/// Poll of the agent's gauges for the next tick.
 #[derive(Default)]
 struct GaugePoll {
-    /// The poll that is out.
+    /// Tag of the unanswered poll.
     pending: Option<u64>,
     answer: Option<Gauges>,
     last_tag: u64,
 }
 
 impl Rounds {
-    /// No requests yet, and nothing to decide.
+    /// Returns a state without requests or input.
     pub(super) fn new(policy: AdmissionPolicy, keys: IdempotencyKeys, keepalive: f64) -> Rounds {
         Rounds {
             policy,
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Enters a request for the next round, if its attempt id and its key allow it.
+    /// Adds a request to the next round, unless its attempt id or idempotency key is in use.
     pub(super) fn submit(
         &mut self,
         received: &ReceivedRequest,
@@ -116,7 +115,8 @@
         SubmitOutcome::Accepted(id)
     }
 
-    /// The offer of a request whose attempt id is in flight. The agent refuses whichever of the two was made up.
+    /// Queues a request behind the one in flight under the same attempt id. The agent refuses a forged one of
+    /// the two.
     fn await_attempt_id(
         &mut self,
         received: &ReceivedRequest,
@@ -130,7 +130,7 @@
         SubmitOutcome::AwaitingAttemptId
     }
 
-    /// The offer of a request whose key another request holds.
+    /// Handles a request that could not acquire its key.
     fn reject_lookup(
         &mut self,
         lookup: KeyLookup,
@@ -148,20 +148,20 @@
         }
     }
 
-    /// Ends requests whose run has ended unheard: its outcome never comes, and the place that it holds would be gone for good. The run
-    /// may have had its effect, so that its key stays used.
+    /// Fails requests whose outcome was in a lost notice, so that they do not hold a run slot forever. The
+    /// run may have taken effect, so the key stays in use.
     pub(super) fn fail_lost_runs(&mut self, now: f64) {
         let lost = self.in_flight.take_lost_runs(now, LOST_RUN_TIMEOUT_SECONDS);
         if !lost.is_empty() {
             tracing::warn!(
-                "agent: {} runs ended in notices that are missing: their places are free",
+                "agent: outcomes of {} runs were lost with missing notices; their run slots are released",
                 lost.len()
             );
         }
         lost.iter().for_each(|mailbox| mailbox.send(Event::OutcomeLost));
     }
 
-    /// Takes the answer to a poll of the gauges; whether it was waited for.
+    /// Stores the answer to a gauge poll. Returns whether a tick is waiting for it.
     pub(super) fn receive_gauges(&mut self, tag: u64, gauges: Gauges) -> bool {
         let awaited = self.gauge_poll.pending == Some(tag);
         if awaited {
@@ -170,8 +170,8 @@
         awaited
     }
 
-    /// The gauges of a tick that is due; before it they are polled. A tick comes on time, with no gauges if the agent does
-    /// not answer.
+    /// Returns the gauges of the tick if it can run now. A tick that is due polls the agent first; after
+    /// `gauge_timeout` it runs with empty gauges.
     pub(super) fn next_tick(
         &mut self,
         now: f64,
@@ -196,7 +196,7 @@
         Some(self.gauge_poll.answer.take().unwrap_or_default())
     }
 
-    /// Runs the policy on what has come in.
+    /// Runs the policy on the collected input.
     pub(super) fn run(
         &mut self,
         now: f64,
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The serving process: the admission policy on real sockets. `docs/server.md` says which module owns what.
+//! Server process: runs the admission policy on real sockets. `docs/server.md` describes the modules.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -1,145 +1,142 @@
-//! Every size, count and time of the process in one place. These are properties of the program; what is admitted, run
-//! and rejected is the policy's business.
+//! Sizes, counts and timeouts of the process. Admission is configured by the policy settings instead.
 
 use puffinladder::Idempotency;
 use puffinladder_settings::ServerConfig;
 use std::time::Duration;
 
-/// Descriptors that the process keeps for itself, however many connect: 10 beside its links (`tests/process.rs` counts
-/// them: standard streams, pipe, listener, event loop), two links to the agent while one replaces the other, a report
-/// and a connection that is being accepted, and two to spare.
+/// File descriptors reserved for the process: 10 for standard streams, pipe, listener and event loop, two
+/// agent links during a reconnect, a registry report, a connection being accepted, and two spare.
+/// `tests/process.rs` checks the count.
 const INTERNAL_DESCRIPTORS: usize = 16;
-/// Of the other descriptors one in so many is the store's.
+/// The store gets the remaining descriptors divided by this number.
 const STORE_DESCRIPTOR_DIVISOR: usize = 4;
-/// Gateways may take five eighths of all descriptors: the half that is theirs, and an eighth for those of others.
+/// Share of all descriptors that gateways may use, in eighths.
 const GATEWAY_DESCRIPTOR_EIGHTHS: usize = 5;
-/// One descriptor in so many is for connections that are being closed.
+/// Closing connections get all descriptors divided by this number.
 const CLOSING_DESCRIPTOR_DIVISOR: usize = 32;
 
 const BYTES_PER_MEGABYTE: f64 = 1_048_576.0;
-/// Share of the memory, in percent, that requests may take when each touches its whole stack and holds a body.
+/// Share of the memory that requests may use with full stacks and bodies, in percent.
 const REQUEST_MEMORY_PERCENT: usize = 45;
-/// Bytes of a request's stack and of its body.
+/// Size of the stack and the body of a request.
 const REQUEST_FOOTPRINT_BYTES: usize = 32768 + 4096;
-/// Fewest requests in flight that are allowed, however small the memory.
+/// Lower bound of the limit on requests in flight.
 const MIN_REQUESTS_IN_FLIGHT: usize = 64;
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes of a message of a gateway.
+/// Maximum size of a message from a gateway.
 const MAX_MESSAGE_BYTES: usize = 4096;
-/// Bytes that an answer has beside its body.
+/// Size of a response without its body.
 const RESPONSE_OVERHEAD_BYTES: usize = 256;
-/// Bytes of a key with all that belongs to it.
+/// Size of an idempotency key with its table entry.
 const KEY_ENTRY_BYTES: usize = 256;
 
-/// Every size, count and time of the process. Times are seconds where they are no [`Duration`].
+/// Sizes, counts and timeouts of the process. Times that are not a [`Duration`] are in seconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections of gateways that are served. One more makes the idlest close, and as many as are being closed may
-    /// have got work meanwhile.
+    /// Gateway connections that are served. Each one beyond that closes the one idle longest.
     pub max_gateways: usize,
-    /// Connections over that which may be on their way out.
+    /// Additional gateway connections allowed while others are closing.
     pub closing_allowance: usize,
-    /// Descriptors of all connections of gateways, those being closed among them: at no moment more, also in a drain,
-    /// when all of them close.
+    /// Upper bound on the descriptors of all gateway connections, closing ones included.
     pub max_gateway_descriptors: usize,
-    /// Connections to the store.
+    /// Maximum number of connections to the store.
     pub max_store_connections: usize,
-    /// Requests in flight; one more is rejected at once, since each takes a coroutine.
+    /// Requests in flight, each with its own coroutine. Further ones are rejected at once.
     pub max_requests: usize,
-    /// Requests open on one connection.
+    /// Open requests on one connection.
     pub max_open_requests: usize,
-    /// Used tags above an unused one that a connection remembers: far more than may be open.
+    /// Used tags that a connection remembers above its lowest unused tag.
     pub max_remembered_tags: usize,
-    /// Bytes of a body, or of any other element, that a gateway sends.
+    /// Size of a body, or of any other element, of a gateway message.
     pub max_element_bytes: usize,
-    /// Bytes of an unfinished message.
+    /// Size of an incomplete message.
     pub max_message_bytes: usize,
-    /// Bytes read from one connection before others have their turn.
+    /// Bytes read from one connection before it yields to others.
     pub read_turn_bytes: usize,
-    /// Bytes that wait for one slow gateway.
+    /// Unsent bytes for one gateway.
     pub max_unsent_bytes: usize,
-    /// Bytes that wait for all gateways together.
+    /// Unsent bytes for all gateways together.
     pub max_total_unsent_bytes: usize,
-    /// Bytes that each gateway may leave unread though all together leave too much.
+    /// Unsent bytes that each gateway may have even when the total limit is exceeded.
     pub fair_unsent_bytes: usize,
-    /// Bytes of a line of the agent.
+    /// Size of a line from the agent.
     pub max_line_bytes: usize,
-    /// Bytes that wait for the agent.
+    /// Unsent bytes for the agent.
     pub max_agent_unsent_bytes: usize,
-    /// Bytes of a reply's head, from store and registry.
+    /// Size of the head of a reply from the store or the registry.
     pub max_head_bytes: usize,
-    /// Bytes of a reply's body, from store and registry.
+    /// Size of the body of a reply from the store or the registry.
     pub max_reply_bytes: usize,
-    /// Idempotency keys known.
+    /// Number of idempotency keys.
     pub max_keys: usize,
-    /// Bytes of results stored for replays.
+    /// Size of all results stored for retries.
     pub max_result_bytes: usize,
-    /// By how much two timestamps, which are whole milliseconds, may lie nearer than their requests: a key is valid that
-    /// much past its window.
+    /// Time added to the validity of a key, since timestamps are rounded to whole milliseconds.
     pub key_clock_tolerance: f64,
-    /// How long past that a key stays known: an attempt that came within the window may lie unread until it is due, and
-    /// would run as a new one if its key were forgotten by then.
+    /// Time for which an expired key is kept, so that a retry that arrived in time but was read late does not
+    /// run.
     pub key_retention: f64,
-    /// How long a request waits for a key that one of other content holds.
+    /// Time for which a request waits for a key held by different content.
     pub key_contention_timeout: f64,
-    /// Bytes to which a connection's buffer shrinks back when it runs empty.
+    /// Size to which an empty connection buffer shrinks.
     pub min_buffer_bytes: usize,
-    /// Stack of a coroutine that lives with a request or a connection, in words of eight bytes.
+    /// Stack of a request or connection coroutine, in words of eight bytes.
     pub stack_words: usize,
-    /// Stack of a coroutine that reads JSON and logs lines, in words of eight bytes.
+    /// Stack of a coroutine that parses JSON, in words of eight bytes.
     pub deep_stack_words: usize,
-    /// Stack of the threads for signals and for the log, in bytes.
+    /// Stack of the signal and log threads, in bytes.
     pub thread_stack_bytes: usize,
-    /// Stack of the thread that packs a trace, in bytes.
+    /// Stack of the trace recorder thread, in bytes.
     pub recorder_stack_bytes: usize,
-    /// Lines of the log that wait for a slow reader; more are lost.
+    /// Queued log lines; further ones are dropped.
     pub max_queued_log_lines: usize,
-    /// Coroutines kept for the next request.
+    /// Idle coroutines kept for reuse.
     pub coroutine_pool_size: usize,
-    /// Lines about faults of peers between two summaries; more are only counted.
+    /// Logged faults of peers per summary interval; further ones are only counted.
     pub max_fault_lines: u32,
-    /// How long the worker sleeps while nothing happens.
+    /// Longest sleep of the coroutine worker without events.
     pub idle_poll_timeout: Duration,
-    /// Between lines that sum up what was done.
+    /// Interval between summary log lines.
     pub summary_interval: f64,
-    /// Between looks at what is idle, stuck or due to be tried again.
+    /// Interval between housekeeping runs.
     pub housekeeping_interval: Duration,
-    /// How long a tick waits for its gauges.
+    /// Time for which a tick waits for gauges.
     pub gauge_timeout: Duration,
-    /// How long a new link to the agent waits for the end of replayed notices.
+    /// Time for which a new agent link waits for the end of replayed notices.
     pub replay_timeout: f64,
-    /// Between reports to the registry.
+    /// Interval between reports to the registry.
     pub report_interval: Duration,
-    /// How long a report may take.
+    /// Timeout of a report to the registry.
     pub report_timeout: Duration,
-    /// How long a connection may take to open.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long a reply of the store may stand still once a part of it has come.
+    /// Time without progress after which a partly received store reply fails.
     pub reply_stall_timeout: f64,
-    /// How long a message may take from its first byte to its last, and a connection to its first message.
+    /// Timeout from the first byte of a message to its last, and from a connection to its first message.
     pub message_timeout: f64,
-    /// Times its usual interval between messages that a connection which came again may lie unused.
+    /// Multiple of its usual message interval for which a reused connection may be idle.
     pub idle_interval_factor: f64,
-    /// How long a connection that is only asked for health may lie unused.
+    /// Time for which a connection used only for health checks may be idle.
     pub health_check_idle_timeout: f64,
-    /// How long a gateway may take to close what it was asked to leave.
+    /// Time for a gateway to close a connection after `goaway`.
     pub goaway_timeout: f64,
-    /// How long a connection that was ended from here is read to its end.
+    /// Time for which a connection closed by this side is read until its end.
     pub closing_timeout: f64,
-    /// For how many bytes a connection that was ended from here is read to its end.
+    /// Bytes read from a connection closed by this side.
     pub max_closing_bytes: usize,
-    /// How long before the kill gateways are asked to leave.
+    /// Time before the kill at which `goaway` is sent.
     pub goaway_lead: f64,
-    /// How long before the kill, when all answers are out, connections are ended.
+    /// Time before the kill at which idle connections are closed.
     pub close_lead: f64,
-    /// How long before the kill, when all answers are out, log entries are closed.
+    /// Time before the kill at which open log entries are closed.
     pub log_close_lead: f64,
-    /// How long a trace may take to seal.
+    /// Timeout for sealing the trace.
     pub trace_seal_timeout: Duration,
 }
 
-/// The longest, s, that a request with a key may lie unread and yet be run: until its timeout.
+/// Returns the longest time for which a request with a key may stay unread and still run: its class timeout,
+/// s.
 fn max_unread_time(config: &ServerConfig) -> f64 {
     let classes = config.policy.settings.classes.iter();
     classes
@@ -148,7 +145,7 @@
         .fold(0.0, f64::max)
 }
 
-/// How the descriptors are shared out.
+/// Allocation of file descriptors.
 struct DescriptorShares {
     gateways: usize,
     closing: usize,
@@ -166,8 +163,8 @@
 }
 
 impl Limits {
-    /// The limits of a process of this configuration. `reserved_descriptors` are those that the settings ask for beside
-    /// all that: a trace's files and connections to control services.
+    /// Returns the limits for this configuration. `reserved_descriptors` are the descriptors used by
+    /// settings: trace files and connections to control services.
     pub fn new(config: &ServerConfig, reserved_descriptors: usize) -> Limits {
         let shares = DescriptorShares::new(config.max_sockets.saturating_sub(reserved_descriptors));
         let memory = (config.memory_mb * BYTES_PER_MEGABYTE) as usize;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,21 +1,21 @@
-//! One server of the fleet, as the platform starts it: the admission policy on real sockets. The same with a command line
-//! is `puffinladder serve`.
+//! Server binary configured by environment variables. `puffinladder serve` does the same with command line
+//! options.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 
 const USAGE: &str = "puffinladder-server: one server of the fleet
 
-It takes no arguments; the environment tells it:
-  BALANCER_CONFIG        the configuration, a JSON object (examples/server.json is one)
-  BALANCER_NAME          its name, if the configuration has none
-  BALANCER_LISTEN        where gateways connect, if the configuration does not say
-  PUFFINLADDER_SETTINGS  our own settings, S-expressions (deploy/settings.example.scm); optional
-  RUST_LOG               levels of the log, as in info,puffinladder_server::txn=trace
+Takes no arguments. Environment variables:
+  BALANCER_CONFIG        path of the configuration, a JSON object (see examples/server.json)
+  BALANCER_NAME          server name, if the configuration has none
+  BALANCER_LISTEN        listen address for gateways, if the configuration has none
+  PUFFINLADDER_SETTINGS  path of the settings, S-expressions (see deploy/settings.example.scm); optional
+  RUST_LOG               log levels, such as info,puffinladder_server::txn=trace
 
-With flags: puffinladder serve --help";
+For command line options see: puffinladder serve --help";
 
-/// Exit status where the command line is wrong.
+/// Exit status for an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
@@ -31,7 +31,7 @@
             ExitCode::SUCCESS
         }
         (Some(other), _) => {
-            eprintln!("puffinladder-server: {other} is not known; see --help");
+            eprintln!("puffinladder-server: unexpected argument {other}; see --help");
             ExitCode::from(USAGE_ERROR)
         }
     }
--- a/crates/server/src/request/context.rs
+++ b/crates/server/src/request/context.rs
@@ -1,4 +1,4 @@
-//! What the coroutines of all requests share.
+//! Shared state of the request coroutines.
 
 use crate::dispatcher::Dispatcher;
 use crate::limits::Limits;
@@ -11,24 +11,24 @@
 use puffinladder_settings::ServerConfig;
 use std::sync::Arc;
 
-/// What the coroutines of all requests share.
+/// Shared state of the request coroutines.
 pub struct RequestContext {
-    /// Decides about them.
+    /// Admission decisions.
     pub dispatcher: Arc<Dispatcher>,
-    /// Runs them.
+    /// Link to the agent that runs the requests.
     pub agent: Arc<AgentLink>,
-    /// Takes their downstream calls.
+    /// Client for downstream calls.
     pub store: Arc<StoreClient>,
-    /// How many there may be.
+    /// Bound on the number of requests.
     pub slots: Arc<RequestSlots>,
-    /// Counts their answers.
+    /// Counts of answers by status.
     pub summary: Arc<AnswerSummary>,
-    /// Where gateways' faults are logged.
+    /// Rate-limited log of gateway faults.
     pub faults: Arc<FaultLog>,
-    /// Names and settings of their classes.
+    /// Names and settings of the request classes.
     pub config: Arc<ServerConfig>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Arc<Clock>,
-    /// Times and counts.
+    /// Sizes, counts and timeouts.
     pub limits: Arc<Limits>,
 }
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -1,5 +1,5 @@
-//! The state machine of one request: offers it to the dispatcher, then turns each event into commands to the agent, calls
-//! to the store and its answer.
+//! State machine of one request: submits it to the dispatcher, then turns each event into commands to the
+//! agent, calls to the store and the answer.
 
 use super::context::RequestContext;
 use super::reply::{InFlightGuard, PendingReply};
@@ -16,10 +16,10 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// The log's target for the events of requests, as operators name it in `RUST_LOG`; the lines begin with `txn` likewise.
+/// Log target of request events, used by operators in `RUST_LOG`.
 const LOG_TARGET: &str = "puffinladder_server::txn";
 
-/// What the agent was last told of a run and has shown no effect of yet.
+/// Last command sent to the agent for a run, until a notice shows its effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AgentCommand {
     None,
@@ -30,37 +30,37 @@
     Forgo,
 }
 
-/// The downstream call at which a run stands.
+/// Downstream call that a run waits for.
 #[derive(Default)]
 struct PendingCall {
-    /// Sequence number of the notice that asked for it.
+    /// Sequence number of the notice that requested the call.
     notice_sequence: u64,
     body: Vec<u8>,
     reply: Vec<u8>,
-    /// How often it was made.
+    /// Number of attempts so far.
     attempts: u32,
 }
 
-/// What becomes of a request after an offer.
+/// Result of submitting a request.
 enum Admission {
-    /// In flight under this number; as a probe of its connection or not.
+    /// In flight under `id`. `is_probe` marks the probe of a suspected connection.
     Accepted { id: u32, is_probe: bool },
-    /// It waited for its key, and is to be offered again with this mailbox.
+    /// The key or attempt id that it waited for was released: submit it again with this mailbox.
     Resubmit(Arc<Mailbox>),
-    /// It is over.
+    /// Answered or cancelled.
     Finished,
 }
 
-/// How a request left the policy's hands.
+/// Final state of an execution.
 enum ExecutionEnd {
-    /// It is over.
+    /// Finished: no further submission.
     Finished,
-    /// The attempt that it waited for never ran: it is to be offered again with this mailbox.
+    /// The earlier attempt whose result it waited for never ran: submit it again with this mailbox.
     Resubmit(Arc<Mailbox>),
 }
 
-/// Follows a request from its first offer to the end of its run. It is offered once; again only if it waited for another
-/// attempt that then never ran.
+/// Executes a request from its submission to the end of its run. It is submitted again only after waiting for
+/// another request that never ran.
 pub(super) fn execute(
     context: &RequestContext,
     received: &ReceivedRequest,
@@ -88,7 +88,7 @@
     }
 }
 
-/// A request that is offered to the policy.
+/// Request to be submitted to the policy.
 struct Submission<'a> {
     context: &'a RequestContext,
     received: &'a ReceivedRequest,
@@ -114,7 +114,8 @@
             SubmitOutcome::AwaitingAttemptId => return self.wait_for_attempt(mailbox, reply),
             SubmitOutcome::DuplicateAttempt => self.fail_duplicate(reply),
             SubmitOutcome::KeyConflict => {
-                let message = format_args!("request: tag {tag} failed: its key belongs to other content");
+                let message =
+                    format_args!("request: tag {tag} failed: idempotency key used with different content");
                 context.faults.warn(message);
                 reply.fail(Reason::KeyConflict);
             }
@@ -124,8 +125,8 @@
         Admission::Finished
     }
 
-    /// Another request has its attempt id. If that one runs, this may be the same once more, and fails: it may not be said to have
-    /// had no effect.
+    /// Waits for the end of the request in flight under the same attempt id. If that one ran, this request
+    /// may be a duplicate of it and fails: a rejection would claim that it had no effect.
     fn wait_for_attempt(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its attempt id", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
@@ -137,12 +138,13 @@
     }
 
     fn fail_duplicate(&self, reply: &mut PendingReply) {
-        let message = format_args!("request: tag {} failed: its attempt id is in flight already", self.tag);
+        let message = format_args!("request: tag {} failed: its attempt id is already in flight", self.tag);
         self.context.faults.warn(message);
         reply.fail(Reason::DuplicateName);
     }
 
-    /// Until when it may wait for its key or attempt id: it has to be answered in its own time, and the policy does not know of it.
+    /// Returns the time until which the request may wait for its key or attempt id, s. The policy does not
+    /// track its deadline meanwhile.
     fn contention_deadline(&self, now: f64, arrived: f64) -> f64 {
         let Submission { context, received, .. } = self;
         let request = &received.request;
@@ -163,14 +165,14 @@
     }
 }
 
-/// A request in flight.
+/// Execution of a request in flight.
 struct Execution<'a, 'r> {
     context: &'a RequestContext,
     received: &'a ReceivedRequest,
     connection: &'a Connection,
     tag: u64,
     id: u32,
-    /// It is to show whether its suspected connection brings true requests.
+    /// Whether it probes if its suspected connection sends valid requests.
     is_probe: bool,
     guard: InFlightGuard<'a>,
     reply: &'r mut PendingReply<'a>,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Handles events until the request is over.
+    /// Handles events until the request ends.
     fn run(&mut self, mailbox: &Arc<Mailbox>) -> ExecutionEnd {
         loop {
             let event = mailbox.receive();
@@ -231,13 +233,13 @@
             Event::Call { limit } => self.make_call(limit, mailbox),
             Event::Returned { outcome, took, body } => self.deliver_reply(outcome, took, body),
             Event::SkipCall => self.skip_call(),
-            // Its deadline is near, or its gateway has gone: the duty to answer ends, the run goes on.
+            // Only the pending answer ends here: the run continues.
             Event::Fail(reason) => self.reply.fail(reason),
             Event::Cancelled => {
                 self.reply.cancel();
                 self.context.dispatcher.report_cancelled(self.id);
             }
-            // The link to the agent is new: what it may not have read is sent again.
+            // After a reconnect, resend the command that the agent may not have received.
             Event::Resume => {
                 if !self.context.agent.is_confirmed(self.last_stamp) {
                     self.send_last_command();
@@ -267,7 +269,7 @@
                 self.finish(Outcome::Failed, 0.0, Vec::new());
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            // For those that wait to be offered again: this one was offered.
+            // Only sent to requests that wait for an attempt id, before they are in flight.
             Event::AttemptReleased | Event::AttemptTaken => {}
             Event::Discarded | Event::Shutdown => {
                 self.guard.disarm();
@@ -277,7 +279,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Whether it was queued before its connection was suspected, and never ran.
+    /// Returns whether it comes from a suspected connection and is neither started nor a probe.
     fn is_suspected(&self) -> bool {
         !self.paused && !self.is_probe && self.connection.refusals.is_suspected()
     }
@@ -288,7 +290,7 @@
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
     }
 
-    /// The policy has judged its wait, and gives it to the cores.
+    /// Starts the run, or resumes it after a pause.
     fn launch_or_thaw(&mut self) {
         let (command, step) = match std::mem::take(&mut self.paused) {
             true => (AgentCommand::Thaw, Step::RESUMED),
@@ -304,7 +306,7 @@
         self.send_command(AgentCommand::Freeze);
     }
 
-    /// A retry of what is in flight or has run gets that one's result.
+    /// Waits for the result of the earlier attempt of the same request.
     fn await_result(&mut self, mailbox: &Arc<Mailbox>) {
         self.reply.entry.record(Step::REPLAYED);
         match &self.received.key {
@@ -313,7 +315,7 @@
         }
     }
 
-    /// The attempt that it waited for never ran after all: this one is the first now, with a mailbox of its own.
+    /// Ends this execution so that the request is submitted again: the earlier attempt never ran.
     fn resubmit(&mut self) -> ExecutionEnd {
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
         match self.connection.renew_mailbox(self.tag) {
@@ -322,7 +324,7 @@
         }
     }
 
-    /// The attempt that it waited for has ended.
+    /// Answers with the result of the earlier attempt, or fails if there is none.
     fn finish_with_result(&mut self, result: Option<Arc<Vec<u8>>>) {
         match result {
             Some(result) => {
@@ -336,7 +338,7 @@
         }
     }
 
-    /// The run stands at a call, which is made once the policy allows it.
+    /// Records that the run waits for a downstream call and asks the policy to allow it.
     fn request_call(&mut self, notice_sequence: u64, body: Vec<u8>) {
         self.last_command = AgentCommand::None;
         self.pending_call.notice_sequence = notice_sequence;
@@ -369,7 +371,7 @@
         self.send_command(AgentCommand::Forgo);
     }
 
-    /// The run has ended.
+    /// Answers the request and records the end of its run.
     fn finish(&mut self, outcome: Outcome, took: f64, body: Vec<u8>) {
         if let Some(call) = self.store_call.take() {
             call.abandon();
@@ -386,7 +388,7 @@
             Outcome::NotNeeded => dispatcher.release_key(key, self.id),
             _ => dispatcher.finish_key(key, self.id, None),
         }
-        // Of no effect where it was answered.
+        // No effect if the request was already answered.
         self.reply.fail(Reason::RunFailed);
         self.guard.report_ended(outcome, took);
     }
@@ -396,7 +398,7 @@
         self.send_last_command();
     }
 
-    /// Sends the last command to the agent, for the first time or again.
+    /// Sends or resends the last command to the agent.
     fn send_last_command(&mut self) {
         let (agent, attempt) = (&self.context.agent, &self.received.attempt);
         self.last_stamp = match self.last_command {
--- a/crates/server/src/request/mod.rs
+++ b/crates/server/src/request/mod.rs
@@ -1,4 +1,5 @@
-//! A request's life, from its reading to its answer and to the end of its run: one coroutine each.
+//! Request handling, one coroutine per request: from the decoded request to its answer and the end of its
+//! run.
 
 pub mod context;
 mod execution;
@@ -12,11 +13,11 @@
 use reply::PendingReply;
 use std::sync::Arc;
 
-/// One of the process's places for requests, held by a coroutine.
+/// Request slot held by a coroutine, released on drop.
 struct RequestSlot(Arc<RequestContext>);
 
 impl RequestSlot {
-    /// None where the process has no room for one more.
+    /// Returns `None` if all slots are in use.
     fn acquire(context: &Arc<RequestContext>) -> Option<RequestSlot> {
         context.slots.acquire().then(|| RequestSlot(context.clone()))
     }
@@ -28,7 +29,7 @@
     }
 }
 
-/// Gives a request its coroutine. A process with no room for one more rejects it at once.
+/// Starts the coroutine of a request, or rejects the request at once if all slots are in use.
 pub fn start(
     context: &Arc<RequestContext>,
     received: ReceivedRequest,
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -1,4 +1,4 @@
-//! The two things that a request owes whatever happens to it: one answer to its gateway, and its end to the dispatcher.
+//! Drop guards of a request: one answer to the gateway, and one report of the end to the dispatcher.
 
 use super::context::RequestContext;
 use crate::state::identifiers::IdempotencyKey;
@@ -9,24 +9,24 @@
 use puffinladder::{Outcome, Reason};
 use puffinladder_trace::row::Step;
 
-/// Room for the fields of most answers.
+/// Initial capacity for the fields of an answer.
 const ANSWER_FIELD_BYTES: usize = 48;
-/// Room for the fields of a rejection.
+/// Initial capacity for the fields of a rejection.
 const REJECTION_FIELD_BYTES: usize = 24;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Owes a request its one answer. What ends without one, a panic too, is answered as failed.
+/// Pending answer of a request. A request dropped without an answer, also by a panic, is answered as failed.
 pub(super) struct PendingReply<'a> {
     context: &'a RequestContext,
     connection: &'a Connection,
     tag: u64,
     owed: bool,
-    /// The request's entry in the log.
+    /// Log entry of the request.
     pub(super) entry: RequestEntry<'a>,
 }
 
 impl<'a> PendingReply<'a> {
-    /// Owes this tag an answer, and opens the request's log entry.
+    /// Opens the log entry of a request whose answer is pending.
     pub(super) fn new(
         context: &'a RequestContext,
         connection: &'a Connection,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers with a result.
+    /// Answers with the result.
     pub(super) fn complete(&mut self, result: &[u8]) {
         let step = self.entry.completion_step();
         self.send("200", &[], result, step);
@@ -76,7 +76,7 @@
         self.send("500", &[], &[], Step::voided(reason));
     }
 
-    /// Nobody waits for the answer any more.
+    /// Drops the pending answer of a cancelled request.
     pub(super) fn cancel(&mut self) {
         self.owed = false;
         self.entry.record(Step::GONE);
@@ -89,8 +89,8 @@
     }
 }
 
-/// A request's place among those in flight: whatever happens here, the dispatcher hears of its end, and a key does not
-/// stay open for ever.
+/// Guard of a request in flight: on drop, also by a panic, it reports the end to the dispatcher and closes
+/// the idempotency key.
 pub(super) struct InFlightGuard<'a> {
     context: &'a RequestContext,
     key: Option<IdempotencyKey>,
@@ -99,7 +99,7 @@
 }
 
 impl<'a> InFlightGuard<'a> {
-    /// Guards a request that is in flight under this number.
+    /// Returns the guard of the request in flight under `id`.
     pub(super) fn new(
         context: &'a RequestContext,
         key: Option<IdempotencyKey>,
@@ -108,14 +108,14 @@
         InFlightGuard { context, key, id, ended: false }
     }
 
-    /// Reports the request's end to the dispatcher.
+    /// Reports the end of the request to the dispatcher, unless it was reported before.
     pub(super) fn report_ended(&mut self, outcome: Outcome, duration: f64) {
         if !std::mem::replace(&mut self.ended, true) {
             self.context.dispatcher.report_ended(self.id, outcome, duration);
         }
     }
 
-    /// The dispatcher knows of the end already.
+    /// Disarms the guard of a request that the dispatcher already removed.
     pub(super) fn disarm(&mut self) {
         self.ended = true;
     }
--- a/crates/server/src/request/tests.rs
+++ b/crates/server/src/request/tests.rs
@@ -33,13 +33,13 @@
         body: Vec::new(),
     };
     let SubmitOutcome::Accepted(id) = server.dispatcher.submit(&received, 0.0, &mailbox, 0.0) else {
-        panic!("not taken")
+        panic!("request not accepted")
     };
     server.dispatcher.await_result(&key, 5, &retry_mailbox);
     let panicked = catch_unwind(AssertUnwindSafe(|| {
         let _reply = PendingReply::new(&server.requests, &connection, 7, &received);
         let _guard = InFlightGuard::new(&server.requests, Some(key), id);
-        panic!("as a request might");
+        panic!("panic in a request");
     }));
     assert!(panicked.is_err());
     assert_eq!(connection.unsent(), b"*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n");
--- a/crates/server/src/state/counters.rs
+++ b/crates/server/src/state/counters.rs
@@ -1,13 +1,14 @@
-//! What a control service is told: counts by class and tenant since the last report, and the policy's present figures.
+//! Figures reported to the control service: counts by class and tenant since the last report, and current
+//! policy values.
 
 use puffinladder_trace::row::Step;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 
-/// The longest run time that is counted, s.
+/// Bound on a counted run time, s.
 const MAX_RUN_TIME: f64 = 3600.0;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// A number that one thread writes and another reads.
+/// `f64` with relaxed atomic access.
 #[derive(Default)]
 struct AtomicF64(AtomicU64);
 
@@ -20,14 +21,14 @@
     }
 }
 
-/// Counts of one class of one tenant.
+/// Counts of one class for one tenant.
 #[derive(Default)]
 struct Cell {
     received: AtomicU32,
     rejected: AtomicU32,
 }
 
-/// Counts since the last report, and present figures.
+/// Counts since the last report, and current policy values.
 pub struct Counters {
     tenants: usize,
     cells: Vec<Cell>,
@@ -38,15 +39,15 @@
     pressure: AtomicF64,
     retry_after: AtomicF64,
     unhealthy: AtomicBool,
-    /// When the process is killed, by its own clock; 0 while it is not draining.
+    /// Time at which the process is killed, s of its own clock; 0 if it is not draining.
     kill_time: AtomicF64,
 }
 
-/// Rates of one class of one tenant, 1/s.
+/// Rates of one class for one tenant, 1/s.
 pub struct ClassRates {
-    /// Place of the class in the settings.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Place of the tenant in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
     /// Requests received.
     pub received: f64,
@@ -54,28 +55,28 @@
     pub rejected: f64,
 }
 
-/// What was counted since the last report, and the present figures.
+/// Counts since the last report as rates, and current policy values.
 pub struct CounterSnapshot {
     /// Requests completed within their latency objective, 1/s.
     pub completed: f64,
-    /// Mean run time, s; 0 where nothing ran.
+    /// Mean run time, s; 0 if no run completed.
     pub run_time: f64,
-    /// Runs that the policy allows at once.
+    /// Limit on concurrent runs.
     pub run_limit: f64,
-    /// The pressure behind the load signal, from 0 to 1.
+    /// Pressure that the load signal is derived from, 0 to 1.
     pub pressure: f64,
-    /// The last Retry-After that was given, s.
+    /// Retry-After of the last rejection that had one, s.
     pub retry_after: f64,
-    /// What the policy says of this server.
+    /// Health of this server as decided by the policy.
     pub healthy: bool,
-    /// When the process is killed, by its own clock, if it drains.
+    /// Time at which the process is killed, s of its own clock; `None` if it is not draining.
     pub kill_time: Option<f64>,
-    /// Those that received nothing and rejected nothing are left out.
+    /// Rates by class and tenant; entries without any request are omitted.
     pub classes: Vec<ClassRates>,
 }
 
 impl Counters {
-    /// Counters for so many classes and tenants.
+    /// Returns zeroed counters for this number of classes and tenants.
     pub fn new(classes: usize, tenants: usize) -> Counters {
         let tenants = tenants.max(1);
         Counters {
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Counts a request that was read, and returns its cell.
+    /// Counts a received request. Returns its cell for [`Counters::count_step`].
     pub fn count_received(&self, class: usize, tenant: usize) -> usize {
         let cell = class * self.tenants + tenant.min(self.tenants - 1);
         self.cells[cell].received.fetch_add(1, Ordering::Relaxed);
         cell
     }
 
-    /// Counts a request of this cell that was answered.
+    /// Counts a step of a request of this cell, if it is a rejection or a completion in time.
     pub fn count_step(&self, cell: usize, step: Step) {
         if step.is_declined() {
             self.cells[cell].rejected.fetch_add(1, Ordering::Relaxed);
@@ -108,35 +109,35 @@
         }
     }
 
-    /// Counts a run that ended after so many seconds.
+    /// Counts a completed run that took `duration` seconds.
     pub fn count_run(&self, duration: f64) {
         self.runs.fetch_add(1, Ordering::Relaxed);
         let microseconds = (duration.clamp(0.0, MAX_RUN_TIME) * MICROSECONDS_PER_SECOND) as u64;
         self.run_microseconds.fetch_add(microseconds, Ordering::Relaxed);
     }
 
-    /// Sets the policy's limit on runs and its pressure.
+    /// Sets the limit on concurrent runs and the pressure of the policy.
     pub fn set_limits(&self, run_limit: f64, pressure: f64) {
         self.run_limit.set(run_limit);
         self.pressure.set(pressure.clamp(0.0, 1.0));
     }
 
-    /// Sets the last Retry-After, s.
+    /// Sets the Retry-After of the last rejection, s.
     pub fn set_retry_after(&self, retry_after: f64) {
         self.retry_after.set(retry_after);
     }
 
-    /// Sets what the policy says of this server's health.
+    /// Sets the health of this server as decided by the policy.
     pub fn set_health(&self, healthy: bool) {
         self.unhealthy.store(!healthy, Ordering::Relaxed);
     }
 
-    /// Sets when the process is killed, by its own clock.
+    /// Sets the time at which the process is killed, s of its own clock.
     pub fn set_kill_time(&self, kill_time: f64) {
         self.kill_time.set(kill_time);
     }
 
-    /// Takes all that was counted since the last time, `interval` seconds ago.
+    /// Returns the counts of the last `interval` seconds and resets them.
     pub fn take(&self, interval: f64) -> CounterSnapshot {
         let rate = |counter: &AtomicU32| f64::from(counter.swap(0, Ordering::Relaxed)) / interval;
         let runs = self.runs.swap(0, Ordering::Relaxed);
--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys and the results of the runs under them, for as long as a retry may come.
+//! Idempotency keys and the results stored under them, kept while a retry may arrive.
 
 use super::identifiers::{ContentDigest, IdempotencyKey};
 use super::mailbox::{Event, Mailbox};
@@ -6,59 +6,59 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// What the look-up of a key found.
+/// Result of acquiring a key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum KeyLookup {
-    /// Nobody held the key; the request that asked does now.
+    /// The key was free and is now held by the request.
     Acquired,
-    /// An earlier attempt of the same request, of this number, holds it.
+    /// An earlier attempt of the same request, with this id, holds the key.
     SameRequest(u32),
-    /// A request of other content holds it, which has not shown yet that it runs. The agent refuses whichever key was
-    /// made up, so the other request waits.
+    /// A request with different content holds the key and has not ended. The agent refuses a forged one of
+    /// the two, so the second has to wait.
     Contended,
-    /// A request of other content ran under it.
+    /// A request with different content ran under the key.
     Conflict,
-    /// Nobody holds it, and there is no room for one more key.
+    /// The key is free, but the table is full.
     Full,
 }
 
-/// A request that waits for the outcome of the attempt that holds a key.
+/// Request that waits for the outcome of the attempt that holds a key.
 struct Waiter {
     digest: ContentDigest,
     mailbox: Arc<Mailbox>,
 }
 
-/// How far the attempt that holds a key has come.
+/// Progress of the attempt that holds a key.
 enum Progress {
-    /// It waits or runs; others wait for its result, or for the key.
+    /// Queued or running; the waiters are notified when it ends.
     Open(Vec<Waiter>),
-    /// It completed with this result.
+    /// Completed with this result.
     Completed(Arc<Vec<u8>>),
-    /// It ran and failed, or its result had to be evicted.
+    /// Failed, or its result was evicted.
     NoResult,
 }
 
 struct KeyEntry {
     id: u32,
     digest: ContentDigest,
-    /// Until when an attempt that arrives is a retry, s.
+    /// Time until which an arriving attempt counts as a retry, s.
     valid_until: f64,
     progress: Progress,
 }
 
-/// A key whose attempt has ended.
+/// Expiry of a key whose attempt has ended.
 struct Expiry {
     at: f64,
     key: IdempotencyKey,
 }
 
-/// A stored result, by the attempt that produced it.
+/// Reference to a stored result and the attempt that produced it.
 struct StoredResult {
     id: u32,
     key: IdempotencyKey,
 }
 
-/// A request that waits for a key which one of other content holds, or for an attempt id that is in flight.
+/// Request that waits for a key held by different content, or for an attempt id in flight.
 struct Contender {
     deadline: f64,
     mailbox: Arc<Mailbox>,
@@ -67,40 +67,39 @@
 /// Bounds of [`IdempotencyKeys`].
 #[derive(Clone, Copy, Debug)]
 pub struct KeyBounds {
-    /// Most keys known at once.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// Most bytes of stored results.
+    /// Maximum size of all stored results, bytes.
     pub max_result_bytes: usize,
-    /// How much later than asked for a key expires, s.
+    /// Time added to the requested expiry of a key, s.
     pub clock_tolerance: f64,
-    /// How long an expired key stays known, s.
+    /// Time for which an expired key is kept, s.
     pub retention: f64,
 }
 
-/// All keys known, and the stored results.
+/// Table of idempotency keys and stored results.
 pub struct IdempotencyKeys {
     entries: HashMap<IdempotencyKey, KeyEntry>,
-    /// Keys whose attempts have ended, in the order in which they ended.
+    /// Keys of ended attempts, in the order in which these ended.
     expiries: VecDeque<Expiry>,
     /// Oldest first.
     results: VecDeque<StoredResult>,
     contenders: Vec<Contender>,
-    /// When all who wait have to be answered, whatever their deadline, s.
+    /// Time by which all contenders are rejected, s.
     answer_deadline: f64,
     result_bytes: usize,
     bounds: KeyBounds,
 }
 
 impl IdempotencyKeys {
-    /// No keys yet, and these bounds.
+    /// Returns an empty table with these bounds.
     pub fn new(bounds: KeyBounds) -> IdempotencyKeys {
         let (entries, expiries, results, contenders) = Default::default();
         let answer_deadline = f64::MAX;
         IdempotencyKeys { entries, expiries, results, contenders, answer_deadline, result_bytes: 0, bounds }
     }
 
-    /// Looks up who holds this key; if nobody does, `id` holds it from now on. `arrived` is when the request came to
-    /// the machine, s.
+    /// Acquires the key for request `id` if it is free. `arrived` is when the request reached the machine, s.
     pub fn acquire(
         &mut self,
         key: IdempotencyKey,
@@ -110,7 +109,7 @@
     ) -> KeyLookup {
         if let Some(old) = self.entries.get(&key) {
             let (holder, open) = (old.id, matches!(old.progress, Progress::Open(_)));
-            // What came to the machine within the window is a retry, however late it is read.
+            // The arrival time counts: a retry may be read after the window has passed.
             if old.valid_until >= arrived || open {
                 return match old.digest == digest {
                     true => KeyLookup::SameRequest(holder),
@@ -127,7 +126,7 @@
         KeyLookup::Acquired
     }
 
-    /// Has a request of other content than the holder's wait for the key until `deadline`.
+    /// Queues a request, until `deadline` (s), for a key held by different content.
     pub fn await_key(
         &mut self,
         key: &IdempotencyKey,
@@ -139,24 +138,24 @@
         self.add_contender(deadline, mailbox);
     }
 
-    /// Rejects whoever waits at this mailbox, for a key or for an attempt id, after `deadline`.
+    /// Adds a request that waits for a key or an attempt id, to be rejected after `deadline` (s).
     pub fn add_contender(&mut self, deadline: f64, mailbox: &Arc<Mailbox>) {
         self.contenders.push(Contender { deadline, mailbox: mailbox.clone() });
     }
 
-    /// Has all who wait, and whoever comes to wait, answered by this time: nobody else knows of them.
+    /// Sets the time by which all present and future contenders are rejected, s.
     pub fn set_answer_deadline(&mut self, deadline: f64) {
         self.answer_deadline = deadline;
     }
 
-    /// Keeps the key until `until` at the least.
+    /// Keeps the key at least until `until` (s).
     pub fn extend(&mut self, key: &IdempotencyKey, id: u32, until: f64) {
         if let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.id == id) {
             entry.valid_until = until + self.bounds.clock_tolerance;
         }
     }
 
-    /// Releases the key of an attempt that never ran: whoever waited for it may run instead.
+    /// Releases the key of an attempt that never ran, and notifies the waiters.
     pub fn release(&mut self, key: &IdempotencyKey, id: u32) {
         if self.entries.get(key).is_some_and(|entry| entry.id == id) {
             if let Some(Progress::Open(waiters)) = self.entries.remove(key).map(|entry| entry.progress) {
@@ -165,11 +164,11 @@
         }
     }
 
-    /// Records that a run has ended, with a result or without.
+    /// Records the end of a run, with its result if it completed.
     pub fn finish(&mut self, key: &IdempotencyKey, id: u32, result: Option<Arc<Vec<u8>>>) {
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.id == id) else { return };
-        // Nothing runs before its key is extended, so this one broke off before it began. Kept without an end, it
-        // would hold up the expiry of all that come behind it.
+        // A key is extended before its run starts, so this attempt was aborted before that. Without an expiry
+        // time it would block the expiry of all later keys.
         if entry.valid_until == f64::MAX {
             entry.valid_until = f64::MIN;
         }
@@ -194,7 +193,7 @@
         }
     }
 
-    /// Drops a stored result; its key stays known.
+    /// Evicts a stored result but keeps its key.
     fn evict_result(&mut self, key: &IdempotencyKey, id: u32) {
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.id == id) else { return };
         if let Progress::Completed(body) = std::mem::replace(&mut entry.progress, Progress::NoResult) {
@@ -202,7 +201,7 @@
         }
     }
 
-    /// Sends `mailbox` the result of the attempt that holds the key, as soon as there is one.
+    /// Sends the result of the attempt that holds the key to `mailbox`, now or when that attempt ends.
     pub fn await_result(&mut self, key: &IdempotencyKey, digest: ContentDigest, mailbox: &Arc<Mailbox>) {
         match self.entries.get_mut(key) {
             None => mailbox.send(Event::KeyReleased),
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Forgets what no retry can ask for any more, and rejects those who have waited long enough for a key.
+    /// Removes keys and results that no retry can use any more, and rejects contenders past their deadline.
     pub fn expire(&mut self, now: f64) {
         self.reject_contenders(now);
         self.forget_expired(now);
@@ -232,7 +231,8 @@
         }
     }
 
-    /// Expiries stand in the order in which runs ended, so a long run may hold up a few others for a while.
+    /// Removes expired keys. Expiries are ordered by the end of the run, so a key that expires later may
+    /// delay those behind it.
     fn forget_expired(&mut self, now: f64) {
         let retention = self.bounds.retention;
         while self.expiries.front().is_some_and(|expiry| expiry.at + retention < now) {
--- a/crates/server/src/state/idempotency/tests.rs
+++ b/crates/server/src/state/idempotency/tests.rs
@@ -24,8 +24,8 @@
     keys.expire(151.9);
     assert_eq!(keys.acquire(KEY, 5, 2, 150.001), KeyLookup::SameRequest(1));
     assert_eq!(keys.acquire(KEY, 6, 2, 150.001), KeyLookup::Conflict);
-    assert_eq!(keys.acquire(KEY, 5, 3, 150.01), KeyLookup::Acquired, "this one came behind it");
-    assert_eq!(keys.result_bytes, 0, "and the first one's result is no longer kept");
+    assert_eq!(keys.acquire(KEY, 5, 3, 150.01), KeyLookup::Acquired, "arrived after the window");
+    assert_eq!(keys.result_bytes, 0, "the first result was evicted");
     assert_eq!(keys.acquire(KEY, 5, 4, 150.02), KeyLookup::SameRequest(3));
 }
 
@@ -60,7 +60,11 @@
     keys.await_key(&KEY, 6, &mailboxes[1], 101.0);
     keys.release(&KEY, 1);
     assert!(mailboxes.iter().all(|mailbox| matches!(mailbox.receive(), Event::KeyReleased)));
-    assert_eq!(keys.acquire(KEY, 6, 2, 100.0), KeyLookup::Acquired, "what never ran leaves no forerunner");
+    assert_eq!(
+        keys.acquire(KEY, 6, 2, 100.0),
+        KeyLookup::Acquired,
+        "an unrun attempt leaves no earlier attempt"
+    );
 }
 
 #[test]
@@ -111,5 +115,5 @@
     keys.finish(&[2; 32], 2, result(b"two"));
     keys.expire(153.0);
     assert_eq!((keys.entries.len(), keys.expiries.len(), keys.result_bytes), (0, 0, 0));
-    assert_eq!(keys.acquire(KEY, 5, 3, 153.0), KeyLookup::Acquired, "it never ran");
+    assert_eq!(keys.acquire(KEY, 5, 3, 153.0), KeyLookup::Acquired, "the aborted attempt never ran");
 }
--- a/crates/server/src/state/identifiers.rs
+++ b/crates/server/src/state/identifiers.rs
@@ -1,10 +1,10 @@
-//! The names under which peers know a request.
+//! Identifiers of a request.
 
-/// The 16 hex digits that name one attempt of a request, as they came.
+/// Identifier of one attempt of a request: 16 hex digits, as received.
 pub type AttemptId = [u8; 16];
 
-/// The 32 hex digits that all attempts of one request share, as they came.
+/// Identifier shared by all attempts of one request: 32 hex digits, as received.
 pub type IdempotencyKey = [u8; 32];
 
-/// A hash of a request's product and body: all attempts of one request have the same.
+/// Hash of the class and body of a request, equal for all its attempts.
 pub type ContentDigest = u64;
--- a/crates/server/src/state/in_flight.rs
+++ b/crates/server/src/state/in_flight.rs
@@ -1,30 +1,31 @@
-//! The requests in flight, by the number that the policy knows and by the attempt id that agent and store know.
+//! Table of the requests in flight, by the id that the policy uses and by attempt id.
 
 use super::identifiers::{AttemptId, IdempotencyKey};
 use super::mailbox::{Event, Mailbox};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// One request in flight.
+/// Request in flight.
 pub struct InFlightRequest {
-    /// The name under which agent and store know it.
+    /// Attempt id, used towards the agent and the store.
     pub attempt: AttemptId,
-    /// Its idempotency key, if its product has them.
+    /// Idempotency key, if its class uses them.
     pub key: Option<IdempotencyKey>,
-    /// Where its coroutine waits for events.
+    /// Mailbox of its coroutine.
     pub mailbox: Arc<Mailbox>,
-    /// The policy has let it run.
+    /// Whether the policy started its run.
     pub running: bool,
-    /// When it got its final answer while its run went on, s.
+    /// Time at which it needed no further answer while its run continued, s.
     pub answered_at: Option<f64>,
-    /// Where the request that came second under the same attempt id waits: it is offered again if this one never ran.
+    /// Mailbox of a second request with the same attempt id, which is submitted again if this one never ran.
     pub duplicate: Option<Arc<Mailbox>>,
-    /// Since when the outcome of its run may be one that the agent has dropped, s; none once its run is heard of again.
+    /// Time since which the outcome of its run may have been lost with a missing notice, s. Cleared by the
+    /// next notice on its run.
     pub outcome_uncertain_since: Option<f64>,
 }
 
 impl InFlightRequest {
-    /// Tells the second request under its attempt id, if there is one, that this one is over.
+    /// Notifies the second request with the same attempt id, if there is one, that this one ended.
     pub fn notify_duplicate(&self, ran: bool) {
         if let Some(duplicate) = &self.duplicate {
             duplicate.send(if ran { Event::AttemptTaken } else { Event::AttemptReleased });
@@ -32,7 +33,7 @@
     }
 }
 
-/// All requests in flight.
+/// Table of all requests in flight.
 #[derive(Default)]
 pub struct InFlightRequests {
     by_id: HashMap<u32, InFlightRequest>,
@@ -41,7 +42,7 @@
 }
 
 impl InFlightRequests {
-    /// Enters a new request under the next number; `None` if its attempt id is in flight already.
+    /// Inserts a request and returns its new id, or `None` if its attempt id is already in flight.
     pub fn insert(
         &mut self,
         attempt: AttemptId,
@@ -66,7 +67,8 @@
         Some(self.last_id)
     }
 
-    /// Has a request wait for the end of the one in flight under its attempt id; `false` where another waits already.
+    /// Registers `mailbox` to be notified when the request in flight under `attempt` ends. Returns `false` if
+    /// another request is already registered.
     pub fn await_end(&mut self, attempt: &AttemptId, mailbox: &Arc<Mailbox>) -> bool {
         let first = self.by_attempt.get(attempt).and_then(|id| self.by_id.get_mut(id));
         let Some(first) = first.filter(|first| first.duplicate.is_none()) else { return false };
@@ -74,33 +76,34 @@
         true
     }
 
-    /// Takes a request out.
+    /// Removes and returns the request with this id.
     pub fn remove(&mut self, id: u32) -> Option<InFlightRequest> {
         let request = self.by_id.remove(&id)?;
         self.by_attempt.remove(&request.attempt);
         Some(request)
     }
 
-    /// The request of this number.
+    /// Returns the request with this id.
     pub fn get_mut(&mut self, id: u32) -> Option<&mut InFlightRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// The agent has said something of this attempt's run; where its request waits for events.
+    /// Records that a notice on this attempt was received. Returns the mailbox of its request.
     pub fn record_run_notice(&mut self, attempt: &AttemptId) -> Option<&Arc<Mailbox>> {
         let request = self.by_id.get_mut(self.by_attempt.get(attempt)?)?;
         request.outcome_uncertain_since = None;
         Some(&request.mailbox)
     }
 
-    /// Notices are missing: any of the runs may have ended unheard.
+    /// Marks the outcome of each run as uncertain, after notices went missing.
     pub fn mark_outcomes_uncertain(&mut self, now: f64) {
         for request in self.by_id.values_mut().filter(|request| request.running) {
             request.outcome_uncertain_since = Some(now);
         }
     }
 
-    /// Requests whose run may have ended unheard, once both that and their answer are `span` seconds past. Each is given once.
+    /// Returns the mailboxes of requests that were answered, and whose outcome became uncertain, at least
+    /// `span` seconds ago. Each is returned once.
     pub fn take_lost_runs(&mut self, now: f64, span: f64) -> Vec<Arc<Mailbox>> {
         let mut lost = Vec::new();
         for request in self.by_id.values_mut() {
@@ -116,12 +119,12 @@
         lost
     }
 
-    /// How many of them run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.by_id.values().filter(|request| request.running).count()
     }
 
-    /// The mailboxes of all.
+    /// Returns the mailboxes of all requests.
     pub fn mailboxes(&self) -> impl Iterator<Item = &Arc<Mailbox>> {
         self.by_id.values().map(|request| &request.mailbox)
     }
--- a/crates/server/src/state/mailbox.rs
+++ b/crates/server/src/state/mailbox.rs
@@ -1,4 +1,4 @@
-//! The events that one request waits for, from whichever part of the server has to do with it.
+//! Event queue of a request, fed by the policy, the agent, the store and the gateway.
 
 use crate::runtime::lock::lock;
 use may::coroutine::{self, Coroutine};
@@ -6,82 +6,81 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// What may happen to a request.
+/// Event that concerns one request.
 pub enum Event {
-    /// The policy gives it to the cores.
+    /// The policy starts or resumes the run.
     Run,
-    /// The policy, or the wait for an idempotency key, rejects it before it ran.
+    /// The policy, or a timeout while waiting for a key or attempt id, rejects the request before it ran.
     Reject {
         /// Retry-After, s; 0 for none.
         retry_after: f64,
-        /// It should not be tried elsewhere either.
+        /// Whether the gateway should not try another server.
         last: bool,
-        /// Why it is rejected.
+        /// Reason of the rejection.
         reason: Reason,
     },
-    /// The policy ends the duty to answer with a failure.
+    /// The policy fails the request; its run may continue.
     Fail(Reason),
-    /// The policy takes its run off the cores.
+    /// The policy pauses the run.
     Pause,
-    /// The policy lets its run make the call that it waits at.
+    /// The policy allows the downstream call that the run waits for.
     Call {
-        /// The longest that the call may take, s.
+        /// Timeout of the call, s.
         limit: f64,
     },
-    /// The policy has its run go on without the call.
+    /// The policy skips the call: the run continues without it.
     SkipCall,
-    /// The policy answers it with the result of an earlier attempt.
+    /// The policy answers the request with the result of an earlier attempt.
     Replay,
-    /// The agent says that its run waits at a downstream call.
+    /// The agent reports that the run waits for a downstream call.
     AtCall {
         /// Sequence number of the agent's notice.
         sequence: u64,
         /// Body of the call.
         body: Vec<u8>,
     },
-    /// The agent says that its run has ended.
+    /// The agent reports the end of the run.
     Ended {
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// How long it ran, s.
+        /// Run time, s.
         took: f64,
-        /// Its result.
+        /// Result of the run.
         body: Vec<u8>,
     },
-    /// The agent refuses to run it, as a request that it does not know.
+    /// The agent refuses to run a request that it does not know.
     Refused,
-    /// Its run has ended in a notice that the agent has dropped, for all that is known.
+    /// The outcome of the run was probably in a notice that the agent dropped.
     OutcomeLost,
-    /// The agent's link is back, and all notices from before have been read.
+    /// The agent link is reestablished, and all older notices are read.
     Resume,
-    /// The store has answered the call, or the call has failed.
+    /// The downstream call ended.
     Returned {
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// How long the call took, s.
+        /// Duration of the call, s.
         took: f64,
-        /// The reply's body.
+        /// Body of the reply.
         body: Vec<u8>,
     },
-    /// The earlier attempt has ended, with this result or without one.
+    /// The earlier attempt ended, with this result if it completed.
     Result(Option<Arc<Vec<u8>>>),
-    /// The earlier attempt never ran: this one takes the idempotency key over.
+    /// The idempotency key is free: the attempt that held it never ran.
     KeyReleased,
-    /// The earlier request under its attempt id never ran: this one takes the id over.
+    /// The attempt id is free: the earlier request under it never ran.
     AttemptReleased,
-    /// The earlier request under its attempt id has run.
+    /// The earlier request under the same attempt id ran.
     AttemptTaken,
-    /// The gateway has cancelled it or is gone.
+    /// The gateway cancelled the request or closed its connection.
     Cancelled,
-    /// The policy no longer knows this request.
+    /// The request was removed before it ran, and needs no further answer.
     Discarded,
-    /// The process ends.
+    /// The process exits.
     Shutdown,
 }
 
 impl Event {
-    /// The event's name in trace lines of the log. `decline`, `gone` and `replay` are searched for by scripts and
-    /// tests, and stay.
+    /// Returns the name of the event in log lines. Scripts and tests match these names.
     pub fn label(&self) -> &'static str {
         match self {
             Event::Run => "run",
@@ -108,7 +107,7 @@
     }
 }
 
-/// A queue of events with one reader, the request's own coroutine.
+/// Event queue with a single reader, the coroutine of the request.
 #[derive(Default)]
 pub struct Mailbox {
     events: Mutex<VecDeque<Event>>,
@@ -124,14 +123,14 @@
         }
     }
 
-    /// Waits for the next event; only the request's own coroutine may ask.
+    /// Waits for the next event. Only the coroutine of the request may call this.
     pub fn receive(&self) -> Event {
         loop {
             let event = lock(&self.events).pop_front();
             match event {
                 Some(event) => return event,
                 None if self.reader.get().is_some() => coroutine::park(),
-                // Only now that it can be woken is it sure that nothing came meanwhile.
+                // An event may have arrived before the reader was registered: check again.
                 None => drop(self.reader.set(coroutine::current())),
             }
         }
--- a/crates/server/src/state/mod.rs
+++ b/crates/server/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State of the requests: those in flight, idempotency keys with their results, the request log and counters.
+//! State of requests: requests in flight, idempotency keys with their results, request log and counters.
 
 pub mod counters;
 pub mod idempotency;
--- a/crates/server/src/state/received_request.rs
+++ b/crates/server/src/state/received_request.rs
@@ -1,20 +1,20 @@
-//! A request as it was read from a gateway.
+//! Request as received from a gateway.
 
 use super::identifiers::{AttemptId, ContentDigest, IdempotencyKey};
 use puffinladder::Request;
 
-/// A request that was read and checked, and has not been given to the policy yet.
+/// Decoded and validated request that has not been submitted to the policy.
 pub struct ReceivedRequest {
-    /// The name under which agent and store know it.
+    /// Attempt id, used towards the agent and the store.
     pub attempt: AttemptId,
-    /// Its idempotency key, if its class has them.
+    /// Idempotency key, if its class uses them.
     pub key: Option<IdempotencyKey>,
-    /// Of class and body, where there is a key; else 0.
+    /// Digest of class and body if there is a key, else 0.
     pub digest: ContentDigest,
-    /// When it came to the machine, s of the Unix clock.
+    /// Unix time at which it reached the machine, s.
     pub timestamp: f64,
-    /// What the policy is told of it; its number is not yet known.
+    /// Input of the policy; its id is assigned on submission.
     pub request: Request,
-    /// What its run is given.
+    /// Body passed to the run.
     pub body: Vec<u8>,
 }
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -1,4 +1,4 @@
-//! What is recorded of each request and of the server's state, where the settings ask for a trace or for reports.
+//! Log of requests and server state, for the trace and for reports to the control service.
 
 use super::counters::Counters;
 use super::received_request::ReceivedRequest;
@@ -11,12 +11,12 @@
 use puffinladder_trace::row::{Step, Topic};
 use std::sync::{Arc, Mutex};
 
-/// Least change of a decision's value that is noted: decisions move in steps of a tenth.
+/// Smallest recorded change of a policy value, which moves in steps of a tenth.
 const MIN_DECISION_CHANGE: f64 = 0.1;
-/// Least change of a gauge's value that is noted: gauges jump about.
+/// Smallest recorded change of a gauge, which fluctuates.
 const MIN_GAUGE_CHANGE: f64 = 1.0;
 
-/// Records requests for the trace and counts them for the control service; without either it does nothing.
+/// Recorder of requests for the trace and the control service. Does nothing if neither is configured.
 #[derive(Default)]
 pub struct RequestLog {
     trace: Option<TraceLog>,
@@ -29,18 +29,18 @@
 }
 
 impl RequestLog {
-    /// A log that writes to this recorder and these counters, where there are any.
+    /// Returns a log that writes to the recorder and the counters, where given.
     pub fn new(recorder: Option<Recorder>, counters: Option<Arc<Counters>>) -> RequestLog {
         let trace = recorder.map(|recorder| TraceLog { recorder, changes: Mutex::default() });
         RequestLog { trace, counters }
     }
 
-    /// The counters for the control service, if there is one.
+    /// Returns the counters for the control service, if it is configured.
     pub fn counters(&self) -> Option<&Arc<Counters>> {
         self.counters.as_ref()
     }
 
-    /// Opens the entry of a request that was just read.
+    /// Opens the entry of a request that was just decoded.
     pub fn open<'a>(&'a self, received: &ReceivedRequest, policy: &PolicyConfig) -> RequestEntry<'a> {
         if self.trace.is_none() && self.counters.is_none() {
             return RequestEntry::default();
@@ -66,14 +66,14 @@
         RequestEntry { recorded, counted, objective_deadline }
     }
 
-    /// Notes a value in the trace.
+    /// Records a value of `topic` in the trace.
     pub fn record_value(&self, now: f64, topic: Topic, value: f64) {
         if let Some(trace) = &self.trace {
             trace.recorder.note(now, topic, value);
         }
     }
 
-    /// Records the notice to drain: the process is killed at `kill_time`.
+    /// Records the start of a drain after which the process is killed at `kill_time` (s).
     pub fn record_drain(&self, now: f64, kill_time: f64) {
         self.record_value(now, Topic::LEAVE, kill_time - now);
         if let Some(counters) = &self.counters {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Records what the policy says of this server's health.
+    /// Records the health of this server as decided by the policy.
     pub fn record_health(&self, now: f64, healthy: bool) {
         self.record_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
         if let Some(counters) = &self.counters {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records the policy's limits on runs and calls, and its pressure.
+    /// Records the limits on concurrent runs and calls, and the pressure of the policy.
     pub fn record_limits(&self, now: f64, runs: f64, calls: f64, pressure: f64) {
         self.record_change(now, Topic::LIMIT, runs);
         self.record_change(now, Topic::CALLS, calls);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Notes the value of a decision if it has changed.
+    /// Records a policy value in the trace if it changed.
     pub fn record_change(&self, now: f64, topic: Topic, value: f64) {
         self.record_change_above(now, topic, value, MIN_DECISION_CHANGE);
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes the gauges that have changed.
+    /// Records the gauges that changed.
     pub fn record_gauges(&self, gauges: &Gauges) {
         if self.trace.is_none() {
             return;
@@ -130,12 +130,12 @@
     }
 }
 
-/// The log entry of one request. It goes to the recorder when it is dropped, however the request ends.
+/// Log entry of one request. It is written to the recorder when dropped.
 #[derive(Default)]
 pub struct RequestEntry<'a> {
     recorded: Option<RecordedRequest<'a>>,
     counted: Option<CountedRequest<'a>>,
-    /// When its latency objective ends, s of the recorder's clock.
+    /// Deadline of the latency objective, Unix time in s.
     objective_deadline: f64,
 }
 
@@ -150,7 +150,7 @@
 }
 
 impl RequestEntry<'_> {
-    /// Records a step of the request's life.
+    /// Records a step of the request.
     pub fn record(&mut self, step: Step) {
         if let Some(recorded) = &mut self.recorded {
             recorded.entry.step(unix_now(), step);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The step that a completion at this moment counts as.
+    /// Returns the step of a completion now: within the latency objective or late.
     pub fn completion_step(&self) -> Step {
         let is_observed = self.recorded.is_some() || self.counted.is_some();
         if is_observed && unix_now() > self.objective_deadline {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Records the Retry-After, s, that goes out with a rejection, and whether it should not be tried elsewhere.
+    /// Records the Retry-After (s) of a rejection, and whether it asks the gateway not to try another server.
     pub fn record_retry_after(&mut self, retry_after: f64, last: bool) {
         if let Some(recorded) = &mut self.recorded {
             (recorded.entry.keep_off, recorded.entry.last) = (retry_after, last);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Records that its run ended after so many seconds.
+    /// Records a completed run that took `duration` seconds.
     pub fn record_run(&self, duration: f64) {
         if let Some(counted) = &self.counted {
             counted.counters.count_run(duration);
