--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy decides.
+//! Carries out the decisions of the policy.
 
 use super::published::PublishedState;
 use crate::state::idempotency::IdempotencyKeys;
@@ -8,45 +8,50 @@
 use puffinladder::{Decisions, Reason};
 use puffinladder_trace::row::Topic;
 
-/// Ends a request that never ran: its key is released, and its coroutine hears of it.
-pub(super) fn end_unrun(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, event: Event) {
+/// Removes a request that never ran, releases its key and sends `event` to its coroutine.
+pub(super) fn remove_unrun(
+    in_flight: &mut InFlightRequests,
+    keys: &mut IdempotencyKeys,
+    id: u32,
+    event: Event,
+) {
     if let Some(request) = in_flight.remove(id) {
         if let Some(key) = &request.key {
             keys.release(key, id);
         }
-        request.tell_second(false);
+        request.notify_duplicate(false);
         request.mailbox.send(event);
     }
 }
 
-/// The duty to answer a request is over: its run goes on, and one that does not run is over with it.
-pub(super) fn end_answer(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, now: f64) {
+/// Records that a request needs no further answer: a running one continues, any other is removed.
+pub(super) fn mark_answered(in_flight: &mut InFlightRequests, keys: &mut IdempotencyKeys, id: u32, now: f64) {
     match in_flight.get_mut(id) {
         Some(request) if request.running => drop(request.answered_at.get_or_insert(now)),
-        Some(_) => end_unrun(in_flight, keys, id, Event::Forgotten),
+        Some(_) => remove_unrun(in_flight, keys, id, Event::Discarded),
         None => {}
     }
 }
 
-/// Turns the decisions of one round into events for the requests that they concern.
-pub(super) struct DecisionWriter<'a> {
-    /// Health and load signal.
+/// Handler of the decisions of one round: turns each into an event for the request concerned.
+pub(super) struct DecisionHandler<'a> {
+    /// Health and load signal reported to gateways.
     pub published: &'a PublishedState,
-    /// Where decisions are recorded.
+    /// Log of the decisions.
     pub log: &'a RequestLog,
-    /// The requests in flight.
+    /// Requests in flight.
     pub in_flight: &'a mut InFlightRequests,
-    /// The idempotency keys.
+    /// Idempotency keys and results.
     pub keys: &'a mut IdempotencyKeys,
-    /// The round's time, s.
+    /// Time of the round, s.
     pub now: f64,
-    /// When the policy wants its next tick, s.
+    /// Time of the next tick that the policy requested, s.
     pub tick_at: &'a mut f64,
-    /// How long gateways may keep an unused connection, s.
+    /// Idle time allowed to gateway connections, s.
     pub keepalive: &'a mut f64,
 }
 
-impl DecisionWriter<'_> {
+impl DecisionHandler<'_> {
     fn send(&mut self, id: u32, event: Event) {
         if let Some(request) = self.in_flight.get_mut(id) {
             request.mailbox.send(event);
@@ -54,7 +59,7 @@
     }
 }
 
-impl Decisions for DecisionWriter<'_> {
+impl Decisions for DecisionHandler<'_> {
     fn run(&mut self, id: u32) {
         if let Some(request) = self.in_flight.get_mut(id) {
             request.running = true;
@@ -63,12 +68,12 @@
     }
 
     fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
-        end_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
+        remove_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
     }
 
     fn fail(&mut self, id: u32, reason: Reason) {
         self.send(id, Event::Fail(reason));
-        end_answer(self.in_flight, self.keys, id, self.now);
+        mark_answered(self.in_flight, self.keys, id, self.now);
     }
 
     fn preempt(&mut self, id: u32) {
@@ -107,7 +112,7 @@
 
     fn set_load_signal(&mut self, amount: f64) {
         self.published.set_load_signal(amount);
-        self.log.note_change(self.now, Topic::SIGNAL, amount);
+        self.log.record_change(self.now, Topic::SIGNAL, amount);
     }
 
     fn set_keepalive(&mut self, span: f64) {
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -1,9 +1,9 @@
-//! The state machine of one request: offers it to the dispatcher, then turns each event into commands to the agent, calls
-//! to the store and its answer.
+//! State machine of one request: submits it to the dispatcher, then turns each event into commands to the
+//! agent, calls to the store and the answer.
 
 use super::context::RequestContext;
 use super::reply::{InFlightGuard, PendingReply};
-use crate::dispatcher::{Offer, CONTENTION_LEAD};
+use crate::dispatcher::{SubmitOutcome, CONTENTION_MARGIN_SECONDS};
 use crate::runtime::clock;
 use crate::state::mailbox::{Event, Mailbox};
 use crate::state::received_request::ReceivedRequest;
@@ -16,10 +16,10 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// The log's target for the events of requests, as operators name it in `RUST_LOG`; the lines begin with `txn` likewise.
+/// Log target of request events, used by operators in `RUST_LOG`.
 const LOG_TARGET: &str = "puffinladder_server::txn";
 
-/// What the agent was last told of a run and has shown no effect of yet.
+/// Last command sent to the agent for a run, until a notice shows its effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AgentCommand {
     None,
@@ -30,37 +30,37 @@
     Forgo,
 }
 
-/// The downstream call at which a run stands.
+/// Downstream call that a run waits for.
 #[derive(Default)]
 struct PendingCall {
-    /// Sequence number of the notice that asked for it.
-    notice: u64,
+    /// Sequence number of the notice that requested the call.
+    notice_sequence: u64,
     body: Vec<u8>,
     reply: Vec<u8>,
-    /// How often it was made.
+    /// Number of attempts so far.
     attempts: u32,
 }
 
-/// What becomes of a request after an offer.
+/// Result of submitting a request.
 enum Admission {
-    /// In flight under this number; as a probe of its connection or not.
+    /// In flight under `id`. `is_probe` marks the probe of a suspected connection.
     Accepted { id: u32, is_probe: bool },
-    /// It waited for its key, and is to be offered again with this mailbox.
-    OfferAgain(Arc<Mailbox>),
-    /// It is over.
-    Over,
+    /// The key or attempt id that it waited for was released: submit it again with this mailbox.
+    Resubmit(Arc<Mailbox>),
+    /// Answered or cancelled.
+    Finished,
 }
 
-/// How a request left the policy's hands.
+/// Final state of an execution.
 enum ExecutionEnd {
-    /// It is over.
-    Over,
-    /// The attempt that it waited for never ran: it is to be offered again with this mailbox.
-    OfferAgain(Arc<Mailbox>),
+    /// Finished: no further submission.
+    Finished,
+    /// The earlier attempt whose result it waited for never ran: submit it again with this mailbox.
+    Resubmit(Arc<Mailbox>),
 }
 
-/// Follows a request from its first offer to the end of its run. It is offered once; again only if it waited for another
-/// attempt that then never ran.
+/// Executes a request from its submission to the end of its run. It is submitted again only after waiting for
+/// another request that never ran.
 pub(super) fn execute(
     context: &RequestContext,
     received: &ReceivedRequest,
@@ -70,105 +70,109 @@
 ) {
     let mut reply = PendingReply::new(context, connection, tag, received);
     loop {
-        let offered = Offering { context, received, connection, tag }.offer(&mailbox, &mut reply);
-        let (id, is_probe) = match offered {
+        let admission = Submission { context, received, connection, tag }.submit(&mailbox, &mut reply);
+        let (id, is_probe) = match admission {
             Admission::Accepted { id, is_probe } => (id, is_probe),
-            Admission::OfferAgain(new) => {
+            Admission::Resubmit(new) => {
                 mailbox = new;
                 continue;
             }
-            Admission::Over => return,
+            Admission::Finished => return,
         };
         let mut execution = Execution::new(context, received, connection, tag, id, &mut reply);
         execution.is_probe = is_probe;
         match execution.run(&mailbox) {
-            ExecutionEnd::Over => return,
-            ExecutionEnd::OfferAgain(new) => mailbox = new,
+            ExecutionEnd::Finished => return,
+            ExecutionEnd::Resubmit(new) => mailbox = new,
         }
     }
 }
 
-/// A request that is offered to the policy.
-struct Offering<'a> {
+/// Request to be submitted to the policy.
+struct Submission<'a> {
     context: &'a RequestContext,
     received: &'a ReceivedRequest,
     connection: &'a Connection,
     tag: u64,
 }
 
-impl Offering<'_> {
-    fn offer(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
-        let Offering { context, received, tag, .. } = self;
+impl Submission<'_> {
+    fn submit(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
+        let Submission { context, received, tag, .. } = self;
         let now = context.clock.now();
         let standing = self.connection.refusals.judge(now);
         if standing == Standing::Suspected {
             reply.reject(0.0, false, Reason::UnknownToAgent);
-            return Admission::Over;
+            return Admission::Finished;
         }
         let arrived = now - clock::seconds_since(received.timestamp);
         let deadline = self.contention_deadline(now, arrived);
-        match context.dispatcher.offer(received, arrived, mailbox, deadline) {
-            Offer::Accepted(id) => return Admission::Accepted { id, is_probe: standing == Standing::Probe },
-            Offer::AttemptContended => return self.wait_for_attempt(mailbox, reply),
-            Offer::DuplicateAttempt => self.fail_duplicate(reply),
-            Offer::KeyConflict => {
-                let message = format_args!("request: tag {tag} failed: its key belongs to other content");
+        match context.dispatcher.submit(received, arrived, mailbox, deadline) {
+            SubmitOutcome::Accepted(id) => {
+                return Admission::Accepted { id, is_probe: standing == Standing::Probe }
+            }
+            SubmitOutcome::AwaitingAttemptId => return self.wait_for_attempt(mailbox, reply),
+            SubmitOutcome::DuplicateAttempt => self.fail_duplicate(reply),
+            SubmitOutcome::KeyConflict => {
+                let message =
+                    format_args!("request: tag {tag} failed: idempotency key used with different content");
                 context.faults.warn(message);
                 reply.fail(Reason::KeyConflict);
             }
-            Offer::KeysFull => reply.reject(0.0, false, Reason::KeyMemoryFull),
-            Offer::KeyContended => return self.wait_for_key(mailbox, reply),
+            SubmitOutcome::KeyTableFull => reply.reject(0.0, false, Reason::KeyMemoryFull),
+            SubmitOutcome::AwaitingKey => return self.wait_for_key(mailbox, reply),
         }
-        Admission::Over
+        Admission::Finished
     }
 
-    /// Another request has its attempt id. If that one runs, this may be the same once more, and fails: it may not be said to have
-    /// had no effect.
+    /// Waits for the end of the request in flight under the same attempt id. If that one ran, this request
+    /// may be a duplicate of it and fails: a rejection would claim that it had no effect.
     fn wait_for_attempt(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its attempt id", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
-            (Event::AttemptReleased, Some(new)) => return Admission::OfferAgain(new),
+            (Event::AttemptReleased, Some(new)) => return Admission::Resubmit(new),
             (Event::Cancelled, _) => reply.cancel(),
             _ => self.fail_duplicate(reply),
         }
-        Admission::Over
+        Admission::Finished
     }
 
     fn fail_duplicate(&self, reply: &mut PendingReply) {
-        let message = format_args!("request: tag {} failed: its attempt id is in flight already", self.tag);
+        let message = format_args!("request: tag {} failed: its attempt id is already in flight", self.tag);
         self.context.faults.warn(message);
         reply.fail(Reason::DuplicateName);
     }
 
-    /// Until when it may wait for its key or attempt id: it has to be answered in its own time, and the policy does not know of it.
+    /// Returns the time until which the request may wait for its key or attempt id, s. The policy does not
+    /// track its deadline meanwhile.
     fn contention_deadline(&self, now: f64, arrived: f64) -> f64 {
-        let Offering { context, received, .. } = self;
+        let Submission { context, received, .. } = self;
         let request = &received.request;
         let class = &context.config.policy.settings.classes[request.class];
         let due = if request.deadline > 0.0 { request.deadline } else { arrived + class.timeout };
-        (now + context.limits.key_contention_timeout).min(due - CONTENTION_LEAD)
+        (now + context.limits.key_contention_timeout).min(due - CONTENTION_MARGIN_SECONDS)
     }
 
     fn wait_for_key(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its key", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
-            (Event::KeyReleased, Some(new)) => return Admission::OfferAgain(new),
+            (Event::KeyReleased, Some(new)) => return Admission::Resubmit(new),
             (Event::Reject { retry_after, last, reason }, _) => reply.reject(retry_after, last, reason),
             (Event::Cancelled, _) => reply.cancel(),
             _ => {}
         }
-        Admission::Over
+        Admission::Finished
     }
 }
 
-/// A request in flight.
+/// Execution of a request in flight.
 struct Execution<'a, 'r> {
     context: &'a RequestContext,
     received: &'a ReceivedRequest,
     connection: &'a Connection,
     tag: u64,
     id: u32,
-    /// It is to show whether its suspected connection brings true requests.
+    /// Whether it probes if its suspected connection sends valid requests.
     is_probe: bool,
     guard: InFlightGuard<'a>,
     reply: &'r mut PendingReply<'a>,
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Handles events until the request is over.
+    /// Handles events until the request ends.
     fn run(&mut self, mailbox: &Arc<Mailbox>) -> ExecutionEnd {
         loop {
             let event = mailbox.receive();
@@ -218,24 +222,24 @@
 
     fn handle(&mut self, event: Event, mailbox: &Arc<Mailbox>) -> ControlFlow<ExecutionEnd> {
         match event {
-            Event::Run if self.is_made_up() => {
-                self.reject_made_up();
-                return ControlFlow::Break(ExecutionEnd::Over);
+            Event::Run if self.is_suspected() => {
+                self.reject_suspected();
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Run => self.launch_or_thaw(),
             Event::Pause => self.freeze(),
             Event::Replay => self.await_result(mailbox),
-            Event::AtCall { sequence, body } => self.wait_at_call(sequence, body),
+            Event::AtCall { sequence, body } => self.request_call(sequence, body),
             Event::Call { limit } => self.make_call(limit, mailbox),
             Event::Returned { outcome, took, body } => self.deliver_reply(outcome, took, body),
             Event::SkipCall => self.skip_call(),
-            // Its deadline is near, or its gateway has gone: the duty to answer ends, the run goes on.
+            // Only the pending answer ends here: the run continues.
             Event::Fail(reason) => self.reply.fail(reason),
             Event::Cancelled => {
                 self.reply.cancel();
                 self.context.dispatcher.report_cancelled(self.id);
             }
-            // The link to the agent is new: what it may not have read is sent again.
+            // After a reconnect, resend the command that the agent may not have received.
             Event::Resume => {
                 if !self.context.agent.is_confirmed(self.last_stamp) {
                     self.send_last_command();
@@ -244,49 +248,49 @@
             Event::Reject { retry_after, last, reason } => {
                 self.reply.reject(retry_after, last, reason);
                 self.guard.disarm();
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            Event::KeyReleased => return ControlFlow::Break(self.take_key_over()),
+            Event::KeyReleased => return ControlFlow::Break(self.resubmit()),
             Event::Result(result) => {
                 self.finish_with_result(result);
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Refused => {
                 self.connection.refusals.note_refused();
                 self.finish(Outcome::NotNeeded, 0.0, Vec::new());
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Ended { outcome, took, body } => {
                 self.connection.refusals.note_known();
                 self.finish(outcome, took, body);
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            Event::OutcomeMissed => {
+            Event::OutcomeLost => {
                 self.finish(Outcome::Failed, 0.0, Vec::new());
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            // For those that wait to be offered again: this one was offered.
+            // Only sent to requests that wait for an attempt id, before they are in flight.
             Event::AttemptReleased | Event::AttemptTaken => {}
-            Event::Forgotten | Event::Shutdown => {
+            Event::Discarded | Event::Shutdown => {
                 self.guard.disarm();
-                return ControlFlow::Break(ExecutionEnd::Over);
+                return ControlFlow::Break(ExecutionEnd::Finished);
             }
         }
         ControlFlow::Continue(())
     }
 
-    /// Whether it was queued before its connection was suspected, and never ran.
-    fn is_made_up(&self) -> bool {
+    /// Returns whether it comes from a suspected connection and is neither started nor a probe.
+    fn is_suspected(&self) -> bool {
         !self.paused && !self.is_probe && self.connection.refusals.is_suspected()
     }
 
-    fn reject_made_up(&mut self) {
+    fn reject_suspected(&mut self) {
         self.reply.reject(0.0, false, Reason::UnknownToAgent);
         self.context.dispatcher.release_key(self.received.key.as_ref(), self.id);
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
     }
 
-    /// The policy has judged its wait, and gives it to the cores.
+    /// Starts the run, or resumes it after a pause.
     fn launch_or_thaw(&mut self) {
         let (command, step) = match std::mem::take(&mut self.paused) {
             true => (AgentCommand::Thaw, Step::RESUMED),
@@ -302,7 +306,7 @@
         self.send_command(AgentCommand::Freeze);
     }
 
-    /// A retry of what is in flight or has run gets that one's result.
+    /// Waits for the result of the earlier attempt of the same request.
     fn await_result(&mut self, mailbox: &Arc<Mailbox>) {
         self.reply.entry.record(Step::REPLAYED);
         match &self.received.key {
@@ -311,16 +315,16 @@
         }
     }
 
-    /// The attempt that it waited for never ran after all: this one is the first now, with a mailbox of its own.
-    fn take_key_over(&mut self) -> ExecutionEnd {
+    /// Ends this execution so that the request is submitted again: the earlier attempt never ran.
+    fn resubmit(&mut self) -> ExecutionEnd {
         self.guard.report_ended(Outcome::NotNeeded, 0.0);
         match self.connection.renew_mailbox(self.tag) {
-            Some(new) => ExecutionEnd::OfferAgain(new),
-            None => ExecutionEnd::Over,
+            Some(new) => ExecutionEnd::Resubmit(new),
+            None => ExecutionEnd::Finished,
         }
     }
 
-    /// The attempt that it waited for has ended.
+    /// Answers with the result of the earlier attempt, or fails if there is none.
     fn finish_with_result(&mut self, result: Option<Arc<Vec<u8>>>) {
         match result {
             Some(result) => {
@@ -334,14 +338,14 @@
         }
     }
 
-    /// The run stands at a call, which is made once the policy allows it.
-    fn wait_at_call(&mut self, notice: u64, body: Vec<u8>) {
+    /// Records that the run waits for a downstream call and asks the policy to allow it.
+    fn request_call(&mut self, notice_sequence: u64, body: Vec<u8>) {
         self.last_command = AgentCommand::None;
-        self.pending_call.notice = notice;
+        self.pending_call.notice_sequence = notice_sequence;
         self.pending_call.body = body;
         self.pending_call.attempts = 0;
         self.reply.entry.record(Step::AT_CALL);
-        self.context.dispatcher.report_call_wanted(self.id);
+        self.context.dispatcher.report_call_pending(self.id);
     }
 
     fn make_call(&mut self, limit: f64, mailbox: &Arc<Mailbox>) {
@@ -367,7 +371,7 @@
         self.send_command(AgentCommand::Forgo);
     }
 
-    /// The run has ended.
+    /// Answers the request and records the end of its run.
     fn finish(&mut self, outcome: Outcome, took: f64, body: Vec<u8>) {
         if let Some(call) = self.store_call.take() {
             call.abandon();
@@ -384,7 +388,7 @@
             Outcome::NotNeeded => dispatcher.release_key(key, self.id),
             _ => dispatcher.finish_key(key, self.id, None),
         }
-        // Of no effect where it was answered.
+        // No effect if the request was already answered.
         self.reply.fail(Reason::RunFailed);
         self.guard.report_ended(outcome, took);
     }
@@ -394,7 +398,7 @@
         self.send_last_command();
     }
 
-    /// Sends the last command to the agent, for the first time or again.
+    /// Sends or resends the last command to the agent.
     fn send_last_command(&mut self) {
         let (agent, attempt) = (&self.context.agent, &self.received.attempt);
         self.last_stamp = match self.last_command {
@@ -406,7 +410,7 @@
             AgentCommand::Freeze => agent.freeze(attempt),
             AgentCommand::Thaw => agent.thaw(attempt),
             AgentCommand::Deliver => agent.deliver(attempt, &self.pending_call.reply),
-            AgentCommand::Forgo => agent.forgo(attempt, self.pending_call.notice),
+            AgentCommand::Forgo => agent.forgo(attempt, self.pending_call.notice_sequence),
         };
     }
 }
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -1,4 +1,4 @@
-//! What is recorded of each request and of the server's state, where the settings ask for a trace or for reports.
+//! Log of requests and server state, for the trace and for reports to the control service.
 
 use super::counters::Counters;
 use super::received_request::ReceivedRequest;
@@ -11,12 +11,12 @@
 use puffinladder_trace::row::{Step, Topic};
 use std::sync::{Arc, Mutex};
 
-/// Least change of a decision's value that is noted: decisions move in steps of a tenth.
+/// Smallest recorded change of a policy value, which moves in steps of a tenth.
 const MIN_DECISION_CHANGE: f64 = 0.1;
-/// Least change of a gauge's value that is noted: gauges jump about.
+/// Smallest recorded change of a gauge, which fluctuates.
 const MIN_GAUGE_CHANGE: f64 = 1.0;
 
-/// Records requests for the trace and counts them for the control service; without either it does nothing.
+/// Recorder of requests for the trace and the control service. Does nothing if neither is configured.
 #[derive(Default)]
 pub struct RequestLog {
     trace: Option<TraceLog>,
@@ -29,30 +29,33 @@
 }
 
 impl RequestLog {
-    /// A log that writes to this recorder and these counters, where there are any.
+    /// Returns a log that writes to the recorder and the counters, where given.
     pub fn new(recorder: Option<Recorder>, counters: Option<Arc<Counters>>) -> RequestLog {
         let trace = recorder.map(|recorder| TraceLog { recorder, changes: Mutex::default() });
         RequestLog { trace, counters }
     }
 
-    /// The counters for the control service, if there is one.
+    /// Returns the counters for the control service, if it is configured.
     pub fn counters(&self) -> Option<&Arc<Counters>> {
         self.counters.as_ref()
     }
 
-    /// Opens the entry of a request that was just read.
+    /// Opens the entry of a request that was just decoded.
     pub fn open<'a>(&'a self, received: &ReceivedRequest, policy: &PolicyConfig) -> RequestEntry<'a> {
         if self.trace.is_none() && self.counters.is_none() {
             return RequestEntry::default();
         }
         let (request, now, time_unread) = (&received.request, unix_now(), seconds_since(received.timestamp));
         let class = &policy.settings.classes[request.class];
-        let due = now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
+        let objective_deadline =
+            now - time_unread + class.latency_objective + class.objective_stretch * request.cost_hint;
         let counted = self.counters.as_deref().map(|counters| {
             let cell = counters.count_received(request.class, request.tenant);
             CountedRequest { counters, cell }
         });
-        let Some(trace) = &self.trace else { return RequestEntry { recorded: None, counted, due } };
+        let Some(trace) = &self.trace else {
+            return RequestEntry { recorded: None, counted, objective_deadline };
+        };
         let mut entry = Entry::new(now, received.attempt);
         entry.unread = time_unread;
         entry.product = request.class as u16;
@@ -60,47 +63,47 @@
         (entry.caller, entry.rank, entry.hint) = (request.caller, request.rank, request.cost_hint);
         (entry.memory, entry.repeat, entry.key) = (request.memory, request.is_retry, received.key);
         let recorded = Some(RecordedRequest { recorder: &trace.recorder, entry });
-        RequestEntry { recorded, counted, due }
+        RequestEntry { recorded, counted, objective_deadline }
     }
 
-    /// Notes a value in the trace.
-    pub fn note(&self, now: f64, topic: Topic, value: f64) {
+    /// Records a value of `topic` in the trace.
+    pub fn record_value(&self, now: f64, topic: Topic, value: f64) {
         if let Some(trace) = &self.trace {
             trace.recorder.note(now, topic, value);
         }
     }
 
-    /// Records the notice to drain: the process is killed at `kill_time`.
+    /// Records the start of a drain after which the process is killed at `kill_time` (s).
     pub fn record_drain(&self, now: f64, kill_time: f64) {
-        self.note(now, Topic::LEAVE, kill_time - now);
+        self.record_value(now, Topic::LEAVE, kill_time - now);
         if let Some(counters) = &self.counters {
             counters.set_kill_time(kill_time);
         }
     }
 
-    /// Records what the policy says of this server's health.
+    /// Records the health of this server as decided by the policy.
     pub fn record_health(&self, now: f64, healthy: bool) {
-        self.note_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
+        self.record_change(now, Topic::HEALTH, f64::from(u8::from(healthy)));
         if let Some(counters) = &self.counters {
             counters.set_health(healthy);
         }
     }
 
-    /// Records the policy's limits on runs and calls, and its pressure.
+    /// Records the limits on concurrent runs and calls, and the pressure of the policy.
     pub fn record_limits(&self, now: f64, runs: f64, calls: f64, pressure: f64) {
-        self.note_change(now, Topic::LIMIT, runs);
-        self.note_change(now, Topic::CALLS, calls);
+        self.record_change(now, Topic::LIMIT, runs);
+        self.record_change(now, Topic::CALLS, calls);
         if let Some(counters) = &self.counters {
             counters.set_limits(runs, pressure);
         }
     }
 
-    /// Notes the value of a decision if it has changed.
-    pub fn note_change(&self, now: f64, topic: Topic, value: f64) {
-        self.note_change_of(now, topic, value, MIN_DECISION_CHANGE);
+    /// Records a policy value in the trace if it changed.
+    pub fn record_change(&self, now: f64, topic: Topic, value: f64) {
+        self.record_change_above(now, topic, value, MIN_DECISION_CHANGE);
     }
 
-    fn note_change_of(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
+    fn record_change_above(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
         if let Some(trace) = &self.trace {
             if lock(&trace.changes).news(now, topic.0, value, min_change) {
                 trace.recorder.note(now, topic, value);
@@ -108,32 +111,32 @@
         }
     }
 
-    /// Notes the gauges that have changed.
+    /// Records the gauges that changed.
     pub fn record_gauges(&self, gauges: &Gauges) {
         if self.trace.is_none() {
             return;
         }
-        let shown = [
+        let gauge_values = [
             (Topic::BUSY, gauges.busy),
             (Topic::RUNNABLE, gauges.runnable),
             (Topic::MEMORY, gauges.memory),
             (Topic::SOCKETS, gauges.sockets),
         ];
-        for (topic, value) in shown {
+        for (topic, value) in gauge_values {
             if let Some(value) = value {
-                self.note_change_of(unix_now(), topic, value, MIN_GAUGE_CHANGE);
+                self.record_change_above(unix_now(), topic, value, MIN_GAUGE_CHANGE);
             }
         }
     }
 }
 
-/// The log entry of one request. It goes to the recorder when it is dropped, however the request ends.
+/// Log entry of one request. It is written to the recorder when dropped.
 #[derive(Default)]
 pub struct RequestEntry<'a> {
     recorded: Option<RecordedRequest<'a>>,
     counted: Option<CountedRequest<'a>>,
-    /// When its latency objective ends, s of the recorder's clock.
-    due: f64,
+    /// Deadline of the latency objective, Unix time in s.
+    objective_deadline: f64,
 }
 
 struct RecordedRequest<'a> {
@@ -147,7 +150,7 @@
 }
 
 impl RequestEntry<'_> {
-    /// Records a step of the request's life.
+    /// Records a step of the request.
     pub fn record(&mut self, step: Step) {
         if let Some(recorded) = &mut self.recorded {
             recorded.entry.step(unix_now(), step);
@@ -157,17 +160,17 @@
         }
     }
 
-    /// The step that a completion at this moment counts as.
+    /// Returns the step of a completion now: within the latency objective or late.
     pub fn completion_step(&self) -> Step {
-        let watched = self.recorded.is_some() || self.counted.is_some();
-        if watched && unix_now() > self.due {
+        let is_observed = self.recorded.is_some() || self.counted.is_some();
+        if is_observed && unix_now() > self.objective_deadline {
             Step::SETTLED_LATE
         } else {
             Step::SETTLED
         }
     }
 
-    /// Records the Retry-After, s, that goes out with a rejection, and whether it should not be tried elsewhere.
+    /// Records the Retry-After (s) of a rejection, and whether it asks the gateway not to try another server.
     pub fn record_retry_after(&mut self, retry_after: f64, last: bool) {
         if let Some(recorded) = &mut self.recorded {
             (recorded.entry.keep_off, recorded.entry.last) = (retry_after, last);
@@ -177,10 +180,10 @@
         }
     }
 
-    /// Records that its run ended after so many seconds.
-    pub fn record_run(&self, took: f64) {
+    /// Records a completed run that took `duration` seconds.
+    pub fn record_run(&self, duration: f64) {
         if let Some(counted) = &self.counted {
-            counted.counters.count_run(took);
+            counted.counters.count_run(duration);
         }
     }
 }
