--- a/crates/server/src/ingress/decode.rs
+++ b/crates/server/src/ingress/decode.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// KB under which a held request's memory stays, by the protocol.
-const MAX_MEMORY: f64 = 2000.0;
+const MAX_MEMORY_KB: f64 = 2000.0;
 /// Ranks stay under this, by the protocol.
 const MAX_RANK: f64 = 1.0;
 /// Times of its class's timeout that a request may claim as its core time; more can't be meant.
@@ -56,8 +56,8 @@
     /// Decodes a `CALL`.
     pub fn decode(&self, array: &Array) -> Result<ReceivedRequest, DecodeError> {
         let policy = &self.config.policy;
-        let class = find_class(policy, array.at(2))?;
-        let fields = resp::parse_fields(array.at(3), FIELD_NAMES).ok_or(DecodeError::MissingValue)?;
+        let class = find_class(policy, array.element(2))?;
+        let fields = resp::parse_fields(array.element(3), FIELD_NAMES).ok_or(DecodeError::MissingValue)?;
         let [attempt, timestamp, caller, tenant, retry, hint, memory, rank, key] = fields;
         let attempt: AttemptId = parse_hex(attempt).ok_or(DecodeError::MalformedField('i'))?;
         let settings = &policy.settings.classes[class];
@@ -72,7 +72,7 @@
         let caller = parse_caller(caller)?;
         // The policy adds these up: one absurd figure would have all others rejected.
         let max_cost_hint = MAX_COST_HINT_TIMEOUTS * settings.timeout;
-        if memory >= MAX_MEMORY || rank >= MAX_RANK || cost_hint > max_cost_hint {
+        if memory >= MAX_MEMORY_KB || rank >= MAX_RANK || cost_hint > max_cost_hint {
             return Err(DecodeError::OutOfRange);
         }
         let is_retry = retry == b"1";
@@ -80,7 +80,7 @@
             Request { class, tenant, cost_hint, memory, rank, caller, is_retry, ..Request::default() };
         let milliseconds = resp::parse_decimal(timestamp).ok_or(DecodeError::MalformedField('s'))?;
         let timestamp = milliseconds as f64 / MILLISECONDS_PER_SECOND;
-        let body = array.at(4).to_vec();
+        let body = array.element(4).to_vec();
         let digest = key.map_or(0, |_| self.hasher.hash_one((class, &body)));
         Ok(ReceivedRequest { attempt, key, digest, timestamp, request, body })
     }
@@ -94,7 +94,7 @@
 /// Without tenants in the settings any name will do.
 fn find_tenant(policy: &PolicyConfig, name: &[u8]) -> Result<usize, DecodeError> {
     match policy.tenant_names.iter().position(|known| known.as_bytes() == name) {
-        Some(place) => Ok(place),
+        Some(index) => Ok(index),
         None if policy.tenant_names.is_empty() => Ok(0),
         None => Err(DecodeError::UnknownTenant),
     }
--- a/crates/server/src/ingress/listener.rs
+++ b/crates/server/src/ingress/listener.rs
@@ -67,7 +67,7 @@
         // yields here goes first again, and none of them would get to run.
         coroutine::yield_now();
         if connections.count() > self.context.limits.max_gateways {
-            connections.wait_for_free();
+            connections.wait_for_release();
         }
     }
 }
@@ -81,20 +81,20 @@
 pub(super) struct Socket {
     // Fields are dropped in their order: closed first, then no longer counted.
     stream: TcpStream,
-    _descriptor: CountedDescriptor,
+    _descriptor: DescriptorGuard,
 }
 
 impl Socket {
     /// Counts the socket's descriptor.
     pub(super) fn new(connections: &Arc<Connections>, stream: TcpStream) -> Socket {
         connections.count_descriptor();
-        Socket { stream, _descriptor: CountedDescriptor(connections.clone()) }
+        Socket { stream, _descriptor: DescriptorGuard(connections.clone()) }
     }
 }
 
-struct CountedDescriptor(Arc<Connections>);
+struct DescriptorGuard(Arc<Connections>);
 
-impl Drop for CountedDescriptor {
+impl Drop for DescriptorGuard {
     fn drop(&mut self) {
         self.0.release_descriptor();
     }
--- a/crates/server/src/ingress/session.rs
+++ b/crates/server/src/ingress/session.rs
@@ -62,9 +62,9 @@
 }
 
 /// How a conversation that broke no rule ended.
-enum ConversationEnd {
+enum SessionEnd {
     /// The gateway ended it, or it reads nothing: there is nobody to say anything to.
-    Gone,
+    Disconnected,
     /// It is closed from here, with nothing owed on it.
     Closing,
 }
@@ -72,11 +72,11 @@
 /// Why reading stopped for now.
 enum ReadPause {
     /// All that has come is read.
-    Exhausted,
+    WouldBlock,
     /// Others have their turn.
-    TurnOver,
+    QuotaReached,
     /// Nothing more comes.
-    Ended,
+    EndOfStream,
 }
 
 /// A connection that is served; whatever ends it, its requests count as cancelled.
@@ -92,9 +92,9 @@
 impl Session {
     /// Serves the connection to its end.
     pub(super) fn serve(&self, stream: &TcpStream) {
-        match self.converse(stream) {
-            Ok(ConversationEnd::Gone) => {}
-            Ok(ConversationEnd::Closing) => self.close(stream),
+        match self.exchange_messages(stream) {
+            Ok(SessionEnd::Disconnected) => {}
+            Ok(SessionEnd::Closing) => self.close(stream),
             Err(violation) => {
                 self.context.faults.warn(format_args!("gateway: a connection closed: {violation}"));
                 self.close(stream);
@@ -103,17 +103,17 @@
     }
 
     /// Reads and writes until the connection ends.
-    fn converse(&self, stream: &TcpStream) -> Result<ConversationEnd, ProtocolViolation> {
+    fn exchange_messages(&self, stream: &TcpStream) -> Result<SessionEnd, ProtocolViolation> {
         let limits = &self.context.limits;
         let mut input = RingBuffer::new(limits.min_buffer_bytes, 2 * limits.max_message_bytes);
         loop {
             let pause = self.read_messages(&mut input, stream)?;
             let mut state = self.connection.state();
             let written = self.connection.flush(&mut state, stream);
-            if matches!(pause, ReadPause::Ended) || state.closed || written.is_err() {
-                return Ok(ConversationEnd::Gone);
+            if matches!(pause, ReadPause::EndOfStream) || state.closed || written.is_err() {
+                return Ok(SessionEnd::Disconnected);
             }
-            if matches!(pause, ReadPause::TurnOver) {
+            if matches!(pause, ReadPause::QuotaReached) {
                 drop(state);
                 coroutine::yield_now();
                 continue;
@@ -121,7 +121,7 @@
             // Only now that all that has come is read: a request that crossed the wish to close is served.
             if std::mem::take(&mut state.close_requested) && state.is_idle() {
                 state.closed = true;
-                return Ok(ConversationEnd::Closing);
+                return Ok(SessionEnd::Closing);
             }
             self.check_message_timeout(&state, &input)?;
             drop(state);
@@ -140,13 +140,13 @@
         loop {
             match input.fill_from(stream.inner()) {
                 Ok(ReadOutcome::Bytes(count)) => bytes += count,
-                Ok(ReadOutcome::WouldBlock) => return Ok(ReadPause::Exhausted),
-                Ok(ReadOutcome::Closed) | Err(_) => return Ok(ReadPause::Ended),
+                Ok(ReadOutcome::WouldBlock) => return Ok(ReadPause::WouldBlock),
+                Ok(ReadOutcome::Closed) | Err(_) => return Ok(ReadPause::EndOfStream),
             }
             let mut messages = 0;
             while let Some(array) = resp::read_array(input.contiguous(), limits.max_element_bytes)? {
                 let size = array.size;
-                self.receive(&array)?;
+                self.handle_message(&array)?;
                 input.consume(size);
                 messages += 1;
             }
@@ -155,7 +155,7 @@
                 return Err(ProtocolViolation::OversizedMessage);
             }
             if bytes > limits.read_turn_bytes {
-                return Ok(ReadPause::TurnOver);
+                return Ok(ReadPause::QuotaReached);
             }
         }
     }
@@ -167,8 +167,8 @@
         input: &RingBuffer,
     ) -> Result<(), ProtocolViolation> {
         let timeout = self.context.limits.message_timeout;
-        let late = |since| self.context.clock.now() - since > timeout;
-        if !state.open_requests.is_empty() || !state.message_began.is_some_and(late) {
+        let timed_out = |since| self.context.clock.now() - since > timeout;
+        if !state.open_requests.is_empty() || !state.message_started_at.is_some_and(timed_out) {
             return Ok(());
         }
         Err(match input.is_empty() {
@@ -178,9 +178,9 @@
     }
 
     /// One message of a gateway.
-    fn receive(&self, array: &Array) -> Result<(), ProtocolViolation> {
+    fn handle_message(&self, array: &Array) -> Result<(), ProtocolViolation> {
         let limits = &self.context.limits;
-        let tag = resp::parse_decimal(array.at(1)).filter(|&tag| tag > 0);
+        let tag = resp::parse_decimal(array.element(1)).filter(|&tag| tag > 0);
         let tag = tag.ok_or(ProtocolViolation::MalformedTag)?;
         let mut state = self.connection.state();
         // What stands behind the message at which it was cut off is not taken: its answer could not go out.
@@ -188,7 +188,7 @@
             return Ok(());
         }
         state.last_used = self.context.clock.now();
-        match array.at(0) {
+        match array.element(0) {
             b"CANCEL" => {
                 if let Some(mailbox) = state.open_requests.remove(&tag) {
                     mailbox.send(Event::Cancelled);
@@ -201,9 +201,9 @@
         if !state.used_tags.insert(tag, limits.max_remembered_tags) {
             return Err(ProtocolViolation::ReusedTag(tag));
         }
-        state.asked_for_health = array.at(0) == b"CHECK";
-        if state.asked_for_health {
-            self.answer_health_check(&mut state, array.at(1));
+        state.is_health_check = array.element(0) == b"CHECK";
+        if state.is_health_check {
+            self.answer_health_check(&mut state, array.element(1));
             return Ok(());
         }
         if state.open_requests.len() >= limits.max_open_requests {
@@ -238,7 +238,7 @@
     }
 
     /// Frees its place: nothing more is taken or owed here.
-    fn leave(&self) {
+    fn deregister(&self) {
         self.context.connections.remove(self.serial);
         self.connection.cancel_all();
     }
@@ -248,7 +248,7 @@
     /// discarded was never taken: its gateway sends it once more.
     fn close(&self, stream: &TcpStream) {
         let (context, connection) = (&*self.context, &self.connection);
-        self.leave();
+        self.deregister();
         context.connections.begin_closing(connection);
         let deadline = context.clock.now() + context.limits.closing_timeout;
         let mut bytes_left = context.limits.max_closing_bytes;
@@ -283,7 +283,7 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        self.leave();
+        self.deregister();
         self.context.connections.end_closing(&self.connection);
         self.connection.discard_unsent();
     }
--- a/crates/server/src/ingress/tests.rs
+++ b/crates/server/src/ingress/tests.rs
@@ -21,7 +21,7 @@
 }
 
 /// A connection that is served, as the listener would have made it, and the gateway's end of it.
-fn served() -> (Server, Session, TcpStream, std::net::TcpStream) {
+fn served_connection() -> (Server, Session, TcpStream, std::net::TcpStream) {
     let (server, listener, stream) = server();
     let gateway = listener.accept().unwrap().0;
     gateway.set_read_timeout(Some(puffinladder_toy::PATIENCE)).unwrap();
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_wish_to_close_its_connection_is_taken_and_answered() {
-    let (server, session, stream, mut gateway) = served();
+fn serves_request_received_after_close_was_requested() {
+    let (server, session, stream, mut gateway) = served_connection();
     let connection = session.connection.clone();
     // The wish, then the request, then the first look: a request that is read and then closed on would be lost, and
     // one that must not run twice would run here and where its gateway sends it once more.
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn what_comes_behind_the_end_of_a_connection_is_never_taken_and_resets_nothing() {
-    let (server, session, stream, mut gateway) = served();
+fn discards_messages_after_close_without_reset() {
+    let (server, session, stream, mut gateway) = served_connection();
     assert!(server.connections.close_idlest());
     let serving = may::go!(move || session.serve(&stream));
     let mut bytes = [0; 16];
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn with_all_descriptors_held_the_connection_that_closes_longest_makes_way_and_then_an_idle_one() {
-    let (server, session, ..) = served();
-    let (_, other, ..) = served();
-    let (connections, most) = (&server.connections, server.limits.max_gateway_descriptors);
+fn frees_descriptor_of_oldest_closing_then_idlest_connection() {
+    let (server, session, ..) = served_connection();
+    let (_, other, ..) = served_connection();
+    let (connections, max) = (&server.connections, server.limits.max_gateway_descriptors);
     lock(&connections.closing).extend([session.connection.clone(), other.connection.clone()]);
-    connections.descriptors.store(most - 1, Ordering::Relaxed);
+    connections.descriptors.store(max - 1, Ordering::Relaxed);
     assert!(
         connections.reserve_descriptor() && connections.is_closing(&session.connection),
         "nobody ends while there is room"
     );
-    connections.descriptors.store(most, Ordering::Relaxed);
+    connections.descriptors.store(max, Ordering::Relaxed);
     assert!(!connections.reserve_descriptor());
     assert!(!connections.is_closing(&session.connection) && connections.is_closing(&other.connection));
     assert!(!connections.reserve_descriptor() && !connections.is_closing(&other.connection));
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn a_socket_counts_until_it_is_closed_whatever_ends_it() {
-    let (server, session, stream, gateway) = served();
+fn descriptor_is_counted_until_socket_closes() {
+    let (server, session, stream, gateway) = served_connection();
     let connections = server.connections.clone();
     let socket = Socket::new(&connections, stream);
     assert_eq!(connections.descriptors.load(Ordering::Relaxed), 1);
@@ -108,10 +108,10 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = Socket::new(&connections, stream);
-    let died = may::go!(move || {
+    let result = may::go!(move || {
         let _socket = socket;
         panic!("as a connection might");
     });
-    assert!(died.join().is_err());
+    assert!(result.join().is_err());
     assert_eq!(connections.descriptors.load(Ordering::Relaxed), 0);
 }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -51,7 +51,7 @@
 
 /// Reads our own settings.
 pub fn load_settings(options: &Options) -> Result<Settings, ConfigurationError> {
-    let path = options.settings.clone().or_else(|| environment("PUFFINLADDER_SETTINGS"));
+    let path = options.settings.clone().or_else(|| environment_variable("PUFFINLADDER_SETTINGS"));
     let mut settings = match path {
         None => Settings::default(),
         Some(path) => load_settings_file(path)?,
@@ -78,12 +78,12 @@
 impl ConfigurationSource {
     /// The source that command line and environment name.
     pub fn locate(options: &Options) -> Result<ConfigurationSource, ConfigurationError> {
-        let path = options.config.clone().or_else(|| environment("BALANCER_CONFIG"));
+        let path = options.config.clone().or_else(|| environment_variable("BALANCER_CONFIG"));
         let path = path.ok_or(ConfigurationError::NotNamed)?;
         Ok(ConfigurationSource {
             path,
-            name: environment("BALANCER_NAME"),
-            listen: environment("BALANCER_LISTEN"),
+            name: environment_variable("BALANCER_NAME"),
+            listen: environment_variable("BALANCER_LISTEN"),
         })
     }
 
@@ -95,6 +95,6 @@
     }
 }
 
-fn environment(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
--- a/crates/server/src/lifecycle/dispatch_loop.rs
+++ b/crates/server/src/lifecycle/dispatch_loop.rs
@@ -58,7 +58,7 @@
         Activity {
             in_flight: self.slots.in_use(),
             gateways: self.connections.count(),
-            store_calls: self.store.open_connections(),
+            store_connections: self.store.open_connections(),
         }
     }
 }
@@ -66,7 +66,7 @@
 impl CycleHooks for DispatchLoop {
     fn keep_house(&self, now: f64, keepalive: f64) {
         self.connections.close_idle(keepalive);
-        self.agent.break_unmarked_since(now - self.limits.replay_timeout);
+        self.agent.break_stalled_replay(now - self.limits.replay_timeout);
         self.summary.report(now, self.limits.summary_interval, || self.activity());
         self.housekeeping.wake_all();
     }
--- a/crates/server/src/lifecycle/logging.rs
+++ b/crates/server/src/lifecycle/logging.rs
@@ -21,7 +21,7 @@
 /// Lines that were written.
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 /// Lines that were lost because the queue was full.
-static LOST: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Where the logger writes, one line at a time.
 #[derive(Clone)]
@@ -32,7 +32,7 @@
         match self.0.try_send(line.to_vec()) {
             Ok(()) => QUEUED.fetch_add(1, Ordering::Relaxed),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                LOST.fetch_add(1, Ordering::Relaxed)
+                DROPPED.fetch_add(1, Ordering::Relaxed)
             }
         };
         Ok(line.len())
@@ -60,19 +60,23 @@
 
 fn write_lines(lines: Receiver<Vec<u8>>) {
     for line in lines {
-        let lost = LOST.swap(0, Ordering::Relaxed);
-        let note =
-            if lost > 0 { format!("log: {lost} lines lost here, nobody read\n") } else { String::new() };
+        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        let notice = if dropped > 0 {
+            format!("log: {dropped} lines lost here, nobody read\n")
+        } else {
+            String::new()
+        };
         // A log that can't be written is no reason to stop.
-        let _ = io::stderr().write_all(note.as_bytes()).and_then(|()| io::stderr().write_all(&line));
+        let _ = io::stderr().write_all(notice.as_bytes()).and_then(|()| io::stderr().write_all(&line));
         WRITTEN.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// Waits for the last lines before the process ends, though not for long.
 pub fn flush() {
-    let begun = Instant::now();
-    while WRITTEN.load(Ordering::Relaxed) < QUEUED.load(Ordering::Relaxed) && begun.elapsed() < FLUSH_TIMEOUT
+    let started = Instant::now();
+    while WRITTEN.load(Ordering::Relaxed) < QUEUED.load(Ordering::Relaxed)
+        && started.elapsed() < FLUSH_TIMEOUT
     {
         thread::sleep(FLUSH_POLL_INTERVAL);
     }
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Bytes that are read at once of what a service says: its line is shorter.
-const OFFER_CHUNK: usize = 256;
+const OFFER_READ_BYTES: usize = 256;
 
 /// A connection to a control service.
 struct ReportConnection {
@@ -74,10 +74,12 @@
         name: name.clone(),
         priority_weight: class.priority_weight,
     };
-    let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|span| *span > 0.0);
+    let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|duration| *duration > 0.0);
     ServerIdentity {
         instance: config.name.clone(),
-        incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
+        incarnation: SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |duration| duration.as_micros() as u64),
         zone: settings.zone.clone(),
         address: settings.advertised_address.unwrap_or(listen),
         cores: policy.cores,
@@ -96,8 +98,8 @@
         for sequence in 1u64.. {
             thread::sleep(self.interval);
             let created_at = started.elapsed().as_secs_f64();
-            let report = Report { sample: &self.state(), sequence, created_at };
-            let reached = self.send(&report, &mut connections);
+            let report = Report { sample: &self.sample_load(), sequence, created_at };
+            let reached = self.send_to_all(&report, &mut connections);
             if reached != was_reached {
                 was_reached = reached;
                 let change =
@@ -108,7 +110,7 @@
     }
 
     /// Sends a report to each service: they agree on nothing among themselves. Returns whether any took it.
-    fn send(&self, report: &Report, connections: &mut [Option<ReportConnection>]) -> bool {
+    fn send_to_all(&self, report: &Report, connections: &mut [Option<ReportConnection>]) -> bool {
         let mut reached = false;
         for (address, connection) in self.control.iter().zip(connections) {
             if connection.is_none() {
@@ -135,7 +137,7 @@
         Some(ReportConnection { stream, encoder: ReportEncoder::new(&self.identity) })
     }
 
-    fn state(&self) -> LoadSample {
+    fn sample_load(&self) -> LoadSample {
         let snapshot = self.counters.take(self.interval.as_secs_f64());
         let class = |rates: &ClassRates| ClassLoad {
             product: rates.class,
@@ -163,7 +165,7 @@
         if !self.encoder.awaits_offer() {
             return Ok(());
         }
-        let mut chunk = [0; OFFER_CHUNK];
+        let mut chunk = [0; OFFER_READ_BYTES];
         self.stream.set_nonblocking(true)?;
         let read = self.stream.read(&mut chunk);
         self.stream.set_nonblocking(false)?;
--- a/crates/server/src/lifecycle/recording.rs
+++ b/crates/server/src/lifecycle/recording.rs
@@ -59,7 +59,7 @@
         expiry: class.timeout,
         by_work: policy.settings.weight_per_work,
     };
-    let told = Told {
+    let recorder_config = Told {
         node: config.name.clone(),
         bounds: Bounds {
             block_rows: trace.block_rows,
@@ -78,7 +78,7 @@
     std::fs::create_dir_all(&folder.path)
         .map_err(|source| StartError::TraceFolder { folder: trace.directory.clone(), source })?;
     let warn = |line: &str| tracing::warn!("{line}");
-    let started = Recorder::start(told, folder, limits.recorder_stack_bytes, warn);
+    let started = Recorder::start(recorder_config, folder, limits.recorder_stack_bytes, warn);
     let (recorder, running) = started.map_err(StartError::TraceThread)?;
     tracing::info!("a trace is written to {}", trace.directory);
     Ok(Recording { log: RequestLog::new(Some(recorder), counters), running: Some(running) })
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -70,7 +70,7 @@
             limits: limits.clone(),
             faults: faults.clone(),
             max_idle: config.policy.settings.idle_timeout,
-            unsent: AtomicUsize::new(0),
+            total_unsent: AtomicUsize::new(0),
         })));
         let requests = Arc::new(RequestContext {
             dispatcher: dispatcher.clone(),
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -24,14 +24,14 @@
     [(SIGTERM, SignalAction::Drain), (SIGINT, SignalAction::Drain), (SIGHUP, SignalAction::Reload)];
 
 /// A signal's flag.
-struct Raised {
+struct SignalFlag {
     action: SignalAction,
     flag: Arc<AtomicBool>,
 }
 
 /// Receives signals.
 pub struct SignalListener {
-    raised: Vec<Raised>,
+    flags: Vec<SignalFlag>,
     pipe: PipeReader,
 }
 
@@ -39,15 +39,15 @@
     /// From here on none of the signals ends the process; what comes before anybody listens waits in the pipe.
     pub fn register() -> io::Result<SignalListener> {
         let (pipe, writer) = io::pipe()?;
-        let mut raised = Vec::new();
+        let mut flags = Vec::new();
         for (signal, action) in ACTIONS {
             let flag = Arc::new(AtomicBool::new(false));
             flag::register(signal, flag.clone())?;
             // Behind the flag: whoever reads the byte finds it raised. A full pipe has bytes enough to wake by.
             low_level::pipe::register(signal, writer.try_clone()?)?;
-            raised.push(Raised { action, flag });
+            flags.push(SignalFlag { action, flag });
         }
-        Ok(SignalListener { raised, pipe })
+        Ok(SignalListener { flags, pipe })
     }
 
     /// Hands on what comes, one of a kind for any number that came together, until the pipe fails.
@@ -60,9 +60,9 @@
                 Ok(0) => return ErrorKind::UnexpectedEof.into(),
                 Ok(_) => {}
             }
-            for raised in &self.raised {
-                if raised.flag.swap(false, Ordering::AcqRel) {
-                    handle(raised.action);
+            for signal in &self.flags {
+                if signal.flag.swap(false, Ordering::AcqRel) {
+                    handle(signal.action);
                 }
             }
         }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -18,18 +18,18 @@
 use std::thread;
 
 /// Files that a recorder has open at once: the one it writes, the next one, a look at its folder.
-const TRACE_FILES: usize = 3;
+const TRACE_DESCRIPTORS: usize = 3;
 /// Exit status where a part that the process can't live without has ended.
-const VITAL_PART_ENDED: i32 = 70;
+const CRITICAL_TASK_EXIT_STATUS: i32 = 70;
 
 /// What the process cannot live without: if its coroutine or thread ever ends, the process does, and is started anew.
-struct VitalPart(&'static str);
+struct CriticalTask(&'static str);
 
-impl Drop for VitalPart {
+impl Drop for CriticalTask {
     fn drop(&mut self) {
         tracing::error!("{} has ended", self.0);
         logging::flush();
-        std::process::exit(VITAL_PART_ENDED);
+        std::process::exit(CRITICAL_TASK_EXIT_STATUS);
     }
 }
 
@@ -50,9 +50,9 @@
     let Recording { log, running } = recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
     let server = Arc::new(Server::new(config, limits, log));
     configure_coroutines(&server.limits);
-    start_parts(&server, &settings)?;
+    start_services(&server, &settings)?;
     start_signal_thread(&server, source, signals)?;
-    wait_for_end(&server, Shutdown::new(running));
+    run_until_shutdown(&server, Shutdown::new(running));
     tracing::info!("{} ends", server.config.name);
     logging::flush();
     Ok(())
@@ -60,8 +60,8 @@
 
 /// Descriptors for a trace's files and for connections to control services.
 fn reserved_descriptors(settings: &Settings) -> usize {
-    let trace_files = settings.trace.as_ref().map_or(0, |_| TRACE_FILES);
-    trace_files + settings.publish.as_ref().map_or(0, |publish| publish.control_addresses.len())
+    let trace_descriptors = settings.trace.as_ref().map_or(0, |_| TRACE_DESCRIPTORS);
+    trace_descriptors + settings.publish.as_ref().map_or(0, |publish| publish.control_addresses.len())
 }
 
 fn new_counters(config: &ServerConfig) -> Arc<Counters> {
@@ -77,7 +77,7 @@
 }
 
 /// Listens, and starts all that works for the life of the process.
-fn start_parts(server: &Server, settings: &Settings) -> Result<(), StartError> {
+fn start_services(server: &Server, settings: &Settings) -> Result<(), StartError> {
     let address = server.config.listen;
     let failed = |source| StartError::Listen { address, source };
     let listener = TcpListener::bind(address).map_err(failed)?;
@@ -89,21 +89,21 @@
     }
     let (dispatch, agent) = (server.dispatch_loop(), server.agent_reader());
     let (registry, gateways) = (server.registry_reporter(), server.gateway_listener());
-    start_vital(&server.limits, "dispatcher", move || dispatch.run())?;
-    start_vital(&server.limits, "agent", move || agent.run())?;
-    start_vital(&server.limits, "registry", move || registry.run())?;
-    start_vital(&server.limits, "listener", move || gateways.run(&listener))
+    spawn_critical(&server.limits, "dispatcher", move || dispatch.run())?;
+    spawn_critical(&server.limits, "agent", move || agent.run())?;
+    spawn_critical(&server.limits, "registry", move || registry.run())?;
+    spawn_critical(&server.limits, "listener", move || gateways.run(&listener))
 }
 
 /// A coroutine for the life of the process, with a stack that bears JSON and log lines.
-fn start_vital(
+fn spawn_critical(
     limits: &Limits,
     name: &'static str,
     work: impl FnOnce() + Send + 'static,
 ) -> Result<(), StartError> {
     let builder = Builder::new().name(name.into()).stack_size(limits.deep_stack_words);
     may::go!(builder, move || {
-        let _vital = VitalPart(name);
+        let _critical = CriticalTask(name);
         work();
     })
     .map(drop)
@@ -122,7 +122,7 @@
 }
 
 /// Wakes the dispatcher in time until the process is to end.
-fn wait_for_end(server: &Server, mut shutdown: Shutdown) {
+fn run_until_shutdown(server: &Server, mut shutdown: Shutdown) {
     loop {
         server.alarm.wait(server.limits.housekeeping_interval);
         server.dispatcher.wake();
@@ -136,7 +136,7 @@
 /// Passes the first notice to drain on to the policy, which has until the kill, and reloads as often as asked.
 fn handle_signals(server: &Server, source: &ConfigurationSource, signals: SignalListener) {
     // Deaf to its notice to drain a server would break its promises at the kill.
-    let _vital = VitalPart("signals");
+    let _critical = CriticalTask("signals");
     let error = signals.listen(|action| match action {
         SignalAction::Reload => reload(server, source),
         SignalAction::Drain if server.dispatcher.kill_time().is_some() => {}
@@ -155,9 +155,9 @@
         Ok(config) => config,
         Err(error) => return tracing::error!("reload: nothing changed: {error}"),
     };
-    let unchangeable = server.config.changes_needing_restart(&config);
-    if !unchangeable.is_empty() {
-        tracing::warn!("reload: {} hold until the next start", unchangeable.join(", "));
+    let restart_only = server.config.changes_needing_restart(&config);
+    if !restart_only.is_empty() {
+        tracing::warn!("reload: {} hold until the next start", restart_only.join(", "));
     }
     let peers = config.peers;
     let changed = server.addresses.replace(peers);
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -9,7 +9,7 @@
 use crate::state::received_request::ReceivedRequest;
 use crate::wire::agent::link::{CommandStamp, NO_COMMAND};
 use crate::wire::gateway::connection::Connection;
-use crate::wire::gateway::refusals::Standing;
+use crate::wire::gateway::refusals::Trust;
 use crate::wire::store::StoreCall;
 use puffinladder::{Outcome, Reason};
 use puffinladder_trace::row::Step;
@@ -100,15 +100,15 @@
     fn offer(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         let Offering { context, received, tag, .. } = self;
         let now = context.clock.now();
-        let standing = self.connection.refusals.judge(now);
-        if standing == Standing::Suspected {
+        let trust = self.connection.refusals.assess(now);
+        if trust == Trust::Suspected {
             reply.reject(0.0, false, Reason::UnknownToAgent);
             return Admission::Over;
         }
         let arrived = now - clock::seconds_since(received.timestamp);
         let deadline = self.contention_deadline(now, arrived);
         match context.dispatcher.offer(received, arrived, mailbox, deadline) {
-            Offer::Accepted(id) => return Admission::Accepted { id, is_probe: standing == Standing::Probe },
+            Offer::Accepted(id) => return Admission::Accepted { id, is_probe: trust == Trust::Probe },
             Offer::AttemptContended => return self.wait_for_attempt(mailbox, reply),
             Offer::DuplicateAttempt => self.fail_duplicate(reply),
             Offer::KeyConflict => {
@@ -252,12 +252,12 @@
                 return ControlFlow::Break(ExecutionEnd::Over);
             }
             Event::Refused => {
-                self.connection.refusals.note_refused();
+                self.connection.refusals.record_refused();
                 self.finish(Outcome::NotNeeded, 0.0, Vec::new());
                 return ControlFlow::Break(ExecutionEnd::Over);
             }
             Event::Ended { outcome, took, body } => {
-                self.connection.refusals.note_known();
+                self.connection.refusals.record_known();
                 self.finish(outcome, took, body);
                 return ControlFlow::Break(ExecutionEnd::Over);
             }
--- a/crates/server/src/runtime/alarm.rs
+++ b/crates/server/src/runtime/alarm.rs
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Sleeps until the alarm goes off, but no longer than `longest`.
-    pub fn wait(&self, longest: Duration) {
-        let latest = Instant::now() + longest;
+    /// Sleeps until the alarm goes off, but no longer than `max_wait`.
+    pub fn wait(&self, max_wait: Duration) {
+        let deadline = Instant::now() + max_wait;
         loop {
             let now = Instant::now();
             let mut state = lock(&self.state);
-            let due = state.due.map_or(latest, |due| due.min(latest));
+            let due = state.due.map_or(deadline, |due| due.min(deadline));
             if due <= now {
                 state.due = None;
                 return;
--- a/crates/server/src/runtime/clock.rs
+++ b/crates/server/src/runtime/clock.rs
@@ -30,10 +30,10 @@
 impl Clock {
     /// The present time, s.
     pub fn now(&self) -> f64 {
-        self.at(unix_now())
+        self.monotonic(unix_now())
     }
 
-    fn at(&self, unix: f64) -> f64 {
+    fn monotonic(&self, unix: f64) -> f64 {
         let mut state = lock(&self.state);
         state.correction += (state.last_reading - (unix + state.correction)).max(0.0);
         state.last_reading = unix + state.correction;
--- a/crates/server/src/runtime/summary.rs
+++ b/crates/server/src/runtime/summary.rs
@@ -10,11 +10,11 @@
     completed: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
-    last_line: Mutex<LastLine>,
+    last_summary: Mutex<LastSummary>,
 }
 
 #[derive(Default)]
-struct LastLine {
+struct LastSummary {
     written_at: f64,
     /// Answers that it summed up.
     answers: u64,
@@ -27,7 +27,7 @@
     /// Connections of gateways.
     pub gateways: usize,
     /// Connections to the store.
-    pub store_calls: usize,
+    pub store_connections: usize,
 }
 
 impl AnswerSummary {
@@ -43,18 +43,18 @@
 
     /// Writes the summary line if `interval` seconds have passed since the last one and there were answers meanwhile.
     pub fn report(&self, now: f64, interval: f64, activity: impl FnOnce() -> Activity) {
-        let mut last = lock(&self.last_line);
+        let mut last = lock(&self.last_summary);
         let [completed, rejected, failed] =
             [&self.completed, &self.rejected, &self.failed].map(|counter| counter.load(Ordering::Relaxed));
         let answers = completed + rejected + failed;
         if now - last.written_at < interval || answers == last.answers {
             return;
         }
-        *last = LastLine { written_at: now, answers };
-        let Activity { in_flight, gateways, store_calls } = activity();
+        *last = LastSummary { written_at: now, answers };
+        let Activity { in_flight, gateways, store_connections } = activity();
         tracing::info!(
             "so far completed {completed}, rejected {rejected}, failed {failed}; \
-             in flight {in_flight}, connections {gateways} of gateways and {store_calls} to the store"
+             in flight {in_flight}, connections {gateways} of gateways and {store_connections} to the store"
         );
     }
 }
--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -31,7 +31,7 @@
 
 /// The link's state.
 struct LinkState {
-    out: RingBuffer,
+    unsent: RingBuffer,
     waker: Option<WaitIoWaker>,
     /// Commands go out. While a new link still replays old notices they don't: it is not yet known which of the earlier
     /// commands were read, and `Event::Resume` has them sent again.
@@ -49,7 +49,7 @@
     /// No link yet; `min_buffer` and `max_unsent` bound the bytes that wait to go out.
     pub fn new(min_buffer: usize, max_unsent: usize) -> AgentLink {
         let state = LinkState {
-            out: RingBuffer::new(min_buffer, max_unsent),
+            unsent: RingBuffer::new(min_buffer, max_unsent),
             waker: None,
             open: false,
             last_poll: 0,
@@ -76,7 +76,7 @@
 
     /// Starts a run.
     pub fn launch(&self, attempt: &AttemptId, class: &str, body: &[u8]) -> CommandStamp {
-        let mut line = command("launch", attempt);
+        let mut line = command_object("launch", attempt);
         line.extend_from_slice(b",\"class\":");
         line.extend_from_slice(Value::from(class).to_string().as_bytes());
         write_body(&mut line, body);
@@ -85,24 +85,24 @@
 
     /// Takes a run off the cores.
     pub fn freeze(&self, attempt: &AttemptId) -> CommandStamp {
-        self.send(command("freeze", attempt))
+        self.send(command_object("freeze", attempt))
     }
 
     /// Gives a frozen run back to the cores.
     pub fn thaw(&self, attempt: &AttemptId) -> CommandStamp {
-        self.send(command("thaw", attempt))
+        self.send(command_object("thaw", attempt))
     }
 
     /// Gives a run the reply to its call.
     pub fn deliver(&self, attempt: &AttemptId, body: &[u8]) -> CommandStamp {
-        let mut line = command("deliver", attempt);
+        let mut line = command_object("deliver", attempt);
         write_body(&mut line, body);
         self.send(line)
     }
 
     /// Has a run go on without the call of this notice.
     pub fn forgo(&self, attempt: &AttemptId, notice: u64) -> CommandStamp {
-        let mut line = command("forgo", attempt);
+        let mut line = command_object("forgo", attempt);
         line.extend_from_slice(format!(",\"seq\":{notice}").as_bytes());
         self.send(line)
     }
@@ -111,13 +111,13 @@
     pub fn poll_gauges(&self, tag: u64) {
         let mut state = self.state();
         if state.open {
-            state.push(sample(&tag.to_string()));
+            state.push(sample_command(&tag.to_string()));
             state.last_poll = tag;
         }
     }
 
     /// Breaks a new link whose mark was sent before `since` and has not come back: nothing may go out on it.
-    pub fn break_unmarked_since(&self, since: f64) {
+    pub fn break_stalled_replay(&self, since: f64) {
         let mut state = self.state();
         if !state.open && state.mark_sent_at < since {
             state.broken = true;
@@ -154,7 +154,7 @@
     pub(super) fn mark_replay(&self, now: f64) -> bool {
         let mut state = self.state();
         state.mark_sent_at = now;
-        state.push(sample(REPLAY_MARK));
+        state.push(sample_command(REPLAY_MARK));
         drop(state);
         !self.greeted.swap(true, Ordering::Relaxed)
     }
@@ -175,7 +175,7 @@
         if state.broken {
             return None;
         }
-        Some(state.out.drain_to(sink))
+        Some(state.unsent.drain_to(sink))
     }
 
     /// The connection has ended.
@@ -187,7 +187,7 @@
 impl LinkState {
     fn push(&mut self, mut line: Vec<u8>) {
         line.extend_from_slice(b"}\n");
-        if self.out.push(&line).is_err() {
+        if self.unsent.push(&line).is_err() {
             (self.broken, self.open) = (true, false);
         }
         self.wake();
@@ -204,11 +204,11 @@
         self.open = false;
         self.mark_sent_at = f64::MAX;
         self.broken = false;
-        self.out.consume(usize::MAX);
+        self.unsent.consume(usize::MAX);
     }
 }
 
-fn command(op: &str, attempt: &AttemptId) -> Vec<u8> {
+fn command_object(op: &str, attempt: &AttemptId) -> Vec<u8> {
     let mut line = Vec::with_capacity(COMMAND_BYTES);
     line.extend_from_slice(b"{\"op\":\"");
     line.extend_from_slice(op.as_bytes());
@@ -218,7 +218,7 @@
     line
 }
 
-fn sample(tag: &str) -> Vec<u8> {
+fn sample_command(tag: &str) -> Vec<u8> {
     format!("{{\"op\":\"sample\",\"tag\":\"{tag}\"").into_bytes()
 }
 
--- a/crates/server/src/wire/agent/link/tests.rs
+++ b/crates/server/src/wire/agent/link/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_command_is_one_line_of_json_with_its_fields_in_this_order() {
+fn commands_are_single_json_lines_with_ordered_fields() {
     let link = AgentLink::new(64, 4096);
     let attempt = b"00000000000000aa";
     assert_eq!(link.freeze(attempt), NOT_SENT, "nothing goes out before the link is open");
--- a/crates/server/src/wire/agent/notice.rs
+++ b/crates/server/src/wire/agent/notice.rs
@@ -32,37 +32,42 @@
 }
 
 /// The text under a key; what is absent is empty.
-pub fn text<'a>(line: &'a Value, key: &str) -> &'a str {
+pub fn string_field<'a>(line: &'a Value, key: &str) -> &'a str {
     line.get(key).and_then(Value::as_str).unwrap_or_default()
 }
 
 /// The notice's number, if it has one.
-pub fn sequence(line: &Value) -> Option<u64> {
+pub fn sequence_number(line: &Value) -> Option<u64> {
     line.get("seq").and_then(Value::as_u64)
 }
 
 impl Notice<'_> {
     /// Reads a line.
     pub fn parse(line: &Value) -> Result<Notice<'_>, MalformedBody> {
-        let notice = match text(line, "op") {
-            "greeting" => Notice::Greeting { state: text(line, "end") },
-            "sampled" if text(line, "tag") == REPLAY_MARK => Notice::ReplayEnd,
+        let notice = match string_field(line, "op") {
+            "greeting" => Notice::Greeting { state: string_field(line, "end") },
+            "sampled" if string_field(line, "tag") == REPLAY_MARK => Notice::ReplayEnd,
             "sampled" => {
                 let values = line.get("values").and_then(Value::as_array);
                 Notice::Gauges {
-                    tag: text(line, "tag"),
+                    tag: string_field(line, "tag"),
                     values: values.map(Vec::as_slice).unwrap_or_default(),
                 }
             }
-            "request" => {
-                Notice::AtCall { sequence: sequence(line).unwrap_or_default(), body: parse_body(line)? }
-            }
+            "request" => Notice::AtCall {
+                sequence: sequence_number(line).unwrap_or_default(),
+                body: parse_body(line)?,
+            },
             "outcome" => {
                 let milliseconds = line.get("ms").and_then(Value::as_f64).unwrap_or_default();
                 let took = milliseconds / MILLISECONDS_PER_SECOND;
-                Notice::Ended { outcome: parse_outcome(text(line, "end")), took, body: parse_body(line)? }
+                Notice::Ended {
+                    outcome: parse_outcome(string_field(line, "end")),
+                    took,
+                    body: parse_body(line)?,
+                }
             }
-            "refusal" => Notice::Refusal { command: text(line, "end") },
+            "refusal" => Notice::Refusal { command: string_field(line, "end") },
             _ => Notice::Unknown,
         };
         Ok(notice)
@@ -79,5 +84,5 @@
 }
 
 fn parse_body(line: &Value) -> Result<Vec<u8>, MalformedBody> {
-    BASE64_STANDARD.decode(text(line, "body")).map_err(|_| MalformedBody)
+    BASE64_STANDARD.decode(string_field(line, "body")).map_err(|_| MalformedBody)
 }
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -72,12 +72,12 @@
                 Ok(stream) => {
                     unreachable = false;
                     let _ = stream.set_nodelay(true);
-                    let before = last_notice;
-                    let Err(error) = self.read(address, &stream, &mut last_notice);
+                    let previous_notice = last_notice;
+                    let Err(error) = self.run_link(address, &stream, &mut last_notice);
                     self.link.close();
                     tracing::warn!("agent: link lost behind notice {last_notice}: {error}");
                     // A link that brought something is sought again at once, and so is an agent that moved.
-                    if last_notice > before || self.addresses.get().agent != address {
+                    if last_notice > previous_notice || self.addresses.get().agent != address {
                         continue;
                     }
                 }
@@ -91,7 +91,7 @@
     }
 
     /// Reads and writes until the link ends.
-    fn read(
+    fn run_link(
         &self,
         address: SocketAddr,
         stream: &TcpStream,
@@ -125,7 +125,7 @@
             while let Some(end) = input.contiguous().iter().position(|&b| b == b'\n') {
                 let line = serde_json::from_slice(&input.contiguous()[..end])?;
                 input.consume(end + 1);
-                self.receive(&line, last_notice)?;
+                self.handle_line(&line, last_notice)?;
             }
             if input.is_full() {
                 return Err(LinkError::OversizedLine);
@@ -134,8 +134,8 @@
     }
 
     /// One line of the agent.
-    fn receive(&self, line: &Value, last_notice: &mut u64) -> Result<(), LinkError> {
-        if let Some(sequence) = notice::sequence(line) {
+    fn handle_line(&self, line: &Value, last_notice: &mut u64) -> Result<(), LinkError> {
+        if let Some(sequence) = notice::sequence_number(line) {
             if sequence <= *last_notice {
                 return Ok(());
             }
@@ -151,18 +151,20 @@
                 tracing::info!("agent: link is up, the agent is {state}");
                 // The first link has nothing old to replay.
                 if self.link.mark_replay(self.clock.now()) {
-                    self.open();
+                    self.resume_commands();
                 }
             }
-            Notice::ReplayEnd => self.open(),
+            Notice::ReplayEnd => self.resume_commands(),
             Notice::Gauges { tag, values } => self.receive_gauges(tag, values),
-            Notice::AtCall { sequence, body } => self.send(line, Event::AtCall { sequence, body }),
-            Notice::Ended { outcome, took, body } => self.send(line, Event::Ended { outcome, took, body }),
+            Notice::AtCall { sequence, body } => self.send_event(line, Event::AtCall { sequence, body }),
+            Notice::Ended { outcome, took, body } => {
+                self.send_event(line, Event::Ended { outcome, took, body })
+            }
             Notice::Refusal { command } => {
-                let id = notice::text(line, "id");
+                let id = notice::string_field(line, "id");
                 self.faults.warn(format_args!("agent: {command} refused for {id}"));
                 if command == "launch" {
-                    self.send(line, Event::Refused);
+                    self.send_event(line, Event::Refused);
                 }
             }
             Notice::Unknown => tracing::debug!("agent: ignored: {line}"),
@@ -171,7 +173,7 @@
     }
 
     /// Lets commands out, if they were kept back: all old notices are read, and requests send again what was not read.
-    fn open(&self) {
+    fn resume_commands(&self) {
         if self.link.open() {
             self.dispatcher.resume_all();
             self.dispatcher.start();
@@ -190,13 +192,13 @@
     }
 
     /// Hands an event to the request that the line names.
-    fn send(&self, line: &Value, event: Event) {
-        let id = notice::text(line, "id");
+    fn send_event(&self, line: &Value, event: Event) {
+        let id = notice::string_field(line, "id");
         let attempt = AttemptId::try_from(id.as_bytes()).ok();
         match attempt.and_then(|attempt| self.dispatcher.hear_of(&attempt)) {
             Some(mailbox) => mailbox.send(event),
             None => {
-                let op = notice::text(line, "op");
+                let op = notice::string_field(line, "op");
                 self.faults.warn(format_args!("agent: {op} for a request that is not in hand: {id}"));
             }
         }
--- a/crates/server/src/wire/gateway/connection.rs
+++ b/crates/server/src/wire/gateway/connection.rs
@@ -30,7 +30,7 @@
     /// The longest, s, that a connection which came again and again may lie unused.
     pub max_idle: f64,
     /// Bytes that wait on all connections together.
-    pub unsent: AtomicUsize,
+    pub total_unsent: AtomicUsize,
 }
 
 /// What a request keeps of the connection on which its answer is owed; the socket itself may be long gone.
@@ -45,7 +45,7 @@
 /// The state of a connection.
 pub struct ConnectionState {
     /// What waits to go out.
-    pub out: RingBuffer,
+    pub unsent: RingBuffer,
     /// The requests that are owed an answer, by their tags.
     pub open_requests: HashMap<u64, Arc<Mailbox>>,
     /// The tags that it has used.
@@ -63,17 +63,17 @@
     /// How many messages it has brought.
     pub messages: u32,
     /// Since when a message is unfinished; the first one is from the start.
-    pub message_began: Option<f64>,
+    pub message_started_at: Option<f64>,
     /// A part of a message has been read.
     pub has_partial_message: bool,
     /// It was last asked for health.
-    pub asked_for_health: bool,
+    pub is_health_check: bool,
 }
 
 impl ConnectionState {
     fn new(now: f64, limits: &Limits) -> ConnectionState {
         ConnectionState {
-            out: RingBuffer::new(limits.min_buffer_bytes, limits.max_unsent_bytes),
+            unsent: RingBuffer::new(limits.min_buffer_bytes, limits.max_unsent_bytes),
             open_requests: HashMap::new(),
             used_tags: UsedTags::default(),
             closed: false,
@@ -82,9 +82,9 @@
             last_used: now,
             accepted_at: now,
             messages: 0,
-            message_began: Some(now),
+            message_started_at: Some(now),
             has_partial_message: false,
-            asked_for_health: false,
+            is_health_check: false,
         }
     }
 
@@ -92,31 +92,31 @@
     pub fn record_read(&mut self, complete: u32, input_empty: bool, now: f64) {
         self.messages = self.messages.saturating_add(complete);
         if complete > 0 || input_empty {
-            self.message_began = None;
+            self.message_started_at = None;
         }
         if !input_empty {
-            self.message_began.get_or_insert(now);
+            self.message_started_at.get_or_insert(now);
         }
         self.has_partial_message = !input_empty;
     }
 
     /// How long, s, it may lie unused, where those may for `keepalive` that came once: one that came again and again is
-    /// likely to come after a few times its usual interval.
+    /// likely to come after a few times its by_interval interval.
     pub fn idle_timeout(&self, keepalive: f64, context: &ConnectionContext) -> f64 {
         let limits = &context.limits;
-        let usual = match self.messages {
+        let by_interval = match self.messages {
             0 | 1 => 0.0,
             more => limits.idle_interval_factor * (self.last_used - self.accepted_at) / f64::from(more),
         };
-        let least = if self.asked_for_health { limits.health_check_idle_timeout } else { 0.0 };
-        keepalive.max(usual.min(context.max_idle)).max(least)
+        let min_timeout = if self.is_health_check { limits.health_check_idle_timeout } else { 0.0 };
+        keepalive.max(by_interval.min(context.max_idle)).max(min_timeout)
     }
 
     /// Whether it may be closed without harm: nothing on it is owed an answer, has yet to be written or is half read.
     /// Half of a first message spares nobody, or those who never end one would hold their places.
     pub fn is_idle(&self) -> bool {
-        let half_read = self.has_partial_message && self.messages > 0;
-        !self.closed && self.open_requests.is_empty() && self.out.is_empty() && !half_read
+        let partly_read = self.has_partial_message && self.messages > 0;
+        !self.closed && self.open_requests.is_empty() && self.unsent.is_empty() && !partly_read
     }
 }
 
@@ -147,7 +147,7 @@
     /// What waits to go out.
     #[cfg(test)]
     pub fn unsent(&self) -> Vec<u8> {
-        self.state().out.contiguous().to_vec()
+        self.state().unsent.contiguous().to_vec()
     }
 
     /// A new mailbox for a tag that is still owed its answer.
@@ -178,9 +178,9 @@
 
     /// Writes what the gateway takes now; whether that was all.
     pub fn flush(&self, state: &mut ConnectionState, stream: &TcpStream) -> io::Result<bool> {
-        let before = state.out.len();
-        let written = state.out.drain_to(stream.inner());
-        self.context.unsent.fetch_sub(before - state.out.len(), Ordering::Relaxed);
+        let before = state.unsent.len();
+        let written = state.unsent.drain_to(stream.inner());
+        self.context.total_unsent.fetch_sub(before - state.unsent.len(), Ordering::Relaxed);
         written
     }
 
@@ -190,13 +190,14 @@
         let mut bytes = Vec::with_capacity(64 + size);
         resp::write_array(&mut bytes, elements);
         let limits = &self.context.limits;
-        let total = self.context.unsent.fetch_add(bytes.len(), Ordering::Relaxed) + bytes.len();
+        let total = self.context.total_unsent.fetch_add(bytes.len(), Ordering::Relaxed) + bytes.len();
         // Where too much lies unread in all, those close that leave much of it, not whoever is answered next.
-        let excessive = total > limits.max_total_unsent_bytes && state.out.len() > limits.fair_unsent_bytes;
-        if excessive || state.out.push(&bytes).is_err() {
-            self.context.unsent.fetch_sub(bytes.len(), Ordering::Relaxed);
+        let excessive =
+            total > limits.max_total_unsent_bytes && state.unsent.len() > limits.fair_unsent_bytes;
+        if excessive || state.unsent.push(&bytes).is_err() {
+            self.context.total_unsent.fetch_sub(bytes.len(), Ordering::Relaxed);
             state.closed = true;
-            let unread = state.out.len();
+            let unread = state.unsent.len();
             let message = format_args!("gateway: a connection closed, {unread} bytes lay unread there");
             self.context.faults.warn(message);
         }
@@ -213,7 +214,7 @@
     /// Drops what has not gone out.
     pub fn discard_unsent(&self) {
         let mut state = self.state();
-        self.context.unsent.fetch_sub(state.out.len(), Ordering::Relaxed);
-        state.out = RingBuffer::new(1, 1);
+        self.context.total_unsent.fetch_sub(state.unsent.len(), Ordering::Relaxed);
+        state.unsent = RingBuffer::new(1, 1);
     }
 }
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -65,7 +65,7 @@
         let (now, limits) = (self.context.clock.now(), &self.context.limits);
         for connection in self.serving().values() {
             let mut state = connection.state();
-            if state.message_began.is_some_and(|since| now - since > limits.message_timeout) {
+            if state.message_started_at.is_some_and(|since| now - since > limits.message_timeout) {
                 connection.wake();
             }
             if !state.is_idle() {
@@ -154,7 +154,7 @@
     }
 
     /// Waits until some connection or descriptor comes free, or for the next housekeeping.
-    pub fn wait_for_free(&self) {
+    pub fn wait_for_release(&self) {
         self.freed.wait();
     }
 
--- a/crates/server/src/wire/gateway/tags.rs
+++ b/crates/server/src/wire/gateway/tags.rs
@@ -6,23 +6,23 @@
 #[derive(Default)]
 pub struct UsedTags {
     /// All tags up to this one were used.
-    pub all_up_to: u64,
+    pub highest_contiguous: u64,
     /// Tags that were used above one that was not.
-    pub above: BTreeSet<u64>,
+    pub out_of_order: BTreeSet<u64>,
 }
 
 impl UsedTags {
     /// Marks a tag as used and says whether it is new; at most `max_remembered` of those above an unused one are
     /// remembered.
     pub fn insert(&mut self, tag: u64, max_remembered: usize) -> bool {
-        if tag <= self.all_up_to || !self.above.insert(tag) {
+        if tag <= self.highest_contiguous || !self.out_of_order.insert(tag) {
             return false;
         }
-        while self.above.remove(&(self.all_up_to + 1)) {
-            self.all_up_to += 1;
+        while self.out_of_order.remove(&(self.highest_contiguous + 1)) {
+            self.highest_contiguous += 1;
         }
-        if self.above.len() > max_remembered {
-            self.above.pop_first();
+        if self.out_of_order.len() > max_remembered {
+            self.out_of_order.pop_first();
         }
         true
     }
--- a/crates/server/src/wire/gateway/tests.rs
+++ b/crates/server/src/wire/gateway/tests.rs
@@ -17,52 +17,52 @@
 }
 
 #[test]
-fn where_all_together_leave_too_much_unread_only_those_close_that_leave_much() {
+fn closes_only_connections_over_fair_share_when_total_is_exceeded() {
     let (server, _listener, stream) = server();
     let context = server.connections.context();
-    let [hog, other] = [(); 2].map(|()| Connection::new(context, &stream));
-    for connection in [&hog, &other] {
+    let [heavy, other] = [(); 2].map(|()| Connection::new(context, &stream));
+    for connection in [&heavy, &other] {
         (1..=3).for_each(|tag| connection.open(tag, &Arc::default()));
     }
-    let much = vec![0; server.limits.fair_unsent_bytes];
-    hog.answer(1, "200", &[], &much);
-    context.unsent.fetch_add(server.limits.max_total_unsent_bytes, Ordering::Relaxed);
-    hog.answer(2, "200", &[], b"more");
+    let fair_share = vec![0; server.limits.fair_unsent_bytes];
+    heavy.answer(1, "200", &[], &fair_share);
+    context.total_unsent.fetch_add(server.limits.max_total_unsent_bytes, Ordering::Relaxed);
+    heavy.answer(2, "200", &[], b"more");
     other.answer(1, "200", &[], b"little");
-    assert!(hog.state().closed && !other.state().closed);
+    assert!(heavy.state().closed && !other.state().closed);
     assert!(other.unsent().ends_with(b"little\r\n"));
     // Even the fairest share ends at what one connection may leave.
-    context.unsent.store(0, Ordering::Relaxed);
+    context.total_unsent.store(0, Ordering::Relaxed);
     other.answer(2, "200", &[], &vec![0; server.limits.max_unsent_bytes]);
     assert!(other.state().closed);
 }
 
 #[test]
-fn who_came_again_and_again_may_lie_unused_for_longer_than_who_came_once() {
+fn recurring_connection_has_longer_idle_timeout() {
     let (server, _listener, stream) = server();
     let context = server.connections.context();
     let connection = Connection::new(context, &stream);
-    let patience = |messages, span| {
+    let idle_timeout_after = |messages, span| {
         let mut state = connection.state();
         (state.messages, state.last_used) = (messages, state.accepted_at + span);
         state.idle_timeout(0.1, context)
     };
-    assert_eq!(patience(1, 10.0), 0.1);
-    assert!((patience(5, 10.0) - 8.0).abs() < 1e-6);
-    assert_eq!(patience(5, 1000.0), 30.0, "and never for longer than the settings say");
-    connection.state().asked_for_health = true;
-    assert_eq!(patience(1, 0.0), server.limits.health_check_idle_timeout);
+    assert_eq!(idle_timeout_after(1, 10.0), 0.1);
+    assert!((idle_timeout_after(5, 10.0) - 8.0).abs() < 1e-6);
+    assert_eq!(idle_timeout_after(5, 1000.0), 30.0, "and never for longer than the settings say");
+    connection.state().is_health_check = true;
+    assert_eq!(idle_timeout_after(1, 0.0), server.limits.health_check_idle_timeout);
 }
 
 #[test]
-fn tags_come_in_any_order_but_each_only_once() {
+fn accepts_tags_in_any_order_once_each() {
     let mut tags = UsedTags::default();
     for tag in [3, 1, 2, 9, 4] {
         assert!(tags.insert(tag, 8) && !tags.insert(tag, 8), "{tag}");
     }
-    assert_eq!((tags.all_up_to, tags.above.len()), (4, 1));
+    assert_eq!((tags.highest_contiguous, tags.out_of_order.len()), (4, 1));
     for tag in (100..10_000).rev().step_by(2) {
         assert!(tags.insert(tag, 8), "{tag}");
     }
-    assert!(tags.insert(5, 8) && !tags.insert(1, 8) && tags.above.len() <= 8);
+    assert!(tags.insert(5, 8) && !tags.insert(1, 8) && tags.out_of_order.len() <= 8);
 }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -67,7 +67,7 @@
     max_body: usize,
 ) -> Result<Option<Reply<'_>>, ReplyError> {
     loop {
-        match read_any_reply(bytes, max_head, max_body)? {
+        match read_single_reply(bytes, max_head, max_body)? {
             None => return Ok(None),
             Some(SizedReply { reply, .. }) if !(100..=199).contains(&reply.status) => return Ok(Some(reply)),
             Some(SizedReply { size, .. }) => bytes = &bytes[size..],
@@ -75,15 +75,15 @@
     }
 }
 
-fn read_any_reply(
+fn read_single_reply(
     bytes: &[u8],
     max_head: usize,
     max_body: usize,
 ) -> Result<Option<SizedReply<'_>>, ReplyError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let at = match head.parse(bytes).map_err(|_| ReplyError::MalformedHead)? {
-        httparse::Status::Complete(at) => at,
+    let head_size = match head.parse(bytes).map_err(|_| ReplyError::MalformedHead)? {
+        httparse::Status::Complete(size) => size,
         httparse::Status::Partial if bytes.len() > max_head => return Err(ReplyError::OversizedHead),
         httparse::Status::Partial => return Ok(None),
     };
@@ -97,8 +97,8 @@
     };
     let length = usize::try_from(length).ok().filter(|&length| length <= max_body);
     let length = length.ok_or(ReplyError::OversizedBody)?;
-    let Some(body) = bytes.get(at..at + length) else { return Ok(None) };
-    Ok(Some(SizedReply { reply: Reply { status, not_run, body }, size: at + length }))
+    let Some(body) = bytes.get(head_size..head_size + length) else { return Ok(None) };
+    Ok(Some(SizedReply { reply: Reply { status, not_run, body }, size: head_size + length }))
 }
 
 /// The headers that count.
--- a/crates/server/src/wire/http/tests.rs
+++ b/crates/server/src/wire/http/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn a_reply_is_read_once_it_is_whole_and_no_size_is_trusted() {
-    let whole = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 3\r\n\r\nabc";
-    for cut in 0..whole.len() {
-        assert_eq!(read_reply(&whole[..cut], 4096, 64), Ok(None), "{cut}");
+fn reads_complete_replies_and_rejects_malformed_ones() {
+    let complete = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 3\r\n\r\nabc";
+    for cut in 0..complete.len() {
+        assert_eq!(read_reply(&complete[..cut], 4096, 64), Ok(None), "{cut}");
     }
-    let read = read_reply(whole, 4096, 64).unwrap();
+    let read = read_reply(complete, 4096, 64).unwrap();
     assert_eq!(read, Some(Reply { status: 503, not_run: true, body: b"abc" }));
     // Interim replies stand before it, noise or a second copy behind it.
     let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nContent-Length: 9\r\n\r\n";
-    let more = [&interim[..], whole, b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise"].concat();
+    let more = [&interim[..], complete, b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise"].concat();
     assert_eq!(read_reply(&more, 4096, 64).unwrap(), read);
     assert_eq!(read_reply(interim, 4096, 64), Ok(None));
     let bad: [&[u8]; 7] = [
--- a/crates/server/src/wire/registry.rs
+++ b/crates/server/src/wire/registry.rs
@@ -47,14 +47,14 @@
 impl RegistryReporter {
     /// Reports for as long as the process lives.
     pub fn run(&self) {
-        let (mut next, mut succeeded, mut reported_to) = (0.0, true, None);
+        let (mut next_report_at, mut succeeded, mut reported_to) = (0.0, true, None);
         loop {
             let now = self.clock.now();
             let registry = self.addresses.get().registry;
             // A registry that moved hears at once: it may not know this server yet.
-            let due = now >= next || reported_to != Some(registry);
-            if due && self.agent.is_greeted() && !self.is_leaving() {
-                next = now + self.limits.report_interval.as_secs_f64();
+            let due = now >= next_report_at || reported_to != Some(registry);
+            if due && self.agent.is_greeted() && !self.is_withdrawing() {
+                next_report_at = now + self.limits.report_interval.as_secs_f64();
                 reported_to = Some(registry);
                 let result = self.report(registry);
                 if let Err(error) = &result {
@@ -69,7 +69,7 @@
     }
 
     /// Where the endpoint list does not follow the health, a draining server leaves it by reporting no more.
-    fn is_leaving(&self) -> bool {
+    fn is_withdrawing(&self) -> bool {
         let draining = self.dispatcher.kill_time().is_some();
         draining && !self.config.policy.settings.endpoints_follow_health
     }
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -40,20 +40,24 @@
 
 impl<'a> Array<'a> {
     /// The element at this place; what is absent is empty.
-    pub fn at(&self, place: usize) -> &'a [u8] {
-        self.elements[..self.count].get(place).copied().unwrap_or_default()
+    pub fn element(&self, index: usize) -> &'a [u8] {
+        self.elements[..self.count].get(index).copied().unwrap_or_default()
     }
 }
 
 /// The first array in `bytes`, or `None` while it is not all there. An element longer than `max_element` is an error.
 pub fn read_array(bytes: &[u8], max_element: usize) -> Result<Option<Array<'_>>, FramingError> {
-    let Some(Count { value: count, end: mut at }) = read_count(bytes, 0, b'*')? else { return Ok(None) };
+    let Some(Count { value: count, end: mut position }) = read_count(bytes, 0, b'*')? else {
+        return Ok(None);
+    };
     if !(1..=MAX_ELEMENTS).contains(&count) {
         return Err(FramingError::ElementCount);
     }
     let mut elements = [&bytes[..0]; MAX_ELEMENTS];
     for element in &mut elements[..count] {
-        let Some(Count { value: length, end: start }) = read_count(bytes, at, b'$')? else { return Ok(None) };
+        let Some(Count { value: length, end: start }) = read_count(bytes, position, b'$')? else {
+            return Ok(None);
+        };
         if length > max_element {
             return Err(FramingError::OversizedElement);
         }
@@ -65,9 +69,9 @@
         if bytes.len() < end + 2 {
             return Ok(None);
         }
-        (*element, at) = (&bytes[start..end], end + 2);
+        (*element, position) = (&bytes[start..end], end + 2);
     }
-    Ok(Some(Array { elements, count, size: at }))
+    Ok(Some(Array { elements, count, size: position }))
 }
 
 /// A count or length, and the place behind its line.
@@ -76,13 +80,13 @@
     end: usize,
 }
 
-/// The count behind the type byte `kind` at `from`.
-fn read_count(bytes: &[u8], from: usize, kind: u8) -> Result<Option<Count>, FramingError> {
+/// The count behind the type byte at `from`.
+fn read_count(bytes: &[u8], from: usize, type_byte: u8) -> Result<Option<Count>, FramingError> {
     let Some((&first, rest)) = bytes.get(from..).and_then(<[u8]>::split_first) else { return Ok(None) };
-    if first != kind {
+    if first != type_byte {
         return Err(FramingError::UnexpectedType);
     }
-    let digits = rest.iter().take_while(|b| b.is_ascii_digit()).count();
+    let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
     if digits > MAX_DIGITS || (digits == 0 && !rest.is_empty()) {
         return Err(FramingError::MalformedCount);
     }
@@ -110,10 +114,10 @@
 /// field without a value.
 pub fn parse_fields<'a, const N: usize>(text: &'a [u8], names: &[u8; N]) -> Option<[&'a [u8]; N]> {
     let mut values = [&text[..0]; N];
-    for field in text.split(|&b| b == b',').filter(|field| !field.is_empty()) {
-        let (name, value) = field.split_at(field.iter().position(|&b| b == b'=')?);
-        if let Some(place) = names.iter().position(|known| name == [*known]) {
-            values[place] = &value[1..];
+    for field in text.split(|&byte| byte == b',').filter(|field| !field.is_empty()) {
+        let (name, value) = field.split_at(field.iter().position(|&byte| byte == b'=')?);
+        if let Some(index) = names.iter().position(|known| name == [*known]) {
+            values[index] = &value[1..];
         }
     }
     Some(values)
@@ -129,8 +133,8 @@
     }
 }
 
-fn write_count(out: &mut Vec<u8>, kind: u8, value: usize) {
-    out.push(kind);
+fn write_count(out: &mut Vec<u8>, type_byte: u8, value: usize) {
+    out.push(type_byte);
     write_decimal(out, value as u64);
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/server/src/wire/resp/tests.rs
+++ b/crates/server/src/wire/resp/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn an_array_is_read_once_it_is_whole_and_not_a_byte_sooner() {
+fn reads_array_only_when_complete() {
     let call = [&b"CALL"[..], b"7", b"checkout", b"i=9b,s=17,h=12.50", b"\r\n*1\0\xff$"];
     let mut bytes = encoded(&call);
     let size = bytes.len();
@@ -17,18 +17,18 @@
     }
     let read = read_array(&bytes, 2048).unwrap().unwrap();
     assert_eq!((read.size, read.count), (size, 5));
-    for (place, element) in call.iter().enumerate() {
-        assert_eq!(read.at(place), *element);
+    for (index, element) in call.iter().enumerate() {
+        assert_eq!(read.element(index), *element);
     }
     let next = read_array(&bytes[size..], 2048).unwrap().unwrap();
     assert_eq!(
-        (next.at(0), next.at(1), next.at(2), next.at(3)),
+        (next.element(0), next.element(1), next.element(2), next.element(3)),
         (&b"CHECK"[..], &b"8"[..], &b""[..], &b""[..])
     );
 }
 
 #[test]
-fn broken_framing_is_told_from_what_is_not_yet_there() {
+fn rejects_malformed_framing() {
     let cases = [
         "x",
         "*x\r\n",
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn fields_come_in_any_order_and_unknown_ones_are_passed_over() {
+fn parses_fields_in_any_order_and_ignores_unknown_ones() {
     let [i, s, k] = parse_fields(b"s=17,zz=1,i=9b,q=,k=a=b", b"isk").unwrap();
     assert_eq!((i, s, k), (&b"9b"[..], &b"17"[..], &b"a=b"[..]));
     assert_eq!(parse_fields(b"", b"i"), Some([&b""[..]]));
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -55,11 +55,12 @@
         self.length == self.max_size
     }
 
-    /// Makes room for `more` bytes, or leaves all as it was.
-    fn grow(&mut self, more: usize) -> Result<(), BufferFull> {
-        let wanted = self.length.checked_add(more).filter(|&size| size <= self.max_size).ok_or(BufferFull)?;
-        if wanted > self.bytes.len() {
-            let size = wanted.next_power_of_two().max(self.min_size).min(self.max_size);
+    /// Makes room for `additional` bytes, or leaves all as it was.
+    fn grow(&mut self, additional: usize) -> Result<(), BufferFull> {
+        let required =
+            self.length.checked_add(additional).filter(|&size| size <= self.max_size).ok_or(BufferFull)?;
+        if required > self.bytes.len() {
+            let size = required.next_power_of_two().max(self.min_size).min(self.max_size);
             let mut bytes = vec![0; size].into_boxed_slice();
             let (first, second) = self.slices();
             bytes[..first.len()].copy_from_slice(first);
@@ -116,8 +117,8 @@
     /// One read into the free room, of which there must be some.
     pub fn fill_from(&mut self, mut source: impl Read) -> io::Result<ReadOutcome> {
         if self.bytes.len() == self.length {
-            let more = (self.max_size - self.length).clamp(1, self.min_size);
-            self.grow(more).map_err(|BufferFull| io::Error::from(io::ErrorKind::OutOfMemory))?;
+            let additional = (self.max_size - self.length).clamp(1, self.min_size);
+            self.grow(additional).map_err(|BufferFull| io::Error::from(io::ErrorKind::OutOfMemory))?;
         }
         let size = self.bytes.len();
         let tail = (self.head + self.length) % size;
@@ -129,9 +130,11 @@
                     self.length += count;
                     return Ok(ReadOutcome::Bytes(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(ReadOutcome::WouldBlock)
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
     }
@@ -142,9 +145,9 @@
             match sink.write(self.slices().0) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.consume(count),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
         Ok(true)
--- a/crates/server/src/wire/ring/tests.rs
+++ b/crates/server/src/wire/ring/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_went_in_comes_out_whole_at_every_place_of_the_ring() {
+fn preserves_bytes_across_wrap_around() {
     for start in 0..16 {
         let mut ring = RingBuffer::new(8, 16);
         ring.push(&[0; 16][..start]).unwrap();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn it_takes_no_byte_over_its_bound_and_none_of_what_does_not_fit() {
+fn rejects_writes_over_its_maximum_size() {
     let mut ring = RingBuffer::new(4, 8);
     ring.push(b"abcdef").unwrap();
     assert_eq!(ring.push(b"ghi"), Err(BufferFull));
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -37,7 +37,7 @@
 /// The store's share of descriptors.
 #[derive(Default)]
 struct ConnectionSlots {
-    taken: usize,
+    in_use: usize,
     /// Who waits for one, longest first.
     waiting: VecDeque<Coroutine>,
 }
@@ -48,7 +48,7 @@
     abandoned: AtomicBool,
     finished: AtomicBool,
     /// A part of the reply has come.
-    replying: AtomicBool,
+    reply_started: AtomicBool,
     /// How to wake it while it waits for a slot.
     coroutine: Mutex<Option<Coroutine>>,
     /// How to wake it while it has a connection.
@@ -82,51 +82,51 @@
         limit: f64,
         mailbox: &Arc<Mailbox>,
     ) -> Arc<StoreCall> {
-        let begun = self.clock.now();
+        let started_at = self.clock.now();
         let call = Arc::new(StoreCall {
-            deadline: begun + limit,
+            deadline: started_at + limit,
             abandoned: AtomicBool::new(false),
             finished: AtomicBool::new(false),
-            replying: AtomicBool::new(false),
+            reply_started: AtomicBool::new(false),
             coroutine: Mutex::default(),
             waker: Mutex::default(),
         });
         lock(&self.calls).push(call.clone());
         let (client, mailbox, this) = (self.clone(), mailbox.clone(), call.clone());
         may::go!(move || {
-            let end = client.make(&this, &attempt, &body, limit);
+            let end = client.execute(&this, &attempt, &body, limit);
             this.finished.store(true, Ordering::Relaxed);
             let CallReply { outcome, body } = match end {
                 Ok(reply) => reply,
                 Err(CallError::Ended(outcome)) => CallReply { outcome, body: Vec::new() },
                 Err(CallError::Abandoned) => return,
             };
-            mailbox.send(Event::Returned { outcome, took: client.clock.now() - begun, body });
+            mailbox.send(Event::Returned { outcome, took: client.clock.now() - started_at, body });
         });
         call
     }
 
     /// Connections to the store.
     pub fn open_connections(&self) -> usize {
-        lock(&self.slots).taken
+        lock(&self.slots).in_use
     }
 
     /// Wakes calls whose time is up, those whose reply may have stopped half way, and those for whom there is a slot that
     /// was offered to one that no longer wants it.
     pub fn wake_overdue(&self, now: f64) {
         let mut slots = lock(&self.slots);
-        let free = self.limits.max_store_connections.saturating_sub(slots.taken);
-        let woken = free.min(slots.waiting.len());
-        slots.waiting.drain(..woken).for_each(|waiting| waiting.unpark());
+        let free = self.limits.max_store_connections.saturating_sub(slots.in_use);
+        let wake_count = free.min(slots.waiting.len());
+        slots.waiting.drain(..wake_count).for_each(|waiting| waiting.unpark());
         drop(slots);
         let mut calls = lock(&self.calls);
         calls.retain(|call| !call.finished.load(Ordering::Relaxed));
-        let due = |call: &&Arc<StoreCall>| now >= call.deadline || call.replying.load(Ordering::Relaxed);
+        let due = |call: &&Arc<StoreCall>| now >= call.deadline || call.reply_started.load(Ordering::Relaxed);
         calls.iter().filter(due).for_each(|call| call.wake());
     }
 
     /// Makes a call, from its slot to its reply.
-    fn make(
+    fn execute(
         &self,
         call: &StoreCall,
         attempt: &AttemptId,
@@ -138,14 +138,14 @@
         let _ = stream.set_nodelay(true);
         *lock(&call.waker) = Some(stream.waker());
         // A slow connection may outlast the call's time, or its run: not a byte has gone, so nothing need run.
-        self.check(call, Outcome::Unreachable)?;
+        self.check_pending(call, Outcome::Unreachable)?;
         let mut out = RingBuffer::new(
             self.limits.min_buffer_bytes,
             self.limits.max_head_bytes + self.limits.max_line_bytes,
         );
         let attempt = String::from_utf8_lossy(attempt);
-        let wait = (limit * MILLISECONDS_PER_SECOND).ceil();
-        let headers = format!("X-For-Request: {attempt}\r\nX-Wait-Ms: {wait}\r\n");
+        let wait_ms = (limit * MILLISECONDS_PER_SECOND).ceil();
+        let headers = format!("X-For-Request: {attempt}\r\nX-Wait-Ms: {wait_ms}\r\n");
         if out.push(&http::write_request("POST /query", "store", &headers, body)).is_err() {
             return Err(CallError::Ended(Outcome::NotNeeded));
         }
@@ -153,18 +153,18 @@
     }
 
     /// A slot in the store's share of descriptors; waiting for one counts in the call's limit.
-    fn take_slot<'a>(&'a self, call: &StoreCall) -> Result<Slot<'a>, CallError> {
+    fn take_slot<'a>(&'a self, call: &StoreCall) -> Result<SlotGuard<'a>, CallError> {
         *lock(&call.coroutine) = Some(coroutine::current());
         loop {
             {
                 let mut slots = lock(&self.slots);
-                if slots.taken < self.limits.max_store_connections {
-                    slots.taken += 1;
-                    return Ok(Slot(self));
+                if slots.in_use < self.limits.max_store_connections {
+                    slots.in_use += 1;
+                    return Ok(SlotGuard(self));
                 }
                 slots.waiting.push_back(coroutine::current());
             }
-            self.check(call, Outcome::Rejected)?;
+            self.check_pending(call, Outcome::Rejected)?;
             coroutine::park();
         }
     }
@@ -175,9 +175,9 @@
         loop {
             let Some(address) = self.addresses.get().store else { return Err(unreachable) };
             // Bounded before it becomes a duration, which has no room for a customer's endless timeout.
-            let left = call.deadline - self.clock.now();
-            let left = left.clamp(MIN_CONNECT_TIMEOUT, self.limits.connect_timeout.as_secs_f64());
-            match TcpStream::connect_timeout(&address, Duration::from_secs_f64(left)) {
+            let remaining = call.deadline - self.clock.now();
+            let remaining = remaining.clamp(MIN_CONNECT_TIMEOUT, self.limits.connect_timeout.as_secs_f64());
+            match TcpStream::connect_timeout(&address, Duration::from_secs_f64(remaining)) {
                 Ok(stream) => return Ok(stream),
                 // It moved meanwhile.
                 Err(_) if self.addresses.get().store != Some(address) => {}
@@ -196,7 +196,7 @@
         let limits = &self.limits;
         let mut input =
             RingBuffer::new(limits.min_buffer_bytes, limits.max_head_bytes + limits.max_reply_bytes);
-        let mut reply_began = None;
+        let mut reply_started_at = None;
         loop {
             if out.drain_to(stream.inner()).is_err() {
                 return Err(CallError::Ended(Outcome::ConnectionLost));
@@ -204,12 +204,12 @@
             if let Some(reply) = self.read_available(&mut input, stream)? {
                 return Ok(reply);
             }
-            self.check(call, Outcome::TimedOut)?;
+            self.check_pending(call, Outcome::TimedOut)?;
             // A reply that stops half way does not go on: what it lacks was never meant to come.
             if !input.is_empty() {
                 let now = self.clock.now();
-                call.replying.store(true, Ordering::Relaxed);
-                if now - *reply_began.get_or_insert(now) > limits.reply_stall_timeout {
+                call.reply_started.store(true, Ordering::Relaxed);
+                if now - *reply_started_at.get_or_insert(now) > limits.reply_stall_timeout {
                     return Err(CallError::Ended(Outcome::ConnectionLost));
                 }
             }
@@ -248,12 +248,12 @@
     }
 
     /// Whether to go on waiting; past its deadline the call has ended as `late`.
-    fn check(&self, call: &StoreCall, late: Outcome) -> Result<(), CallError> {
+    fn check_pending(&self, call: &StoreCall, expired: Outcome) -> Result<(), CallError> {
         if call.abandoned.load(Ordering::Relaxed) {
             return Err(CallError::Abandoned);
         }
         if self.clock.now() >= call.deadline {
-            return Err(CallError::Ended(late));
+            return Err(CallError::Ended(expired));
         }
         Ok(())
     }
@@ -287,12 +287,12 @@
 }
 
 /// A slot among the store's connections, given on when its call is over.
-struct Slot<'a>(&'a StoreClient);
+struct SlotGuard<'a>(&'a StoreClient);
 
-impl Drop for Slot<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         let mut slots = lock(&self.0.slots);
-        slots.taken -= 1;
+        slots.in_use -= 1;
         if let Some(next) = slots.waiting.pop_front() {
             next.unpark();
         }
--- a/crates/server/src/wire/store/tests.rs
+++ b/crates/server/src/wire/store/tests.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn a_call_given_up_before_its_connection_stands_is_never_sent() {
+fn abandoned_call_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let example = puffinladder_toy::town::EXAMPLE
         .replace("127.0.0.1:7700", &listener.local_addr().unwrap().to_string());
