--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -37,7 +37,7 @@
 /// Periodic sender of load reports.
 struct Publisher {
     identity: ServerIdentity,
-    control: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     interval: Duration,
     counters: Arc<Counters>,
     dispatcher: Arc<Dispatcher>,
@@ -60,7 +60,7 @@
     let Some(counters) = dispatcher.log.counters().cloned() else { return Ok(()) };
     let publisher = Publisher {
         identity: identity(settings, config, listen),
-        control: settings.control_addresses.clone(),
+        control_addresses: settings.control_addresses.clone(),
         interval: Duration::from_secs_f64(settings.interval),
         counters,
         dispatcher: dispatcher.clone(),
@@ -96,7 +96,8 @@
 impl Publisher {
     fn run(&self) {
         let started = Instant::now();
-        let mut connections: Vec<Option<ReportConnection>> = self.control.iter().map(|_| None).collect();
+        let mut connections: Vec<Option<ReportConnection>> =
+            self.control_addresses.iter().map(|_| None).collect();
         let mut was_reached = true;
         for sequence in 1u64.. {
             thread::sleep(self.interval);
@@ -108,7 +109,10 @@
                 if reached {
                     tracing::info!("publish: control service reachable again");
                 } else {
-                    tracing::info!("publish: no control service reachable at {:?}; retrying", self.control);
+                    tracing::info!(
+                        "publish: no control service reachable at {:?}; retrying",
+                        self.control_addresses
+                    );
                 }
             }
         }
@@ -117,7 +121,7 @@
     /// Sends a report to every control service, since they do not share reports. Returns whether any send succeeded.
     fn send_to_all(&self, report: &Report, connections: &mut [Option<ReportConnection>]) -> bool {
         let mut reached = false;
-        for (address, connection) in self.control.iter().zip(connections) {
+        for (address, connection) in self.control_addresses.iter().zip(connections) {
             if connection.is_none() {
                 *connection = self.connect(address);
             }
@@ -131,7 +135,7 @@
 
     fn send_on(&self, connection: &mut ReportConnection, report: &Report) -> io::Result<()> {
         connection.read_offer()?;
-        let max_bytes = max_report_bytes(self.control.len(), self.interval);
+        let max_bytes = max_report_bytes(self.control_addresses.len(), self.interval);
         let Report { sample, sequence, created_at } = report;
         let line = connection.encoder.line(&self.identity, sample, *sequence, *created_at, max_bytes);
         connection.stream.write_all(line.as_bytes())
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -81,9 +81,9 @@
 /// Opens the listening socket and starts all services.
 fn start_services(server: &Server, settings: &Settings) -> Result<(), StartError> {
     let address = server.config.listen;
-    let failed = |source| StartError::Listen { address, source };
-    let listener = TcpListener::bind(address).map_err(failed)?;
-    let listen = listener.inner().local_addr().map_err(failed)?;
+    let listen_error = |source| StartError::Listen { address, source };
+    let listener = TcpListener::bind(address).map_err(listen_error)?;
+    let listen = listener.inner().local_addr().map_err(listen_error)?;
     tracing::info!("{} listens on {listen}", server.config.name);
     if let Some(settings) = &settings.publish {
         let (config, limits) = (&server.config, &server.limits);
--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -35,7 +35,7 @@
     waker: Option<WaitIoWaker>,
     /// Commands are accepted. False while the agent replays notices on a new connection: it is not yet known which earlier
     /// commands it has read, and `Event::Resume` triggers resending.
-    open: bool,
+    accepting_commands: bool,
     /// Tag of the last gauge poll sent.
     last_poll: u64,
     /// Tag of the last gauge poll answered: commands sent before it on this connection have been read.
@@ -51,7 +51,7 @@
         let state = LinkState {
             unsent: RingBuffer::new(min_buffer, max_unsent),
             waker: None,
-            open: false,
+            accepting_commands: false,
             last_poll: 0,
             last_answer: 0,
             mark_sent_at: f64::MAX,
@@ -110,7 +110,7 @@
     /// Polls the gauges. Tags must increase.
     pub fn poll_gauges(&self, tag: u64) {
         let mut state = self.state();
-        if state.open {
+        if state.accepting_commands {
             state.push(sample_command(&tag.to_string()));
             state.last_poll = tag;
         }
@@ -119,7 +119,7 @@
     /// Disconnects if a replay mark sent before `since` was not answered: commands would be held back indefinitely.
     pub fn break_stalled_replay(&self, since: f64) {
         let mut state = self.state();
-        if !state.open && state.mark_sent_at < since {
+        if !state.accepting_commands && state.mark_sent_at < since {
             state.broken = true;
             state.wake();
         }
@@ -133,7 +133,7 @@
     /// Sends a JSON object without its closing brace. Drops it if commands are not accepted.
     fn send(&self, line: Vec<u8>) -> CommandStamp {
         let mut state = self.state();
-        if !state.open {
+        if !state.accepting_commands {
             return NOT_SENT;
         }
         state.push(line);
@@ -158,8 +158,8 @@
     }
 
     /// Accepts commands from now on. Returns whether they were held back before.
-    pub(super) fn open(&self) -> bool {
-        !std::mem::replace(&mut self.state().open, true)
+    pub(super) fn accept_commands(&self) -> bool {
+        !std::mem::replace(&mut self.state().accepting_commands, true)
     }
 
     /// Records the answer to a poll.
@@ -186,7 +186,7 @@
     fn push(&mut self, mut line: Vec<u8>) {
         line.extend_from_slice(b"}\n");
         if self.unsent.push(&line).is_err() {
-            (self.broken, self.open) = (true, false);
+            (self.broken, self.accepting_commands) = (true, false);
         }
         self.wake();
     }
@@ -199,7 +199,7 @@
 
     fn close(&mut self) {
         self.waker = None;
-        self.open = false;
+        self.accepting_commands = false;
         self.mark_sent_at = f64::MAX;
         self.broken = false;
         self.unsent.consume(usize::MAX);
--- a/crates/server/src/wire/agent/link/tests.rs
+++ b/crates/server/src/wire/agent/link/tests.rs
@@ -5,7 +5,7 @@
     let link = AgentLink::new(64, 4096);
     let attempt = b"00000000000000aa";
     assert_eq!(link.freeze(attempt), NOT_SENT, "commands are held back until the link is open");
-    assert!(link.open() && !link.open());
+    assert!(link.accept_commands() && !link.accept_commands());
     link.launch(attempt, "a \"quote\"", b"body");
     link.freeze(attempt);
     link.thaw(attempt);
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -175,7 +175,7 @@
 
     /// Accepts commands if they were held back: replay is complete, and requests resend unconfirmed commands.
     fn resume_commands(&self) {
-        if self.link.open() {
+        if self.link.accept_commands() {
             self.dispatcher.resume_all();
             self.dispatcher.start();
         }
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -16,7 +16,7 @@
     /// Number of descriptors held by served and closing connections, from accept to close.
     pub descriptors: AtomicUsize,
     /// Wakes the listener when a connection or descriptor is released.
-    freed: WaitQueue,
+    released: WaitQueue,
     context: Arc<ConnectionContext>,
 }
 
@@ -27,7 +27,7 @@
             serving: Mutex::default(),
             closing: Mutex::default(),
             descriptors: AtomicUsize::new(0),
-            freed: WaitQueue::default(),
+            released: WaitQueue::default(),
             context,
         }
     }
@@ -54,7 +54,7 @@
     /// Removes a served connection.
     pub fn remove(&self, serial: usize) {
         if self.serving().remove(&serial).is_some() {
-            self.freed.wake_all();
+            self.released.wake_all();
         }
     }
 
@@ -83,7 +83,7 @@
             }
         }
         lock(&self.closing).iter().for_each(|connection| connection.wake());
-        self.freed.wake_all();
+        self.released.wake_all();
     }
 
     /// Sends goaway on all idle connections before shutdown.
@@ -128,7 +128,7 @@
     /// Waits until a descriptor is available.
     pub fn wait_for_descriptor(&self) {
         while !self.reserve_descriptor() {
-            self.freed.wait();
+            self.released.wait();
         }
     }
 
@@ -153,7 +153,7 @@
 
     /// Waits for the release of a connection or descriptor, or for the next housekeeping cycle.
     pub fn wait_for_release(&self) {
-        self.freed.wait();
+        self.released.wait();
     }
 
     /// Adds a closing connection.
@@ -179,6 +179,6 @@
     /// Counts a descriptor as released.
     pub fn release_descriptor(&self) {
         self.descriptors.fetch_sub(1, Ordering::Relaxed);
-        self.freed.wake_all();
+        self.released.wake_all();
     }
 }
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -74,17 +74,17 @@
     }
 
     /// Starts a call on behalf of a request. Its result is sent to `mailbox` as `Event::Returned` unless the call is
-    /// abandoned. `limit` is the call's timeout, s.
+    /// abandoned. `timeout` is in seconds.
     pub fn call(
         self: &Arc<Self>,
         attempt: AttemptId,
         body: Vec<u8>,
-        limit: f64,
+        timeout: f64,
         mailbox: &Arc<Mailbox>,
     ) -> Arc<StoreCall> {
         let started_at = self.clock.now();
         let call = Arc::new(StoreCall {
-            deadline: started_at + limit,
+            deadline: started_at + timeout,
             abandoned: AtomicBool::new(false),
             finished: AtomicBool::new(false),
             reply_started: AtomicBool::new(false),
@@ -94,7 +94,7 @@
         lock(&self.calls).push(call.clone());
         let (client, mailbox, this) = (self.clone(), mailbox.clone(), call.clone());
         may::go!(move || {
-            let end = client.execute(&this, &attempt, &body, limit);
+            let end = client.execute(&this, &attempt, &body, timeout);
             this.finished.store(true, Ordering::Relaxed);
             let CallReply { outcome, body } = match end {
                 Ok(reply) => reply,
@@ -131,9 +131,9 @@
         call: &StoreCall,
         attempt: &AttemptId,
         body: &[u8],
-        limit: f64,
+        timeout: f64,
     ) -> Result<CallReply, CallError> {
-        let _slot = self.take_slot(call)?;
+        let _slot = self.acquire_slot(call)?;
         let stream = self.connect(call)?;
         let _ = stream.set_nodelay(true);
         *lock(&call.waker) = Some(stream.waker());
@@ -144,7 +144,7 @@
             self.limits.max_head_bytes + self.limits.max_line_bytes,
         );
         let attempt = String::from_utf8_lossy(attempt);
-        let wait_ms = (limit * MILLISECONDS_PER_SECOND).ceil();
+        let wait_ms = (timeout * MILLISECONDS_PER_SECOND).ceil();
         let headers = format!("X-For-Request: {attempt}\r\nX-Wait-Ms: {wait_ms}\r\n");
         if out.push(&http::write_request("POST /query", "store", &headers, body)).is_err() {
             return Err(CallError::Ended(Outcome::NotNeeded));
@@ -153,7 +153,7 @@
     }
 
     /// Waits for a connection slot. The wait counts towards the call's timeout.
-    fn take_slot<'a>(&'a self, call: &StoreCall) -> Result<SlotGuard<'a>, CallError> {
+    fn acquire_slot<'a>(&'a self, call: &StoreCall) -> Result<SlotGuard<'a>, CallError> {
         *lock(&call.coroutine) = Some(coroutine::current());
         loop {
             {
