--- a/crates/server/src/ingress/session.rs
+++ b/crates/server/src/ingress/session.rs
@@ -24,19 +24,15 @@
 
 /// State shared by all sessions.
 pub struct SessionContext {
-    /// All gateway connections.
     pub connections: Arc<Connections>,
     /// Answers health checks.
     pub dispatcher: Arc<Dispatcher>,
-    /// Decodes requests.
     pub decoder: RequestDecoder,
     /// State shared by all requests.
     pub requests: Arc<RequestContext>,
     /// Logs faults of gateways.
     pub faults: Arc<FaultLog>,
-    /// Process clock.
     pub clock: Arc<Clock>,
-    /// Size and time limits.
     pub limits: Arc<Limits>,
 }
 
@@ -83,9 +79,7 @@
 pub struct Session {
     /// State shared by all sessions.
     pub(super) context: Arc<SessionContext>,
-    /// Connection of this session.
     pub(super) connection: Arc<Connection>,
-    /// Serial number of the connection.
     pub(super) serial: usize,
 }
 
--- a/crates/server/src/lifecycle/dispatch_loop.rs
+++ b/crates/server/src/lifecycle/dispatch_loop.rs
@@ -32,9 +32,7 @@
     pub housekeeping: Arc<WaitQueue>,
     /// Set to the dispatcher's next deadline.
     pub alarm: Arc<Alarm>,
-    /// Process clock.
     pub clock: Arc<Clock>,
-    /// Time and count limits.
     pub limits: Arc<Limits>,
 }
 
--- a/crates/server/src/lifecycle/logging.rs
+++ b/crates/server/src/lifecycle/logging.rs
@@ -17,9 +17,7 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Number of queued lines.
 static QUEUED: AtomicU64 = AtomicU64::new(0);
-/// Number of written lines.
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 /// Number of lines dropped because the queue was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -21,7 +21,6 @@
 /// Buffer size for the line with the formats that a service supports.
 const OFFER_READ_BYTES: usize = 256;
 
-/// Connection to a control service.
 struct ReportConnection {
     stream: TcpStream,
     encoder: ReportEncoder,
--- a/crates/server/src/lifecycle/server.rs
+++ b/crates/server/src/lifecycle/server.rs
@@ -31,17 +31,13 @@
 pub struct Server {
     /// Configuration read at startup. Its peer addresses may be outdated; see `addresses`.
     pub config: Arc<ServerConfig>,
-    /// Current peer addresses.
     pub addresses: Arc<PeerAddresses>,
-    /// Size, count and time limits.
     pub limits: Arc<Limits>,
-    /// Process clock.
     pub clock: Arc<Clock>,
     /// Runs the admission policy.
     pub dispatcher: Arc<Dispatcher>,
     /// Sending side of the agent connection.
     pub agent: Arc<AgentLink>,
-    /// Gateway connections.
     pub connections: Arc<Connections>,
     /// State shared by all requests.
     pub requests: Arc<RequestContext>,
@@ -109,7 +105,6 @@
         }
     }
 
-    /// Creates the dispatcher loop.
     pub fn dispatch_loop(&self) -> DispatchLoop {
         DispatchLoop {
             dispatcher: self.dispatcher.clone(),
@@ -139,7 +134,6 @@
         }
     }
 
-    /// Creates the registry reporter.
     pub fn registry_reporter(&self) -> RegistryReporter {
         RegistryReporter {
             dispatcher: self.dispatcher.clone(),
@@ -152,7 +146,6 @@
         }
     }
 
-    /// Creates the gateway listener.
     pub fn gateway_listener(&self) -> GatewayListener {
         GatewayListener { context: self.sessions.clone(), housekeeping: self.housekeeping.clone() }
     }
--- a/crates/server/src/runtime/addresses.rs
+++ b/crates/server/src/runtime/addresses.rs
@@ -13,7 +13,6 @@
         PeerAddresses(Mutex::new(peers))
     }
 
-    /// Returns the current addresses.
     pub fn get(&self) -> Peers {
         *lock(&self.0)
     }
--- a/crates/server/src/runtime/clock.rs
+++ b/crates/server/src/runtime/clock.rs
@@ -28,7 +28,6 @@
 }
 
 impl Clock {
-    /// Returns the current time, s.
     pub fn now(&self) -> f64 {
         self.monotonic(unix_now())
     }
--- a/crates/server/src/runtime/fault_log.rs
+++ b/crates/server/src/runtime/fault_log.rs
@@ -21,7 +21,6 @@
 }
 
 impl FaultLog {
-    /// Creates a fault log with an empty window.
     pub fn new(clock: Arc<Clock>, limits: Arc<Limits>) -> FaultLog {
         FaultLog { clock, limits, window: Mutex::default() }
     }
--- a/crates/server/src/runtime/request_slots.rs
+++ b/crates/server/src/runtime/request_slots.rs
@@ -14,7 +14,6 @@
         RequestSlots { in_use: AtomicUsize::new(0), max }
     }
 
-    /// Returns the number of slots in use.
     pub fn in_use(&self) -> usize {
         self.in_use.load(Ordering::Relaxed)
     }
@@ -28,7 +27,6 @@
         free
     }
 
-    /// Releases an acquired slot.
     pub fn release(&self) {
         self.in_use.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/server/src/runtime/summary.rs
+++ b/crates/server/src/runtime/summary.rs
@@ -24,7 +24,6 @@
 pub struct Activity {
     /// Requests in flight.
     pub in_flight: usize,
-    /// Gateway connections.
     pub gateways: usize,
     /// Connections to the store.
     pub store_connections: usize,
--- a/crates/server/src/runtime/wait_queue.rs
+++ b/crates/server/src/runtime/wait_queue.rs
@@ -17,7 +17,6 @@
         coroutine::park();
     }
 
-    /// Wakes all waiting coroutines.
     pub fn wake_all(&self) {
         let waiting = std::mem::take(&mut *lock(&self.waiting));
         waiting.iter().for_each(Coroutine::unpark);
--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -29,7 +29,6 @@
     greeted: AtomicBool,
 }
 
-/// State of the connection.
 struct LinkState {
     unsent: RingBuffer,
     waker: Option<WaitIoWaker>,
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -55,9 +55,7 @@
     pub faults: Arc<FaultLog>,
     /// Paces reconnection attempts.
     pub housekeeping: Arc<WaitQueue>,
-    /// Process clock.
     pub clock: Arc<Clock>,
-    /// Size and time limits.
     pub limits: Arc<Limits>,
 }
 
--- a/crates/server/src/wire/gateway/connection.rs
+++ b/crates/server/src/wire/gateway/connection.rs
@@ -21,9 +21,7 @@
 
 /// State shared by all connections.
 pub struct ConnectionContext {
-    /// Process clock.
     pub clock: Arc<Clock>,
-    /// Size and time limits.
     pub limits: Arc<Limits>,
     /// Logs faults of gateways.
     pub faults: Arc<FaultLog>,
@@ -42,13 +40,11 @@
     context: Arc<ConnectionContext>,
 }
 
-/// Mutable state of a connection.
 pub struct ConnectionState {
     /// Bytes not yet written to the socket.
     pub unsent: RingBuffer,
     /// Mailboxes of unanswered requests by tag.
     pub open_requests: HashMap<u64, Arc<Mailbox>>,
-    /// Tags used by the gateway.
     pub used_tags: UsedTags,
     /// No more messages are accepted or written.
     pub closed: bool,
@@ -60,7 +56,6 @@
     pub last_used: f64,
     /// Time at which the connection was accepted, s.
     pub accepted_at: f64,
-    /// Number of messages received.
     pub messages: u32,
     /// Start time of the incomplete message, s. The first message starts with the connection.
     pub message_started_at: Option<f64>,
@@ -128,12 +123,10 @@
         Connection { state: Mutex::new(state), refusals, waker: stream.waker(), context: context.clone() }
     }
 
-    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, ConnectionState> {
         lock(&self.state)
     }
 
-    /// Wakes the connection's session.
     pub fn wake(&self) {
         self.waker.wakeup();
     }
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -37,7 +37,6 @@
         &self.context
     }
 
-    /// Returns the number of served connections.
     pub fn count(&self) -> usize {
         self.serving().len()
     }
@@ -46,12 +45,10 @@
         lock(&self.serving)
     }
 
-    /// Adds a served connection.
     pub fn insert(&self, serial: usize, connection: Arc<Connection>) {
         self.serving().insert(serial, connection);
     }
 
-    /// Removes a served connection.
     pub fn remove(&self, serial: usize) {
         if self.serving().remove(&serial).is_some() {
             self.released.wake_all();
@@ -156,7 +153,6 @@
         self.released.wait();
     }
 
-    /// Adds a closing connection.
     pub fn begin_closing(&self, connection: &Arc<Connection>) {
         lock(&self.closing).push_back(connection.clone());
     }
@@ -166,7 +162,6 @@
         lock(&self.closing).iter().any(|other| Arc::ptr_eq(other, connection))
     }
 
-    /// Removes a closing connection.
     pub fn end_closing(&self, connection: &Arc<Connection>) {
         lock(&self.closing).retain(|other| !Arc::ptr_eq(other, connection));
     }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -60,11 +60,9 @@
 /// A complete reply.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply<'a> {
-    /// Status code.
     pub status: u16,
     /// Whether the header `X-Not-Run: 1` is present.
     pub not_run: bool,
-    /// Body of the reply.
     pub body: &'a [u8],
 }
 
--- a/crates/server/src/wire/registry.rs
+++ b/crates/server/src/wire/registry.rs
@@ -38,9 +38,7 @@
     pub config: Arc<ServerConfig>,
     /// Paces the checks for due reports.
     pub housekeeping: Arc<WaitQueue>,
-    /// Process clock.
     pub clock: Arc<Clock>,
-    /// Size and time limits.
     pub limits: Arc<Limits>,
 }
 
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -9,7 +9,6 @@
     length: usize,
     /// Largest allocation kept when the buffer is empty.
     min_size: usize,
-    /// Maximum number of bytes held.
     max_size: usize,
 }
 
@@ -40,17 +39,14 @@
         }
     }
 
-    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Returns whether the buffer holds its maximum.
     pub fn is_full(&self) -> bool {
         self.length == self.max_size
     }
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -27,7 +27,6 @@
 /// Client of the store.
 pub struct StoreClient {
     slots: Mutex<ConnectionSlots>,
-    /// Calls in progress.
     calls: Mutex<Vec<Arc<StoreCall>>>,
     addresses: Arc<PeerAddresses>,
     clock: Arc<Clock>,
@@ -68,7 +67,6 @@
 }
 
 impl StoreClient {
-    /// Creates a client without calls.
     pub fn new(addresses: Arc<PeerAddresses>, clock: Arc<Clock>, limits: Arc<Limits>) -> StoreClient {
         StoreClient { slots: Mutex::default(), calls: Mutex::default(), addresses, clock, limits }
     }
