--- a/crates/server/src/ingress/session.rs
+++ b/crates/server/src/ingress/session.rs
@@ -1,4 +1,4 @@
-//! The conversation on one connection of a gateway, from its first message to its close.
+//! Session of one gateway connection, from its first message to its close.
 
 use super::decode::RequestDecoder;
 use crate::dispatcher::Dispatcher;
@@ -19,109 +19,103 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes that are read at once while a connection closes.
+/// Buffer size for reads from a closing connection.
 const DISCARD_BYTES: usize = 1024;
 
-/// What the conversations on all connections share.
+/// State shared by all sessions.
 pub struct SessionContext {
-    /// The connections.
     pub connections: Arc<Connections>,
     /// Answers health checks.
     pub dispatcher: Arc<Dispatcher>,
-    /// Reads requests.
     pub decoder: RequestDecoder,
-    /// Runs requests.
+    /// State shared by all requests.
     pub requests: Arc<RequestContext>,
-    /// Where gateways' faults are logged.
+    /// Logs faults of gateways.
     pub faults: Arc<FaultLog>,
-    /// The process's clock.
     pub clock: Arc<Clock>,
-    /// Sizes and times.
     pub limits: Arc<Limits>,
 }
 
-/// What a gateway did that ends its connection.
+/// Protocol violation by a gateway, which closes its connection.
 #[derive(Debug, Error)]
 enum ProtocolViolation {
     #[error(transparent)]
     Framing(#[from] FramingError),
-    #[error("a tag that is no number from 1 up")]
-    MalformedTag,
-    #[error("tag {0} used again")]
+    #[error("invalid tag \"{0}\"; expected a decimal number from 1")]
+    MalformedTag(String),
+    #[error("tag {0} was already used on this connection")]
     ReusedTag(u64),
-    #[error("an unknown verb")]
-    UnknownVerb,
-    #[error("too many open txns")]
-    TooManyOpenRequests,
-    #[error("an oversized message")]
-    OversizedMessage,
-    #[error("no first message")]
-    NoFirstMessage,
-    #[error("an unfinished message")]
-    UnfinishedMessage,
+    #[error("unknown command \"{0}\"; expected CALL, CANCEL or CHECK")]
+    UnknownCommand(String),
+    #[error("more than {limit} requests open")]
+    TooManyOpenRequests { limit: usize },
+    #[error("incomplete message of {length} bytes exceeds the limit of {limit}")]
+    OversizedMessage { length: usize, limit: usize },
+    #[error("no message within {timeout} s")]
+    NoFirstMessage { timeout: f64 },
+    #[error("message incomplete after {timeout} s: {received} bytes received")]
+    UnfinishedMessage { timeout: f64, received: usize },
 }
 
-/// How a conversation that broke no rule ended.
-enum ConversationEnd {
-    /// The gateway ended it, or it reads nothing: there is nobody to say anything to.
-    Gone,
-    /// It is closed from here, with nothing owed on it.
+/// End of a session without a protocol violation.
+enum SessionEnd {
+    /// The gateway closed the connection or does not read from it.
+    Disconnected,
+    /// The server closes the connection, with no answers pending.
     Closing,
 }
 
-/// Why reading stopped for now.
+/// Reason why reading paused.
 enum ReadPause {
-    /// All that has come is read.
-    Exhausted,
-    /// Others have their turn.
-    TurnOver,
-    /// Nothing more comes.
-    Ended,
+    /// No more bytes are available.
+    WouldBlock,
+    /// The connection has used its read quota; other coroutines run first.
+    QuotaReached,
+    /// The stream ended or failed.
+    EndOfStream,
 }
 
-/// A connection that is served; whatever ends it, its requests count as cancelled.
+/// Connection being served. Its open requests are cancelled on drop.
 pub struct Session {
-    /// What it shares with the others.
+    /// State shared by all sessions.
     pub(super) context: Arc<SessionContext>,
-    /// The connection.
     pub(super) connection: Arc<Connection>,
-    /// Its number among the connections.
     pub(super) serial: usize,
 }
 
 impl Session {
-    /// Serves the connection to its end.
+    /// Serves the connection until it closes.
     pub(super) fn serve(&self, stream: &TcpStream) {
-        match self.converse(stream) {
-            Ok(ConversationEnd::Gone) => {}
-            Ok(ConversationEnd::Closing) => self.close(stream),
+        match self.exchange_messages(stream) {
+            Ok(SessionEnd::Disconnected) => {}
+            Ok(SessionEnd::Closing) => self.close(stream),
             Err(violation) => {
-                self.context.faults.warn(format_args!("gateway: a connection closed: {violation}"));
+                self.context.faults.warn(format_args!("gateway: closing connection: {violation}"));
                 self.close(stream);
             }
         }
     }
 
-    /// Reads and writes until the connection ends.
-    fn converse(&self, stream: &TcpStream) -> Result<ConversationEnd, ProtocolViolation> {
+    /// Exchanges messages until the connection ends.
+    fn exchange_messages(&self, stream: &TcpStream) -> Result<SessionEnd, ProtocolViolation> {
         let limits = &self.context.limits;
         let mut input = RingBuffer::new(limits.min_buffer_bytes, 2 * limits.max_message_bytes);
         loop {
             let pause = self.read_messages(&mut input, stream)?;
             let mut state = self.connection.state();
             let written = self.connection.flush(&mut state, stream);
-            if matches!(pause, ReadPause::Ended) || state.closed || written.is_err() {
-                return Ok(ConversationEnd::Gone);
+            if matches!(pause, ReadPause::EndOfStream) || state.closed || written.is_err() {
+                return Ok(SessionEnd::Disconnected);
             }
-            if matches!(pause, ReadPause::TurnOver) {
+            if matches!(pause, ReadPause::QuotaReached) {
                 drop(state);
                 coroutine::yield_now();
                 continue;
             }
-            // Only now that all that has come is read: a request that crossed the wish to close is served.
+            // Checked after all available bytes are read, so that a request sent before the close is served.
             if std::mem::take(&mut state.close_requested) && state.is_idle() {
                 state.closed = true;
-                return Ok(ConversationEnd::Closing);
+                return Ok(SessionEnd::Closing);
             }
             self.check_message_timeout(&state, &input)?;
             drop(state);
@@ -129,7 +123,7 @@
         }
     }
 
-    /// Reads until nothing more has come, or others should have their turn.
+    /// Reads and handles messages until no bytes are available or the read quota is used.
     fn read_messages(
         &self,
         input: &mut RingBuffer,
@@ -140,55 +134,56 @@
         loop {
             match input.fill_from(stream.inner()) {
                 Ok(ReadOutcome::Bytes(count)) => bytes += count,
-                Ok(ReadOutcome::WouldBlock) => return Ok(ReadPause::Exhausted),
-                Ok(ReadOutcome::Closed) | Err(_) => return Ok(ReadPause::Ended),
+                Ok(ReadOutcome::WouldBlock) => return Ok(ReadPause::WouldBlock),
+                Ok(ReadOutcome::Closed) | Err(_) => return Ok(ReadPause::EndOfStream),
             }
             let mut messages = 0;
             while let Some(array) = resp::read_array(input.contiguous(), limits.max_element_bytes)? {
                 let size = array.size;
-                self.receive(&array)?;
+                self.handle_message(&array)?;
                 input.consume(size);
                 messages += 1;
             }
             self.connection.state().record_read(messages, input.is_empty(), self.context.clock.now());
             if input.len() > limits.max_message_bytes {
-                return Err(ProtocolViolation::OversizedMessage);
+                let (length, limit) = (input.len(), limits.max_message_bytes);
+                return Err(ProtocolViolation::OversizedMessage { length, limit });
             }
             if bytes > limits.read_turn_bytes {
-                return Ok(ReadPause::TurnOver);
+                return Ok(ReadPause::QuotaReached);
             }
         }
     }
 
-    /// All that has come is read: what is unfinished now has had its time. Answers that are owed go out first.
+    /// Fails if a message is incomplete past its timeout. Connections with open requests are exempt until answered.
     fn check_message_timeout(
         &self,
         state: &ConnectionState,
         input: &RingBuffer,
     ) -> Result<(), ProtocolViolation> {
         let timeout = self.context.limits.message_timeout;
-        let late = |since| self.context.clock.now() - since > timeout;
-        if !state.open_requests.is_empty() || !state.message_began.is_some_and(late) {
+        let timed_out = |since| self.context.clock.now() - since > timeout;
+        if !state.open_requests.is_empty() || !state.message_started_at.is_some_and(timed_out) {
             return Ok(());
         }
         Err(match input.is_empty() {
-            true => ProtocolViolation::NoFirstMessage,
-            false => ProtocolViolation::UnfinishedMessage,
+            true => ProtocolViolation::NoFirstMessage { timeout },
+            false => ProtocolViolation::UnfinishedMessage { timeout, received: input.len() },
         })
     }
 
-    /// One message of a gateway.
-    fn receive(&self, array: &Array) -> Result<(), ProtocolViolation> {
+    /// Handles one message of a gateway.
+    fn handle_message(&self, array: &Array) -> Result<(), ProtocolViolation> {
         let limits = &self.context.limits;
-        let tag = resp::parse_decimal(array.at(1)).filter(|&tag| tag > 0);
-        let tag = tag.ok_or(ProtocolViolation::MalformedTag)?;
+        let tag = resp::parse_decimal(array.element(1)).filter(|&tag| tag > 0);
+        let tag = tag.ok_or_else(|| ProtocolViolation::MalformedTag(resp::excerpt(array.element(1))))?;
         let mut state = self.connection.state();
-        // What stands behind the message at which it was cut off is not taken: its answer could not go out.
+        // Messages after the close are ignored: their answers could not be sent.
         if state.closed {
             return Ok(());
         }
         state.last_used = self.context.clock.now();
-        match array.at(0) {
+        match array.element(0) {
             b"CANCEL" => {
                 if let Some(mailbox) = state.open_requests.remove(&tag) {
                     mailbox.send(Event::Cancelled);
@@ -196,18 +191,19 @@
                 return Ok(());
             }
             b"CALL" | b"CHECK" => {}
-            _ => return Err(ProtocolViolation::UnknownVerb),
+            command => return Err(ProtocolViolation::UnknownCommand(resp::excerpt(command))),
         }
         if !state.used_tags.insert(tag, limits.max_remembered_tags) {
             return Err(ProtocolViolation::ReusedTag(tag));
         }
-        state.asked_for_health = array.at(0) == b"CHECK";
-        if state.asked_for_health {
-            self.answer_health_check(&mut state, array.at(1));
+        state.is_health_check = array.element(0) == b"CHECK";
+        if state.is_health_check {
+            self.answer_health_check(&mut state, array.element(1));
             return Ok(());
         }
         if state.open_requests.len() >= limits.max_open_requests {
-            return Err(ProtocolViolation::TooManyOpenRequests);
+            let limit = limits.max_open_requests;
+            return Err(ProtocolViolation::TooManyOpenRequests { limit });
         }
         let mailbox = Arc::new(Mailbox::default());
         state.open_requests.insert(tag, mailbox.clone());
@@ -231,24 +227,24 @@
                 request::start(&context.requests, received, mailbox, self.connection.clone(), tag);
             }
             Err(error) => {
-                context.faults.warn(format_args!("gateway: tag {tag} failed unread: {error}"));
+                context.faults.warn(format_args!("gateway: tag {tag}: invalid request: {error}"));
                 self.connection.answer(tag, "500", &[], &[]);
             }
         }
     }
 
-    /// Frees its place: nothing more is taken or owed here.
-    fn leave(&self) {
+    /// Removes the connection from the served ones and cancels its open requests.
+    fn deregister(&self) {
         self.context.connections.remove(self.serial);
         self.connection.cancel_all();
     }
 
-    /// Ends the connection: what is written goes out, then FIN, and what still comes is read and discarded for a while.
-    /// Closed over unread bytes it would be reset, and the reset overtakes answers that are on their way. What is
-    /// discarded was never taken: its gateway sends it once more.
+    /// Closes the connection gracefully: flushes pending output, sends FIN, then reads and discards input until a deadline.
+    /// Closing a socket with unread input would send RST, which can destroy answers in transit. Gateways resend discarded
+    /// requests.
     fn close(&self, stream: &TcpStream) {
         let (context, connection) = (&*self.context, &self.connection);
-        self.leave();
+        self.deregister();
         context.connections.begin_closing(connection);
         let deadline = context.clock.now() + context.limits.closing_timeout;
         let mut bytes_left = context.limits.max_closing_bytes;
@@ -283,7 +279,7 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        self.leave();
+        self.deregister();
         self.context.connections.end_closing(&self.connection);
         self.connection.discard_unsent();
     }
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -1,6 +1,5 @@
-//! Reports to control services what this server decided of late, if the settings ask for it: a line of JSON a few times a
-//! second, over TCP, from a thread of its own. Nobody waits for it, and nothing comes back but a line that says which formats of
-//! reports the service reads.
+//! Publisher of load reports to the control services, if configured: JSON lines over TCP, sent periodically from a
+//! dedicated thread. A service replies only with one line that lists the report formats it supports.
 
 use super::error::StartError;
 use crate::dispatcher::Dispatcher;
@@ -19,33 +18,36 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes that are read at once of what a service says: its line is shorter.
-const OFFER_CHUNK: usize = 256;
+/// Buffer size for the line with the formats that a service supports.
+const OFFER_READ_BYTES: usize = 256;
 
-/// A connection to a control service.
 struct ReportConnection {
     stream: TcpStream,
     encoder: ReportEncoder,
 }
 
-/// One report, before it is written in the format that a service reads.
+/// Load report before encoding.
 struct Report<'a> {
     sample: &'a LoadSample,
     sequence: u64,
     created_at: f64,
 }
 
-/// Sends the reports.
+/// Periodic sender of load reports.
 struct Publisher {
     identity: ServerIdentity,
-    control: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     interval: Duration,
     counters: Arc<Counters>,
     dispatcher: Arc<Dispatcher>,
     clock: Arc<Clock>,
 }
 
-/// Starts to publish, where anything is counted; the process ends without waiting for it.
+/// Starts the publisher thread if the dispatcher has counters. The thread is not joined at exit.
+///
+/// # Errors
+///
+/// Fails if the thread cannot be started.
 pub fn start(
     settings: &PublishSettings,
     config: &ServerConfig,
@@ -57,7 +59,7 @@
     let Some(counters) = dispatcher.log.counters().cloned() else { return Ok(()) };
     let publisher = Publisher {
         identity: identity(settings, config, listen),
-        control: settings.control_addresses.clone(),
+        control_addresses: settings.control_addresses.clone(),
         interval: Duration::from_secs_f64(settings.interval),
         counters,
         dispatcher: dispatcher.clone(),
@@ -67,17 +69,19 @@
     builder.spawn(move || publisher.run()).map(drop).map_err(StartError::Thread)
 }
 
-/// What does not change while the process lives.
+/// Returns the part of the reports that is constant for the process.
 fn identity(settings: &PublishSettings, config: &ServerConfig, listen: SocketAddr) -> ServerIdentity {
     let (names, policy) = (&config.policy, &config.policy.settings);
     let product = |(name, class): (&String, &RequestClass)| Product {
         name: name.clone(),
         priority_weight: class.priority_weight,
     };
-    let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|span| *span > 0.0);
+    let warm_up = policy.starts_cold.then_some(policy.warm_up_duration).filter(|duration| *duration > 0.0);
     ServerIdentity {
         instance: config.name.clone(),
-        incarnation: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_micros() as u64),
+        incarnation: SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |duration| duration.as_micros() as u64),
         zone: settings.zone.clone(),
         address: settings.advertised_address.unwrap_or(listen),
         cores: policy.cores,
@@ -91,31 +95,37 @@
 impl Publisher {
     fn run(&self) {
         let started = Instant::now();
-        let mut connections: Vec<Option<ReportConnection>> = self.control.iter().map(|_| None).collect();
+        let mut connections: Vec<Option<ReportConnection>> =
+            self.control_addresses.iter().map(|_| None).collect();
         let mut was_reached = true;
         for sequence in 1u64.. {
             thread::sleep(self.interval);
             let created_at = started.elapsed().as_secs_f64();
-            let report = Report { sample: &self.state(), sequence, created_at };
-            let reached = self.send(&report, &mut connections);
+            let report = Report { sample: &self.sample_load(), sequence, created_at };
+            let reached = self.send_to_all(&report, &mut connections);
             if reached != was_reached {
                 was_reached = reached;
-                let change =
-                    if reached { "is heard again" } else { "finds no control service, goes on without" };
-                tracing::info!("publish: {change}");
+                if reached {
+                    tracing::info!("publish: control service reachable again");
+                } else {
+                    tracing::info!(
+                        "publish: no control service reachable at {:?}; retrying",
+                        self.control_addresses
+                    );
+                }
             }
         }
     }
 
-    /// Sends a report to each service: they agree on nothing among themselves. Returns whether any took it.
-    fn send(&self, report: &Report, connections: &mut [Option<ReportConnection>]) -> bool {
+    /// Sends a report to every control service, since they do not share reports. Returns whether any send succeeded.
+    fn send_to_all(&self, report: &Report, connections: &mut [Option<ReportConnection>]) -> bool {
         let mut reached = false;
-        for (address, connection) in self.control.iter().zip(connections) {
+        for (address, connection) in self.control_addresses.iter().zip(connections) {
             if connection.is_none() {
                 *connection = self.connect(address);
             }
             let sent = connection.as_mut().is_some_and(|open| self.send_on(open, report).is_ok());
-            // A line that left in part can't be taken back: that connection is over.
+            // The line may be partly sent, so the connection cannot be reused.
             *connection = connection.take().filter(|_| sent);
             reached |= sent;
         }
@@ -124,7 +134,7 @@
 
     fn send_on(&self, connection: &mut ReportConnection, report: &Report) -> io::Result<()> {
         connection.read_offer()?;
-        let max_bytes = max_report_bytes(self.control.len(), self.interval);
+        let max_bytes = max_report_bytes(self.control_addresses.len(), self.interval);
         let Report { sample, sequence, created_at } = report;
         let line = connection.encoder.line(&self.identity, sample, *sequence, *created_at, max_bytes);
         connection.stream.write_all(line.as_bytes())
@@ -135,7 +145,7 @@
         Some(ReportConnection { stream, encoder: ReportEncoder::new(&self.identity) })
     }
 
-    fn state(&self) -> LoadSample {
+    fn sample_load(&self) -> LoadSample {
         let snapshot = self.counters.take(self.interval.as_secs_f64());
         let class = |rates: &ClassRates| ClassLoad {
             product: rates.class,
@@ -158,12 +168,12 @@
 }
 
 impl ReportConnection {
-    /// Takes what the service has said by now; does not wait for it.
+    /// Reads the supported formats if they have arrived, without blocking.
     fn read_offer(&mut self) -> io::Result<()> {
         if !self.encoder.awaits_offer() {
             return Ok(());
         }
-        let mut chunk = [0; OFFER_CHUNK];
+        let mut chunk = [0; OFFER_READ_BYTES];
         self.stream.set_nonblocking(true)?;
         let read = self.stream.read(&mut chunk);
         self.stream.set_nonblocking(false)?;
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -9,7 +9,7 @@
 use crate::state::received_request::ReceivedRequest;
 use crate::wire::agent::link::{CommandStamp, NO_COMMAND};
 use crate::wire::gateway::connection::Connection;
-use crate::wire::gateway::refusals::Standing;
+use crate::wire::gateway::refusals::Trust;
 use crate::wire::store::StoreCall;
 use puffinladder::{Outcome, Reason};
 use puffinladder_trace::row::Step;
@@ -100,8 +100,8 @@
     fn submit(&self, mailbox: &Arc<Mailbox>, reply: &mut PendingReply) -> Admission {
         let Submission { context, received, tag, .. } = self;
         let now = context.clock.now();
-        let standing = self.connection.refusals.judge(now);
-        if standing == Standing::Suspected {
+        let trust = self.connection.refusals.assess(now);
+        if trust == Trust::Suspected {
             reply.reject(0.0, false, Reason::UnknownToAgent);
             return Admission::Finished;
         }
@@ -109,7 +109,7 @@
         let deadline = self.contention_deadline(now, arrived);
         match context.dispatcher.submit(received, arrived, mailbox, deadline) {
             SubmitOutcome::Accepted(id) => {
-                return Admission::Accepted { id, is_probe: standing == Standing::Probe }
+                return Admission::Accepted { id, is_probe: trust == Trust::Probe }
             }
             SubmitOutcome::AwaitingAttemptId => return self.wait_for_attempt(mailbox, reply),
             SubmitOutcome::DuplicateAttempt => self.fail_duplicate(reply),
@@ -256,12 +256,12 @@
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Refused => {
-                self.connection.refusals.note_refused();
+                self.connection.refusals.record_refused();
                 self.finish(Outcome::NotNeeded, 0.0, Vec::new());
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::Ended { outcome, took, body } => {
-                self.connection.refusals.note_known();
+                self.connection.refusals.record_known();
                 self.finish(outcome, took, body);
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
--- a/crates/server/src/runtime/summary.rs
+++ b/crates/server/src/runtime/summary.rs
@@ -1,33 +1,32 @@
-//! Counts answers for the summary line of the log.
+//! Periodic log line with counts of answers.
 
 use super::lock::lock;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Answers by their status, and when they were last summed up in the log.
+/// Counts of answers by status.
 #[derive(Default)]
 pub struct AnswerSummary {
     completed: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
-    last_line: Mutex<LastLine>,
+    last_summary: Mutex<LastSummary>,
 }
 
 #[derive(Default)]
-struct LastLine {
+struct LastSummary {
     written_at: f64,
-    /// Answers that it summed up.
+    /// Answers counted when it was written.
     answers: u64,
 }
 
-/// What the process has in hand at the moment of a summary.
+/// Open requests and connections at the time of a summary.
 pub struct Activity {
-    /// Requests with a coroutine.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Connections of gateways.
     pub gateways: usize,
     /// Connections to the store.
-    pub store_calls: usize,
+    pub store_connections: usize,
 }
 
 impl AnswerSummary {
@@ -41,20 +40,20 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Writes the summary line if `interval` seconds have passed since the last one and there were answers meanwhile.
+    /// Logs the summary line if `interval` seconds have passed since the last one and answers were sent since then.
     pub fn report(&self, now: f64, interval: f64, activity: impl FnOnce() -> Activity) {
-        let mut last = lock(&self.last_line);
+        let mut last = lock(&self.last_summary);
         let [completed, rejected, failed] =
             [&self.completed, &self.rejected, &self.failed].map(|counter| counter.load(Ordering::Relaxed));
         let answers = completed + rejected + failed;
         if now - last.written_at < interval || answers == last.answers {
             return;
         }
-        *last = LastLine { written_at: now, answers };
-        let Activity { in_flight, gateways, store_calls } = activity();
+        *last = LastSummary { written_at: now, answers };
+        let Activity { in_flight, gateways, store_connections } = activity();
         tracing::info!(
             "so far completed {completed}, rejected {rejected}, failed {failed}; \
-             in flight {in_flight}, connections {gateways} of gateways and {store_calls} to the store"
+             in flight {in_flight}, connections {gateways} of gateways and {store_connections} to the store"
         );
     }
 }
--- a/crates/server/src/wire/gateway/refusals.rs
+++ b/crates/server/src/wire/gateway/refusals.rs
@@ -1,64 +1,63 @@
-//! What the agent has refused of one connection's requests: a peer that makes requests up must not take the places of others.
+//! Detection of connections that send forged requests, by the agent's refusals, so that they do not displace others.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-/// Refused requests in a row, after which a connection is suspected: more than one that stumbles brings, few enough that a flood
-/// takes little.
-const MAX_REFUSED: u32 = 8;
-/// Seconds from one request that a suspected connection may offer to the next.
+/// Consecutive refusals after which a connection is suspected.
+const MAX_CONSECUTIVE_REFUSALS: u32 = 8;
+/// Interval between probe requests of a suspected connection, s.
 const PROBE_INTERVAL: f64 = 1.0;
 
-/// How a request of a connection is taken.
+/// Trust in the next request of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// As any other.
+pub enum Trust {
+    /// The connection is not suspected.
     Trusted,
-    /// Its connection is suspected; this one is let through, so that a true one clears it.
+    /// The connection is suspected; this request is admitted as a probe, and clears the connection if genuine.
     Probe,
-    /// Its connection is suspected: it is rejected.
+    /// The connection is suspected; the request is rejected.
     Suspected,
 }
 
-/// The refused requests of one connection.
+/// Refusals of one connection's requests.
 #[derive(Debug, Default)]
 pub struct Refusals {
-    in_a_row: AtomicU32,
-    /// When a request was last let through while it was suspected, s, as bits.
+    consecutive: AtomicU32,
+    /// Time of the last probe, s, as the bits of an `f64`.
     probed_at: AtomicU64,
 }
 
 impl Refusals {
-    /// The agent has refused one of its requests, as one that it does not know.
-    pub fn note_refused(&self) {
-        let more = |count: u32| Some(count.saturating_add(1));
-        let _ = self.in_a_row.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
+    /// Records a request that the agent refused as unknown.
+    pub fn record_refused(&self) {
+        let increment = |count: u32| Some(count.saturating_add(1));
+        let _ = self.consecutive.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
     }
 
-    /// The agent knows one of its requests.
-    pub fn note_known(&self) {
-        if self.in_a_row.load(Ordering::Relaxed) > 0 {
-            self.in_a_row.store(0, Ordering::Relaxed);
+    /// Records a request that the agent knows, which clears the connection.
+    pub fn record_known(&self) {
+        if self.consecutive.load(Ordering::Relaxed) > 0 {
+            self.consecutive.store(0, Ordering::Relaxed);
         }
     }
 
-    /// Whether so many were refused in a row that its requests are taken to be made up.
+    /// Returns whether the connection is suspected of sending forged requests.
     pub fn is_suspected(&self) -> bool {
-        self.in_a_row.load(Ordering::Relaxed) >= MAX_REFUSED
+        self.consecutive.load(Ordering::Relaxed) >= MAX_CONSECUTIVE_REFUSALS
     }
 
-    /// How its next request is taken.
-    pub fn judge(&self, now: f64) -> Standing {
+    /// Returns the trust in the next request, and records the time of a probe.
+    pub fn assess(&self, now: f64) -> Trust {
         if !self.is_suspected() {
-            return Standing::Trusted;
+            return Trust::Trusted;
         }
         let probed_at = self.probed_at.load(Ordering::Relaxed);
         if now - f64::from_bits(probed_at) < PROBE_INTERVAL {
-            return Standing::Suspected;
+            return Trust::Suspected;
         }
         let (old, new) = (probed_at, now.to_bits());
         match self.probed_at.compare_exchange(old, new, Ordering::Relaxed, Ordering::Relaxed) {
-            Ok(_) => Standing::Probe,
-            Err(_) => Standing::Suspected,
+            Ok(_) => Trust::Probe,
+            Err(_) => Trust::Suspected,
         }
     }
 }
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -1,35 +1,34 @@
-//! A ring buffer with a bound, one for each direction of a connection.
+//! Bounded ring buffer, used for each direction of a connection.
 
 use std::io::{self, Read, Write};
 
-/// A queue of bytes that grows to a bound and gives its memory back when it runs empty.
+/// Byte queue that grows up to a maximum size and shrinks when empty.
 pub struct RingBuffer {
     bytes: Box<[u8]>,
     head: usize,
     length: usize,
-    /// Size to which it shrinks back when it runs empty.
+    /// Largest allocation kept when the buffer is empty.
     min_size: usize,
-    /// The most it may hold.
     max_size: usize,
 }
 
-/// There is no room for that many bytes.
+/// Error: the bytes would exceed the maximum size.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BufferFull;
 
-/// What one read brought.
+/// Outcome of a read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// Nothing now; the connection tells when there is more.
+    /// No bytes are available yet.
     WouldBlock,
-    /// The other side has ended the stream.
+    /// The peer closed the stream.
     Closed,
 }
 
 impl RingBuffer {
-    /// An empty buffer of these sizes in bytes.
+    /// Creates an empty buffer with sizes in bytes.
     pub fn new(min_size: usize, max_size: usize) -> RingBuffer {
         RingBuffer {
             bytes: Box::default(),
@@ -40,26 +39,24 @@
         }
     }
 
-    /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Whether it holds as much as it may.
     pub fn is_full(&self) -> bool {
         self.length == self.max_size
     }
 
-    /// Makes room for `more` bytes, or leaves all as it was.
-    fn grow(&mut self, more: usize) -> Result<(), BufferFull> {
-        let wanted = self.length.checked_add(more).filter(|&size| size <= self.max_size).ok_or(BufferFull)?;
-        if wanted > self.bytes.len() {
-            let size = wanted.next_power_of_two().max(self.min_size).min(self.max_size);
+    /// Ensures room for `additional` bytes; on error the buffer is unchanged.
+    fn grow(&mut self, additional: usize) -> Result<(), BufferFull> {
+        let required =
+            self.length.checked_add(additional).filter(|&size| size <= self.max_size).ok_or(BufferFull)?;
+        if required > self.bytes.len() {
+            let size = required.next_power_of_two().max(self.min_size).min(self.max_size);
             let mut bytes = vec![0; size].into_boxed_slice();
             let (first, second) = self.slices();
             bytes[..first.len()].copy_from_slice(first);
@@ -69,13 +66,13 @@
         Ok(())
     }
 
-    /// What it holds, oldest first, in the two pieces in which it lies.
+    /// Returns the content, oldest first, as two slices.
     fn slices(&self) -> (&[u8], &[u8]) {
         let first = self.length.min(self.bytes.len() - self.head);
         (&self.bytes[self.head..self.head + first], &self.bytes[..self.length - first])
     }
 
-    /// What it holds, oldest first, moved into one piece.
+    /// Returns the content, oldest first, as one slice. Moves bytes if they wrap around.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.head + self.length > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -84,7 +81,7 @@
         &self.bytes[self.head..self.head + self.length]
     }
 
-    /// Appends all of these bytes, or none of them.
+    /// Appends all of `bytes`, or nothing if they do not fit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), BufferFull> {
         self.grow(bytes.len())?;
         if bytes.is_empty() {
@@ -99,7 +96,7 @@
         Ok(())
     }
 
-    /// Drops the oldest bytes.
+    /// Drops the oldest `count` bytes.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.length);
         self.length -= count;
@@ -113,11 +110,15 @@
         }
     }
 
-    /// One read into the free room, of which there must be some.
+    /// Reads once into the free space.
+    ///
+    /// # Errors
+    ///
+    /// Returns `OutOfMemory` if the buffer is full, and errors of the source.
     pub fn fill_from(&mut self, mut source: impl Read) -> io::Result<ReadOutcome> {
         if self.bytes.len() == self.length {
-            let more = (self.max_size - self.length).clamp(1, self.min_size);
-            self.grow(more).map_err(|BufferFull| io::Error::from(io::ErrorKind::OutOfMemory))?;
+            let additional = (self.max_size - self.length).clamp(1, self.min_size);
+            self.grow(additional).map_err(|BufferFull| io::Error::from(io::ErrorKind::OutOfMemory))?;
         }
         let size = self.bytes.len();
         let tail = (self.head + self.length) % size;
@@ -129,22 +130,24 @@
                     self.length += count;
                     return Ok(ReadOutcome::Bytes(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(ReadOutcome::WouldBlock)
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
     }
 
-    /// Writes as much as the other side takes without waiting; whether all of it went.
+    /// Writes until the sink would block. Returns whether the buffer is empty.
     pub fn drain_to(&mut self, mut sink: impl Write) -> io::Result<bool> {
         while self.length > 0 {
             match sink.write(self.slices().0) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.consume(count),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
         Ok(true)
--- a/crates/server/src/wire/ring/tests.rs
+++ b/crates/server/src/wire/ring/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
 
 #[test]
-fn what_went_in_comes_out_whole_at_every_place_of_the_ring() {
+fn preserves_bytes_across_wrap_around() {
     for start in 0..16 {
         let mut ring = RingBuffer::new(8, 16);
         ring.push(&[0; 16][..start]).unwrap();
         ring.consume(start);
-        let mut wanted = Vec::new();
+        let mut expected = Vec::new();
         for byte in 0..64u8 {
             ring.push(&[byte, !byte]).unwrap();
-            wanted.extend([byte, !byte]);
-            assert_eq!(ring.contiguous(), wanted);
+            expected.extend([byte, !byte]);
+            assert_eq!(ring.contiguous(), expected);
             if ring.len() > 9 {
                 ring.consume(7);
-                wanted.drain(..7);
+                expected.drain(..7);
             }
         }
     }
 }
 
 #[test]
-fn it_takes_no_byte_over_its_bound_and_none_of_what_does_not_fit() {
+fn rejects_writes_over_its_maximum_size() {
     let mut ring = RingBuffer::new(4, 8);
     ring.push(b"abcdef").unwrap();
     assert_eq!(ring.push(b"ghi"), Err(BufferFull));
--- a/crates/server/src/wire/store/tests.rs
+++ b/crates/server/src/wire/store/tests.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn a_call_given_up_before_its_connection_stands_is_never_sent() {
+fn abandoned_call_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let example = puffinladder_toy::town::EXAMPLE
         .replace("127.0.0.1:7700", &listener.local_addr().unwrap().to_string());
@@ -12,7 +12,7 @@
     let addresses = Arc::new(PeerAddresses::new(config.peers));
     let client = Arc::new(StoreClient::new(addresses, Arc::default(), limits));
     let mailbox = Arc::new(Mailbox::default());
-    // The call waits for this lock before it looks for a slot, and is given up meanwhile.
+    // Holding the lock keeps the call from acquiring a slot until it is abandoned.
     let slots = lock(&client.slots);
     let call = client.call(*b"00000000000000aa", b"a call".to_vec(), 20.0, &mailbox);
     call.abandon();
