--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -133,7 +133,7 @@
 /// Serves on the proving ground until it is told to leave, and says where: proxies, servers, people. A silent server is forgotten after `forget` s.
 pub async fn on_ground(told: &Told, forget: f64, ground: &Ground) -> Done {
     let mut setup = setup(told);
-    setup.service.fleet.forget_after = forget;
+    setup.service.fleet.evict_after = forget;
     let mut term = signal(SignalKind::terminate())?;
     let running = start(setup).await.map_err(std::io::Error::from)?;
     let debug = running.debug.map_or(String::new(), |debug| debug.to_string());
--- a/crates/control/src/fleet/clock.rs
+++ b/crates/control/src/fleet/clock.rs
@@ -8,24 +8,24 @@
 #[derive(Clone, Debug)]
 pub(super) struct ClockOffset {
     /// Least difference in the current half of the window, and in the one before it.
-    least: [f64; 2],
+    min_differences: [f64; 2],
     half_started_at: f64,
 }
 
 impl ClockOffset {
     /// An offset known from one report only, made at `created_at` by its sender's clock and received `now`.
     pub(super) fn new(now: f64, created_at: f64) -> ClockOffset {
-        ClockOffset { least: [now - created_at, f64::MAX], half_started_at: now }
+        ClockOffset { min_differences: [now - created_at, f64::MAX], half_started_at: now }
     }
 
     /// Seconds that a report was on its way, made at `created_at` by its sender's clock and received `now`.
     pub(super) fn transit_time(&mut self, now: f64, created_at: f64) -> f64 {
         let difference = now - created_at;
         if now - self.half_started_at > HALF_WINDOW {
-            self.least = [difference, self.least[0]];
+            self.min_differences = [difference, self.min_differences[0]];
             self.half_started_at = now;
         }
-        self.least[0] = self.least[0].min(difference);
-        difference - self.least[0].min(self.least[1])
+        self.min_differences[0] = self.min_differences[0].min(difference);
+        difference - self.min_differences[0].min(self.min_differences[1])
     }
 }
--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/fleet/mod.rs
@@ -6,16 +6,16 @@
 //! exceeds it by is how long it was on its way. So a late report is known as late whatever the clocks say.
 
 mod clock;
-mod silence;
+mod outage;
 
 #[cfg(test)]
 mod tests;
 
-pub use silence::Silence;
+pub use outage::OutageState;
 
 use crate::report::{InvalidReport, LoadReport};
 use clock::ClockOffset;
-use silence::Hearing;
+use outage::ReportCoverage;
 use std::collections::BTreeMap;
 
 /// What became of a report.
@@ -44,7 +44,7 @@
     /// is confirmed after as long, and takes as long to count in full.
     pub expired_after: f64,
     /// Seconds for which a silent server is remembered, to tell how many are silent.
-    pub forget_after: f64,
+    pub evict_after: f64,
     /// Fraction of the servers that may be silent at once; with more, the reports are suspected first, not the servers.
     pub panic_threshold: f64,
     /// Servers that are remembered at the most.
@@ -56,7 +56,7 @@
         FleetConfig {
             fresh_for: 1.0,
             expired_after: 4.0,
-            forget_after: 60.0,
+            evict_after: 60.0,
             panic_threshold: 0.5,
             max_servers: 20_000,
         }
@@ -72,21 +72,21 @@
     /// When it was received.
     received_at: f64,
     /// Since when it has been heard without a gap.
-    heard_since: f64,
+    steady_since: f64,
 }
 
 impl ServerRecord {
     /// A server of which no earlier report counts.
     fn new(now: f64, report: LoadReport) -> ServerRecord {
         let clock_offset = ClockOffset::new(now, report.created_at);
-        ServerRecord { clock_offset, created_at: now, received_at: now, heard_since: now, report }
+        ServerRecord { clock_offset, created_at: now, received_at: now, steady_since: now, report }
     }
 
     /// Takes the next report of the same process, and counts it from when it was made.
     fn update(&mut self, now: f64, report: LoadReport, fresh_for: f64) {
         let transit_time = self.clock_offset.transit_time(now, report.created_at);
         if now - self.created_at > fresh_for || transit_time > fresh_for {
-            self.heard_since = now;
+            self.steady_since = now;
         }
         self.created_at = now - transit_time;
         self.received_at = now;
@@ -153,7 +153,7 @@
     config: FleetConfig,
     servers: BTreeMap<String, ServerRecord>,
     /// As last assessed.
-    silence: Silence,
+    outage: OutageState,
     /// Reports that were accepted.
     pub accepted: u64,
     /// Reports that were rejected, for any reason.
@@ -183,17 +183,17 @@
         if let Err(invalid) = report.validate() {
             return ReportOutcome::Invalid(invalid);
         }
-        let Some(known) = self.servers.get_mut(&report.instance) else {
+        let Some(record) = self.servers.get_mut(&report.instance) else {
             return self.add(now, report);
         };
-        let last = &known.report;
+        let last = &record.report;
         if report.incarnation != last.incarnation {
             // A machine whose clock was set back starts with a lower incarnation: trusted once the other is silent.
-            let still_heard = now - known.received_at < self.config.expired_after;
-            if report.incarnation < last.incarnation && still_heard {
+            let is_recent = now - record.received_at < self.config.expired_after;
+            if report.incarnation < last.incarnation && is_recent {
                 return ReportOutcome::EarlierIncarnation;
             }
-            *known = ServerRecord::new(now, report);
+            *record = ServerRecord::new(now, report);
             return ReportOutcome::Accepted;
         }
         if report.sequence == last.sequence {
@@ -205,7 +205,7 @@
         if report.created_at < last.created_at {
             return ReportOutcome::Invalid(InvalidReport::ClockWentBack);
         }
-        known.update(now, report, self.config.fresh_for);
+        record.update(now, report, self.config.fresh_for);
         ReportOutcome::Accepted
     }
 
@@ -218,88 +218,89 @@
     }
 
     /// Forgets servers that have been silent for long, or that were terminated after a drain.
-    pub fn forget_silent(&mut self, now: f64) {
-        let FleetConfig { forget_after, expired_after, .. } = self.config;
-        self.servers.retain(|_, known| {
-            let silent_for = now - known.created_at;
-            let terminated =
-                known.report.terminates_in.is_some_and(|seconds| silent_for > seconds + expired_after);
-            silent_for <= forget_after && !terminated
+    pub fn evict_silent(&mut self, now: f64) {
+        let FleetConfig { evict_after, expired_after, .. } = self.config;
+        self.servers.retain(|_, record| {
+            let age = now - record.created_at;
+            let terminated = record.report.terminates_in.is_some_and(|seconds| age > seconds + expired_after);
+            age <= evict_after && !terminated
         });
     }
 
     /// Judges anew whether most servers are silent, and whether that is confirmed. To be called before each plan.
-    pub fn assess_silence(&mut self, now: f64) {
-        self.silence = self.silence.next(now, self.hearing(now), self.config.expired_after);
+    pub fn assess_outage(&mut self, now: f64) {
+        self.outage = self.outage.transition(now, self.report_coverage(now), self.config.expired_after);
     }
 
     /// What the silence of servers was taken for when it was last assessed.
-    pub fn assessed_silence(&self) -> Silence {
-        self.silence
+    pub fn assessed_outage(&self) -> OutageState {
+        self.outage
     }
 
     /// What is heard now. Draining servers don't count: they are about to go silent by themselves.
-    fn hearing(&self, now: f64) -> Hearing {
+    fn report_coverage(&self, now: f64) -> ReportCoverage {
         let FleetConfig { fresh_for, expired_after, panic_threshold, .. } = self.config;
-        let (mut staying, mut silent, mut any_heard_steadily) = (0usize, 0usize, false);
-        for known in self.servers.values().filter(|known| !known.report.is_draining()) {
-            staying += 1;
-            if now - known.created_at > fresh_for {
+        let (mut expected, mut silent, mut any_steady) = (0usize, 0usize, false);
+        for record in self.servers.values().filter(|record| !record.report.is_draining()) {
+            expected += 1;
+            if now - record.created_at > fresh_for {
                 silent += 1;
             } else {
-                any_heard_steadily |= now - known.heard_since >= expired_after;
+                any_steady |= now - record.steady_since >= expired_after;
             }
         }
-        let most_are_silent = silent as f64 > panic_threshold * staying as f64;
-        Hearing { most_are_silent, any_heard: silent < staying, any_heard_steadily }
+        let too_many_silent = silent as f64 > panic_threshold * expected as f64;
+        ReportCoverage { too_many_silent, any_fresh: silent < expected, any_steady }
     }
 
     /// What the silence of servers is taken for now.
-    pub fn silence(&self, now: f64) -> Silence {
-        match (self.hearing(now).most_are_silent, self.silence) {
-            (false, _) => Silence::Few,
+    pub fn outage_state(&self, now: f64) -> OutageState {
+        match (self.report_coverage(now).too_many_silent, self.outage) {
+            (false, _) => OutageState::Normal,
             // Not assessed yet: nothing is known of how it was before, and all are trusted.
-            (true, Silence::Few) => Silence::Suspected { since: f64::NEG_INFINITY },
+            (true, OutageState::Normal) => OutageState::Suspected { since: f64::NEG_INFINITY },
             (true, assessed) => assessed,
         }
     }
 
     /// Whether so many servers went silent at once that the reports are suspected, not the servers.
     pub fn in_panic(&self, now: f64) -> bool {
-        self.silence(now).is_suspected()
+        self.outage_state(now).is_suspected()
     }
 
     /// All servers, ordered by name. While the reports are suspected the silent servers are trusted as they were before.
     pub fn servers(&self, now: f64) -> Vec<ServerView<'_>> {
-        let silence = self.silence(now);
-        let view = |known| self.view(now, silence, known);
+        let outage = self.outage_state(now);
+        let view = |record| self.view(now, outage, record);
         self.servers.values().map(view).collect()
     }
 
-    fn view<'a>(&self, now: f64, silence: Silence, known: &'a ServerRecord) -> ServerView<'a> {
-        let age = now - known.created_at;
-        let own_confidence = self.confidence_at(age);
-        let confidence = match silence {
-            Silence::Few => own_confidence,
-            Silence::Suspected { since } => own_confidence.max(self.confidence_before(since, known)),
-            Silence::Confirmed { since, confirmed_at } => {
-                let left = 1.0 - (now - confirmed_at) / self.config.expired_after;
-                own_confidence.max(self.confidence_before(since, known) * left)
+    fn view<'a>(&self, now: f64, outage: OutageState, record: &'a ServerRecord) -> ServerView<'a> {
+        let age = now - record.created_at;
+        let own_confidence = self.confidence_at_age(age);
+        let confidence = match outage {
+            OutageState::Normal => own_confidence,
+            OutageState::Suspected { since } => {
+                own_confidence.max(self.confidence_before_outage(since, record))
+            }
+            OutageState::Confirmed { since, confirmed_at } => {
+                let remaining = 1.0 - (now - confirmed_at) / self.config.expired_after;
+                own_confidence.max(self.confidence_before_outage(since, record) * remaining)
             }
         };
-        let withdrawn_gradually = silence != Silence::Few && age > self.config.fresh_for;
-        ServerView { report: &known.report, confidence, age, withdrawn_gradually }
+        let withdrawn_gradually = outage != OutageState::Normal && age > self.config.fresh_for;
+        ServerView { report: &record.report, confidence, age, withdrawn_gradually }
     }
 
     /// Trust in a report of an age.
-    fn confidence_at(&self, age: f64) -> f64 {
+    fn confidence_at_age(&self, age: f64) -> f64 {
         let FleetConfig { fresh_for, expired_after, .. } = self.config;
         ((expired_after - age) / (expired_after - fresh_for)).clamp(0.0, 1.0)
     }
 
     /// Trust in a server just before most were seen to be silent: one that was lost by itself earlier is not trusted again.
-    fn confidence_before(&self, silent_since: f64, known: &ServerRecord) -> f64 {
-        self.confidence_at(silent_since - self.config.fresh_for - known.created_at)
+    fn confidence_before_outage(&self, outage_since: f64, record: &ServerRecord) -> f64 {
+        self.confidence_at_age(outage_since - self.config.fresh_for - record.created_at)
     }
 
     /// Number of servers that are remembered.
@@ -314,6 +315,6 @@
 
     /// Number of servers whose last report still counts in full.
     pub fn fresh_count(&self, now: f64) -> usize {
-        self.servers.values().filter(|known| now - known.created_at <= self.config.fresh_for).count()
+        self.servers.values().filter(|record| now - record.created_at <= self.config.fresh_for).count()
     }
 }
--- a/crates/control/src/fleet/silence.rs
+++ b/crates/control/src/fleet/outage.rs
@@ -10,10 +10,10 @@
 
 /// What the service makes of the servers that are silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Silence {
+pub enum OutageState {
     /// Few are silent: each is judged by itself.
     #[default]
-    Few,
+    Normal,
     /// Most are silent, and their reports are suspected rather than they: they are trusted as they were before.
     Suspected {
         /// When most were first seen to be silent, seconds by the service's clock.
@@ -30,37 +30,37 @@
 
 /// What is heard of the fleet at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Hearing {
+pub(super) struct ReportCoverage {
     /// More servers are silent than may be at once.
-    pub(super) most_are_silent: bool,
+    pub(super) too_many_silent: bool,
     /// Some server is heard.
-    pub(super) any_heard: bool,
+    pub(super) any_fresh: bool,
     /// Some server has been heard without a gap for as long as it takes to confirm a silence.
-    pub(super) any_heard_steadily: bool,
+    pub(super) any_steady: bool,
 }
 
-impl Silence {
+impl OutageState {
     /// What the silence is taken for `now`, if the servers are heard like this; it takes `confirm_after` seconds to confirm one.
-    pub(super) fn next(self, now: f64, hearing: Hearing, confirm_after: f64) -> Silence {
+    pub(super) fn transition(self, now: f64, coverage: ReportCoverage, confirm_after: f64) -> OutageState {
         match self {
-            _ if !hearing.most_are_silent => Silence::Few,
-            Silence::Few => Silence::Suspected { since: now },
-            Silence::Suspected { since } if hearing.any_heard_steadily && now - since >= confirm_after => {
-                Silence::Confirmed { since, confirmed_at: now }
+            _ if !coverage.too_many_silent => OutageState::Normal,
+            OutageState::Normal => OutageState::Suspected { since: now },
+            OutageState::Suspected { since } if coverage.any_steady && now - since >= confirm_after => {
+                OutageState::Confirmed { since, confirmed_at: now }
             }
             // It heard some until now: who was out of reach before stays so, and the others' reports are suspected.
-            Silence::Confirmed { .. } if !hearing.any_heard => Silence::Suspected { since: now },
+            OutageState::Confirmed { .. } if !coverage.any_fresh => OutageState::Suspected { since: now },
             unchanged => unchanged,
         }
     }
 
     /// Whether it is taken for the same thing, whenever that began.
-    pub fn is_like(self, other: Silence) -> bool {
+    pub fn is_same_state(self, other: OutageState) -> bool {
         mem::discriminant(&self) == mem::discriminant(&other)
     }
 
     /// Whether the reports are suspected.
     pub fn is_suspected(self) -> bool {
-        matches!(self, Silence::Suspected { .. })
+        matches!(self, OutageState::Suspected { .. })
     }
 }
--- a/crates/control/src/fleet/tests.rs
+++ b/crates/control/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_support::report;
 
 #[test]
-fn doubled_overtaken_and_earlier_reports_are_told_from_fresh_ones() {
+fn rejects_duplicate_out_of_order_and_earlier_incarnation_reports() {
     let mut fleet = FleetView::new(FleetConfig::default());
     assert_eq!(fleet.record(100.0, report("n1", 5, 1.0)), ReportOutcome::Accepted);
     assert_eq!(fleet.record(100.1, report("n1", 5, 1.0)), ReportOutcome::Duplicate);
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_report_that_was_long_on_its_way_counts_from_when_it_was_made() {
+fn ages_delayed_report_from_its_creation() {
     let mut fleet = FleetView::new(FleetConfig::default());
-    for at in 0..10u32 {
-        let made = f64::from(at) * 0.25;
-        fleet.record(100.0 + made, report("n1", u64::from(at), made));
+    for tick in 0..10u32 {
+        let created_at = f64::from(tick) * 0.25;
+        fleet.record(100.0 + created_at, report("n1", u64::from(tick), created_at));
     }
     // Made at 2.5 by its clock, that is at 102.5, and here at 105.
     assert_eq!(fleet.record(105.0, report("n1", 10, 2.5)), ReportOutcome::Accepted);
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn clocks_that_run_at_other_speeds_or_stand_elsewhere_change_little() {
+fn tolerates_clock_offset_and_drift() {
     for (offset, speed) in [(1e6, 1.0), (0.0, 1.001), (5.0, 0.999)] {
         let mut fleet = FleetView::new(FleetConfig::default());
-        for at in 0..2000u32 {
-            let now = f64::from(at) * 0.25;
-            let outcome = fleet.record(now, report("n1", u64::from(at), offset + now * speed));
+        for tick in 0..2000u32 {
+            let now = f64::from(tick) * 0.25;
+            let outcome = fleet.record(now, report("n1", u64::from(tick), offset + now * speed));
             assert_eq!(outcome, ReportOutcome::Accepted);
             assert!(fleet.servers(now)[0].age < 0.05, "{speed}: {}", fleet.servers(now)[0].age);
         }
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn a_silent_server_fades_and_ends_but_not_all_at_once() {
+fn expires_silent_server_but_not_whole_fleet() {
     let mut fleet = FleetView::new(FleetConfig::default());
     for name in ["n1", "n2", "n3"] {
         fleet.record(0.0, report(name, 1, 0.0));
     }
     let confidence =
         |fleet: &FleetView, now| fleet.servers(now).iter().map(|b| b.confidence).collect::<Vec<_>>();
-    for at in 1..20u32 {
-        let now = f64::from(at) * 0.25;
-        fleet.record(now, report("n1", 1 + u64::from(at), now));
-        fleet.record(now, report("n2", 1 + u64::from(at), now));
+    for tick in 1..20u32 {
+        let now = f64::from(tick) * 0.25;
+        fleet.record(now, report("n1", 1 + u64::from(tick), now));
+        fleet.record(now, report("n2", 1 + u64::from(tick), now));
     }
     assert_eq!(confidence(&fleet, 1.0), [1.0, 1.0, 1.0]);
     assert_eq!(confidence(&fleet, 4.75), [1.0, 1.0, 0.0]);
@@ -68,20 +68,20 @@
     // All silent: the reports are suspected.
     assert!(fleet.in_panic(8.0));
     assert_eq!(confidence(&fleet, 8.0), [1.0, 1.0, 1.0]);
-    fleet.forget_silent(100.0);
+    fleet.evict_silent(100.0);
     assert!(fleet.is_empty());
 }
 
 #[test]
-fn what_cannot_be_is_refused_and_room_is_bounded() {
+fn rejects_invalid_reports_and_servers_over_limit() {
     let mut fleet = FleetView::new(FleetConfig { max_servers: 1, ..FleetConfig::default() });
-    for wrong in [
+    for invalid in [
         LoadReport { concurrency_limit: f64::NAN, ..report("n1", 1, 0.0) },
         LoadReport { pressure: 1.5, ..report("n1", 1, 0.0) },
         LoadReport { instance: "x".repeat(500), ..report("n1", 1, 0.0) },
         LoadReport { terminates_in: Some(-1.0), ..report("n1", 1, 0.0) },
     ] {
-        assert!(matches!(fleet.record(0.0, wrong), ReportOutcome::Invalid(_)));
+        assert!(matches!(fleet.record(0.0, invalid), ReportOutcome::Invalid(_)));
     }
     assert_eq!(fleet.record(0.0, report("n1", 1, 0.0)), ReportOutcome::Accepted);
     assert_eq!(fleet.record(0.0, report("n2", 1, 0.0)), ReportOutcome::FleetFull);
--- a/crates/control/src/plan/capacity.rs
+++ b/crates/control/src/plan/capacity.rs
@@ -57,12 +57,12 @@
 }
 
 impl FleetMedians {
-    fn of(views: &[ServerView]) -> FleetMedians {
+    fn from_views(views: &[ServerView]) -> FleetMedians {
         let trusted = |view: &&ServerView| view.confidence > 0.0 && view.report.healthy;
         let service_times = views.iter().filter(trusted).map(|view| view.report.service_time);
-        let known = median(service_times.filter(|seconds| *seconds > 0.0).collect());
+        let median_service_time = median(service_times.filter(|seconds| *seconds > 0.0).collect());
         // Where no server has run anything yet, all requests are taken to be alike.
-        let service_time = if known > 0.0 { known } else { 1.0 };
+        let service_time = if median_service_time > 0.0 { median_service_time } else { 1.0 };
         let per_core = |view: &ServerView| reported_capacity(view, service_time) / view.report.cores;
         let capacity_per_core = median(views.iter().filter(trusted).map(per_core).collect());
         FleetMedians { service_time, capacity_per_core }
@@ -82,7 +82,7 @@
     } else if !view.report.healthy {
         Some(ShareLimit::Unhealthy)
     } else if view.confidence <= 0.0 && !view.withdrawn_gradually {
-        Some(ShareLimit::Silent)
+        Some(ShareLimit::ReportExpired)
     } else {
         None
     }
@@ -95,7 +95,7 @@
         views: &[ServerView<'a>],
         elapsed: Option<f64>,
     ) -> Vec<Candidate<'a>> {
-        let medians = FleetMedians::of(views);
+        let medians = FleetMedians::from_views(views);
         let sample_weight = sample_weight(elapsed.unwrap_or(0.0), CAPACITY_TIME_CONSTANT);
         views.iter().map(|view| self.candidate(view, &medians, sample_weight)).collect()
     }
--- a/crates/control/src/plan/mod.rs
+++ b/crates/control/src/plan/mod.rs
@@ -39,7 +39,7 @@
     ZoneStepSize,
     /// It takes up what other servers' shares give up, or the other way round.
     #[serde(rename = "takes or gives what others move")]
-    Absorbs,
+    Compensating,
     /// The server is draining.
     #[serde(rename = "leaves")]
     Draining,
@@ -48,7 +48,7 @@
     Unhealthy,
     /// The server's last report has expired.
     #[serde(rename = "was silent for too long")]
-    Silent,
+    ReportExpired,
 }
 
 impl ShareLimit {
@@ -60,10 +60,10 @@
             ShareLimit::ReversedRecently => "moved the other way just now",
             ShareLimit::StepSize => "moves step by step",
             ShareLimit::ZoneStepSize => "much moves at once",
-            ShareLimit::Absorbs => "takes or gives what others move",
+            ShareLimit::Compensating => "takes or gives what others move",
             ShareLimit::Draining => "leaves",
             ShareLimit::Unhealthy => "says it is not well",
-            ShareLimit::Silent => "was silent for too long",
+            ShareLimit::ReportExpired => "was silent for too long",
         }
     }
 }
--- a/crates/control/src/plan/planner.rs
+++ b/crates/control/src/plan/planner.rs
@@ -38,7 +38,7 @@
         let elapsed = elapsed.unwrap_or(0.0);
         let gradually = views.iter().any(|view| view.withdrawn_gradually);
         self.spillover.update(elapsed, gradually, &mut zones);
-        self.forget_all_but(&shares);
+        self.retain_servers(&shares);
         let panic = fleet.in_panic(now);
         let drops = if panic { self.shedder.rules() } else { self.shedder.update(elapsed, &views) };
         self.last_plan_at = Some(now);
@@ -74,7 +74,7 @@
         (shares, zones)
     }
 
-    fn forget_all_but(&mut self, shares: &[ServerShare]) {
+    fn retain_servers(&mut self, shares: &[ServerShare]) {
         let known: HashSet<&str> = shares.iter().map(|share| share.instance.as_str()).collect();
         self.rebalancer.retain(&known);
         self.capacities.retain(&known);
--- a/crates/control/src/plan/rebalance.rs
+++ b/crates/control/src/plan/rebalance.rs
@@ -41,13 +41,13 @@
 
 impl Step {
     /// Whether it stays where it is, and may take up what others move.
-    fn is_still(&self) -> bool {
+    fn is_unchanged(&self) -> bool {
         self.delta == 0.0 && !self.excluded
     }
 
     /// Whether it moves toward its own target, rather than to make up for others.
-    fn is_deliberate(&self) -> bool {
-        self.delta != 0.0 && self.limit != ShareLimit::Absorbs
+    fn moves_toward_target(&self) -> bool {
+        self.delta != 0.0 && self.limit != ShareLimit::Compensating
     }
 }
 
@@ -55,13 +55,13 @@
 struct NewShare {
     weight: f64,
     limit: ShareLimit,
-    deliberate: bool,
+    toward_target: bool,
 }
 
 impl From<Step> for NewShare {
     fn from(step: Step) -> NewShare {
         let weight = (step.base + step.delta).max(0.0);
-        NewShare { weight, limit: step.limit, deliberate: step.is_deliberate() }
+        NewShare { weight, limit: step.limit, toward_target: step.moves_toward_target() }
     }
 }
 
@@ -101,14 +101,14 @@
         // Nobody has a share yet, or those who had are all gone: there is nothing to move from.
         let new_shares = new_shares.unwrap_or_else(|| target_shares(servers, total));
         for ((server, last), new) in servers.iter().zip(&last_moves).zip(new_shares) {
-            self.remember(now, server, last, &new);
+            self.record_move(now, server, last, &new);
             shares.push(server_share(server, target_weight(server, total), &new));
         }
     }
 
-    fn remember(&mut self, now: f64, server: &Candidate, last: &LastMove, new: &NewShare) {
+    fn record_move(&mut self, now: f64, server: &Candidate, last: &LastMove, new: &NewShare) {
         let gain = new.weight - last.weight;
-        let moved = new.deliberate && gain.abs() > MIN_MOVE;
+        let moved = new.toward_target && gain.abs() > MIN_MOVE;
         let last_move = match moved {
             true => LastMove { weight: new.weight, upward: gain > 0.0, at: now },
             false => LastMove { weight: new.weight, ..*last },
@@ -145,7 +145,7 @@
     let share = |server: &&Candidate| NewShare {
         weight: target_weight(server, total),
         limit: ShareLimit::None,
-        deliberate: false,
+        toward_target: false,
     };
     servers.iter().map(share).collect()
 }
@@ -158,10 +158,10 @@
     last_moves: &[LastMove],
     total: f64,
 ) -> Option<Vec<NewShare>> {
-    let staying = servers.iter().zip(last_moves).filter(|(server, _)| !server.is_excluded());
-    let kept: f64 = staying.map(|(_, last)| last.weight).sum();
-    if kept > 0.0 {
-        let mut steps = steps(now, elapsed, servers, last_moves, total, kept);
+    let eligible = servers.iter().zip(last_moves).filter(|(server, _)| !server.is_excluded());
+    let remaining_weight: f64 = eligible.map(|(_, last)| last.weight).sum();
+    if remaining_weight > 0.0 {
+        let mut steps = steps(now, elapsed, servers, last_moves, total, remaining_weight);
         balance(&mut steps, MAX_ZONE_STEP * elapsed);
         Some(steps.into_iter().map(NewShare::from).collect())
     } else {
@@ -169,31 +169,31 @@
     }
 }
 
-/// The step that each server would take by itself; `kept` is what the servers that stay had in all.
+/// The step that each server would take by itself; `remaining_weight` is what the servers that stay had in all.
 fn steps(
     now: f64,
     elapsed: f64,
     servers: &[&Candidate],
     last_moves: &[LastMove],
     total: f64,
-    kept: f64,
+    remaining_weight: f64,
 ) -> Vec<Step> {
     let mean = 1.0 / servers.len().max(1) as f64;
     let step = |(server, last): (&&Candidate, &LastMove)| {
         // What excluded servers had goes to the others in proportion, at once.
-        let base = if server.is_excluded() { 0.0 } else { last.weight / kept };
+        let base = if server.is_excluded() { 0.0 } else { last.weight / remaining_weight };
         let target = target_weight(server, total);
-        let wanted = target - base;
-        let most = MAX_SHARE_STEP * elapsed * base.max(mean);
-        let reverses = last.at > 0.0 && last.upward != (wanted > 0.0) && now - last.at < REVERSAL_DELAY;
+        let difference = target - base;
+        let max_step = MAX_SHARE_STEP * elapsed * base.max(mean);
+        let reverses = last.at > 0.0 && last.upward != (difference > 0.0) && now - last.at < REVERSAL_DELAY;
         // A newcomer is never too near its target to begin.
-        let near = wanted.abs() <= DEADBAND * base.max(target) && base > 0.0;
+        let within_deadband = difference.abs() <= DEADBAND * base.max(target) && base > 0.0;
         let (delta, limit) = match () {
-            _ if server.is_excluded() || wanted == 0.0 => (0.0, ShareLimit::None),
-            _ if near => (0.0, ShareLimit::NearTarget),
+            _ if server.is_excluded() || difference == 0.0 => (0.0, ShareLimit::None),
+            _ if within_deadband => (0.0, ShareLimit::NearTarget),
             _ if reverses => (0.0, ShareLimit::ReversedRecently),
-            _ if wanted.abs() > most => (wanted.clamp(-most, most), ShareLimit::StepSize),
-            _ => (wanted, ShareLimit::None),
+            _ if difference.abs() > max_step => (difference.clamp(-max_step, max_step), ShareLimit::StepSize),
+            _ => (difference, ShareLimit::None),
         };
         Step { base, delta, limit, excluded: server.is_excluded() }
     };
@@ -201,43 +201,44 @@
 }
 
 /// What moves up and what moves down in all.
-fn up_and_down(steps: &[Step]) -> (f64, f64) {
+fn total_up_and_down(steps: &[Step]) -> (f64, f64) {
     let up: f64 = steps.iter().map(|step| step.delta).filter(|delta| *delta > 0.0).sum();
     let net: f64 = steps.iter().map(|step| step.delta).sum();
     (up, up - net)
 }
 
 /// Bounds what moves in all, and lets those who stay where they are take up the difference, so that shares still sum to 1.
-fn balance(steps: &mut [Step], most: f64) {
-    bound_total(steps, most);
-    let (up, down) = up_and_down(steps);
-    let absorbing: f64 = steps.iter().filter(|step| step.is_still()).map(|step| step.base).sum();
-    if absorbing > 0.0 && absorbing > up - down {
-        for step in steps.iter_mut().filter(|step| step.is_still()) {
-            step.delta = (down - up) * step.base / absorbing;
-            step.limit = ShareLimit::Absorbs;
+fn balance(steps: &mut [Step], max_move: f64) {
+    limit_total_move(steps, max_move);
+    let (up, down) = total_up_and_down(steps);
+    let compensating_weight: f64 =
+        steps.iter().filter(|step| step.is_unchanged()).map(|step| step.base).sum();
+    if compensating_weight > 0.0 && compensating_weight > up - down {
+        for step in steps.iter_mut().filter(|step| step.is_unchanged()) {
+            step.delta = (down - up) * step.base / compensating_weight;
+            step.limit = ShareLimit::Compensating;
         }
         return;
     }
     // Nobody is left to absorb it: the larger side gives in.
-    let even = up.min(down);
+    let matched = up.min(down);
     for step in steps {
         if step.delta > 0.0 {
-            step.delta *= even / up;
+            step.delta *= matched / up;
         } else if step.delta < 0.0 {
-            step.delta *= even / down;
+            step.delta *= matched / down;
         }
     }
 }
 
-fn bound_total(steps: &mut [Step], most: f64) {
-    let (up, down) = up_and_down(steps);
+fn limit_total_move(steps: &mut [Step], max_move: f64) {
+    let (up, down) = total_up_and_down(steps);
     let total = up.max(down);
-    if total <= most {
+    if total <= max_move {
         return;
     }
     for step in steps.iter_mut().filter(|step| step.delta != 0.0) {
-        step.delta *= most / total;
+        step.delta *= max_move / total;
         if step.limit == ShareLimit::None {
             step.limit = ShareLimit::ZoneStepSize;
         }
--- a/crates/control/src/plan/spillover.rs
+++ b/crates/control/src/plan/spillover.rs
@@ -30,14 +30,14 @@
     /// servers are silent, load moves `gradually` even out of a zone that can carry nothing: the others could not take it at once.
     pub(super) fn update(&mut self, elapsed: f64, gradually: bool, zones: &mut BTreeMap<String, ZonePlan>) {
         let source_loads = self.estimate_source_loads(elapsed, zones);
-        let room = Room::of(zones, &source_loads);
+        let free_capacity = FreeCapacity::new(zones, &source_loads);
         let names: Vec<String> = zones.keys().cloned().collect();
         for name in &names {
-            let mut spill = self.spill_fraction(elapsed, name, zones, &source_loads, &room);
+            let mut spill = self.spill_fraction(elapsed, name, zones, &source_loads, &free_capacity);
             if !gradually && zones[name].capacity <= 0.0 {
                 spill = 1.0;
             }
-            let mut targets = room.targets(name, zones);
+            let mut targets = free_capacity.targets(name, zones);
             if gradually && targets.is_empty() {
                 // What went to zones that are out of reach comes home in steps too.
                 targets = self.last_targets(name, zones);
@@ -76,9 +76,10 @@
 
     /// What a zone's spill moves from. What starts in a zone that the last plan did not know went to the others, unless its servers
     /// carry load already: it comes home in steps.
-    fn spill_before(&self, zone: &str, load: f64) -> f64 {
-        let returns_idle = !self.last_zones.is_empty() && !self.last_zones.contains_key(zone) && load <= 0.0;
-        if returns_idle {
+    fn previous_spill(&self, zone: &str, load: f64) -> f64 {
+        let is_new_and_idle =
+            !self.last_zones.is_empty() && !self.last_zones.contains_key(zone) && load <= 0.0;
+        if is_new_and_idle {
             1.0
         } else {
             self.last_spill(zone)
@@ -108,50 +109,50 @@
         name: &str,
         zones: &BTreeMap<String, ZonePlan>,
         source_loads: &HashMap<String, f64>,
-        room: &Room,
+        free_capacity: &FreeCapacity,
     ) -> f64 {
-        let last = self.spill_before(name, zones[name].load);
-        let most = MAX_SPILL_STEP * elapsed;
-        let wanted = wanted_spill(source_loads[name], zones[name].capacity, room);
-        wanted.clamp(last - most, last + most).clamp(0.0, 1.0)
+        let last = self.previous_spill(name, zones[name].load);
+        let max_step = MAX_SPILL_STEP * elapsed;
+        let target = target_spill(source_loads[name], zones[name].capacity, free_capacity);
+        target.clamp(last - max_step, last + max_step).clamp(0.0, 1.0)
     }
 }
 
 /// Fraction of a zone's load that is to go elsewhere in the end.
-fn wanted_spill(load: f64, capacity: f64, room: &Room) -> f64 {
+fn target_spill(load: f64, capacity: f64, free_capacity: &FreeCapacity) -> f64 {
     if capacity <= 0.0 {
         1.0
     } else if load > 0.0 {
-        (1.0 - SPILL_UTILIZATION * capacity / load).max(0.0) * room.fraction_taken()
+        (1.0 - SPILL_UTILIZATION * capacity / load).max(0.0) * free_capacity.accepted_fraction()
     } else {
         0.0
     }
 }
 
 /// Capacity that zones have left for others.
-struct Room {
+struct FreeCapacity {
     /// Requests a second by zone.
-    free: BTreeMap<String, f64>,
+    by_zone: BTreeMap<String, f64>,
     /// Requests a second that all zones together want to hand over.
-    wanted: f64,
+    excess: f64,
 }
 
-impl Room {
-    fn of(zones: &BTreeMap<String, ZonePlan>, source_loads: &HashMap<String, f64>) -> Room {
+impl FreeCapacity {
+    fn new(zones: &BTreeMap<String, ZonePlan>, source_loads: &HashMap<String, f64>) -> FreeCapacity {
         let free = |(name, zone): (&String, &ZonePlan)| {
             (name.clone(), (RECEIVE_UTILIZATION * zone.capacity - source_loads[name]).max(0.0))
         };
         let excess = |(name, zone): (&String, &ZonePlan)| {
             (source_loads[name] - SPILL_UTILIZATION * zone.capacity).max(0.0)
         };
-        Room { free: zones.iter().map(free).collect(), wanted: zones.iter().map(excess).sum() }
+        FreeCapacity { by_zone: zones.iter().map(free).collect(), excess: zones.iter().map(excess).sum() }
     }
 
     /// How much of what all want to hand over the others have room for.
-    fn fraction_taken(&self) -> f64 {
-        let free: f64 = self.free.values().sum();
-        if self.wanted > 0.0 {
-            (free / self.wanted).min(1.0)
+    fn accepted_fraction(&self) -> f64 {
+        let free: f64 = self.by_zone.values().sum();
+        if self.excess > 0.0 {
+            (free / self.excess).min(1.0)
         } else {
             1.0
         }
@@ -160,7 +161,7 @@
     /// Where a zone's spilled load goes: to others by their room. Where nobody has room, the others that can carry anything share
     /// what a zone without capacity must hand over.
     fn targets(&self, name: &str, zones: &BTreeMap<String, ZonePlan>) -> BTreeMap<String, f64> {
-        let targets = proportions(self.free.iter().filter(|(other, _)| *other != name));
+        let targets = proportions(self.by_zone.iter().filter(|(other, _)| *other != name));
         if !targets.is_empty() || zones[name].capacity > 0.0 {
             return targets;
         }
--- a/crates/control/src/plan/tests.rs
+++ b/crates/control/src/plan/tests.rs
@@ -10,7 +10,7 @@
 
 /// A fleet whose every server reports four times a second.
 struct Fleet {
-    views: FleetView,
+    fleet_view: FleetView,
     planner: Planner,
     now: f64,
     sequence: u64,
@@ -19,11 +19,11 @@
 
 impl Fleet {
     fn new(servers: Vec<LoadReport>) -> Fleet {
-        let views = FleetView::new(FleetConfig::default());
-        Fleet { views, planner: Planner::default(), now: 0.0, sequence: 0, servers }
+        let fleet_view = FleetView::new(FleetConfig::default());
+        Fleet { fleet_view, planner: Planner::default(), now: 0.0, sequence: 0, servers }
     }
     fn of(count: usize) -> Fleet {
-        Fleet::new((0..count).map(|at| report(&format!("n{at:03}"), 0, 0.0)).collect())
+        Fleet::new((0..count).map(|index| report(&format!("n{index:03}"), 0, 0.0)).collect())
     }
     /// All report, then it is planned anew.
     fn step(&mut self) -> Plan {
@@ -31,10 +31,10 @@
         self.sequence += 1;
         for server in &self.servers {
             let report = LoadReport { sequence: self.sequence, created_at: self.now, ..server.clone() };
-            assert_eq!(self.views.record(self.now, report), ReportOutcome::Accepted);
+            assert_eq!(self.fleet_view.record(self.now, report), ReportOutcome::Accepted);
         }
-        let plan = self.planner.plan(self.now, &self.views).unwrap();
-        sound(&plan);
+        let plan = self.planner.plan(self.now, &self.fleet_view).unwrap();
+        assert_valid(&plan);
         plan
     }
     fn steps(&mut self, count: usize) -> Plan {
@@ -44,7 +44,7 @@
 }
 
 /// What holds of every plan.
-fn sound(plan: &Plan) {
+fn assert_valid(plan: &Plan) {
     for zone in plan.zones.keys() {
         let sum: f64 = plan.shares.iter().filter(|s| &s.zone == zone).map(|s| s.weight).sum();
         assert!((sum - 1.0).abs() < 1e-6 || sum == 0.0, "{zone}: shares sum to {sum}");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn equal_servers_have_equal_shares_and_a_slow_one_comes_down_in_bounded_steps() {
+fn lowers_share_of_slow_server_in_bounded_steps() {
     let mut fleet = Fleet::of(10);
     assert!(fleet.step().shares.iter().all(|s| (s.weight - 0.1).abs() < 1e-9));
     fleet.servers[3].service_time *= 5.0;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn who_leaves_is_unwell_or_silent_gets_nothing_at_once_and_the_others_all_of_it() {
+fn removes_draining_unhealthy_and_silent_servers_at_once() {
     let mut fleet = Fleet::of(5);
     fleet.step();
     fleet.servers[0].terminates_in = Some(3.0);
@@ -92,23 +92,23 @@
 }
 
 #[test]
-fn if_all_go_silent_the_shares_stay_and_if_nobody_can_be_routed_to_there_is_no_plan() {
+fn keeps_shares_in_panic_and_makes_no_empty_plan() {
     let mut fleet = Fleet::of(4);
     let before = fleet.step();
-    let plan = fleet.planner.plan(fleet.now + 3.0, &fleet.views).unwrap();
+    let plan = fleet.planner.plan(fleet.now + 3.0, &fleet.fleet_view).unwrap();
     assert!(plan.panic);
     assert_eq!(plan.shares.iter().map(|s| s.weight).collect::<Vec<_>>(), [0.25; 4]);
     assert_eq!(before.drops, plan.drops);
     fleet.servers.iter_mut().for_each(|s| s.healthy = false);
     fleet.now += 1.0;
     for server in fleet.servers.clone() {
-        fleet.views.record(fleet.now, LoadReport { sequence: 99, created_at: fleet.now, ..server });
+        fleet.fleet_view.record(fleet.now, LoadReport { sequence: 99, created_at: fleet.now, ..server });
     }
-    assert!(fleet.planner.plan(fleet.now, &fleet.views).is_none());
+    assert!(fleet.planner.plan(fleet.now, &fleet.fleet_view).is_none());
 }
 
 #[test]
-fn a_server_that_claims_to_be_far_better_than_its_peers_gets_twice_a_fair_share_at_most() {
+fn caps_share_of_server_reporting_implausible_capacity() {
     let mut fleet = Fleet::of(10);
     fleet.step();
     (fleet.servers[7].service_time, fleet.servers[7].concurrency_limit) = (1e-6, 4000.0);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_cold_server_rises_slowly_and_a_restarted_one_starts_from_nothing() {
+fn raises_share_of_cold_or_restarted_server_slowly() {
     let mut fleet = Fleet::of(4);
     fleet.step();
     fleet.servers.push(LoadReport { warm_up_progress: 0.2, ..report("n9", 0, 0.0) });
@@ -132,31 +132,38 @@
     assert!(weight(&fleet.step(), "n9") <= MAX_SHARE_STEP * 0.25 * 0.2 + 1e-9);
 }
 
-fn zoned(zone: &str, name: &str, offered: f64) -> LoadReport {
+fn zone_report(zone: &str, name: &str, offered: f64) -> LoadReport {
     let class =
         ClassLoad { product: "p".into(), customer: "k".into(), priority_weight: 1.0, offered, rejected: 0.0 };
     LoadReport { zone: zone.into(), classes: vec![class], ..report(name, 0, 0.0) }
 }
 
 #[test]
-fn a_full_zone_hands_load_to_one_with_room_and_takes_it_back() {
+fn spills_load_of_full_zone_and_returns_it() {
     // Each server carries 400 a second. Zone a gets 480 for its one, b 80 for its two.
-    let mut fleet = Fleet::new(vec![zoned("a", "a1", 480.0), zoned("b", "b1", 40.0), zoned("b", "b2", 40.0)]);
-    let (mut spill, mut most) = (0.0, 0.0f64);
+    let mut fleet = Fleet::new(vec![
+        zone_report("a", "a1", 480.0),
+        zone_report("b", "b1", 40.0),
+        zone_report("b", "b2", 40.0),
+    ]);
+    let (mut spill, mut max_spill) = (0.0, 0.0f64);
     for _ in 0..200 {
         // What proxies do with it: the servers see their own zone's load less what goes away.
         fleet.servers[0].classes[0].offered = 480.0 * (1.0 - spill);
-        for at in [1, 2] {
-            fleet.servers[at].classes[0].offered = (80.0 + 480.0 * spill) / 2.0;
+        for index in [1, 2] {
+            fleet.servers[index].classes[0].offered = (80.0 + 480.0 * spill) / 2.0;
         }
         let plan = fleet.step();
         assert!((plan.zones["a"].spill - spill).abs() <= MAX_SPILL_STEP * 0.25 + 1e-9);
         assert_eq!(plan.zones["b"].spill, 0.0);
         spill = plan.zones["a"].spill;
-        most = most.max(spill);
+        max_spill = max_spill.max(spill);
     }
-    let wanted = 1.0 - SPILL_UTILIZATION * 400.0 / 480.0;
-    assert!((spill - wanted).abs() < 0.02 && most < wanted + 0.02, "{spill}, {most}, {wanted} wanted");
+    let target_spill = 1.0 - SPILL_UTILIZATION * 400.0 / 480.0;
+    assert!(
+        (spill - target_spill).abs() < 0.02 && max_spill < target_spill + 0.02,
+        "{spill}, {max_spill}, {target_spill} wanted"
+    );
     assert_eq!(fleet.step().zones["a"].spill_targets.keys().collect::<Vec<_>>(), ["b"]);
     fleet.servers[0].classes[0].offered = 100.0;
     fleet.servers[1].classes[0].offered = 40.0;
@@ -165,8 +172,8 @@
 }
 
 #[test]
-fn a_zone_without_servers_is_served_by_the_others() {
-    let mut fleet = Fleet::new(vec![zoned("a", "a1", 10.0), zoned("b", "b1", 10.0)]);
+fn routes_zone_without_servers_to_other_zones() {
+    let mut fleet = Fleet::new(vec![zone_report("a", "a1", 10.0), zone_report("b", "b1", 10.0)]);
     fleet.step();
     fleet.servers[0].terminates_in = Some(2.0);
     let plan = fleet.step();
@@ -182,39 +189,40 @@
 
 /// Servers whose run time grows with the load they get, seen a second late: the shares settle and stay.
 #[test]
-fn against_a_plant_with_delay_shares_settle_whatever_the_machines_are() {
+fn shares_converge_with_delayed_feedback() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(3..30);
         let speeds: Vec<f64> = (0..count).map(|_| rng.random_range(0.3..1.5)).collect();
         let load = rng.random_range(0.5..0.95) * speeds.iter().sum::<f64>();
         let mut fleet = Fleet::of(count);
-        let mut late: Vec<Vec<f64>> = Vec::new();
-        let mut seen: Vec<Vec<f64>> = Vec::new();
+        let mut history: Vec<Vec<f64>> = Vec::new();
         for _ in 0..400 {
-            let acting =
-                if late.len() > 4 { late[late.len() - 5].clone() } else { vec![1.0 / count as f64; count] };
-            for (at, server) in fleet.servers.iter_mut().enumerate() {
-                let use_ = (load * acting[at] / speeds[at]).min(1.5);
+            let observed_weights = if history.len() > 4 {
+                history[history.len() - 5].clone()
+            } else {
+                vec![1.0 / count as f64; count]
+            };
+            for (index, server) in fleet.servers.iter_mut().enumerate() {
+                let utilization = (load * observed_weights[index] / speeds[index]).min(1.5);
                 // Runs slow down past nine tenths, pressure rises, and a little noise lies on all of it.
-                let crowd = if use_ > 0.9 { 1.0 + 2.0 * (use_ - 0.9) } else { 1.0 };
-                server.service_time = 0.01 / speeds[at] * crowd * rng.random_range(0.97..1.03);
-                server.pressure = ((use_ - 0.9) * 3.0).clamp(0.0, 1.0);
+                let slowdown = if utilization > 0.9 { 1.0 + 2.0 * (utilization - 0.9) } else { 1.0 };
+                server.service_time = 0.01 / speeds[index] * slowdown * rng.random_range(0.97..1.03);
+                server.pressure = ((utilization - 0.9) * 3.0).clamp(0.0, 1.0);
             }
             let plan = fleet.step();
-            late.push(plan.shares.iter().map(|s| s.weight).collect());
-            seen.push(late[late.len() - 1].clone());
+            history.push(plan.shares.iter().map(|s| s.weight).collect());
         }
-        for at in 0..count {
-            let end: Vec<f64> = seen[280..].iter().map(|w| w[at]).collect();
+        for index in 0..count {
+            let end: Vec<f64> = history[280..].iter().map(|w| w[index]).collect();
             let (low, high) = end.iter().fold((1.0f64, 0.0f64), |(l, h), w| (l.min(*w), h.max(*w)));
-            assert!(high - low < 0.12 * high, "seed {seed}, server {at}: {low} to {high}");
+            assert!(high - low < 0.12 * high, "seed {seed}, server {index}: {low} to {high}");
         }
     }
 }
 
 #[test]
-fn limits_of_a_share_are_stored_by_the_texts_that_they_are_shown_by() {
+fn share_limits_are_serialized_as_displayed() {
     let texts = [
         "",
         "near its target",
@@ -237,7 +245,7 @@
 /// load of its zone, beside the same load at the servers that had taken it over. The plan's figures showed it: a zone that was asked
 /// 2,400 times a second was planned with 3,147 eleven plans after five of its twelve servers were lost.
 #[test]
-fn load_of_a_lost_server_is_not_counted_beside_those_that_took_it_over() {
+fn discounts_load_of_lost_servers() {
     let capacity = 400.0;
     let load = 0.5 * capacity;
     let with_load = |report: LoadReport, zone: &str, offered: f64| {
@@ -246,8 +254,8 @@
         LoadReport { zone: zone.into(), classes: vec![class], ..report }
     };
     let mut fleet = Fleet::of(24);
-    for (at, server) in fleet.servers.iter_mut().enumerate() {
-        *server = with_load(server.clone(), if at < 12 { "a" } else { "b" }, load);
+    for (index, server) in fleet.servers.iter_mut().enumerate() {
+        *server = with_load(server.clone(), if index < 12 { "a" } else { "b" }, load);
     }
     assert_eq!(fleet.steps(40).zones["a"].spill, 0.0);
     // Five of a zone are lost; the seven that are left are asked for all of it, and can carry it.
@@ -256,11 +264,11 @@
         server.classes[0].offered = load * 12.0 / 7.0;
     }
     // While they still count, load may go elsewhere; then it comes home in bounded steps.
-    let (gone, home) = (4.0, 1.0 / MAX_SPILL_STEP);
+    let (expiry, return_time) = (4.0, 1.0 / MAX_SPILL_STEP);
     for step in 1..200 {
         let plan = fleet.step();
         let zone = &plan.zones["a"];
-        let settled = f64::from(step) * 0.25 > gone + home;
+        let settled = f64::from(step) * 0.25 > expiry + return_time;
         assert!(zone.spill == 0.0 || !settled, "step {step}: {} of {} spilled", zone.spill, zone.load);
     }
     let zone = &fleet.step().zones["a"];
--- a/crates/control/src/report/decoder.rs
+++ b/crates/control/src/report/decoder.rs
@@ -2,7 +2,7 @@
 
 use super::{ClassLoad, LoadReport, MAX_NAME_BYTES};
 use puffinladder_reports::compact::{
-    ClassFigures, CompactReport, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT, FULL_FORMAT,
+    CompactClassLoad, CompactReport, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT, FULL_FORMAT,
 };
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -78,7 +78,7 @@
 pub struct ReportDecoder {
     names: NameTable,
     /// What the last full report said of the server, without its classes.
-    server: Option<LoadReport>,
+    last_full_report: Option<LoadReport>,
     /// By their numbers on the connection.
     products: Vec<Option<KnownProduct>>,
     customers: Vec<Option<u32>>,
@@ -98,7 +98,7 @@
 impl ReportDecoder {
     /// A decoder for a new connection.
     pub fn new(names: NameTable) -> ReportDecoder {
-        ReportDecoder { names, server: None, products: Vec::new(), customers: Vec::new() }
+        ReportDecoder { names, last_full_report: None, products: Vec::new(), customers: Vec::new() }
     }
 
     /// The report of a line.
@@ -113,13 +113,13 @@
 
     fn decode_full(&mut self, line: &str) -> Result<LoadReport, DecodeError> {
         let report: LoadReport = serde_json::from_str(line)?;
-        self.server = Some(LoadReport { classes: Vec::new(), ..report.clone() });
+        self.last_full_report = Some(LoadReport { classes: Vec::new(), ..report.clone() });
         Ok(report)
     }
 
     fn decode_compact(&mut self, compact: CompactReport) -> Result<LoadReport, DecodeError> {
-        let server = self.server.clone().ok_or(DecodeError::NoFullReport)?;
-        self.learn(&compact.products, &compact.customers)?;
+        let last_full_report = self.last_full_report.clone().ok_or(DecodeError::NoFullReport)?;
+        self.add_names(&compact.products, &compact.customers)?;
         Ok(LoadReport {
             sequence: compact.sequence,
             created_at: compact.created_at,
@@ -133,42 +133,46 @@
             warm_up_progress: compact.warm_up_progress,
             goodput: compact.goodput,
             classes: self.classes(&compact.load, compact.rest),
-            ..server
+            ..last_full_report
         })
     }
 
-    fn learn(&mut self, products: &[NamedProduct], customers: &[NamedCustomer]) -> Result<(), DecodeError> {
+    fn add_names(
+        &mut self,
+        products: &[NamedProduct],
+        customers: &[NamedCustomer],
+    ) -> Result<(), DecodeError> {
         let mut names = self.names.lock();
         for NamedProduct(number, name, priority_weight) in products {
-            let known = known_name(&mut names, *number, name)?;
-            let known = known.map(|name| KnownProduct { name, priority_weight: *priority_weight });
-            put(&mut self.products, *number, known);
+            let interned = intern_checked(&mut names, *number, name)?;
+            let interned = interned.map(|name| KnownProduct { name, priority_weight: *priority_weight });
+            set_at(&mut self.products, *number, interned);
         }
         for NamedCustomer(number, name) in customers {
-            let known = known_name(&mut names, *number, name)?;
-            put(&mut self.customers, *number, known);
+            let interned = intern_checked(&mut names, *number, name)?;
+            set_at(&mut self.customers, *number, interned);
         }
         Ok(())
     }
 
     /// Load by product and customer. What has no name, or had no room, is one class without names, so that the sums are whole.
-    fn classes(&self, load: &[ClassFigures], mut unnamed: Rates) -> Vec<ClassLoad> {
+    fn classes(&self, load: &[CompactClassLoad], mut unnamed: Rates) -> Vec<ClassLoad> {
         let names = self.names.lock();
         let mut classes = Vec::with_capacity(load.len() + 1);
-        for figures in load {
-            let product = self.products.get(figures.product as usize).copied().flatten();
-            let customer = self.customers.get(figures.customer as usize).copied().flatten();
+        for class in load {
+            let product = self.products.get(class.product as usize).copied().flatten();
+            let customer = self.customers.get(class.customer as usize).copied().flatten();
             match (product, customer) {
                 (Some(product), Some(customer)) => classes.push(ClassLoad {
                     product: names.get(product.name).to_owned(),
                     customer: names.get(customer).to_owned(),
                     priority_weight: product.priority_weight,
-                    offered: figures.rates.offered,
-                    rejected: figures.rates.rejected,
+                    offered: class.rates.offered,
+                    rejected: class.rates.rejected,
                 }),
                 _ => {
-                    unnamed.offered += figures.rates.offered;
-                    unnamed.rejected += figures.rates.rejected;
+                    unnamed.offered += class.rates.offered;
+                    unnamed.rejected += class.rates.rejected;
                 }
             }
         }
@@ -179,14 +183,14 @@
     }
 }
 
-fn known_name(names: &mut Names, number: u32, name: &str) -> Result<Option<u32>, DecodeError> {
+fn intern_checked(names: &mut Names, number: u32, name: &str) -> Result<Option<u32>, DecodeError> {
     if number > MAX_NAME_NUMBER || name.len() > MAX_NAME_BYTES {
         return Err(DecodeError::Name);
     }
     Ok(names.intern(name))
 }
 
-fn put<T: Clone>(list: &mut Vec<Option<T>>, number: u32, value: Option<T>) {
+fn set_at<T: Clone>(list: &mut Vec<Option<T>>, number: u32, value: Option<T>) {
     let index = number as usize;
     if list.len() <= index {
         list.resize(index + 1, None);
--- a/crates/control/src/resources/endpoints.rs
+++ b/crates/control/src/resources/endpoints.rs
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 
 /// Parts into which the load is split among zones. Finer steps would be pushed for nothing.
-const ZONE_PARTS: f64 = 1000.0;
+const TOTAL_ZONE_WEIGHT: f64 = 1000.0;
 /// Parts that a server of mean share has, so that a large zone's small shares can still be told apart.
-const MEAN_SERVER_PARTS: f64 = 100.0;
+const MEAN_SERVER_WEIGHT: f64 = 100.0;
 
 /// A weight in whole parts: at least 1 unless it is nothing.
-fn weight(fraction: f64, parts: f64) -> Option<UInt32Value> {
-    let value = if fraction > 0.0 { (fraction * parts).round().max(1.0) as u32 } else { 0 };
+fn weight(fraction: f64, scale: f64) -> Option<UInt32Value> {
+    let value = if fraction > 0.0 { (fraction * scale).round().max(1.0) as u32 } else { 0 };
     Some(UInt32Value { value })
 }
 
@@ -47,10 +47,10 @@
 fn zone_endpoints(
     zone: &str,
     routes: &[Route],
-    slot: usize,
+    subset: usize,
     subsets: &SubsetConfig,
 ) -> endpoint::LocalityLbEndpoints {
-    let in_subset = |route: &&Route| subsets.contains(slot, &route.server.instance, routes.len());
+    let in_subset = |route: &&Route| subsets.contains(subset, &route.server.instance, routes.len());
     let mut selected: Vec<&Route> = routes.iter().filter(in_subset).collect();
     if selected.is_empty() {
         // Chance may leave a subset empty: its proxies get all servers.
@@ -58,15 +58,15 @@
     }
     let zone_weight: f64 = routes.iter().map(|route| route.weight).sum();
     let selected_weight: f64 = selected.iter().map(|route| route.server.weight).sum();
-    let parts = MEAN_SERVER_PARTS * selected.len() as f64;
+    let scale = MEAN_SERVER_WEIGHT * selected.len() as f64;
     let endpoint = |route: &&Route| {
         let server = route.server;
-        server_endpoint(server, weight(server.weight / selected_weight, parts))
+        server_endpoint(server, weight(server.weight / selected_weight, scale))
     };
     endpoint::LocalityLbEndpoints {
         locality: Some(core::Locality { zone: zone.into(), ..Default::default() }),
         lb_endpoints: selected.iter().map(endpoint).collect(),
-        load_balancing_weight: weight(zone_weight, ZONE_PARTS),
+        load_balancing_weight: weight(zone_weight, TOTAL_ZONE_WEIGHT),
         ..Default::default()
     }
 }
@@ -81,7 +81,7 @@
     for route in plan.routes(&profile.zone) {
         by_zone.entry(&route.server.zone).or_default().push(route);
     }
-    let zones = by_zone.iter().map(|(zone, routes)| zone_endpoints(zone, routes, profile.slot, subsets));
+    let zones = by_zone.iter().map(|(zone, routes)| zone_endpoints(zone, routes, profile.subset, subsets));
     endpoint::ClusterLoadAssignment {
         cluster_name: CLUSTER.into(),
         endpoints: zones.collect(),
--- a/crates/control/src/resources/listener.rs
+++ b/crates/control/src/resources/listener.rs
@@ -9,7 +9,7 @@
 use envoy_types::pb::google::protobuf::Any;
 use prost::{Message, Name};
 
-fn any<T: Message + Name>(message: &T) -> Any {
+fn to_any<T: Message + Name>(message: &T) -> Any {
     Any { type_url: T::type_url(), value: message.encode_to_vec() }
 }
 
@@ -17,7 +17,7 @@
     let routes = manager::Rds { config_source: Some(ads_source()), route_config_name: ROUTES.into() };
     let router = manager::HttpFilter {
         name: "router".into(),
-        config_type: Some(ConfigType::TypedConfig(any(&Router::default()))),
+        config_type: Some(ConfigType::TypedConfig(to_any(&Router::default()))),
         ..Default::default()
     };
     let connections = manager::HttpConnectionManager {
@@ -28,7 +28,7 @@
     };
     listener::Listener {
         name: LISTENER.into(),
-        api_listener: Some(listener::ApiListener { api_listener: Some(any(&connections)) }),
+        api_listener: Some(listener::ApiListener { api_listener: Some(to_any(&connections)) }),
         ..Default::default()
     }
 }
--- a/crates/control/src/serve/event_loop.rs
+++ b/crates/control/src/serve/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::handle::Message;
 use super::{snapshot_file, unix_now};
-use crate::fleet::{ReportOutcome, Silence};
+use crate::fleet::{OutageState, ReportOutcome};
 use crate::report::LoadReport;
 use crate::service::{ControlService, StreamId};
 use crate::stream::{ProxyRequest, Update};
@@ -28,7 +28,7 @@
     started_at: Instant,
     snapshots: Option<SnapshotWriter>,
     /// What the silence of servers was last logged as.
-    logged_silence: Silence,
+    logged_silence: OutageState,
 }
 
 impl EventLoop {
@@ -43,7 +43,7 @@
             streams: HashMap::new(),
             started_at: Instant::now(),
             snapshots: snapshot.map(SnapshotWriter::new),
-            logged_silence: Silence::Few,
+            logged_silence: OutageState::Normal,
         }
     }
 
@@ -94,17 +94,17 @@
     /// Logs when most servers fall silent, when that is confirmed, and when it is over.
     fn log_silence(&mut self, now: f64) {
         let fleet = self.service.fleet();
-        let silence = fleet.assessed_silence();
-        if silence.is_like(self.logged_silence) {
+        let silence = fleet.assessed_outage();
+        if silence.is_same_state(self.logged_silence) {
             return;
         }
         let (heard, known) = (fleet.fresh_count(now), fleet.len());
         match silence {
-            Silence::Few => tracing::info!("{heard} of {known} servers are heard: most are again"),
-            Silence::Suspected { .. } => {
+            OutageState::Normal => tracing::info!("{heard} of {known} servers are heard: most are again"),
+            OutageState::Suspected { .. } => {
                 tracing::warn!("{heard} of {known} servers are heard: reports are suspected, shares stay");
             }
-            Silence::Confirmed { .. } => tracing::warn!(
+            OutageState::Confirmed { .. } => tracing::warn!(
                 "{heard} of {known} servers are heard, some without a gap: the others are out of reach and lose their shares"
             ),
         }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -46,7 +46,7 @@
 }
 
 /// Fraction of a stored snapshot's servers that is enough to begin with: some may be gone for good.
-const ENOUGH_SERVERS: f64 = 0.8;
+const READY_SERVER_FRACTION: f64 = 0.8;
 
 /// What outlives the process, stored as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -213,7 +213,7 @@
     }
 
     fn profile(&self, zone: &str, node: &str) -> ProxyProfile {
-        ProxyProfile { zone: zone.into(), slot: self.config.subsets.slot(node) }
+        ProxyProfile { zone: zone.into(), subset: self.config.subsets.subset_of(node) }
     }
 
     /// Takes in a proxy's request, and gives what is to be sent to it. After an error the stream is closed.
@@ -225,7 +225,7 @@
     ) -> Result<Vec<Update>, StreamError> {
         let Some(proxy) = self.proxies.get_mut(&id) else { return Ok(Vec::new()) };
         match proxy.stream.handle_request(request) {
-            Ok(()) => self.updates(now, id),
+            Ok(()) => self.pending_updates(now, id),
             Err(error) => {
                 self.abort_stream(id);
                 Err(error)
@@ -253,7 +253,7 @@
         let ids: Vec<StreamId> = self.proxies.keys().copied().collect();
         let mut events = Vec::new();
         for stream in ids {
-            match self.updates(now, stream) {
+            match self.pending_updates(now, stream) {
                 Ok(updates) => {
                     events
                         .extend(updates.into_iter().map(|update| StreamEvent { stream, result: Ok(update) }));
@@ -268,7 +268,7 @@
     }
 
     /// All that is to be sent on a stream now.
-    fn updates(&mut self, now: f64, id: StreamId) -> Result<Vec<Update>, StreamError> {
+    fn pending_updates(&mut self, now: f64, id: StreamId) -> Result<Vec<Update>, StreamError> {
         let ControlService { plan, snapshots, proxies, config, version, .. } = self;
         let (Some(plan), Some(proxy)) = (plan.as_ref(), proxies.get_mut(&id)) else { return Ok(Vec::new()) };
         if !snapshots.contains_key(&proxy.profile) {
@@ -286,16 +286,17 @@
     /// Whether enough servers have reported to plan by.
     fn is_ready(&self, now: f64) -> bool {
         let Some(first_report_at) = self.first_report_at else { return false };
-        let since = now - first_report_at;
+        let elapsed = now - first_report_at;
         let schedule = &self.config.schedule;
-        let enough = self.fleet.fresh_count(now) as f64 >= ENOUGH_SERVERS * self.expected_servers as f64;
-        since >= schedule.min_settle_time && (enough || since >= schedule.max_settle_time)
+        let enough =
+            self.fleet.fresh_count(now) as f64 >= READY_SERVER_FRACTION * self.expected_servers as f64;
+        elapsed >= schedule.min_settle_time && (enough || elapsed >= schedule.max_settle_time)
     }
 
     fn replan(&mut self, now: f64) {
         self.last_planned_at = now;
-        self.fleet.forget_silent(now);
-        self.fleet.assess_silence(now);
+        self.fleet.evict_silent(now);
+        self.fleet.assess_outage(now);
         if !self.is_ready(now) {
             return;
         }
@@ -303,23 +304,23 @@
             self.counters.plans_missing += 1;
             return;
         };
-        if self.panic_lasts_too_long(now, plan.panic) {
+        if self.panic_timed_out(now, plan.panic) {
             self.counters.plans_missing += 1;
             return;
         }
         self.counters.plans += 1;
-        self.put_in_force(plan);
+        self.apply_plan(plan);
     }
 
     /// Reports of most servers that stay away for long while no other is heard steadily are no passing fault: nothing is decided on
     /// them, and leases end. Where others are heard, the silence is confirmed long before, and this never comes to pass.
-    fn panic_lasts_too_long(&mut self, now: f64, panic: bool) -> bool {
+    fn panic_timed_out(&mut self, now: f64, panic: bool) -> bool {
         self.panic_since = panic.then(|| self.panic_since.unwrap_or(now));
         self.panic_since.is_some_and(|since| now - since > self.config.schedule.max_panic_time)
     }
 
     /// Makes the resources of all profiles anew. Those that a plan does not change keep their version.
-    fn put_in_force(&mut self, plan: Plan) {
+    fn apply_plan(&mut self, plan: Plan) {
         let next = PlanVersion { number: self.version.number + 1, ..self.version };
         let mut changed = self.plan.is_none();
         let mut snapshots = HashMap::with_capacity(self.snapshots.len());
--- a/crates/control/src/shedding.rs
+++ b/crates/control/src/shedding.rs
@@ -21,7 +21,7 @@
 /// The same while servers reject nothing and have cores to spare: the cause is over.
 const RECOVERY_RATE: f64 = 0.15;
 /// Rejected fraction below which servers count as rejecting nothing: well under the target, and above a smoothed zero.
-const NOTHING_REJECTED: f64 = TARGET_REJECTED / 10.0;
+const MIN_REJECTED_FRACTION: f64 = TARGET_REJECTED / 10.0;
 /// Pressure of the fleet under which it has cores to spare.
 const LOW_PRESSURE: f64 = 0.1;
 /// Largest fraction that is dropped: something must arrive to show that it could be served again.
@@ -94,12 +94,12 @@
 
 impl ClassState {
     /// Change of the dropped fraction in a second.
-    fn drop_rate(&self, cores_to_spare: bool) -> f64 {
+    fn drop_rate(&self, has_spare_cores: bool) -> f64 {
         let surplus = self.rejected_fraction - TARGET_REJECTED;
         if surplus > 0.0 {
             // What is left after the drop shrinks as the drop grows, and so does each step.
             RISE_GAIN * surplus * (1.0 - self.drop_fraction)
-        } else if cores_to_spare && self.rejected_fraction < NOTHING_REJECTED {
+        } else if has_spare_cores && self.rejected_fraction < MIN_REJECTED_FRACTION {
             -RECOVERY_RATE
         } else {
             FALL_RATE * surplus / TARGET_REJECTED
@@ -110,11 +110,11 @@
 /// What the fleet reported since the last plan.
 struct FleetTotals<'a> {
     classes: BTreeMap<ClassKey<&'a str>, ClassTotals>,
-    cores_to_spare: bool,
+    has_spare_cores: bool,
 }
 
 impl<'a> FleetTotals<'a> {
-    fn of(views: &[ServerView<'a>]) -> FleetTotals<'a> {
+    fn from_views(views: &[ServerView<'a>]) -> FleetTotals<'a> {
         let mut classes: BTreeMap<ClassKey<&str>, ClassTotals> = BTreeMap::new();
         let (mut pressure, mut cores) = (0.0, 0.0);
         for view in views.iter().filter(|view| view.confidence > 0.0) {
@@ -128,7 +128,7 @@
                 totals.priority_weight = totals.priority_weight.max(class.priority_weight);
             }
         }
-        FleetTotals { classes, cores_to_spare: cores > 0.0 && pressure / cores < LOW_PRESSURE }
+        FleetTotals { classes, has_spare_cores: cores > 0.0 && pressure / cores < LOW_PRESSURE }
     }
 }
 
@@ -146,21 +146,21 @@
         ordered.sort_by(|(key_a, a), (key_b, b)| {
             a.priority_weight.total_cmp(&b.priority_weight).then(key_a.cmp(key_b))
         });
-        let mut most = MAX_DROP;
+        let mut max_fraction = MAX_DROP;
         let mut weight = f64::NEG_INFINITY;
-        let mut least_of_weight = MAX_DROP;
+        let mut min_fraction_of_weight = MAX_DROP;
         let mut rules = Vec::new();
         for (key, state) in ordered {
             if state.priority_weight > weight {
                 // All classes of the last weight or a lower one bound what follows.
-                most = most.min(least_of_weight);
+                max_fraction = max_fraction.min(min_fraction_of_weight);
                 weight = state.priority_weight;
-                least_of_weight = MAX_DROP;
+                min_fraction_of_weight = MAX_DROP;
             }
-            let fraction = state.drop_fraction.min(most);
+            let fraction = state.drop_fraction.min(max_fraction);
             // A class without requests bounds nothing.
             if state.offered > 0.0 {
-                least_of_weight = least_of_weight.min(fraction);
+                min_fraction_of_weight = min_fraction_of_weight.min(fraction);
             }
             if fraction >= MIN_DROP {
                 let ClassKey { product, customer } = key.clone();
@@ -173,7 +173,7 @@
 
     /// Moves the fractions by what servers report, `elapsed` seconds after the last time, and gives the rules.
     pub fn update(&mut self, elapsed: f64, views: &[ServerView]) -> Vec<DropRule> {
-        let totals = FleetTotals::of(views);
+        let totals = FleetTotals::from_views(views);
         let sample_weight = sample_weight(elapsed, REJECTED_TIME_CONSTANT);
         self.observe(&totals, sample_weight);
         for (key, state) in &mut self.classes {
@@ -181,7 +181,7 @@
                 state.rejected_fraction -= sample_weight * state.rejected_fraction;
                 state.offered = 0.0;
             }
-            let change = state.drop_rate(totals.cores_to_spare) * elapsed;
+            let change = state.drop_rate(totals.has_spare_cores) * elapsed;
             state.drop_fraction = (state.drop_fraction + change).clamp(0.0, MAX_DROP);
         }
         self.classes
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -55,8 +55,8 @@
 #[test]
 fn a_plan_is_the_same_bytes_of_resources_as_ever() {
     let snapshot: StoredSnapshot = serde_json::from_slice(&read("snapshot.json")).unwrap();
-    let profile = ProxyProfile { zone: "z1".into(), slot: 3 };
-    let subsets = SubsetConfig { size: 2, slots: 4 };
+    let profile = ProxyProfile { zone: "z1".into(), subset: 3 };
+    let subsets = SubsetConfig { size: 2, count: 4 };
     let held = resource_snapshot(&snapshot.plan, PlanVersion { epoch: 5, number: 9 }, &profile, &subsets);
     let urls = [
         "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -183,7 +183,7 @@
         for report in course.reports(now) {
             views.record(now, report);
         }
-        views.forget_silent(now);
+        views.evict_silent(now);
         planner.plan(now, &views)
     };
     (0..400).map(step).collect()
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -19,7 +19,7 @@
     let mut config = ServiceConfig { lease, ..ServiceConfig::default() };
     (config.schedule.interval, config.schedule.min_settle_time) = (0.1, 0.2);
     // So that the memory of those that fell silent is seen to be given back.
-    config.fleet.forget_after = 3.0;
+    config.fleet.evict_after = 3.0;
     let setup = ServeConfig {
         service: config,
         xds: any(),
--- a/crates/reports/src/encoder.rs
+++ b/crates/reports/src/encoder.rs
@@ -1,7 +1,7 @@
 //! What a server sends on one connection to a control service, from the first report to the end of the connection.
 
 use crate::compact::{
-    ClassFigures, CompactReport, FormatOffer, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT,
+    CompactClassLoad, CompactReport, FormatOffer, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT,
 };
 use crate::{ClassLoad, LoadSample, ServerIdentity};
 use serde::Serialize;
@@ -13,7 +13,7 @@
 /// Longest offer of formats, in bytes.
 const MAX_OFFER_BYTES: usize = 256;
 /// Bytes of the names of a compact report's lists and of its `rest`, beside what is in them.
-const LIST_BYTES: usize = 96;
+const LIST_OVERHEAD_BYTES: usize = 96;
 
 /// Bytes of one report at the most, if a server reports to so many control services after each `interval`.
 pub fn max_report_bytes(services: usize, interval: Duration) -> usize {
@@ -37,10 +37,10 @@
 pub struct ReportEncoder {
     offer: Offer,
     /// A full report was written.
-    introduced: bool,
+    full_report_sent: bool,
     /// Which products and customers the service was told the names of.
-    named_products: Vec<bool>,
-    named_customers: Vec<bool>,
+    sent_products: Vec<bool>,
+    sent_customers: Vec<bool>,
 }
 
 impl ReportEncoder {
@@ -48,17 +48,17 @@
     pub fn new(identity: &ServerIdentity) -> ReportEncoder {
         ReportEncoder {
             offer: Offer::Awaited(Vec::new()),
-            introduced: false,
-            named_products: vec![false; identity.products.len()],
-            named_customers: vec![false; identity.customers.len()],
+            full_report_sent: false,
+            sent_products: vec![false; identity.products.len()],
+            sent_customers: vec![false; identity.customers.len()],
         }
     }
 
     /// Takes bytes that the service sent.
     pub fn receive(&mut self, bytes: &[u8]) {
         let Offer::Awaited(line) = &mut self.offer else { return };
-        let room = (MAX_OFFER_BYTES + 1).saturating_sub(line.len());
-        line.extend_from_slice(&bytes[..bytes.len().min(room)]);
+        let capacity = (MAX_OFFER_BYTES + 1).saturating_sub(line.len());
+        line.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         let end = line.iter().position(|byte| *byte == b'\n');
         if let Some(end) = end {
             self.offer = read_offer(&line[..end]);
@@ -82,13 +82,13 @@
         created_at: f64,
         max_bytes: usize,
     ) -> String {
-        if !self.introduced || !matches!(self.offer, Offer::Compact) {
-            self.introduced = true;
+        if !self.full_report_sent || !matches!(self.offer, Offer::Compact) {
+            self.full_report_sent = true;
             return identity.report_line(sample, sequence, created_at);
         }
-        let mut report = figures(identity, sample, sequence, created_at);
-        let left = max_bytes.saturating_sub(encoded_length(&report) + LIST_BYTES);
-        self.add_classes(identity, sample, left, &mut report);
+        let mut report = report_without_classes(identity, sample, sequence, created_at);
+        let remaining_bytes = max_bytes.saturating_sub(encoded_length(&report) + LIST_OVERHEAD_BYTES);
+        self.add_classes(identity, sample, remaining_bytes, &mut report);
         let mut line = encoded(&report);
         line.push('\n');
         line
@@ -98,19 +98,19 @@
         &mut self,
         identity: &ServerIdentity,
         sample: &LoadSample,
-        mut left: usize,
+        mut remaining_bytes: usize,
         report: &mut CompactReport,
     ) {
-        for place in sample.by_importance() {
-            let class = &sample.classes[place];
-            let named = self.named(identity, class);
-            match named.filter(|named| named.bytes <= left) {
-                Some(named) => {
-                    left -= named.bytes;
-                    self.note_names(&named);
-                    report.load.push(named.figures);
-                    report.products.extend(named.product);
-                    report.customers.extend(named.customer);
+        for index in sample.indices_by_load() {
+            let class = &sample.classes[index];
+            let entry = self.class_entry(identity, class);
+            match entry.filter(|entry| entry.bytes <= remaining_bytes) {
+                Some(entry) => {
+                    remaining_bytes -= entry.bytes;
+                    self.mark_names_sent(&entry);
+                    report.load.push(entry.load);
+                    report.products.extend(entry.product);
+                    report.customers.extend(entry.customer);
                 }
                 None => {
                     report.rest.offered += class.offered;
@@ -121,34 +121,34 @@
     }
 
     /// A class with the names that the service does not know yet; none where an index is out of range.
-    fn named(&self, identity: &ServerIdentity, class: &ClassLoad) -> Option<NamedClass> {
+    fn class_entry(&self, identity: &ServerIdentity, class: &ClassLoad) -> Option<ClassEntry> {
         let (product, customer) = (u32::try_from(class.product).ok()?, u32::try_from(class.customer).ok()?);
         let (known_product, name) =
-            (*self.named_products.get(class.product)?, identity.products.get(class.product)?);
+            (*self.sent_products.get(class.product)?, identity.products.get(class.product)?);
         let (known_customer, customer_name) =
-            (*self.named_customers.get(class.customer)?, identity.customers.get(class.customer)?);
+            (*self.sent_customers.get(class.customer)?, identity.customers.get(class.customer)?);
         let rates = Rates { offered: class.offered, rejected: class.rejected };
-        let mut named = NamedClass {
-            figures: ClassFigures { product, customer, rates },
+        let mut entry = ClassEntry {
+            load: CompactClassLoad { product, customer, rates },
             product: (!known_product).then(|| NamedProduct(product, name.name.clone(), name.priority_weight)),
             customer: (!known_customer).then(|| NamedCustomer(customer, customer_name.clone())),
             bytes: 0,
         };
-        let name_bytes = named.product.as_ref().map_or(0, element_length)
-            + named.customer.as_ref().map_or(0, element_length);
-        named.bytes = element_length(&named.figures) + name_bytes;
-        Some(named)
+        let name_bytes = entry.product.as_ref().map_or(0, element_length)
+            + entry.customer.as_ref().map_or(0, element_length);
+        entry.bytes = element_length(&entry.load) + name_bytes;
+        Some(entry)
     }
 
-    fn note_names(&mut self, named: &NamedClass) {
-        self.named_products[named.figures.product as usize] = true;
-        self.named_customers[named.figures.customer as usize] = true;
+    fn mark_names_sent(&mut self, entry: &ClassEntry) {
+        self.sent_products[entry.load.product as usize] = true;
+        self.sent_customers[entry.load.customer as usize] = true;
     }
 }
 
 /// A class on its way into a report.
-struct NamedClass {
-    figures: ClassFigures,
+struct ClassEntry {
+    load: CompactClassLoad,
     product: Option<NamedProduct>,
     customer: Option<NamedCustomer>,
     /// What it takes in the report.
@@ -163,7 +163,12 @@
 }
 
 /// A report without its classes.
-fn figures(identity: &ServerIdentity, sample: &LoadSample, sequence: u64, created_at: f64) -> CompactReport {
+fn report_without_classes(
+    identity: &ServerIdentity,
+    sample: &LoadSample,
+    sequence: u64,
+    created_at: f64,
+) -> CompactReport {
     CompactReport {
         format: COMPACT_FORMAT,
         sequence,
--- a/crates/reports/src/lib.rs
+++ b/crates/reports/src/lib.rs
@@ -100,14 +100,14 @@
     }
 
     /// Places of the classes, ordered by how much depends on them: first what was rejected most, then what was offered most.
-    fn by_importance(&self) -> Vec<usize> {
-        let mut places: Vec<usize> = (0..self.classes.len()).collect();
-        places.sort_by(|a, b| {
+    fn indices_by_load(&self) -> Vec<usize> {
+        let mut indices: Vec<usize> = (0..self.classes.len()).collect();
+        indices.sort_by(|a, b| {
             let (a, b) = (&self.classes[*a], &self.classes[*b]);
             let by_load = b.rejected.total_cmp(&a.rejected).then(b.offered.total_cmp(&a.offered));
             by_load.then((a.product, a.customer).cmp(&(b.product, b.customer)))
         });
-        places
+        indices
     }
 }
 
@@ -149,17 +149,17 @@
     fn classes_json(&self, sample: &LoadSample) -> Vec<Value> {
         let mut named = Vec::with_capacity(sample.classes.len().min(MAX_FULL_CLASSES));
         let (mut bytes, mut offered_unnamed) = (0, 0.0);
-        for place in sample.by_importance() {
-            let class = &sample.classes[place];
+        for index in sample.indices_by_load() {
+            let class = &sample.classes[index];
             let class_json = self.class_json(class);
             bytes += class_json.to_string().len() + 1;
             if named.len() < MAX_FULL_CLASSES && bytes <= MAX_FULL_CLASS_BYTES {
-                named.push((place, class_json));
+                named.push((index, class_json));
             } else {
                 offered_unnamed += class.offered;
             }
         }
-        named.sort_by_key(|(place, _)| *place);
+        named.sort_by_key(|(index, _)| *index);
         let mut classes: Vec<Value> = named.into_iter().map(|(_, class)| class).collect();
         if offered_unnamed > 0.0 {
             classes.push(json!({
--- a/crates/reports/tests/compact.rs
+++ b/crates/reports/tests/compact.rs
@@ -20,10 +20,10 @@
 const REQUESTS_PER_SECOND: f64 = 151.0;
 const INTERVAL: Duration = Duration::from_millis(250);
 /// Figures are told in four digits.
-const FIGURE_ERROR: f64 = 1e-3;
+const ROUNDING_ERROR: f64 = 1e-3;
 
 fn identity(products: usize, customers: usize) -> ServerIdentity {
-    let product = |at| Product { name: format!("logistics-availability-v{at}"), priority_weight: 2.5 };
+    let product = |index| Product { name: format!("logistics-availability-v{index}"), priority_weight: 2.5 };
     ServerIdentity {
         instance: "n00001".into(),
         incarnation: 1_764_600_000_000_000,
@@ -33,7 +33,7 @@
         warm_up_span: None,
         initial_capacity: 1.0,
         products: (0..products).map(product).collect(),
-        customers: (0..customers).map(|at| format!("northern-logistics-{at:05}")).collect(),
+        customers: (0..customers).map(|index| format!("northern-logistics-{index:05}")).collect(),
     }
 }
 
@@ -72,12 +72,12 @@
     encoder
 }
 
-fn sums(sample: &LoadSample) -> Rates {
+fn sample_totals(sample: &LoadSample) -> Rates {
     let offered = sample.classes.iter().map(|class| class.offered).sum();
     Rates { offered, rejected: sample.classes.iter().map(|class| class.rejected).sum() }
 }
 
-fn told_sums(report: &CompactReport) -> Rates {
+fn report_totals(report: &CompactReport) -> Rates {
     let named = report.load.iter().map(|class| class.rates);
     named.fold(report.rest, |sum, rates| Rates {
         offered: sum.offered + rates.offered,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn at_the_planned_size_all_reports_stay_within_what_a_server_has_for_control() {
+fn reports_at_planned_size_stay_within_byte_budget() {
     let identity = identity(PRODUCTS, CUSTOMERS);
     for services in [1, 2, 4, 8] {
         for rejected in [0.02, 0.5] {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn sums_are_whole_and_what_is_rejected_most_is_named_first_however_little_room_there_is() {
+fn totals_are_complete_and_most_rejected_is_named_first() {
     let identity = identity(PRODUCTS, CUSTOMERS);
     let mut random = ChaCha8Rng::seed_from_u64(2);
     for max_bytes in [0, 200, 400, 600, 2_500, 1 << 20] {
@@ -122,9 +122,15 @@
             let line = encoder.line(&identity, &sample, sequence, 1.0, max_bytes);
             let report: CompactReport = serde_json::from_str(&line).unwrap();
             assert!(line.len() <= max_bytes.max(300), "{} of {max_bytes}: {line}", line.len());
-            let (was, told) = (sums(&sample), told_sums(&report));
-            assert!((was.offered - told.offered).abs() <= FIGURE_ERROR * was.offered, "{was:?} {told:?}");
-            assert!((was.rejected - told.rejected).abs() <= FIGURE_ERROR * was.rejected, "{was:?} {told:?}");
+            let (expected, reported) = (sample_totals(&sample), report_totals(&report));
+            assert!(
+                (expected.offered - reported.offered).abs() <= ROUNDING_ERROR * expected.offered,
+                "{expected:?} {reported:?}"
+            );
+            assert!(
+                (expected.rejected - reported.rejected).abs() <= ROUNDING_ERROR * expected.rejected,
+                "{expected:?} {reported:?}"
+            );
             // Each number has a name by then, and each name is told once.
             assert!(report.products.iter().all(|named| products.insert(named.0)), "{line}");
             assert!(report.customers.iter().all(|named| customers.insert(named.0)), "{line}");
@@ -135,19 +141,19 @@
             if max_bytes == 1 << 20 {
                 assert_eq!((report.load.len(), report.rest), (sample.classes.len(), Rates::default()));
             }
-            let first = sample.classes.iter().map(|class| class.rejected).fold(0.0, f64::max);
+            let max_rejected = sample.classes.iter().map(|class| class.rejected).fold(0.0, f64::max);
             let named_first = report.load.first().map(|class| class.rates.rejected);
-            assert!(max_bytes < 400 || named_first == Some(first), "{line}");
+            assert!(max_bytes < 400 || named_first == Some(max_rejected), "{line}");
         }
     }
 }
 
 #[test]
-fn a_service_that_offers_nothing_or_nothing_known_gets_full_reports_for_ever() {
+fn sends_full_reports_without_valid_offer() {
     let identity = identity(3, 3);
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let endless = [b'x'; 5_000];
-    let not_offers: [&[u8]; 7] = [
+    let invalid_offers: [&[u8]; 7] = [
         b"",
         b"{\"report_formats\":[1,2]}",
         b"{\"report_formats\":[1]}\n{\"report_formats\":[1,2]}\n",
@@ -156,14 +162,14 @@
         b"\xff\xfe\n",
         &endless,
     ];
-    for said in not_offers {
+    for bytes in invalid_offers {
         let mut encoder = ReportEncoder::new(&identity);
-        encoder.receive(said);
+        encoder.receive(bytes);
         for sequence in 1..5 {
             let mut sample = sample(&mut random, 0, 0.0);
             sample.classes = vec![ClassLoad { product: 2, customer: 1, offered: 4.0, rejected: 0.0 }];
-            let wanted = identity.report_line(&sample, sequence, 0.25);
-            assert_eq!(encoder.line(&identity, &sample, sequence, 0.25, 100), wanted);
+            let expected = identity.report_line(&sample, sequence, 0.25);
+            assert_eq!(encoder.line(&identity, &sample, sequence, 0.25, 100), expected);
         }
         // Bytes beyond an offer are not kept, whatever comes.
         encoder.receive(&endless);
@@ -171,7 +177,7 @@
 }
 
 #[test]
-fn an_offer_in_pieces_counts_once_it_is_whole_and_the_first_report_is_full_all_the_same() {
+fn reads_fragmented_offer_and_sends_full_report_first() {
     let identity = identity(3, 3);
     let mut random = ChaCha8Rng::seed_from_u64(4);
     let sample = sample(&mut random, 0, 0.0);
@@ -186,11 +192,11 @@
 }
 
 #[test]
-fn a_compact_report_is_these_bytes() {
+fn compact_report_wire_format_is_stable() {
     // Control services of other versions read them, so that they may only change on purpose.
     let identity = identity(3, 3);
     let class = |product, customer, offered, rejected| ClassLoad { product, customer, offered, rejected };
-    let state = LoadSample {
+    let sample = LoadSample {
         concurrency_limit: 4.123_456,
         in_flight: 3,
         service_time: 0.012_345_678,
@@ -202,19 +208,19 @@
         classes: vec![class(0, 1, 80.0, 0.0), class(2, 1, 4.0, 4.0), class(9, 9, 1.5, 0.0)],
     };
     let mut encoder = compact_encoder(&identity);
-    encoder.line(&identity, &state, 1, 0.25, 2_500);
-    let wanted = concat!(
+    encoder.line(&identity, &sample, 1, 0.25, 2_500);
+    let expected = concat!(
         r#"{"format":2,"sequence":2,"made":0.5,"limit":4.123,"running":3,"takes":0.01235,"pressure":0.75,"retry_after":1,"#,
         r#""settled":38,"products":[[2,"logistics-availability-v2",2.5],[0,"logistics-availability-v0",2.5]],"#,
         r#""customers":[[1,"northern-logistics-00001"]],"load":[[2,1,4,4],[0,1,80]],"rest":{"asked":1.5,"declined":0}}"#,
         "\n"
     );
-    assert_eq!(encoder.line(&identity, &state, 2, 0.500_04, 2_500), wanted);
-    let leaves = LoadSample { healthy: false, terminates_in: Some(1.25), classes: Vec::new(), ..state };
-    let wanted = concat!(
+    assert_eq!(encoder.line(&identity, &sample, 2, 0.500_04, 2_500), expected);
+    let draining = LoadSample { healthy: false, terminates_in: Some(1.25), classes: Vec::new(), ..sample };
+    let expected = concat!(
         r#"{"format":2,"sequence":3,"made":0.75,"limit":4.123,"running":3,"takes":0.01235,"pressure":0.75,"retry_after":1,"#,
         r#""healthy":false,"leaving":1.25,"settled":38}"#,
         "\n"
     );
-    assert_eq!(encoder.line(&identity, &leaves, 3, 0.75, 2_500), wanted);
+    assert_eq!(encoder.line(&identity, &draining, 3, 0.75, 2_500), expected);
 }
--- a/crates/reports/tests/line.rs
+++ b/crates/reports/tests/line.rs
@@ -2,7 +2,7 @@
 
 use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity};
 
-fn who() -> ServerIdentity {
+fn identity() -> ServerIdentity {
     ServerIdentity {
         instance: "n1".into(),
         incarnation: 1_764_600_000_000_000,
@@ -18,7 +18,7 @@
     }
 }
 
-fn state() -> LoadSample {
+fn sample() -> LoadSample {
     let class = |product, customer, offered, rejected| ClassLoad { product, customer, offered, rejected };
     LoadSample {
         concurrency_limit: 0.5,
@@ -34,67 +34,71 @@
 }
 
 #[test]
-fn a_line_has_the_bytes_that_the_serving_process_has_always_sent() {
+fn full_report_wire_format_is_stable() {
     // As the serving process wrote this state before the form was shared.
-    let wanted = concat!(
+    let expected = concat!(
         r#"{"address":"127.0.0.1:4100","classes":[{"asked":80.0,"customer":"acme","declined":0.0,"product":"quote","worth":1.0},"#,
         r#"{"asked":4.0,"customer":"größe","declined":4.0,"product":"order \"b\"","worth":2.5}],"cores":4.0,"healthy":true,"#,
         r#""incarnation":1764600000000000,"instance":"n1","leaving":null,"limit":1.0,"made":2.5,"pressure":0.75,"retry_after":1.0,"#,
         r#""running":3,"sequence":7,"settled":38.0,"takes":0.012345678,"warmth":0.484375,"zone":"east"}"#,
         "\n"
     );
-    assert_eq!(who().report_line(&state(), 7, 2.5), wanted);
+    assert_eq!(identity().report_line(&sample(), 7, 2.5), expected);
 }
 
 #[test]
-fn a_server_is_warm_in_the_end_and_says_when_it_leaves_and_a_place_that_is_not_there_has_no_name() {
-    let leaves = LoadSample { terminates_in: Some(1.25), healthy: false, ..state() };
-    let line = who().report_line(&leaves, 8, 60.0);
+fn reports_warm_up_drain_and_unknown_class_index() {
+    let draining = LoadSample { terminates_in: Some(1.25), healthy: false, ..sample() };
+    let line = identity().report_line(&draining, 8, 60.0);
     assert!(line.contains(r#""warmth":1.0"#) && line.contains(r#""leaving":1.25"#), "{line}");
-    let warm = ServerIdentity { warm_up_span: None, ..who() };
-    assert!(warm.report_line(&state(), 1, 0.0).contains(r#""warmth":1.0"#));
-    let mut odd = state();
-    odd.classes = vec![ClassLoad { product: 9, customer: 9, offered: 1.0, rejected: 0.0 }];
-    assert!(who()
-        .report_line(&odd, 1, 0.0)
+    let warm = ServerIdentity { warm_up_span: None, ..identity() };
+    assert!(warm.report_line(&sample(), 1, 0.0).contains(r#""warmth":1.0"#));
+    let mut out_of_range = sample();
+    out_of_range.classes = vec![ClassLoad { product: 9, customer: 9, offered: 1.0, rejected: 0.0 }];
+    assert!(identity()
+        .report_line(&out_of_range, 1, 0.0)
         .contains(r#""customer":"","declined":0.0,"product":"","worth":0.0"#));
 }
 
 /// What a control service reads of one report, in every version: classes, and bytes of a line.
-const MOST_CLASSES_READ: usize = 4096;
-const MOST_BYTES_READ: usize = 1 << 20;
+const MAX_CLASSES_READ: usize = 4096;
+const MAX_LINE_BYTES_READ: usize = 1 << 20;
 
 /// Symptom: a server that was asked for more than 4,096 products of customers between two reports (a long interval, many customers)
 /// was silent for control services: each report was refused whole (`a class is out of range`), or its connection was closed for a
 /// line of over a megabyte, and so the server lost its share. Cause: a full report named every class, however many there were, and
 /// `puffinladder_control::report` takes 4,096 of them.
 #[test]
-fn a_full_report_is_never_larger_than_what_a_service_reads() {
-    let many = 150;
+fn full_report_stays_within_service_limits() {
+    const NAME_COUNT: usize = 150;
     // Names as long as a service takes, of characters that JSON writes in six.
-    let long = |at: usize| format!("{at:04}{}", "\u{1}".repeat(124));
-    for (name, what) in [(long as fn(usize) -> String, "long"), (|at| format!("k{at}"), "short")] {
+    let long_name = |index: usize| format!("{index:04}{}", "\u{1}".repeat(124));
+    for (name, name_length) in
+        [(long_name as fn(usize) -> String, "long"), (|index| format!("k{index}"), "short")]
+    {
         let identity = ServerIdentity {
-            products: (0..many).map(|at| Product { name: name(at), priority_weight: 1.0 }).collect(),
-            customers: (0..many).map(name).collect(),
-            ..who()
+            products: (0..NAME_COUNT)
+                .map(|index| Product { name: name(index), priority_weight: 1.0 })
+                .collect(),
+            customers: (0..NAME_COUNT).map(name).collect(),
+            ..identity()
         };
-        let class = |at: usize| ClassLoad {
-            product: at / many,
-            customer: at % many,
+        let class = |index: usize| ClassLoad {
+            product: index / NAME_COUNT,
+            customer: index % NAME_COUNT,
             offered: 4.0,
-            rejected: if at == many * many - 1 { 4.0 } else { 0.0 },
+            rejected: if index == NAME_COUNT * NAME_COUNT - 1 { 4.0 } else { 0.0 },
         };
-        let sample = LoadSample { classes: (0..many * many).map(class).collect(), ..state() };
+        let sample = LoadSample { classes: (0..NAME_COUNT * NAME_COUNT).map(class).collect(), ..sample() };
         let line = identity.report_line(&sample, 1, 0.25);
-        assert!(line.len() <= MOST_BYTES_READ, "{what}: {} bytes", line.len());
+        assert!(line.len() <= MAX_LINE_BYTES_READ, "{name_length}: {} bytes", line.len());
         let report: serde_json::Value = serde_json::from_str(&line).unwrap();
         let classes = report["classes"].as_array().unwrap();
-        assert!(classes.len() <= MOST_CLASSES_READ, "{what}: {} classes", classes.len());
+        assert!(classes.len() <= MAX_CLASSES_READ, "{name_length}: {} classes", classes.len());
         let asked: f64 = classes.iter().map(|class| class["asked"].as_f64().unwrap()).sum();
-        assert_eq!(asked, 4.0 * (many * many) as f64, "sums are whole");
-        let named_last =
-            |class: &serde_json::Value| class["customer"] == name(many - 1) && class["declined"] == 4.0;
-        assert!(classes.iter().any(named_last), "what was rejected is named");
+        assert_eq!(asked, 4.0 * (NAME_COUNT * NAME_COUNT) as f64, "sums are whole");
+        let is_most_rejected =
+            |class: &serde_json::Value| class["customer"] == name(NAME_COUNT - 1) && class["declined"] == 4.0;
+        assert!(classes.iter().any(is_most_rejected), "what was rejected is named");
     }
 }
