--- a/crates/control/src/fleet/mod.rs
+++ b/crates/control/src/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! The service's view of the fleet: the last report of each server, and how far it is still trusted. No I/O, no clock: times come
-//! in, seconds of the control service's own monotonic clock.
+//! The service's view of the fleet: the last report of each server and the confidence in it. Performs no I/O and reads
+//! no clock: callers pass times in seconds of the control service's monotonic clock.
 //!
-//! A report carries the server's incarnation, a growing sequence number, and when it was made by the server's own monotonic
-//! clock. The least of (received - made) over the last half minute is taken as the difference of the two clocks; what a report
-//! exceeds it by is how long it was on its way. So a late report is known as late whatever the clocks say.
+//! A report carries the server's incarnation, an increasing sequence number, and its creation time by the server's
+//! monotonic clock. The minimum of (received - created) over the last half minute estimates the offset of the two
+//! clocks; the excess over it is the report's transit time. Delayed reports are therefore recognized without
+//! synchronized clocks. A server whose last report is older than `FleetConfig::fresh_for` is called silent.
 
 mod clock;
 mod outage;
@@ -18,36 +19,36 @@
 use outage::ReportCoverage;
 use std::collections::BTreeMap;
 
-/// What became of a report.
+/// Result of processing a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// It is the server's latest.
+    /// The report is the server's latest.
     Accepted,
-    /// It was received before.
+    /// The report was received before.
     Duplicate,
-    /// One that was made later came before it.
+    /// A later report of the same process was received before.
     OutOfOrder,
-    /// It comes from a process that has been followed by another.
+    /// The report is from an earlier process than the current one.
     EarlierIncarnation,
-    /// A field can't be right.
+    /// A field has an invalid value.
     Invalid(InvalidReport),
-    /// The fleet has as many servers as the service remembers.
+    /// The report is from a new server, and the limit on tracked servers is reached.
     FleetFull,
 }
 
-/// How long servers are trusted without a new report, and how many are remembered.
+/// Timeouts of reports and limits on the tracked servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Seconds for which a report counts in full.
+    /// Age in seconds up to which a report has full confidence.
     pub fresh_for: f64,
-    /// Seconds from which a report counts for nothing; between `fresh_for` and this, ever less. A silence that most servers share
-    /// is confirmed after as long, and takes as long to count in full.
+    /// Age in seconds from which a report has no confidence; it falls linearly from `fresh_for` on. Also the time after
+    /// which a mass outage is confirmed, and the time over which confidence is then withdrawn.
     pub expired_after: f64,
-    /// Seconds for which a silent server is remembered, to tell how many are silent.
+    /// Age in seconds of the last report after which a server is evicted.
     pub evict_after: f64,
-    /// Fraction of the servers that may be silent at once; with more, the reports are suspected first, not the servers.
+    /// Fraction of silent servers above which a mass outage is suspected.
     pub panic_threshold: f64,
-    /// Servers that are remembered at the most.
+    /// Maximum number of tracked servers.
     pub max_servers: usize,
 }
 
@@ -67,22 +68,22 @@
 struct ServerRecord {
     report: LoadReport,
     clock_offset: ClockOffset,
-    /// When the last report was made, by the service's clock.
+    /// When the last report was created, by the service's clock.
     created_at: f64,
-    /// When it was received.
+    /// When the last report was received.
     received_at: f64,
-    /// Since when it has been heard without a gap.
+    /// Start of the current sequence of fresh reports without a gap.
     steady_since: f64,
 }
 
 impl ServerRecord {
-    /// A server of which no earlier report counts.
+    /// Creates a record from a process's first report.
     fn new(now: f64, report: LoadReport) -> ServerRecord {
         let clock_offset = ClockOffset::new(now, report.created_at);
         ServerRecord { clock_offset, created_at: now, received_at: now, steady_since: now, report }
     }
 
-    /// Takes the next report of the same process, and counts it from when it was made.
+    /// Stores the next report of the same process.
     fn update(&mut self, now: f64, report: LoadReport, fresh_for: f64) {
         let transit_time = self.clock_offset.transit_time(now, report.created_at);
         if now - self.created_at > fresh_for || transit_time > fresh_for {
@@ -94,31 +95,31 @@
     }
 }
 
-/// A server's last report and how far it is trusted.
+/// A server's last report and the confidence in it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerView<'a> {
     /// The last report.
     pub report: &'a LoadReport,
-    /// Trust in it, from 0 (none) to 1 (full).
+    /// Confidence in the report, from 0 (none) to 1 (full).
     pub confidence: f64,
-    /// Seconds since it was made.
+    /// Seconds since the report was created.
     pub age: f64,
-    /// It is silent together with most servers: what it has is withdrawn step by step, since the others could not take it at once.
+    /// The server is silent in a mass outage: its load moves in steps, since the remaining servers could not absorb it at once.
     pub withdrawn_gradually: bool,
 }
 
-/// Rejected reports by reason.
+/// Counts of rejected reports by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// Received before.
+    /// Reports that were received before.
     pub duplicate: u64,
-    /// Overtaken by a later one.
+    /// Reports that arrived after a later one.
     pub out_of_order: u64,
-    /// Of a process that has been followed by another.
+    /// Reports of earlier processes.
     pub earlier_incarnation: u64,
-    /// With a field that can't be right.
+    /// Reports with an invalid field.
     pub invalid: u64,
-    /// Of a server beyond the most that are remembered.
+    /// Reports of servers beyond the limit on tracked servers.
     pub fleet_full: u64,
 }
 
@@ -135,7 +136,7 @@
         *counter += 1;
     }
 
-    /// The label of each reason in the metrics, with its count.
+    /// Returns each reason's label in the metrics with its count.
     pub fn by_reason(&self) -> [(&'static str, u64); 5] {
         [
             ("doubled", self.duplicate),
@@ -147,28 +148,28 @@
     }
 }
 
-/// All servers that have reported and are not forgotten.
+/// State of all tracked servers.
 #[derive(Debug, Default)]
 pub struct FleetView {
     config: FleetConfig,
     servers: BTreeMap<String, ServerRecord>,
-    /// As last assessed.
+    /// Result of the last assessment.
     outage: OutageState,
-    /// Reports that were accepted.
+    /// Number of accepted reports.
     pub accepted: u64,
-    /// Reports that were rejected, for any reason.
+    /// Number of rejected reports.
     pub rejected: u64,
-    /// The rejected ones by reason.
+    /// Rejected reports by reason.
     pub rejections: RejectionCounts,
 }
 
 impl FleetView {
-    /// An empty fleet.
+    /// Creates an empty fleet.
     pub fn new(config: FleetConfig) -> FleetView {
         FleetView { config, ..FleetView::default() }
     }
 
-    /// Records a report that was received `now`, unless it is invalid or not the server's latest.
+    /// Records a report received at `now`, unless it is invalid or not the server's latest.
     pub fn record(&mut self, now: f64, report: LoadReport) -> ReportOutcome {
         let outcome = self.try_record(now, report);
         match outcome {
@@ -188,7 +189,7 @@
         };
         let last = &record.report;
         if report.incarnation != last.incarnation {
-            // A machine whose clock was set back starts with a lower incarnation: trusted once the other is silent.
+            // A machine whose clock was set back restarts with a lower incarnation: accepted once the last report has expired.
             let is_recent = now - record.received_at < self.config.expired_after;
             if report.incarnation < last.incarnation && is_recent {
                 return ReportOutcome::EarlierIncarnation;
@@ -217,7 +218,7 @@
         ReportOutcome::Accepted
     }
 
-    /// Forgets servers that have been silent for long, or that were terminated after a drain.
+    /// Evicts servers that stopped reporting long ago or were terminated after a drain.
     pub fn evict_silent(&mut self, now: f64) {
         let FleetConfig { evict_after, expired_after, .. } = self.config;
         self.servers.retain(|_, record| {
@@ -227,17 +228,17 @@
         });
     }
 
-    /// Judges anew whether most servers are silent, and whether that is confirmed. To be called before each plan.
+    /// Updates the outage state. To be called before each plan.
     pub fn assess_outage(&mut self, now: f64) {
         self.outage = self.outage.transition(now, self.report_coverage(now), self.config.expired_after);
     }
 
-    /// What the silence of servers was taken for when it was last assessed.
+    /// Returns the outage state of the last assessment.
     pub fn assessed_outage(&self) -> OutageState {
         self.outage
     }
 
-    /// What is heard now. Draining servers don't count: they are about to go silent by themselves.
+    /// Summarizes the reports at `now`. Draining servers are left out: they are expected to stop reporting.
     fn report_coverage(&self, now: f64) -> ReportCoverage {
         let FleetConfig { fresh_for, expired_after, panic_threshold, .. } = self.config;
         let (mut expected, mut silent, mut any_steady) = (0usize, 0usize, false);
@@ -253,22 +254,22 @@
         ReportCoverage { too_many_silent, any_fresh: silent < expected, any_steady }
     }
 
-    /// What the silence of servers is taken for now.
+    /// Returns the outage state at `now`.
     pub fn outage_state(&self, now: f64) -> OutageState {
         match (self.report_coverage(now).too_many_silent, self.outage) {
             (false, _) => OutageState::Normal,
-            // Not assessed yet: nothing is known of how it was before, and all are trusted.
+            // Not assessed yet, so there is no earlier confidence to fall back to: all servers are trusted.
             (true, OutageState::Normal) => OutageState::Suspected { since: f64::NEG_INFINITY },
             (true, assessed) => assessed,
         }
     }
 
-    /// Whether so many servers went silent at once that the reports are suspected, not the servers.
+    /// Returns whether plans are made in panic mode, because a mass outage is suspected.
     pub fn in_panic(&self, now: f64) -> bool {
         self.outage_state(now).is_suspected()
     }
 
-    /// All servers, ordered by name. While the reports are suspected the silent servers are trusted as they were before.
+    /// Returns all servers, ordered by name. In a suspected outage, silent servers keep the confidence they had before it.
     pub fn servers(&self, now: f64) -> Vec<ServerView<'_>> {
         let outage = self.outage_state(now);
         let view = |record| self.view(now, outage, record);
@@ -292,28 +293,29 @@
         ServerView { report: &record.report, confidence, age, withdrawn_gradually }
     }
 
-    /// Trust in a report of an age.
+    /// Returns the confidence in a report that is `age` seconds old.
     fn confidence_at_age(&self, age: f64) -> f64 {
         let FleetConfig { fresh_for, expired_after, .. } = self.config;
         ((expired_after - age) / (expired_after - fresh_for)).clamp(0.0, 1.0)
     }
 
-    /// Trust in a server just before most were seen to be silent: one that was lost by itself earlier is not trusted again.
+    /// Returns the confidence in a server just before the outage began. A server lost before the outage does not regain
+    /// confidence.
     fn confidence_before_outage(&self, outage_since: f64, record: &ServerRecord) -> f64 {
         self.confidence_at_age(outage_since - self.config.fresh_for - record.created_at)
     }
 
-    /// Number of servers that are remembered.
+    /// Returns the number of tracked servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is remembered.
+    /// Returns whether no server is tracked.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Number of servers whose last report still counts in full.
+    /// Returns the number of servers whose last report is fresh.
     pub fn fresh_count(&self, now: f64) -> usize {
         self.servers.values().filter(|record| now - record.created_at <= self.config.fresh_for).count()
     }
--- a/crates/control/src/fleet/outage.rs
+++ b/crates/control/src/fleet/outage.rs
@@ -1,46 +1,47 @@
-//! Whether most servers are silent at once, and whether that is the servers' doing or that of the way of their reports.
+//! Detection of mass outages: whether most servers stopped reporting at once, and whether the servers or the reports
+//! are at fault.
 //!
-//! A service that no longer hears most servers has either lost them (a cut between regions, a large failure) or does not hear
-//! well (its own network, its own delays). The servers that are left tell the two apart: a service that does not hear well hears
-//! nobody without gaps, while one that goes on hearing some of them has an intact way for reports. So silence that most servers
-//! share is first suspected, and everything stays as it was; it is confirmed once it has lasted, with some server heard all the
-//! while. A service that hears nobody never confirms it.
+//! Most reports go missing at once either because the servers are unreachable (a network partition, a large failure) or
+//! because this service fails to receive reports (its own network or delays). A service with a faulty report path
+//! receives no steady stream of reports from any server, so a mass outage is first only suspected, and the plan is
+//! kept. It is confirmed after it has lasted for the confirmation time while at least one server reported without gaps.
+//! Without such a server it is never confirmed.
 
 use std::mem;
 
-/// What the service makes of the servers that are silent.
+/// Verdict on the servers whose reports are missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum OutageState {
-    /// Few are silent: each is judged by itself.
+    /// No mass outage: each silent server is judged by its own last report.
     #[default]
     Normal,
-    /// Most are silent, and their reports are suspected rather than they: they are trusted as they were before.
+    /// Most reports are missing and the report path is suspected: silent servers keep the confidence they had before.
     Suspected {
-        /// When most were first seen to be silent, seconds by the service's clock.
+        /// When the outage was detected, seconds by the service's clock.
         since: f64,
     },
-    /// Most are silent while others were heard without a gap: the silent ones are out of reach, and lose their load step by step.
+    /// Most reports are missing while others arrive steadily: the silent servers are unreachable and lose their load gradually.
     Confirmed {
-        /// When most were first seen to be silent, seconds by the service's clock.
+        /// When the outage was detected, seconds by the service's clock.
         since: f64,
-        /// When that was confirmed.
+        /// When it was confirmed, seconds by the service's clock.
         confirmed_at: f64,
     },
 }
 
-/// What is heard of the fleet at one moment.
+/// Reports received from the fleet, at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReportCoverage {
-    /// More servers are silent than may be at once.
+    /// The fraction of silent servers exceeds the panic threshold.
     pub(super) too_many_silent: bool,
-    /// Some server is heard.
+    /// Some server's last report is fresh.
     pub(super) any_fresh: bool,
-    /// Some server has been heard without a gap for as long as it takes to confirm a silence.
+    /// Some server has reported without a gap for the confirmation time.
     pub(super) any_steady: bool,
 }
 
 impl OutageState {
-    /// What the silence is taken for `now`, if the servers are heard like this; it takes `confirm_after` seconds to confirm one.
+    /// Returns the state that follows at `now`. An outage is confirmed after `confirm_after` seconds.
     pub(super) fn transition(self, now: f64, coverage: ReportCoverage, confirm_after: f64) -> OutageState {
         match self {
             _ if !coverage.too_many_silent => OutageState::Normal,
@@ -48,18 +49,18 @@
             OutageState::Suspected { since } if coverage.any_steady && now - since >= confirm_after => {
                 OutageState::Confirmed { since, confirmed_at: now }
             }
-            // It heard some until now: who was out of reach before stays so, and the others' reports are suspected.
+            // The reachable servers stopped reporting too. Servers unreachable before `now` stay without confidence.
             OutageState::Confirmed { .. } if !coverage.any_fresh => OutageState::Suspected { since: now },
             unchanged => unchanged,
         }
     }
 
-    /// Whether it is taken for the same thing, whenever that began.
+    /// Returns whether both are the same state, regardless of their times.
     pub fn is_same_state(self, other: OutageState) -> bool {
         mem::discriminant(&self) == mem::discriminant(&other)
     }
 
-    /// Whether the reports are suspected.
+    /// Returns whether an outage is suspected and not confirmed.
     pub fn is_suspected(self) -> bool {
         matches!(self, OutageState::Suspected { .. })
     }
--- a/crates/control/src/fleet/tests.rs
+++ b/crates/control/src/fleet/tests.rs
@@ -14,7 +14,7 @@
         fleet.record(100.5, LoadReport { incarnation: 11, ..report("n1", 1, 0.1) }),
         ReportOutcome::Accepted
     );
-    // Its machine's clock was set back: the later life was silent for long enough.
+    // The machine's clock was set back, and the last report of the later incarnation has expired.
     assert_eq!(fleet.record(105.0, earlier), ReportOutcome::Accepted);
     assert_eq!((fleet.accepted, fleet.rejected), (4, 3));
 }
@@ -26,7 +26,7 @@
         let created_at = f64::from(tick) * 0.25;
         fleet.record(100.0 + created_at, report("n1", u64::from(tick), created_at));
     }
-    // Made at 2.5 by its clock, that is at 102.5, and here at 105.
+    // Created at 2.5 by the server's clock, which is 102.5 here; received at 105.
     assert_eq!(fleet.record(105.0, report("n1", 10, 2.5)), ReportOutcome::Accepted);
     let age = fleet.servers(105.0)[0].age;
     assert!((age - 2.5).abs() < 1e-9, "{age}");
@@ -46,7 +46,10 @@
     let mut fleet = FleetView::new(FleetConfig::default());
     fleet.record(0.0, report("n1", 1, 5.0));
     assert_eq!(fleet.record(1.0, report("n1", 2, 4.0)), ReportOutcome::Invalid(InvalidReport::ClockWentBack));
-    assert_eq!(InvalidReport::ClockWentBack.to_string(), "its clock went back");
+    assert_eq!(
+        InvalidReport::ClockWentBack.to_string(),
+        "the creation time is earlier than that of the incarnation's last report"
+    );
 }
 
 #[test]
@@ -65,7 +68,7 @@
     assert_eq!(confidence(&fleet, 1.0), [1.0, 1.0, 1.0]);
     assert_eq!(confidence(&fleet, 4.75), [1.0, 1.0, 0.0]);
     assert!(!fleet.in_panic(4.75));
-    // All silent: the reports are suspected.
+    // All servers are silent: a mass outage is suspected.
     assert!(fleet.in_panic(8.0));
     assert_eq!(confidence(&fleet, 8.0), [1.0, 1.0, 1.0]);
     fleet.evict_silent(100.0);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! A control service: servers report what they decided of late, a plan is made of it, and proxies get it over xDS.
-//! `docs/control.md` tells why it is built as it is.
+//! A control service: servers send load reports, from which a routing plan is computed and distributed to proxies over xDS.
+//! `docs/control.md` explains the design.
 //!
-//! [`fleet`], [`plan`], [`shedding`], [`stream`] and [`service`] decide and do no I/O; [`serve`] carries out.
+//! [`fleet`], [`plan`], [`shedding`], [`stream`] and [`service`] hold the logic and perform no I/O; [`serve`] runs it
+//! on sockets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/control/src/plan/capacity.rs
+++ b/crates/control/src/plan/capacity.rs
@@ -1,7 +1,7 @@
-//! What each server can carry, and which servers must get nothing.
+//! Estimation of server capacities, and exclusion of servers that must not receive load.
 //!
-//! A server's capacity is its concurrency limit over its service time, less what its own pressure asks for, times its warm-up
-//! progress and the confidence in its report, and never far over what its peers show for each core.
+//! A server's capacity is its concurrency limit divided by its service time, reduced by its pressure and scaled by its warm-up
+//! progress and the confidence in its report. Capacity per core is capped relative to the fleet's median.
 
 use super::per_incarnation::PerIncarnation;
 use super::ShareLimit;
@@ -9,24 +9,24 @@
 use crate::smoothing::{median, sample_weight};
 use std::collections::HashSet;
 
-/// Fraction of its capacity that a server under full pressure loses: the servers' own admission policy takes as much.
+/// Fraction by which full pressure reduces a server's capacity: the servers' own admission policy reduces it by as much.
 const PRESSURE_REDUCTION: f64 = 0.6;
-/// Times the median capacity of a core that any server is believed to have: machines differ by less, false reports by more.
+/// Cap of a server's capacity per core, as a multiple of the fleet's median: guards against false reports.
 pub(super) const MAX_OVER_MEDIAN: f64 = 2.0;
-/// Time constant of a server's capacity, seconds: its pressure answers to its share a second late, and without smoothing shares
-/// swing.
+/// Time constant of a server's smoothed capacity, seconds: pressure follows the share with a delay, and unsmoothed
+/// shares oscillate.
 const CAPACITY_TIME_CONSTANT: f64 = 3.0;
-/// Progress that a server has at the start of its warm-up at the least: without load it would never warm up.
+/// Lower bound of the warm-up progress: a server without load would never warm up.
 const MIN_WARM_UP_PROGRESS: f64 = 0.05;
 
-/// A server on its way into the plan.
+/// A server considered for the plan.
 pub(super) struct Candidate<'a> {
     pub(super) view: ServerView<'a>,
-    /// Requests a second that it can carry by its own figures.
+    /// Capacity by the server's own report, requests per second.
     pub(super) reported_capacity: f64,
-    /// Requests a second that the plan gives it at the most.
+    /// Capacity that the plan assumes, requests per second.
     pub(super) effective_capacity: f64,
-    /// Why it must get nothing, if it must.
+    /// Reason to exclude the server, if there is one.
     pub(super) exclusion: Option<ShareLimit>,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Capacity of all servers that may get load.
+/// Returns the summed capacity of the servers that are not excluded, requests per second.
 pub(super) fn total_capacity(servers: &[&Candidate]) -> f64 {
     servers.iter().filter(|server| !server.is_excluded()).map(|server| server.effective_capacity).sum()
 }
@@ -44,15 +44,15 @@
 /// Estimates capacities from one plan to the next.
 #[derive(Debug, Default)]
 pub(super) struct CapacityEstimator {
-    /// Requests a second, smoothed.
+    /// Smoothed capacity in requests per second.
     smoothed: PerIncarnation<f64>,
 }
 
-/// What the fleet's median server does, against which each is held.
+/// Medians over the fleet, used as defaults and caps.
 struct FleetMedians {
-    /// Seconds that a request takes where a server has run none yet.
+    /// Service time in seconds, assumed for servers that have run no request yet.
     service_time: f64,
-    /// Requests a second for each core.
+    /// Capacity per core, requests per second.
     capacity_per_core: f64,
 }
 
@@ -61,7 +61,7 @@
         let trusted = |view: &&ServerView| view.confidence > 0.0 && view.report.healthy;
         let service_times = views.iter().filter(trusted).map(|view| view.report.service_time);
         let median_service_time = median(service_times.filter(|seconds| *seconds > 0.0).collect());
-        // Where no server has run anything yet, all requests are taken to be alike.
+        // Before any server has run a request, any equal service time gives equal shares.
         let service_time = if median_service_time > 0.0 { median_service_time } else { 1.0 };
         let per_core = |view: &ServerView| reported_capacity(view, service_time) / view.report.cores;
         let capacity_per_core = median(views.iter().filter(trusted).map(per_core).collect());
@@ -69,7 +69,7 @@
     }
 }
 
-/// Requests a second that a server can carry by its own figures.
+/// Returns a server's capacity by its own report, requests per second.
 fn reported_capacity(view: &ServerView, usual_service_time: f64) -> f64 {
     let own = view.report.service_time;
     let service_time = if own > 0.0 { own } else { usual_service_time };
@@ -89,7 +89,7 @@
 }
 
 impl CapacityEstimator {
-    /// Estimates all servers anew, `elapsed` seconds after the last time.
+    /// Estimates the capacities of all servers, `elapsed` seconds after the last estimate.
     pub(super) fn candidates<'a>(
         &mut self,
         views: &[ServerView<'a>],
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Forgets all servers but those named.
+    /// Removes the state of all other servers.
     pub(super) fn retain(&mut self, instances: &HashSet<&str>) {
         self.smoothed.retain(instances);
     }
--- a/crates/control/src/plan/mod.rs
+++ b/crates/control/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! From the fleet's view to a routing plan: which server of which zone gets what share, how much of a zone's load goes elsewhere,
-//! and what proxies drop before it reaches a server. No I/O, no clock.
+//! The routing plan computed from the fleet's view: server weights per zone, spillover between zones, and load that
+//! proxies drop. Performs no I/O and reads no clock.
 
 mod capacity;
 mod per_incarnation;
@@ -18,26 +18,26 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What keeps a server's share from its target. The texts stand in the stored snapshot and on the `/plan` page.
+/// Reason why a server's share differs from its target. The texts appear in the stored snapshot and on the `/plan` page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareLimit {
-    /// Nothing.
+    /// The share is at its target.
     #[default]
     #[serde(rename = "")]
     None,
-    /// It is as near its target as reports are exact.
+    /// The share is within the deadband around its target.
     #[serde(rename = "near its target")]
     NearTarget,
-    /// It moved the other way a moment ago, and the effect has yet to show.
+    /// The share recently moved in the opposite direction.
     #[serde(rename = "moved the other way just now")]
     ReversedRecently,
-    /// A share moves by a bounded step.
+    /// The step of the share is bounded.
     #[serde(rename = "moves step by step")]
     StepSize,
-    /// The shares of a zone move by a bounded step in all.
+    /// The total move of the zone's shares is bounded.
     #[serde(rename = "much moves at once")]
     ZoneStepSize,
-    /// It takes up what other servers' shares give up, or the other way round.
+    /// The share compensates the moves of other shares in its zone.
     #[serde(rename = "takes or gives what others move")]
     Compensating,
     /// The server is draining.
@@ -52,7 +52,7 @@
 }
 
 impl ShareLimit {
-    /// The text for operators; empty for [`ShareLimit::None`].
+    /// Returns the text shown to operators; empty for [`ShareLimit::None`].
     pub fn as_str(self) -> &'static str {
         match self {
             ShareLimit::None => "",
@@ -74,99 +74,99 @@
     }
 }
 
-/// Why a server has the share it has.
+/// Inputs of a server's share, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareExplanation {
-    /// Requests a second that it can carry by its own report.
+    /// Capacity by the server's own report, requests per second.
     #[serde(rename = "says")]
     pub reported_capacity: f64,
-    /// Requests a second that it is planned to carry: less pressure, smoothed, bounded by its peers, warm-up and confidence.
+    /// Capacity assumed by the plan, requests per second: adjusted for pressure, peers, warm-up and confidence, and smoothed.
     #[serde(rename = "carries")]
     pub effective_capacity: f64,
-    /// Trust in its last report, from 0 to 1.
+    /// Confidence in the last report, from 0 to 1.
     #[serde(rename = "belief")]
     pub confidence: f64,
-    /// The share that it moves toward.
+    /// Target of the share.
     #[serde(rename = "target")]
     pub target_weight: f64,
-    /// What kept it from its target.
+    /// Reason why the share differs from its target.
     #[serde(rename = "held")]
     pub limited_by: ShareLimit,
 }
 
-/// One server's part of its zone.
+/// A server's share of its zone's load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerShare {
     /// Name of the server.
     pub instance: String,
-    /// Where it listens.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Fraction of what the zone's own servers get; they sum to 1, or all are 0.
+    /// Fraction of the load sent to the zone's servers; the weights of a zone sum to 1, or all are 0.
     pub weight: f64,
-    /// Requests that one proxy may have in flight there.
+    /// Requests that one proxy may have in flight at the server.
     #[serde(rename = "open")]
     pub max_requests: u32,
-    /// Why it has this share.
+    /// Inputs of the share.
     #[serde(rename = "why")]
     pub explanation: ShareExplanation,
 }
 
-/// Where a zone's load goes.
+/// Capacity, load and spillover of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonePlan {
-    /// Requests a second that its servers can carry.
+    /// Capacity of the zone's servers, requests per second.
     pub capacity: f64,
-    /// Requests a second that start in it.
+    /// Load that originates in the zone, requests per second.
     pub load: f64,
-    /// Fraction of its load that goes to other zones.
+    /// Fraction of the load that is sent to other zones.
     pub spill: f64,
-    /// Of what goes to other zones, each one's fraction.
+    /// Fraction of the spilled load that each other zone receives.
     #[serde(rename = "to")]
     pub spill_targets: BTreeMap<String, f64>,
 }
 
-/// A decision on the whole fleet.
+/// A routing plan for the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// When it was decided, seconds by the service's clock.
+    /// When the plan was computed, seconds by the service's clock.
     #[serde(rename = "made")]
     pub decided_at: f64,
-    /// Most reports are missing: the shares are as they last were.
+    /// A mass outage is suspected: shares keep their last values.
     pub panic: bool,
-    /// All servers, ordered by name.
+    /// Shares of all servers, ordered by name.
     pub shares: Vec<ServerShare>,
-    /// All zones that have servers.
+    /// All zones with servers, by name.
     pub zones: BTreeMap<String, ZonePlan>,
-    /// What proxies drop, ordered by product and customer.
+    /// Rules by which proxies drop requests, ordered by product and customer.
     pub drops: Vec<DropRule>,
-    /// Retry-After that proxies give their callers when they drop, seconds.
+    /// Retry-After of dropped requests, seconds.
     pub retry_after: f64,
     /// Retries that a proxy may have in flight, as a fraction of its requests in flight.
     #[serde(rename = "retries")]
     pub retry_budget: f64,
 }
 
-/// A server that a zone's load is routed to.
+/// A server to which load of a zone is routed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Route<'a> {
     /// The server's share of its own zone.
     pub server: &'a ServerShare,
-    /// Fraction of the load of the zone asked about.
+    /// Fraction of the zone's load.
     pub weight: f64,
 }
 
 impl Plan {
-    /// Where a zone's load is routed: to its own servers and to those of zones that it spills to. The weights sum to 1, and those
-    /// of 0 are left out.
+    /// Returns the routes of a zone's load: its own servers and those of zones that it spills to. The weights sum to 1;
+    /// routes with weight 0 are left out.
     pub fn routes(&self, zone: &str) -> Vec<Route<'_>> {
         let weight = |server: &ServerShare| server.weight * self.zone_fraction(zone, &server.zone);
         let routes = self.shares.iter().map(|server| Route { server, weight: weight(server) });
         routes.filter(|route| route.weight > 0.0).collect()
     }
 
-    /// Fraction of the load of zone `from` that goes to zone `to`.
+    /// Returns the fraction of the load of zone `from` that is sent to zone `to`.
     fn zone_fraction(&self, from: &str, to: &str) -> f64 {
         match self.zones.get(from) {
             None => self.capacity_fraction(to),
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A zone's part of all capacity: the load of a zone without servers is spread by it.
+    /// Returns a zone's fraction of the total capacity, by which the load of zones without servers is spread.
     fn capacity_fraction(&self, zone: &str) -> f64 {
         let total: f64 = self.zones.values().map(|plan| plan.capacity).sum();
         let fraction = |plan: &ZonePlan| if total > 0.0 { plan.capacity / total } else { 0.0 };
--- a/crates/control/src/plan/planner.rs
+++ b/crates/control/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! Makes one plan after the other from the fleet's view.
+//! Computes plans from the fleet's view.
 
 use super::capacity::{total_capacity, Candidate, CapacityEstimator};
 use super::rebalance::Rebalancer;
@@ -9,24 +9,24 @@
 use crate::smoothing::median;
 use std::collections::{BTreeMap, HashSet};
 
-/// Retries that a proxy may have in flight over requests that it has in flight: enough for a few failures, too few for a storm.
+/// Retry budget: retries in flight over requests in flight, low enough to prevent retry storms.
 const RETRY_BUDGET: f64 = 0.1;
-/// Seconds between plans that count at the most: after a longer pause, steps are as large as after this one.
+/// Upper bound in seconds of the time between plans, which bounds the steps after a pause.
 const MAX_ELAPSED: f64 = 5.0;
 
-/// Makes plans, and remembers what the next one needs of the last.
+/// Computes plans and keeps the state that carries over to the next plan.
 #[derive(Debug, Default)]
 pub struct Planner {
     capacities: CapacityEstimator,
     rebalancer: Rebalancer,
     spillover: Spillover,
     shedder: LoadShedder,
-    /// When the last plan was made.
+    /// When the last plan was computed.
     last_plan_at: Option<f64>,
 }
 
 impl Planner {
-    /// Decides anew. None while no server can get load: then the last plan ends by its bound, an empty one is never made.
+    /// Computes a plan. Returns none if no server can receive load: the last plan then expires by its age bound.
     pub fn plan(&mut self, now: f64, fleet: &FleetView) -> Option<Plan> {
         let views = fleet.servers(now);
         let elapsed = self.last_plan_at.map(|last| (now - last).clamp(0.0, MAX_ELAPSED));
@@ -81,13 +81,13 @@
     }
 }
 
-/// Requests a second that arrived at servers.
+/// Returns the load that arrived at the servers, requests per second.
 fn observed_load(servers: &[&Candidate]) -> f64 {
     let offered = |server: &&Candidate| {
         let classes = &server.view.report.classes;
         classes.iter().map(|class| class.offered).sum::<f64>()
     };
-    // What a silent server was last asked for is asked of others by now: it counts as far as its report does.
+    // Other servers receive the load of a silent server: its last reported load is weighted by the confidence in it.
     servers.iter().map(|server| offered(server) * server.view.confidence).sum()
 }
 
--- a/crates/control/src/plan/rebalance.rs
+++ b/crates/control/src/plan/rebalance.rs
@@ -1,28 +1,27 @@
-//! Shares of one zone's servers: toward their targets in bounded steps. Only what must stop (a drain, bad health, silence) stops
-//! at once.
+//! Shares of one zone's servers, moved toward their targets in bounded steps. Draining, unhealthy and silent servers lose their
+//! shares at once.
 
 use super::capacity::{total_capacity, Candidate};
 use super::per_incarnation::PerIncarnation;
 use super::{ServerShare, ShareExplanation, ShareLimit};
 use std::collections::HashSet;
 
-/// Relative difference from its target up to which a share stays: reports jitter by about as much.
+/// Relative difference from the target below which a share does not move: about the jitter of reports.
 const DEADBAND: f64 = 0.05;
-/// Fraction of itself, or of a mean share, that a share moves in a second: a slow machine is noticed in one or two.
+/// Maximum move of a share per second, as a fraction of the share or of the mean share.
 pub(super) const MAX_SHARE_STEP: f64 = 0.5;
-/// Fraction of a zone's load that moves in a second, forced moves aside: callers' connections follow about as fast.
+/// Maximum fraction of a zone's load that moves per second, except away from excluded servers.
 pub(super) const MAX_ZONE_STEP: f64 = 0.15;
-/// Seconds between a move one way and one the other: longer than reports and responses take to show the first.
+/// Minimum time between moves in opposite directions, seconds: longer than the effect of a move takes to be reported.
 const REVERSAL_DELAY: f64 = 1.0;
-/// Change of a share that counts as a move; less is rounding.
+/// Smallest change of a share that counts as a move; less is rounding.
 const MIN_MOVE: f64 = 1e-9;
-/// Times a server's concurrency limit that one proxy may have in flight there: a fleet of proxies shares it, none knows the
-/// others.
+/// Requests that one proxy may have in flight at a server, as a multiple of the server's concurrency limit.
 const PROXY_LIMIT_FACTOR: f64 = 4.0;
-/// Most requests that one proxy may have in flight at one server: beyond any server's limit, and within what proxies take.
+/// Maximum number of requests that one proxy may have in flight at a server.
 const MAX_PROXY_REQUESTS: f64 = 1e6;
 
-/// What is remembered of a share from one plan to the next.
+/// A share in the last plan and its last move.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastMove {
     weight: f64,
@@ -30,9 +29,9 @@
     at: f64,
 }
 
-/// One server's share on its way from the last plan into this one.
+/// Move of a server's share between two plans.
 struct Step {
-    /// The share before the move, once the excluded servers' shares are handed to the others.
+    /// Share before the move, after the shares of excluded servers are redistributed.
     base: f64,
     delta: f64,
     limit: ShareLimit,
@@ -40,12 +39,12 @@
 }
 
 impl Step {
-    /// Whether it stays where it is, and may take up what others move.
+    /// Returns whether the share does not move and can compensate the moves of others.
     fn is_unchanged(&self) -> bool {
         self.delta == 0.0 && !self.excluded
     }
 
-    /// Whether it moves toward its own target, rather than to make up for others.
+    /// Returns whether the share moves toward its target rather than to compensate others.
     fn moves_toward_target(&self) -> bool {
         self.delta != 0.0 && self.limit != ShareLimit::Compensating
     }
@@ -80,7 +79,7 @@
 }
 
 impl Rebalancer {
-    /// Appends the shares of one zone's servers, `elapsed` seconds after the last plan, if there was one.
+    /// Appends the new shares of one zone's servers. `elapsed` is the time since the last plan in seconds, none for the first.
     pub(super) fn rebalance(
         &mut self,
         now: f64,
@@ -89,7 +88,7 @@
         shares: &mut Vec<ServerShare>,
     ) {
         let total = total_capacity(servers);
-        // Another process under the same name starts from nothing.
+        // A restarted server starts without a share.
         let last_moves: Vec<LastMove> = servers
             .iter()
             .map(|server| self.last_moves.get(server.view.report).unwrap_or_default())
@@ -98,7 +97,7 @@
             Some(elapsed) => moved_shares(now, elapsed, servers, &last_moves, total),
             None => None,
         };
-        // Nobody has a share yet, or those who had are all gone: there is nothing to move from.
+        // Without previous shares, servers get their target shares.
         let new_shares = new_shares.unwrap_or_else(|| target_shares(servers, total));
         for ((server, last), new) in servers.iter().zip(&last_moves).zip(new_shares) {
             self.record_move(now, server, last, &new);
@@ -116,7 +115,7 @@
         self.last_moves.insert(server.view.report, last_move);
     }
 
-    /// Forgets all servers but those named.
+    /// Removes the state of all other servers.
     pub(super) fn retain(&mut self, instances: &HashSet<&str>) {
         self.last_moves.retain(instances);
     }
@@ -150,7 +149,7 @@
     servers.iter().map(share).collect()
 }
 
-/// Shares a bounded step nearer to their targets; none where no server that stays had a share.
+/// Returns the shares moved by a bounded step toward their targets; none if no eligible server had a share.
 fn moved_shares(
     now: f64,
     elapsed: f64,
@@ -169,7 +168,8 @@
     }
 }
 
-/// The step that each server would take by itself; `remaining_weight` is what the servers that stay had in all.
+/// Returns each server's step before the steps are balanced. `remaining_weight` is the total last weight of the
+/// eligible servers.
 fn steps(
     now: f64,
     elapsed: f64,
@@ -180,13 +180,13 @@
 ) -> Vec<Step> {
     let mean = 1.0 / servers.len().max(1) as f64;
     let step = |(server, last): (&&Candidate, &LastMove)| {
-        // What excluded servers had goes to the others in proportion, at once.
+        // The shares of excluded servers are redistributed proportionally at once.
         let base = if server.is_excluded() { 0.0 } else { last.weight / remaining_weight };
         let target = target_weight(server, total);
         let difference = target - base;
         let max_step = MAX_SHARE_STEP * elapsed * base.max(mean);
         let reverses = last.at > 0.0 && last.upward != (difference > 0.0) && now - last.at < REVERSAL_DELAY;
-        // A newcomer is never too near its target to begin.
+        // A server without a share always moves, however small its target.
         let within_deadband = difference.abs() <= DEADBAND * base.max(target) && base > 0.0;
         let (delta, limit) = match () {
             _ if server.is_excluded() || difference == 0.0 => (0.0, ShareLimit::None),
@@ -200,14 +200,14 @@
     servers.iter().zip(last_moves).map(step).collect()
 }
 
-/// What moves up and what moves down in all.
+/// Returns the totals of the upward and of the downward moves.
 fn total_up_and_down(steps: &[Step]) -> (f64, f64) {
     let up: f64 = steps.iter().map(|step| step.delta).filter(|delta| *delta > 0.0).sum();
     let net: f64 = steps.iter().map(|step| step.delta).sum();
     (up, up - net)
 }
 
-/// Bounds what moves in all, and lets those who stay where they are take up the difference, so that shares still sum to 1.
+/// Limits the total move and lets the unchanged shares compensate the difference, so that the shares sum to 1.
 fn balance(steps: &mut [Step], max_move: f64) {
     limit_total_move(steps, max_move);
     let (up, down) = total_up_and_down(steps);
@@ -220,7 +220,7 @@
         }
         return;
     }
-    // Nobody is left to absorb it: the larger side gives in.
+    // Too little unchanged weight to compensate: the larger total is scaled down to the smaller.
     let matched = up.min(down);
     for step in steps {
         if step.delta > 0.0 {
--- a/crates/control/src/plan/spillover.rs
+++ b/crates/control/src/plan/spillover.rs
@@ -1,33 +1,33 @@
-//! How much of each zone's load goes to other zones: a zone near its capacity hands the rest to zones that have some left.
+//! Spillover between zones: a zone near its capacity sends the excess load to zones with free capacity.
 
 use super::ZonePlan;
 use crate::smoothing::sample_weight;
 use std::collections::{BTreeMap, HashMap};
 
-/// Load over capacity from which a zone hands load to others.
+/// Utilization above which a zone spills load.
 pub(super) const SPILL_UTILIZATION: f64 = 0.9;
-/// Load over capacity up to which a zone takes load from others.
+/// Utilization up to which a zone receives load from others.
 const RECEIVE_UTILIZATION: f64 = 0.8;
-/// Fraction of a zone's load that starts or stops going elsewhere in a second.
+/// Maximum change of a zone's spill fraction per second.
 pub(super) const MAX_SPILL_STEP: f64 = 0.1;
-/// Time constant of the load that a zone is taken to have, seconds: over a few reports.
+/// Time constant of a zone's smoothed source load, seconds.
 const LOAD_TIME_CONSTANT: f64 = 2.0;
-/// Most of a zone's load that is taken to have gone elsewhere when its own load is told from what its servers saw: with all of it
-/// gone nothing would be left to tell it from.
+/// Upper bound of the spill fraction when the source load is derived from the load of the zone's servers: avoids
+/// division by zero.
 const MAX_OBSERVED_SPILL: f64 = 0.99;
 
-/// Moves spillover from one plan to the next.
+/// Computes the spillover of each plan from that of the last one.
 #[derive(Debug, Default)]
 pub(super) struct Spillover {
-    /// Requests a second that start in each zone, whichever zone serves them, smoothed.
+    /// Smoothed load that originates in each zone, whichever zone serves it, requests per second.
     source_loads: HashMap<String, f64>,
-    /// The zones by the last plan.
+    /// Zones of the last plan.
     last_zones: BTreeMap<String, ZonePlan>,
 }
 
 impl Spillover {
-    /// Decides where the load of each zone goes. In, `load` is what the zone's servers saw; out, what starts in the zone. While most
-    /// servers are silent, load moves `gradually` even out of a zone that can carry nothing: the others could not take it at once.
+    /// Sets the spillover of each zone. On input, `load` is the load received by the zone's servers; on output, the load that
+    /// originates in the zone. With `gradually` (a mass outage), load leaves even a zone without capacity in bounded steps.
     pub(super) fn update(&mut self, elapsed: f64, gradually: bool, zones: &mut BTreeMap<String, ZonePlan>) {
         let source_loads = self.estimate_source_loads(elapsed, zones);
         let free_capacity = FreeCapacity::new(zones, &source_loads);
@@ -39,7 +39,7 @@
             }
             let mut targets = free_capacity.targets(name, zones);
             if gradually && targets.is_empty() {
-                // What went to zones that are out of reach comes home in steps too.
+                // Load spilled to unreachable zones also returns in bounded steps.
                 targets = self.last_targets(name, zones);
             }
             let Some(zone) = zones.get_mut(name) else { continue };
@@ -51,7 +51,7 @@
         self.last_zones = zones.clone();
     }
 
-    /// What starts in each zone: what its servers saw, less what came from elsewhere by the last plan, plus what went elsewhere.
+    /// Estimates the load that originates in each zone: the load of its servers, without load received and with load spilled.
     fn estimate_source_loads(
         &self,
         elapsed: f64,
@@ -74,8 +74,8 @@
         self.last_zones.get(zone).map_or(0.0, |last| last.spill)
     }
 
-    /// What a zone's spill moves from. What starts in a zone that the last plan did not know went to the others, unless its servers
-    /// carry load already: it comes home in steps.
+    /// Returns the spill fraction from which a zone moves. The load of a zone missing from the last plan was served by
+    /// other zones unless its servers already report load, so it returns in bounded steps.
     fn previous_spill(&self, zone: &str, load: f64) -> f64 {
         let is_new_and_idle =
             !self.last_zones.is_empty() && !self.last_zones.contains_key(zone) && load <= 0.0;
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Where a zone's load went by the last plan, of the zones that are left.
+    /// Returns the zone's spill targets of the last plan, limited to zones that still exist.
     fn last_targets(&self, zone: &str, zones: &BTreeMap<String, ZonePlan>) -> BTreeMap<String, f64> {
         let Some(last) = self.last_zones.get(zone) else { return BTreeMap::new() };
         proportions(last.spill_targets.iter().filter(|(target, _)| zones.contains_key(*target)))
     }
 
-    /// Load that came to a zone from others by the last plan.
+    /// Returns the load that a zone received from others by the last plan, requests per second.
     fn received_load(&self, zone: &str) -> f64 {
         let others = self.last_zones.iter().filter(|(other, _)| other.as_str() != zone);
         let received = others.map(|(other, plan)| {
@@ -102,7 +102,7 @@
         received.sum()
     }
 
-    /// Fraction of a zone's load that goes elsewhere: a bounded step from the last plan's.
+    /// Returns the zone's spill fraction, at most a bounded step from that of the last plan.
     fn spill_fraction(
         &self,
         elapsed: f64,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Fraction of a zone's load that is to go elsewhere in the end.
+/// Returns the spill fraction that a zone moves toward.
 fn target_spill(load: f64, capacity: f64, free_capacity: &FreeCapacity) -> f64 {
     if capacity <= 0.0 {
         1.0
@@ -129,11 +129,11 @@
     }
 }
 
-/// Capacity that zones have left for others.
+/// Capacity that zones can offer to others.
 struct FreeCapacity {
-    /// Requests a second by zone.
+    /// Free capacity by zone, requests per second.
     by_zone: BTreeMap<String, f64>,
-    /// Requests a second that all zones together want to hand over.
+    /// Load above the spill threshold, summed over all zones, requests per second.
     excess: f64,
 }
 
@@ -148,7 +148,7 @@
         FreeCapacity { by_zone: zones.iter().map(free).collect(), excess: zones.iter().map(excess).sum() }
     }
 
-    /// How much of what all want to hand over the others have room for.
+    /// Returns the fraction of the excess load that fits into the free capacity.
     fn accepted_fraction(&self) -> f64 {
         let free: f64 = self.by_zone.values().sum();
         if self.excess > 0.0 {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Where a zone's spilled load goes: to others by their room. Where nobody has room, the others that can carry anything share
-    /// what a zone without capacity must hand over.
+    /// Returns the fractions of a zone's spilled load by target zone, proportional to free capacity. If no zone has
+    /// any, the load of a zone without capacity is spread by total capacity.
     fn targets(&self, name: &str, zones: &BTreeMap<String, ZonePlan>) -> BTreeMap<String, f64> {
         let targets = proportions(self.by_zone.iter().filter(|(other, _)| *other != name));
         if !targets.is_empty() || zones[name].capacity > 0.0 {
@@ -170,7 +170,7 @@
     }
 }
 
-/// Each positive part of a whole, as a fraction of it.
+/// Returns each positive part as a fraction of the sum.
 fn proportions<'a>(parts: impl Iterator<Item = (&'a String, &'a f64)> + Clone) -> BTreeMap<String, f64> {
     let whole: f64 = parts.clone().map(|(_, part)| part).sum();
     let positive = parts.filter(|(_, part)| **part > 0.0 && whole > 0.0);
--- a/crates/control/src/plan/tests.rs
+++ b/crates/control/src/plan/tests.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A fleet whose every server reports four times a second.
+/// A fleet in which every server reports four times a second.
 struct Fleet {
     fleet_view: FleetView,
     planner: Planner,
@@ -25,7 +25,7 @@
     fn of(count: usize) -> Fleet {
         Fleet::new((0..count).map(|index| report(&format!("n{index:03}"), 0, 0.0)).collect())
     }
-    /// All report, then it is planned anew.
+    /// Records a report of each server, then computes a plan.
     fn step(&mut self) -> Plan {
         self.now += 0.25;
         self.sequence += 1;
@@ -43,7 +43,7 @@
     }
 }
 
-/// What holds of every plan.
+/// Checks the invariants of every plan.
 fn assert_valid(plan: &Plan) {
     for zone in plan.zones.keys() {
         let sum: f64 = plan.shares.iter().filter(|s| &s.zone == zone).map(|s| s.weight).sum();
@@ -140,7 +140,7 @@
 
 #[test]
 fn spills_load_of_full_zone_and_returns_it() {
-    // Each server carries 400 a second. Zone a gets 480 for its one, b 80 for its two.
+    // Each server has a capacity of 400 requests per second. Zone a offers 480 to one server, zone b 80 to two.
     let mut fleet = Fleet::new(vec![
         zone_report("a", "a1", 480.0),
         zone_report("b", "b1", 40.0),
@@ -148,7 +148,7 @@
     ]);
     let (mut spill, mut max_spill) = (0.0, 0.0f64);
     for _ in 0..200 {
-        // What proxies do with it: the servers see their own zone's load less what goes away.
+        // Proxies apply the spill: the servers of zone a receive the rest, those of zone b the spilled load.
         fleet.servers[0].classes[0].offered = 480.0 * (1.0 - spill);
         for index in [1, 2] {
             fleet.servers[index].classes[0].offered = (80.0 + 480.0 * spill) / 2.0;
@@ -162,7 +162,7 @@
     let target_spill = 1.0 - SPILL_UTILIZATION * 400.0 / 480.0;
     assert!(
         (spill - target_spill).abs() < 0.02 && max_spill < target_spill + 0.02,
-        "{spill}, {max_spill}, {target_spill} wanted"
+        "{spill}, {max_spill}, expected {target_spill}"
     );
     assert_eq!(fleet.step().zones["a"].spill_targets.keys().collect::<Vec<_>>(), ["b"]);
     fleet.servers[0].classes[0].offered = 100.0;
@@ -182,12 +182,12 @@
         routes.iter().map(|route| (route.server.instance.as_str(), route.weight)).collect::<Vec<_>>(),
         [("b1", 1.0)]
     );
-    // One that never had any, as well.
+    // A zone that never had servers is routed the same way.
     let sum: f64 = plan.routes("c").iter().map(|route| route.weight).sum();
     assert!((sum - 1.0).abs() < 1e-9);
 }
 
-/// Servers whose run time grows with the load they get, seen a second late: the shares settle and stay.
+/// Shares converge although service times grow with the load and are observed a second late.
 #[test]
 fn shares_converge_with_delayed_feedback() {
     for seed in 0..20 {
@@ -205,7 +205,7 @@
             };
             for (index, server) in fleet.servers.iter_mut().enumerate() {
                 let utilization = (load * observed_weights[index] / speeds[index]).min(1.5);
-                // Runs slow down past nine tenths, pressure rises, and a little noise lies on all of it.
+                // Above 90 % utilization, service time and pressure rise; the service time is noisy.
                 let slowdown = if utilization > 0.9 { 1.0 + 2.0 * (utilization - 0.9) } else { 1.0 };
                 server.service_time = 0.01 / speeds[index] * slowdown * rng.random_range(0.97..1.03);
                 server.pressure = ((utilization - 0.9) * 3.0).clamp(0.0, 1.0);
@@ -240,10 +240,8 @@
     }
 }
 
-/// Symptom: after some servers of a zone were lost, its callers were sent to other zones though those that were left could carry all
-/// of it, until the lost ones were forgotten a minute later. Cause: what a silent server was last asked for went on to be counted as
-/// load of its zone, beside the same load at the servers that had taken it over. The plan's figures showed it: a zone that was asked
-/// 2,400 times a second was planned with 3,147 eleven plans after five of its twelve servers were lost.
+/// Guards against counting load twice: the last reported load of lost servers, and the same load at the servers that
+/// took it over. The zone then spilled load although its remaining servers had the capacity.
 #[test]
 fn discounts_load_of_lost_servers() {
     let capacity = 400.0;
@@ -258,12 +256,12 @@
         *server = with_load(server.clone(), if index < 12 { "a" } else { "b" }, load);
     }
     assert_eq!(fleet.steps(40).zones["a"].spill, 0.0);
-    // Five of a zone are lost; the seven that are left are asked for all of it, and can carry it.
+    // Five servers of zone a are lost; the remaining seven receive its whole load and have the capacity.
     fleet.servers.drain(..5);
     for server in &mut fleet.servers[..7] {
         server.classes[0].offered = load * 12.0 / 7.0;
     }
-    // While they still count, load may go elsewhere; then it comes home in bounded steps.
+    // Load may spill until the reports of the lost servers expire, and then returns in bounded steps.
     let (expiry, return_time) = (4.0, 1.0 / MAX_SPILL_STEP);
     for step in 1..200 {
         let plan = fleet.step();
--- a/crates/control/src/report/decoder.rs
+++ b/crates/control/src/report/decoder.rs
@@ -1,4 +1,4 @@
-//! Reads the reports of one connection: full ones, and compact ones that lean on a full one before them.
+//! Decoder for the reports of one connection: full reports, and compact reports that refer to the last full report.
 
 use super::{ClassLoad, LoadReport, MAX_NAME_BYTES};
 use puffinladder_reports::compact::{
@@ -8,29 +8,29 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Highest number of a product or customer on one connection: several times what a fleet is planned to have.
+/// Maximum number of a product or customer on one connection: bounds memory.
 const MAX_NAME_NUMBER: u32 = 65_535;
-/// Most names that are remembered for all connections together; classes under further names are counted without one.
+/// Maximum number of names stored for all connections; classes with further names are counted as unnamed.
 const MAX_NAMES: usize = 1 << 20;
 
-/// Why a line of a connection can't be used.
+/// Error of decoding a line.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It is no report.
-    #[error("a report can't be read: {0}")]
+    /// The line is not a valid report.
+    #[error("cannot parse load report: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is in a format that was not offered.
-    #[error("a report has the unknown format {0}")]
+    /// The report is in a format that was not offered.
+    #[error("load report has format {0}, expected {FULL_FORMAT} or {COMPACT_FORMAT}")]
     UnknownFormat(u32),
-    /// A compact report came before any full one.
-    #[error("a compact report came before a full one")]
+    /// A compact report was received before any full report.
+    #[error("compact load report received before a full report")]
     NoFullReport,
-    /// A product or customer has a number that is out of range, or a name that is too long.
-    #[error("a name of a compact report is out of range")]
+    /// A product or customer has a number that is out of range or a name that is too long.
+    #[error("product or customer of a compact report has a number over {MAX_NAME_NUMBER} or a name over {MAX_NAME_BYTES} bytes")]
     Name,
 }
 
-/// The names on all connections, each stored once.
+/// Table of interned names, shared by all connections.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable(Arc<Mutex<Names>>);
 
@@ -47,7 +47,7 @@
 }
 
 impl Names {
-    /// The id of a name, as long as there is room for it.
+    /// Returns the id of a name; none if the table is full.
     fn intern(&mut self, name: &str) -> Option<u32> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
@@ -66,25 +66,26 @@
     }
 }
 
-/// A product as a connection has named it.
+/// A product named on a connection.
 #[derive(Clone, Copy, Debug)]
 struct KnownProduct {
     name: u32,
     priority_weight: f64,
 }
 
-/// Reads the reports of one connection.
+/// Decoder for the reports of one connection.
 #[derive(Debug)]
 pub struct ReportDecoder {
     names: NameTable,
-    /// What the last full report said of the server, without its classes.
+    /// Last full report, without its classes.
     last_full_report: Option<LoadReport>,
-    /// By their numbers on the connection.
+    /// Products by their numbers on the connection.
     products: Vec<Option<KnownProduct>>,
+    /// Interned names of customers by their numbers on the connection.
     customers: Vec<Option<u32>>,
 }
 
-/// Tells the format of a line.
+/// The field of a report that identifies its format.
 #[derive(Deserialize)]
 struct FormatProbe {
     #[serde(default = "full_format")]
@@ -96,12 +97,12 @@
 }
 
 impl ReportDecoder {
-    /// A decoder for a new connection.
+    /// Creates a decoder for a new connection.
     pub fn new(names: NameTable) -> ReportDecoder {
         ReportDecoder { names, last_full_report: None, products: Vec::new(), customers: Vec::new() }
     }
 
-    /// The report of a line.
+    /// Decodes the report in a line.
     pub fn decode(&mut self, line: &str) -> Result<LoadReport, DecodeError> {
         let FormatProbe { format } = serde_json::from_str(line)?;
         match format {
@@ -155,7 +156,8 @@
         Ok(())
     }
 
-    /// Load by product and customer. What has no name, or had no room, is one class without names, so that the sums are whole.
+    /// Returns the load by class. Load with unknown names and the report's remainder form one unnamed class, so that
+    /// totals are exact.
     fn classes(&self, load: &[CompactClassLoad], mut unnamed: Rates) -> Vec<ClassLoad> {
         let names = self.names.lock();
         let mut classes = Vec::with_capacity(load.len() + 1);
--- a/crates/control/src/report/mod.rs
+++ b/crates/control/src/report/mod.rs
@@ -1,17 +1,17 @@
-//! The load report that each server sends: what it was asked, what it rejected, and how much it can carry.
+//! The load report that each server sends: offered and rejected load, and the state from which its capacity is derived.
 //!
-//! Reports arrive as JSON, one object a line. The names on the wire predate the names of the fields here and stay as they are, so
-//! that servers and control services of different versions understand each other. A server that reads the service's offer sends
-//! compact reports instead, which the [`decoder`] completes.
+//! Reports arrive as JSON, one object per line. The names on the wire differ from the field names here and must not
+//! change: servers and control services of different versions exchange them. A server that reads the service's format
+//! offer sends compact reports instead, which the [`decoder`] expands.
 
 pub mod decoder;
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name of an instance, zone, product or customer, in bytes: names beyond it are mistakes or attacks on memory.
+/// Maximum length of the name of an instance, zone, product or customer, bytes: bounds memory.
 const MAX_NAME_BYTES: usize = 128;
-/// Most classes in one report: a server with more products and customers than that reports the busiest.
+/// Maximum number of classes in a report.
 const MAX_CLASSES: usize = 4096;
 
 /// Load of one product of one customer on one server.
@@ -21,83 +21,85 @@
     pub product: String,
     /// Name of the customer.
     pub customer: String,
-    /// Value of each unit of work, by which servers order whom they reject first.
+    /// Priority weight of the product: servers reject lower weights first.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Requests a second that arrived.
+    /// Requests per second that arrived.
     #[serde(rename = "asked")]
     pub offered: f64,
-    /// Requests a second, of those that arrived, that were rejected.
+    /// Rejected requests per second, included in `offered`.
     #[serde(rename = "declined")]
     pub rejected: f64,
 }
 
-/// What one server decided since its last report.
+/// State and load of a server since its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Name of the server, unique in the fleet.
     pub instance: String,
-    /// Grows with each start of the process.
+    /// Number that increases with each start of the process.
     pub incarnation: u64,
-    /// Grows with each report of one incarnation.
+    /// Number that increases with each report of an incarnation.
     pub sequence: u64,
-    /// When the report was made, seconds by the server's own monotonic clock.
+    /// When the report was created, seconds by the server's monotonic clock.
     #[serde(rename = "made")]
     pub created_at: f64,
-    /// Zone that the server runs in.
+    /// Zone of the server.
     pub zone: String,
-    /// Where the server listens for requests.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
     /// Processor cores that the server may use.
     pub cores: f64,
-    /// Requests that the server runs at once at the most.
+    /// Maximum number of concurrent requests.
     #[serde(rename = "limit")]
     pub concurrency_limit: f64,
-    /// Requests that run now.
+    /// Number of requests in flight.
     #[serde(rename = "running")]
     pub in_flight: f64,
-    /// Seconds that one request takes to run; 0 where nothing ran.
+    /// Service time of a request in seconds; 0 if no request has run.
     #[serde(rename = "takes")]
     pub service_time: f64,
     /// Overload signal, from 0 (idle) to 1 (saturated).
     pub pressure: f64,
-    /// Retry-After that the server gives with a rejection, seconds.
+    /// Retry-After of rejections, seconds.
     pub retry_after: f64,
     /// Result of the server's own health check.
     pub healthy: bool,
-    /// Seconds until a draining server is terminated; none while it is not draining.
+    /// Seconds until a draining server is terminated; none unless it is draining.
     #[serde(rename = "leaving")]
     pub terminates_in: Option<f64>,
-    /// Progress of the slow start, from 0 to 1 (warm).
+    /// Warm-up progress, from 0 to 1 (warm).
     #[serde(rename = "warmth")]
     pub warm_up_progress: f64,
-    /// Requests a second that were completed within their latency objective.
+    /// Requests per second completed within their latency objective.
     #[serde(rename = "settled")]
     pub goodput: f64,
     /// Load by product and customer.
     pub classes: Vec<ClassLoad>,
 }
 
-/// Why a report can't be used.
+/// Reason why a report is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidReport {
-    /// The instance or the zone has no name, one that is too long, or one with control characters.
-    #[error("a name is missing or too long")]
+    /// The name of the instance or zone is empty, too long, or contains control characters.
+    #[error("instance or zone name is empty, over {MAX_NAME_BYTES} bytes, or has control characters")]
     Name,
-    /// A number is negative, infinite, or not a number.
-    #[error("a number is out of range")]
+    /// A number is negative or not finite, or `cores` is 0.
+    #[error("a number is negative or not finite, or cores is 0")]
     Number,
-    /// Pressure or warm-up progress lies outside 0 to 1.
+    /// Pressure or warm-up progress is not between 0 and 1.
     #[error("pressure or warm-up progress is not between 0 and 1")]
     Fraction,
     /// The time until termination is negative or not finite.
-    #[error("the time until termination is out of range")]
+    #[error("the time until termination is negative or not finite")]
     TerminationTime,
-    /// There are too many classes, or one has a name that is too long or a number out of range.
-    #[error("a class is out of range")]
+    /// There are too many classes, or a class has a name that is too long or an invalid number.
+    #[error(
+        "over {MAX_CLASSES} classes, or a class with a name over {MAX_NAME_BYTES} bytes or a negative or non-finite number"
+    )]
     Class,
-    /// The server's monotonic clock went back within one incarnation.
-    #[error("its clock went back")]
+    /// The server's monotonic clock went backwards within one incarnation.
+    #[error("the creation time is earlier than that of the incarnation's last report")]
     ClockWentBack,
 }
 
@@ -114,12 +116,12 @@
 }
 
 impl ClassLoad {
-    /// Load of classes that a server did not name.
+    /// Creates load that is not attributed to a named class.
     fn unnamed(offered: f64, rejected: f64) -> ClassLoad {
         ClassLoad { product: String::new(), customer: String::new(), priority_weight: 0.0, offered, rejected }
     }
 
-    /// Whether it is load of classes that the server did not name: it counts in sums, and nobody can drop it.
+    /// Returns whether the load is not attributed to a named class: it counts in totals, but no rule can drop it.
     pub(crate) fn is_unnamed(&self) -> bool {
         self.product.is_empty() && self.customer.is_empty()
     }
@@ -132,7 +134,7 @@
 }
 
 impl LoadReport {
-    /// Report of a healthy, nearly idle server with four cores, for emulators and tests to change.
+    /// Creates a report of a healthy, nearly idle server with four cores, as a template for emulators and tests.
     pub fn healthy_server(instance: &str, address: SocketAddr) -> LoadReport {
         LoadReport {
             instance: instance.into(),
@@ -155,12 +157,12 @@
         }
     }
 
-    /// Whether the server is draining: it gets no new requests and will be terminated.
+    /// Returns whether the server is draining: it receives no new requests and will be terminated.
     pub fn is_draining(&self) -> bool {
         self.terminates_in.is_some()
     }
 
-    /// Checks every field by itself; the order of reports is not checked here.
+    /// Validates the fields. The order of reports is checked by the fleet's view.
     pub(crate) fn validate(&self) -> Result<(), InvalidReport> {
         if !is_valid_name(&self.instance) || !is_valid_name(&self.zone) {
             return Err(InvalidReport::Name);
--- a/crates/control/src/resources/cluster.rs
+++ b/crates/control/src/resources/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster resource: one group of servers, with limits on the requests and retries that a proxy may have in flight.
+//! The cluster resource: all servers as one cluster, with circuit breakers on the requests and retries of a proxy.
 
 use super::{ads_source, CLUSTER};
 use crate::plan::Plan;
@@ -13,7 +13,7 @@
 use envoy_types::pb::envoy::r#type::v3::Percent;
 use envoy_types::pb::google::protobuf::UInt32Value;
 
-/// Retries that a proxy may have in flight however few requests it has.
+/// Retries that a proxy may have in flight regardless of the retry budget.
 const MIN_RETRIES: u32 = 1;
 
 fn retry_thresholds(plan: &Plan) -> Thresholds {
@@ -26,7 +26,7 @@
 }
 
 fn server_thresholds(plan: &Plan) -> Thresholds {
-    // In powers of two, so that a limit that moves a little changes no cluster.
+    // Rounded up to a power of two, so that small changes of limits do not change the cluster.
     let largest = plan.shares.iter().map(|share| share.max_requests).max().unwrap_or(1);
     let value = largest.next_power_of_two();
     Thresholds { max_requests: Some(UInt32Value { value }), ..Default::default() }
--- a/crates/control/src/resources/endpoints.rs
+++ b/crates/control/src/resources/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints resource: servers by zone, with their weights.
+//! The endpoints resource: servers grouped by zone, with their weights.
 
 use super::subset::{ProxyProfile, SubsetConfig};
 use super::CLUSTER;
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Parts into which the load is split among zones. Finer steps would be pushed for nothing.
+/// Sum of the integer weights of the zones: coarse, so that insignificant changes are not pushed.
 const TOTAL_ZONE_WEIGHT: f64 = 1000.0;
-/// Parts that a server of mean share has, so that a large zone's small shares can still be told apart.
+/// Integer weight of a server with the mean share, so that small shares in large zones stay distinguishable.
 const MEAN_SERVER_WEIGHT: f64 = 100.0;
 
-/// A weight in whole parts: at least 1 unless it is nothing.
+/// Returns an integer weight: at least 1 unless the fraction is 0.
 fn weight(fraction: f64, scale: f64) -> Option<UInt32Value> {
     let value = if fraction > 0.0 { (fraction * scale).round().max(1.0) as u32 } else { 0 };
     Some(UInt32Value { value })
@@ -43,7 +43,7 @@
     }
 }
 
-/// The servers of one zone that proxies of a subset get.
+/// Builds the endpoints of a zone for the proxies of a subset.
 fn zone_endpoints(
     zone: &str,
     routes: &[Route],
@@ -53,7 +53,7 @@
     let in_subset = |route: &&Route| subsets.contains(subset, &route.server.instance, routes.len());
     let mut selected: Vec<&Route> = routes.iter().filter(in_subset).collect();
     if selected.is_empty() {
-        // Chance may leave a subset empty: its proxies get all servers.
+        // A subset may be empty by chance: its proxies get all servers.
         selected = routes.iter().collect();
     }
     let zone_weight: f64 = routes.iter().map(|route| route.weight).sum();
@@ -71,7 +71,7 @@
     }
 }
 
-/// Servers of all zones that the load of a profile's zone is routed to.
+/// Builds the endpoints of all zones to which the load of the profile's zone is routed.
 pub(super) fn endpoints(
     plan: &Plan,
     profile: &ProxyProfile,
--- a/crates/control/src/resources/listener.rs
+++ b/crates/control/src/resources/listener.rs
@@ -1,4 +1,4 @@
-//! The listener resource: where a proxy accepts requests, and that it asks this service for their routes.
+//! The listener resource: an HTTP listener whose routes are discovered from this service.
 
 use super::{ads_source, LISTENER, ROUTES};
 use envoy_types::pb::envoy::config::listener::v3 as listener;
--- a/crates/control/src/resources/mod.rs
+++ b/crates/control/src/resources/mod.rs
@@ -1,5 +1,5 @@
-//! From a plan to the resources that proxies know: a listener, its routes with drops and retries, a cluster, its endpoints with
-//! weights. Pure: the same plan gives the same bytes, so that content names its version.
+//! Conversion of a plan into xDS resources: a listener, its routes with drops and retries, a cluster, and its weighted
+//! endpoints. The encoding is deterministic, and a resource's version is the hash of its content.
 
 mod cluster;
 mod endpoints;
@@ -22,18 +22,18 @@
 use prost::{Message, Name};
 use std::sync::Arc;
 
-/// Name under which proxies ask for the cluster and its endpoints.
+/// Resource name of the cluster and its endpoints.
 pub const CLUSTER: &str = "servers";
-/// Name under which proxies ask for the listener.
+/// Resource name of the listener.
 pub const LISTENER: &str = "front";
-/// Name under which proxies ask for the routes.
+/// Resource name of the routes.
 pub const ROUTES: &str = "front-routes";
-/// Header with a request's product.
+/// Header that carries a request's product.
 pub const PRODUCT_HEADER: &str = "x-product";
-/// Header with a request's customer.
+/// Header that carries a request's customer.
 pub const CUSTOMER_HEADER: &str = "x-customer";
 
-/// The type URL by which xDS names a type.
+/// Returns the xDS type URL of a resource type.
 pub fn type_url(resource_type: ResourceType) -> String {
     match resource_type {
         ResourceType::Cluster => Cluster::type_url(),
@@ -43,12 +43,12 @@
     }
 }
 
-/// The type that a type URL names; none where the service does not know it.
+/// Returns the resource type of a type URL; none if it is not supported.
 pub fn resource_type_of(type_url: &str) -> Option<ResourceType> {
     ResourceType::ALL.into_iter().find(|resource_type| self::type_url(*resource_type) == type_url)
 }
 
-/// 64 evenly spread bits of some parts: the first of their hash.
+/// Returns a 64-bit hash of the parts.
 fn digest(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -58,16 +58,16 @@
     hasher.finalize().as_bytes().first_chunk().map_or(0, |first| u64::from_le_bytes(*first))
 }
 
-/// A set with one resource.
+/// Encodes a set with one resource.
 fn resource_set(resource_type: ResourceType, name: &str, message: &impl Message) -> ResourceSet {
     let body = message.encode_to_vec();
-    // Never 0, which stands for no version.
+    // 0 is reserved for no version.
     let version = digest(&[type_url(resource_type).as_bytes(), name.as_bytes(), &body]).max(1);
     let resource = Resource { name: name.into(), version, body };
     [(name.to_owned(), Arc::new(resource))].into()
 }
 
-/// Says that a resource's details come from this service, on the same stream.
+/// Returns the config source of resources that are served on the same aggregated stream.
 fn ads_source() -> core::ConfigSource {
     core::ConfigSource {
         resource_api_version: core::ApiVersion::V3.into(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// All that proxies of one profile are to hold.
+/// Builds the resources for the proxies of a profile.
 pub fn resource_snapshot(
     plan: &Plan,
     version: PlanVersion,
--- a/crates/control/src/resources/routes.rs
+++ b/crates/control/src/resources/routes.rs
@@ -1,4 +1,4 @@
-//! The routes resource: what proxies drop, and how they retry the rest.
+//! The routes resource: routes that drop requests, and the route to the cluster with its retry policy.
 
 use super::{CLUSTER, CUSTOMER_HEADER, PRODUCT_HEADER, ROUTES};
 use crate::plan::Plan;
@@ -13,17 +13,17 @@
 use envoy_types::pb::envoy::r#type::v3::{fractional_percent::DenominatorType, FractionalPercent};
 use envoy_types::pb::google::protobuf::UInt32Value;
 
-/// Status of a dropped request, and of one that a server rejected: service unavailable.
+/// HTTP status of requests dropped by a proxy or rejected by a server.
 const UNAVAILABLE: u32 = 503;
-/// Drops under this fraction are rounded to nothing.
+/// Smallest fraction for which a drop route is emitted; less rounds to 0 %.
 const MIN_DROP: f64 = 0.005;
-/// Millionths in a percent: fractions are written in whole percents, so that small changes push nothing.
+/// Millionths per percent: fractions are rounded to whole percents, so that small changes are not pushed.
 const MILLIONTHS_PER_PERCENT: u32 = 10_000;
-/// Least Retry-After, seconds, before it is rounded up to whole ones.
+/// Minimum Retry-After in seconds, before it is rounded up to whole seconds.
 const MIN_RETRY_AFTER: f64 = 0.05;
-/// Only what is known not to have run is retried: refused before a byte of it was read, or rejected by a server.
+/// Retry conditions: only requests that have not run, because the connection was refused or a server rejected them.
 const RETRY_ON: &str = "connect-failure,refused-stream,retriable-status-codes";
-/// Retries of one request: more would only multiply the load of an overload.
+/// Maximum retries of a request: more would amplify an overload.
 const MAX_RETRIES: u32 = 1;
 
 fn any_path() -> Option<PathSpecifier> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Matches a fraction of one product of one customer.
+/// Returns a match for the rule's fraction of a class's requests.
 fn drop_match(rule: &DropRule) -> route::RouteMatch {
     let fraction = FractionalPercent {
         numerator: (rule.fraction * 100.0).round() as u32 * MILLIONTHS_PER_PERCENT,
@@ -66,7 +66,7 @@
     core::HeaderValueOption { header: Some(header), ..Default::default() }
 }
 
-/// Answers what a rule drops with a rejection.
+/// Returns the route that rejects the requests dropped by a rule.
 fn drop_route(rule: &DropRule, retry_after: f64) -> route::Route {
     let response = route::DirectResponseAction { status: UNAVAILABLE, ..Default::default() };
     route::Route {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Sends all that is not dropped to the cluster.
+/// Returns the route that sends all other requests to the cluster.
 fn cluster_route() -> route::Route {
     let retry_policy = route::RetryPolicy {
         retry_on: RETRY_ON.into(),
--- a/crates/control/src/resources/subset.rs
+++ b/crates/control/src/resources/subset.rs
@@ -1,20 +1,20 @@
-//! How a large fleet is cut into subsets, so that a proxy does not connect to all of it.
+//! Subsets of large zones, which limit the servers that a proxy connects to.
 
 use super::digest;
 
-/// Which of a plan's proxies get the same resources: those of one zone, and where a fleet is large, of one part of it.
+/// Key of proxies that receive the same resources: their zone and their subset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProxyProfile {
     /// Zone of the proxies.
     pub zone: String,
-    /// Number of their subset, see [`SubsetConfig::subset_of`].
+    /// Index of the proxies' subset, see [`SubsetConfig::subset_of`].
     pub subset: usize,
 }
 
-/// Size and number of the subsets of a fleet.
+/// Size and number of subsets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetConfig {
-    /// Servers in a subset at the least; proxies get all of a zone with fewer.
+    /// Minimum mean number of servers in a subset; proxies get all servers of a zone with at most as many.
     pub size: usize,
     /// Number of subsets.
     pub count: usize,
@@ -27,13 +27,13 @@
 }
 
 impl SubsetConfig {
-    /// The subset that a proxy belongs to, by the id of its node.
+    /// Returns the subset of a proxy by the id of its node.
     pub fn subset_of(&self, node: &str) -> usize {
         (digest(&[node.as_bytes()]) % self.count.max(1) as u64) as usize
     }
 
-    /// Whether a server of a zone with so many belongs to a subset. Each server is in as many subsets as any other, next to each
-    /// other round a ring from where its name puts it: one more server changes no other's subsets.
+    /// Returns whether a server of a zone with `servers` servers belongs to a subset. Each server belongs to the same number of
+    /// consecutive subsets on a ring, starting at the hash of its name, so that adding a server does not move others.
     pub(super) fn contains(&self, subset: usize, instance: &str, servers: usize) -> bool {
         let count = self.count.max(1);
         let subsets_per_server = (self.size * count).div_ceil(servers.max(1));
--- a/crates/control/src/resources/tests.rs
+++ b/crates/control/src/resources/tests.rs
@@ -13,6 +13,7 @@
     }
     Planner::default().plan(0.0, &fleet_view).unwrap()
 }
+
 fn decode_endpoints(snapshot: &ResourceSnapshot) -> ClusterLoadAssignment {
     let body = &snapshot.set(ResourceType::Endpoints)[CLUSTER].body;
     ClusterLoadAssignment::decode(&body[..]).unwrap()
@@ -53,7 +54,7 @@
     let weights: Vec<u32> =
         assignment.endpoints[0].lb_endpoints.iter().map(|e| e.load_balancing_weight.unwrap().value).collect();
     assert_eq!(weights, [100; 6]);
-    // A zone that nobody knows is served by both.
+    // A zone without servers is routed to both other zones.
     let unknown_zone = decode_endpoints(&resource_snapshot(
         &plan,
         PlanVersion::default(),
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,5 +1,5 @@
-//! The whole service without I/O and without a clock: reports and requests go in, updates come out. What hosts it turns sockets
-//! into these calls; tests host it in schedules of every kind.
+//! The service's state machine: handles reports and proxy requests, and returns updates. Performs no I/O and reads no
+//! clock; the host connects it to sockets, tests to simulated schedules.
 
 use crate::fleet::{FleetConfig, FleetView, ReportOutcome};
 use crate::plan::{Plan, Planner};
@@ -13,29 +13,29 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// What the service keeps to.
+/// Configuration of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceConfig {
-    /// How long servers are trusted.
+    /// Timeouts of server reports.
     pub fleet: FleetConfig,
-    /// How long proxies may use a decision.
+    /// Leases of the resources sent to proxies.
     pub lease: LeaseConfig,
-    /// How a large fleet is cut for proxies.
+    /// Subsets of servers that proxies connect to.
     pub subsets: SubsetConfig,
-    /// When plans are made.
+    /// Schedule of plans.
     pub schedule: PlanSchedule,
 }
 
-/// When plans are made, in seconds.
+/// Schedule of plans, in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSchedule {
-    /// From one plan to the next.
+    /// Time between plans.
     pub interval: f64,
-    /// After a start, from the first report until the first plan is made.
+    /// Time from the first report after a start to the first plan.
     pub min_settle_time: f64,
-    /// The same while fewer servers report than a stored snapshot knew.
+    /// The same while fewer servers report than the stored snapshot lists.
     pub max_settle_time: f64,
-    /// For how long plans are made while most reports are missing.
+    /// Time for which plans are still made while a mass outage is suspected.
     pub max_panic_time: f64,
 }
 
@@ -45,33 +45,33 @@
     }
 }
 
-/// Fraction of a stored snapshot's servers that is enough to begin with: some may be gone for good.
+/// Fraction of a stored snapshot's servers that must report before the first plan; some may have been removed.
 const READY_SERVER_FRACTION: f64 = 0.8;
 
-/// What outlives the process, stored as JSON.
+/// State that outlives the process, stored as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredSnapshot {
     /// Epoch of the process that wrote it.
     pub epoch: u64,
-    /// Number of the plan in that epoch.
+    /// Number of the plan within the epoch.
     pub number: u64,
-    /// When the plan was decided, seconds of the Unix clock.
+    /// When the plan was computed, seconds of the Unix clock.
     #[serde(rename = "made_unix")]
     pub decided_at_unix: f64,
     /// The plan.
     pub plan: Plan,
 }
 
-/// A stored snapshot that was read at a start.
+/// A stored snapshot read at startup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredSnapshot {
-    /// What was stored.
+    /// The stored snapshot.
     pub snapshot: StoredSnapshot,
-    /// Seconds since its plan was decided.
+    /// Age of its plan, seconds.
     pub age: f64,
 }
 
-/// One proxy's stream, and who is at its other end.
+/// A proxy's stream and the proxy's identity.
 #[derive(Debug)]
 struct ConnectedProxy {
     node: String,
@@ -80,65 +80,65 @@
     opened_at: f64,
 }
 
-/// Identifies a stream for as long as it lives.
+/// Identifier of an open stream.
 pub type StreamId = u64;
 
-/// An update to send on a stream, or why the stream must end.
+/// An update to send on a stream, or the error that closes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamEvent {
     /// The stream.
     pub stream: StreamId,
-    /// What to send on it, or why it ends.
+    /// Update to send, or the error that closes the stream.
     pub result: Result<Update, StreamError>,
 }
 
-/// What one proxy holds, for the debug pages.
+/// State of a proxy, for the debug pages.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProxyStatus {
-    /// Id of its node.
+    /// Id of the proxy's node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: String,
-    /// Epoch and number of the oldest plan among the types that it asked for.
+    /// Epoch and number of the oldest plan acknowledged among the subscribed resource types.
     pub acked: Option<(u64, u64)>,
-    /// Whether it holds all that it asked for as it is now.
+    /// Whether the proxy holds the current version of all subscribed resources.
     #[serde(rename = "settled")]
     pub in_sync: bool,
-    /// Seconds since its stream was opened.
+    /// Seconds since the stream was opened.
     pub open_for: f64,
-    /// Updates with content that it was sent.
+    /// Updates with content sent to the proxy.
     #[serde(rename = "sent")]
     pub content_updates: u64,
     /// Updates that only renewed leases.
     pub heartbeats: u64,
-    /// Updates that it rejected.
+    /// Updates that the proxy rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Type and reason of the last one that it rejected.
+    /// Type and reason of the last rejected update.
     #[serde(rename = "complaint")]
     pub last_rejection: Option<String>,
 }
 
-/// Counters over the life of the service.
+/// Counters since the service started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCounters {
-    /// Plans that were made.
+    /// Computed plans.
     pub plans: u64,
-    /// Plans that changed what any proxy holds.
+    /// Plans that changed the resources of any proxy.
     pub plans_changed: u64,
-    /// Times that no plan could be made.
+    /// Times that no plan could be computed.
     pub plans_missing: u64,
-    /// Streams that were ended because of an error.
+    /// Streams closed because of an error.
     pub streams_aborted: u64,
-    /// Streams that proxies opened.
+    /// Streams opened by proxies.
     pub streams_opened: u64,
-    /// Most updates that ever waited for one stream's socket at once.
+    /// Maximum number of updates queued for one stream's socket.
     pub max_queued_updates: usize,
-    /// Counters of the streams that have ended.
+    /// Counters of closed streams.
     pub ended_streams: StreamCounters,
 }
 
-/// The state of the service: the fleet, the plan in force, and the streams of all proxies.
+/// State of the service: the fleet, the current plan, and the streams of all proxies.
 #[derive(Debug)]
 pub struct ControlService {
     config: ServiceConfig,
@@ -150,7 +150,7 @@
     proxies: BTreeMap<StreamId, ConnectedProxy>,
     last_planned_at: f64,
     first_report_at: Option<f64>,
-    /// Servers that got load by the stored snapshot.
+    /// Number of servers with load in the stored snapshot.
     expected_servers: usize,
     panic_since: Option<f64>,
     /// Counters since the service started.
@@ -158,8 +158,8 @@
 }
 
 impl ControlService {
-    /// A service that starts now. `epoch` is higher than that of any earlier one; the plan of a stored snapshot holds while it is
-    /// within the bound.
+    /// Creates a service that starts at `now`. `epoch` must exceed that of every earlier process. The plan of a
+    /// restored snapshot is used if it is younger than the maximum decision age.
     pub fn new(
         now: f64,
         config: ServiceConfig,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Takes in a server's report.
+    /// Handles a server's report.
     pub fn handle_report(&mut self, now: f64, report: LoadReport) -> ReportOutcome {
         let outcome = self.fleet.record(now, report);
         if outcome == ReportOutcome::Accepted {
@@ -203,7 +203,7 @@
         outcome
     }
 
-    /// A proxy opened a stream.
+    /// Registers a stream opened by a proxy.
     pub fn open_stream(&mut self, now: f64, id: StreamId, node: &str, zone: &str, incremental: bool) {
         let profile = self.profile(zone, node);
         let stream = ProxyStream::new(incremental);
@@ -216,7 +216,7 @@
         ProxyProfile { zone: zone.into(), subset: self.config.subsets.subset_of(node) }
     }
 
-    /// Takes in a proxy's request, and gives what is to be sent to it. After an error the stream is closed.
+    /// Handles a proxy's request and returns the updates to send. Closes the stream on an error.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// A stream ended; its counters are kept.
+    /// Removes a closed stream and keeps its counters.
     pub fn close_stream(&mut self, id: StreamId) {
         if let Some(proxy) = self.proxies.remove(&id) {
             self.counters.ended_streams += proxy.stream.counters;
@@ -245,7 +245,7 @@
         self.counters.streams_aborted += 1;
     }
 
-    /// Plans if it is time, and says what is to be sent on which streams, and which are closed.
+    /// Computes a plan if one is due, and returns the updates to send and the streams to close.
     pub fn tick(&mut self, now: f64) -> Vec<StreamEvent> {
         if now - self.last_planned_at >= self.config.schedule.interval {
             self.replan(now);
@@ -267,7 +267,7 @@
         events
     }
 
-    /// All that is to be sent on a stream now.
+    /// Returns the updates that are due on a stream.
     fn pending_updates(&mut self, now: f64, id: StreamId) -> Result<Vec<Update>, StreamError> {
         let ControlService { plan, snapshots, proxies, config, version, .. } = self;
         let (Some(plan), Some(proxy)) = (plan.as_ref(), proxies.get_mut(&id)) else { return Ok(Vec::new()) };
@@ -283,7 +283,7 @@
         Ok(updates)
     }
 
-    /// Whether enough servers have reported to plan by.
+    /// Returns whether enough servers have reported for a first plan.
     fn is_ready(&self, now: f64) -> bool {
         let Some(first_report_at) = self.first_report_at else { return false };
         let elapsed = now - first_report_at;
@@ -312,14 +312,14 @@
         self.apply_plan(plan);
     }
 
-    /// Reports of most servers that stay away for long while no other is heard steadily are no passing fault: nothing is decided on
-    /// them, and leases end. Where others are heard, the silence is confirmed long before, and this never comes to pass.
+    /// Tracks panic mode and returns whether it has lasted too long: no plan is made then, and the leases of proxies
+    /// expire. If some server reports steadily, the outage is confirmed before that.
     fn panic_timed_out(&mut self, now: f64, panic: bool) -> bool {
         self.panic_since = panic.then(|| self.panic_since.unwrap_or(now));
         self.panic_since.is_some_and(|since| now - since > self.config.schedule.max_panic_time)
     }
 
-    /// Makes the resources of all profiles anew. Those that a plan does not change keep their version.
+    /// Rebuilds the resources of all profiles. Snapshots whose content does not change keep their version.
     fn apply_plan(&mut self, plan: Plan) {
         let next = PlanVersion { number: self.version.number + 1, ..self.version };
         let mut changed = self.plan.is_none();
@@ -343,33 +343,33 @@
         self.plan = Some(Arc::new(plan));
     }
 
-    /// Whether there is a plan that proxies may still use.
+    /// Returns whether the current plan is within the maximum decision age.
     pub fn has_valid_plan(&self, now: f64) -> bool {
         let max_age = self.config.lease.max_decision_age;
         self.plan.as_ref().is_some_and(|plan| now - plan.decided_at < max_age)
     }
 
-    /// The plan in force, if any was made.
+    /// Returns the current plan, if there is one.
     pub fn plan(&self) -> Option<&Arc<Plan>> {
         self.plan.as_ref()
     }
 
-    /// The view of the fleet that plans are made from.
+    /// Returns the fleet's view, from which plans are computed.
     pub fn fleet(&self) -> &FleetView {
         &self.fleet
     }
 
-    /// Version of the last plan that changed what any proxy holds.
+    /// Returns the version of the last plan that changed the resources of any proxy.
     pub fn plan_version(&self) -> PlanVersion {
         self.version
     }
 
-    /// Number of open streams.
+    /// Returns the number of open streams.
     pub fn proxy_count(&self) -> usize {
         self.proxies.len()
     }
 
-    /// Number of proxies that hold all that they asked for as it is now.
+    /// Returns the number of proxies that hold the current version of all subscribed resources.
     pub fn in_sync_count(&self) -> usize {
         self.proxies.values().filter(|proxy| self.is_in_sync(proxy)).count()
     }
@@ -378,7 +378,7 @@
         self.snapshots.get(&proxy.profile).is_some_and(|snapshot| proxy.stream.in_sync(snapshot))
     }
 
-    /// What is to be stored for the next process; `unix_now` is now by the Unix clock, in seconds.
+    /// Returns the snapshot to store for the next process; `unix_now` is the current time by the Unix clock, seconds.
     pub fn stored_snapshot(&self, now: f64, unix_now: f64) -> Option<StoredSnapshot> {
         let plan = self.plan.as_ref()?;
         let decided_at_unix = unix_now - (now - plan.decided_at);
@@ -386,7 +386,7 @@
         Some(StoredSnapshot { epoch, number, decided_at_unix, plan: (**plan).clone() })
     }
 
-    /// What each proxy holds.
+    /// Returns the state of each proxy.
     pub fn proxy_statuses(&self, now: f64) -> Vec<ProxyStatus> {
         self.proxies.values().map(|proxy| self.proxy_status(now, proxy)).collect()
     }
@@ -408,14 +408,14 @@
         }
     }
 
-    /// Counters of all streams together, open and ended.
+    /// Returns the summed counters of all streams, open and closed.
     pub fn stream_counters(&self) -> StreamCounters {
         let mut total = self.counters.ended_streams;
         self.proxies.values().for_each(|proxy| total += proxy.stream.counters);
         total
     }
 
-    /// What a proxy is to hold now, for tools.
+    /// Returns the resources for a proxy by the current plan, for tools.
     pub fn resources_for(&self, zone: &str, node: &str) -> Option<ResourceSnapshot> {
         let profile = self.profile(zone, node);
         let plan = self.plan.as_ref()?;
--- a/crates/control/src/shedding.rs
+++ b/crates/control/src/shedding.rs
@@ -1,8 +1,8 @@
-//! What proxies drop before it reaches a server: load shedding at the fleet's edge, led by what servers reject themselves.
+//! Load shedding at the proxies, controlled by the fraction of requests that servers reject.
 //!
-//! Each product of each customer has a fraction that proxies drop. It follows the fraction that servers still reject: a few in a
-//! hundred are to go on being rejected there, so that the servers, not this service, say when the overload is over. A class of
-//! higher priority weight is never dropped more than one of lower.
+//! Proxies drop a fraction of the requests of each class (a product of a customer). The controller raises it until
+//! servers reject only a few percent of the remaining requests. This residue shows when the overload ends. A class of
+//! higher priority weight is never dropped more than one of lower weight.
 
 use crate::fleet::ServerView;
 use crate::smoothing::sample_weight;
@@ -12,38 +12,38 @@
 #[cfg(test)]
 mod tests;
 
-/// Fraction of what arrives that servers are left to reject: enough to be seen in a report of a few dozen requests.
+/// Target of the rejected fraction at servers: visible in a report of a few dozen requests.
 const TARGET_REJECTED: f64 = 0.05;
-/// Fraction of the surplus by which a drop rises in a second: with a second's delay a loop of this gain does not swing.
+/// Rise of the dropped fraction per second, as a fraction of the surplus: stable with a feedback delay of one second.
 const RISE_GAIN: f64 = 0.5;
-/// By how much a drop falls in a second while servers reject less than the target: of the same slope around it.
+/// Maximum fall of the dropped fraction per second below the target; the slope at the target equals that of the rise.
 const FALL_RATE: f64 = RISE_GAIN * TARGET_REJECTED;
-/// The same while servers reject nothing and have cores to spare: the cause is over.
+/// Fall of the dropped fraction per second once servers reject nothing and have spare cores.
 const RECOVERY_RATE: f64 = 0.15;
-/// Rejected fraction below which servers count as rejecting nothing: well under the target, and above a smoothed zero.
+/// Smoothed rejected fraction below which servers count as rejecting nothing.
 const MIN_REJECTED_FRACTION: f64 = TARGET_REJECTED / 10.0;
-/// Pressure of the fleet under which it has cores to spare.
+/// Mean pressure below which the fleet has spare cores.
 const LOW_PRESSURE: f64 = 0.1;
-/// Largest fraction that is dropped: something must arrive to show that it could be served again.
+/// Maximum dropped fraction: the remaining requests show when the class can be served again.
 const MAX_DROP: f64 = 0.95;
-/// Time constant of the rejected fraction, seconds: a report holds few requests.
+/// Time constant of the smoothed rejected fraction, seconds.
 const REJECTED_TIME_CONSTANT: f64 = 0.5;
-/// Drops under this fraction are not worth a rule.
+/// Smallest dropped fraction for which a rule is emitted.
 const MIN_DROP: f64 = 0.01;
 
-/// A fraction of one product of one customer that proxies drop.
+/// Fraction of the requests of a class that proxies drop.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DropRule {
     /// Name of the product.
     pub product: String,
     /// Name of the customer.
     pub customer: String,
-    /// Fraction of its requests, from 0 to 1.
+    /// Fraction of the class's requests, from 0 to 1.
     #[serde(rename = "share")]
     pub fraction: f64,
 }
 
-/// A product of a customer, ordered by product first.
+/// Key of a class, ordered by product first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClassKey<S> {
     product: S,
@@ -62,7 +62,7 @@
     }
 }
 
-/// One class over all servers, by the latest reports.
+/// Load of a class summed over all servers.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassTotals {
     /// Requests a second.
@@ -81,10 +81,10 @@
     }
 }
 
-/// One class from one plan to the next.
+/// Controller state of a class.
 #[derive(Clone, Debug, Default)]
 struct ClassState {
-    /// Fraction of what arrives that servers reject, smoothed.
+    /// Smoothed fraction of arriving requests that servers reject.
     rejected_fraction: f64,
     drop_fraction: f64,
     priority_weight: f64,
@@ -93,11 +93,11 @@
 }
 
 impl ClassState {
-    /// Change of the dropped fraction in a second.
+    /// Returns the change of the dropped fraction per second.
     fn drop_rate(&self, has_spare_cores: bool) -> f64 {
         let surplus = self.rejected_fraction - TARGET_REJECTED;
         if surplus > 0.0 {
-            // What is left after the drop shrinks as the drop grows, and so does each step.
+            // Proportional to the remaining requests, so that steps shrink as the drop grows.
             RISE_GAIN * surplus * (1.0 - self.drop_fraction)
         } else if has_spare_cores && self.rejected_fraction < MIN_REJECTED_FRACTION {
             -RECOVERY_RATE
@@ -107,7 +107,7 @@
     }
 }
 
-/// What the fleet reported since the last plan.
+/// Load of all classes by the latest reports.
 struct FleetTotals<'a> {
     classes: BTreeMap<ClassKey<&'a str>, ClassTotals>,
     has_spare_cores: bool,
@@ -132,16 +132,16 @@
     }
 }
 
-/// Moves the dropped fractions from one plan to the next.
+/// Controller of the dropped fractions.
 #[derive(Debug, Default)]
 pub struct LoadShedder {
     classes: BTreeMap<ClassKey<String>, ClassState>,
 }
 
 impl LoadShedder {
-    /// The rules as last decided, ordered by product and customer.
+    /// Returns the current rules, ordered by product and customer.
     pub fn rules(&self) -> Vec<DropRule> {
-        // From the lowest priority weight up: a class is not dropped more than any below it.
+        // In ascending priority weight: a class is not dropped more than any class of lower weight.
         let mut ordered: Vec<_> = self.classes.iter().collect();
         ordered.sort_by(|(key_a, a), (key_b, b)| {
             a.priority_weight.total_cmp(&b.priority_weight).then(key_a.cmp(key_b))
@@ -152,13 +152,13 @@
         let mut rules = Vec::new();
         for (key, state) in ordered {
             if state.priority_weight > weight {
-                // All classes of the last weight or a lower one bound what follows.
+                // Classes of lower weight limit the fractions of the following ones.
                 max_fraction = max_fraction.min(min_fraction_of_weight);
                 weight = state.priority_weight;
                 min_fraction_of_weight = MAX_DROP;
             }
             let fraction = state.drop_fraction.min(max_fraction);
-            // A class without requests bounds nothing.
+            // A class without requests limits no other.
             if state.offered > 0.0 {
                 min_fraction_of_weight = min_fraction_of_weight.min(fraction);
             }
@@ -171,7 +171,7 @@
         rules
     }
 
-    /// Moves the fractions by what servers report, `elapsed` seconds after the last time, and gives the rules.
+    /// Updates the fractions from the latest reports, `elapsed` seconds after the last update, and returns the rules.
     pub fn update(&mut self, elapsed: f64, views: &[ServerView]) -> Vec<DropRule> {
         let totals = FleetTotals::from_views(views);
         let sample_weight = sample_weight(elapsed, REJECTED_TIME_CONSTANT);
--- a/crates/control/src/shedding/tests.rs
+++ b/crates/control/src/shedding/tests.rs
@@ -5,12 +5,12 @@
 
 const LOW_PRIORITY: usize = 0;
 
-/// One server that can serve `capacity` txns a second, the dearer product first; proxies send what is not dropped.
+/// Reports a server that serves `capacity` requests per second of those `arriving`, in order of priority.
 fn server(capacity: f64, arriving: &[f64; 2]) -> LoadReport {
     let mut remaining = capacity;
     let mut classes = Vec::new();
     for (product, priority_weight, offered) in
-        [("dear", 3.0, arriving[1]), ("cheap", 1.0, arriving[LOW_PRIORITY])]
+        [("high", 3.0, arriving[1]), ("low", 1.0, arriving[LOW_PRIORITY])]
     {
         let served = offered.min(remaining);
         remaining -= served;
@@ -21,7 +21,8 @@
     LoadReport { pressure, classes, ..report("n1", 1, 0.0) }
 }
 
-/// Shares of cheap and dear over time: asked for and room by the moment, reports and pushes a second late in all.
+/// Returns the dropped fractions of the low and the high priority class over time. `load` gives offered load and
+/// capacity at a time; rules take effect a second late.
 fn simulate(seconds: f64, load: impl Fn(f64) -> ([f64; 2], f64)) -> Vec<[f64; 2]> {
     let (mut shedder, mut in_transit, mut fractions) = (LoadShedder::default(), VecDeque::new(), Vec::new());
     let step = 0.25;
@@ -41,7 +42,7 @@
         );
         let fraction =
             |product: &str| drops.iter().find(|d| d.product == product).map_or(0.0, |d| d.fraction);
-        in_transit.push_back([fraction("cheap"), fraction("dear")]);
+        in_transit.push_back([fraction("low"), fraction("high")]);
         if in_transit.len() > 4 {
             applied = in_transit.pop_front().unwrap();
         }
@@ -52,14 +53,14 @@
 
 #[test]
 fn drops_low_priority_first_and_converges() {
-    // 150 asked for, room for 100: of 90 cheap ones 50 are too many.
+    // 150 offered, capacity for 100: of the 90 of low priority, 50 are excess.
     let fractions = simulate(120.0, |_| ([90.0, 60.0], 100.0));
     let end = &fractions[fractions.len() - 120..];
     let (low, high) = end.iter().fold((1.0f64, 0.0f64), |(l, h), s| (l.min(s[0]), h.max(s[0])));
-    // Of what still arrives, TARGET_REJECTED is declined: (1 - share) * 90 * (1 - 0.05) = 40.
+    // Of the arriving requests, TARGET_REJECTED are rejected: (1 - fraction) * 90 * (1 - 0.05) = 40.
     let expected = 1.0 - 40.0 / (90.0 * (1.0 - TARGET_REJECTED));
-    assert!((low - expected).abs() < 0.02 && high - low < 0.02, "{low} to {high}, {expected} wanted");
-    assert!(fractions.iter().all(|s| s[1] == 0.0), "the dear were dropped");
+    assert!((low - expected).abs() < 0.02 && high - low < 0.02, "{low} to {high}, expected {expected}");
+    assert!(fractions.iter().all(|s| s[1] == 0.0), "the high-priority class was dropped");
 }
 
 #[test]
--- a/crates/control/src/smoothing.rs
+++ b/crates/control/src/smoothing.rs
@@ -1,11 +1,11 @@
-//! Small statistics that plans and load shedding share.
+//! Statistics shared by planning and load shedding.
 
-/// Weight of a new sample in an exponential moving average, `elapsed` seconds after the last sample.
+/// Returns the weight of a new sample in an exponential moving average, `elapsed` seconds after the last sample.
 pub(crate) fn sample_weight(elapsed: f64, time_constant: f64) -> f64 {
     1.0 - (-elapsed / time_constant).exp()
 }
 
-/// The upper median; 0 of nothing.
+/// Returns the upper median, or 0 if there are no values.
 pub(crate) fn median(mut values: Vec<f64>) -> f64 {
     if values.is_empty() {
         return 0.0;
--- a/crates/reports/src/compact.rs
+++ b/crates/reports/src/compact.rs
@@ -1,104 +1,104 @@
-//! The compact format of a report: what does not change while the process lives is left to the full report before it on the same
-//! connection, and names are told once, then numbers stand for them.
+//! The compact report format. Fields that are constant for a process are taken from the last full report on the same
+//! connection, and names of products and customers are sent once and then referred to by number.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::ser::SerializeSeq;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Number of the format in which each report names everything.
+/// Number of the full format, in which each report is self-contained.
 pub const FULL_FORMAT: u32 = 1;
 /// Number of the format of [`CompactReport`].
 pub const COMPACT_FORMAT: u32 = 2;
 
-/// Significant digits of a figure less one: reports jitter by far more.
+/// Decimal places of a number in scientific notation: one less than its significant digits.
 const FRACTION_DIGITS: usize = 3;
-/// Steps of a second in which a report's time is told.
+/// Resolution of a report's creation time.
 const TIME_STEPS_PER_SECOND: f64 = 1000.0;
-/// Up to here whole numbers are exact in an f64.
+/// Bound below which integers are exact in an f64.
 const MAX_EXACT_INTEGER: f64 = 9e15;
 
-/// The line that a control service writes after the first report of a connection: which formats it reads. Services of earlier
-/// versions write nothing, and get full reports.
+/// The line that a control service writes after the first report of a connection, listing the formats it reads.
+/// Services of earlier versions write none and receive full reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatOffer {
-    /// Numbers of the formats.
+    /// Numbers of the supported formats.
     pub report_formats: Vec<u32>,
 }
 
 impl FormatOffer {
-    /// All formats that this version reads.
+    /// Returns the offer of all formats that this version reads.
     pub fn supported() -> FormatOffer {
         FormatOffer { report_formats: vec![FULL_FORMAT, COMPACT_FORMAT] }
     }
 }
 
-/// A report that follows a full one on the same connection.
+/// A report that follows a full report on the same connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompactReport {
-    /// [`COMPACT_FORMAT`].
+    /// Always [`COMPACT_FORMAT`].
     pub format: u32,
-    /// Grows with each report of one incarnation.
+    /// Number that increases with each report of an incarnation.
     pub sequence: u64,
-    /// When the report was made, seconds by the server's own monotonic clock.
+    /// When the report was created, seconds by the server's monotonic clock.
     #[serde(rename = "made", serialize_with = "serialize_time")]
     pub created_at: f64,
-    /// Requests that the server runs at once at the most.
+    /// Maximum number of concurrent requests.
     #[serde(rename = "limit", serialize_with = "serialize_rounded")]
     pub concurrency_limit: f64,
-    /// Requests that run now.
+    /// Number of requests in flight.
     #[serde(rename = "running", serialize_with = "serialize_rounded")]
     pub in_flight: f64,
-    /// Seconds that one request takes to run; 0 where nothing ran.
+    /// Service time of a request in seconds; 0 if no request has run.
     #[serde(rename = "takes", serialize_with = "serialize_rounded")]
     pub service_time: f64,
     /// Overload signal, from 0 (idle) to 1 (saturated).
     #[serde(serialize_with = "serialize_rounded")]
     pub pressure: f64,
-    /// Retry-After that the server gives with a rejection, seconds.
+    /// Retry-After of rejections, seconds.
     #[serde(serialize_with = "serialize_rounded")]
     pub retry_after: f64,
-    /// Result of the server's own health check; left out while it is well.
+    /// Result of the server's own health check; omitted while healthy.
     #[serde(default = "default_healthy", skip_serializing_if = "is_healthy")]
     pub healthy: bool,
-    /// Seconds until a draining server is terminated; left out while it is not draining.
+    /// Seconds until a draining server is terminated; omitted unless it is draining.
     #[serde(rename = "leaving", default, skip_serializing_if = "Option::is_none")]
     pub terminates_in: Option<f64>,
-    /// Progress of the slow start, from 0 to 1 (warm); left out once it is warm.
+    /// Warm-up progress, from 0 to 1 (warm); omitted once warm.
     #[serde(rename = "warmth", default = "default_warm_up_progress", skip_serializing_if = "is_warm")]
     pub warm_up_progress: f64,
-    /// Requests a second that were completed within their latency objective.
+    /// Requests per second completed within their latency objective.
     #[serde(rename = "settled", serialize_with = "serialize_rounded")]
     pub goodput: f64,
-    /// Products that are named for the first time on the connection.
+    /// Products named for the first time on the connection.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub products: Vec<NamedProduct>,
-    /// Customers that are named for the first time on the connection.
+    /// Customers named for the first time on the connection.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<NamedCustomer>,
-    /// Load by product and customer, by their numbers.
+    /// Load by class.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub load: Vec<CompactClassLoad>,
-    /// Load of all that had no room in the report.
+    /// Total load of the classes that did not fit into the report.
     #[serde(default, skip_serializing_if = "Rates::are_zero")]
     pub rest: Rates,
 }
 
-/// A product's number on a connection, its name, and the value of each unit of its work.
+/// A product's number on the connection, its name, and its priority weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NamedProduct(pub u32, pub String, pub f64);
 
-/// A customer's number on a connection, and its name.
+/// A customer's number on the connection, and its name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedCustomer(pub u32, pub String);
 
-/// Requests a second.
+/// Request rates, requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rates {
-    /// That arrived.
+    /// Requests that arrived.
     #[serde(rename = "asked", serialize_with = "serialize_rounded")]
     pub offered: f64,
-    /// Of those that arrived, that were rejected.
+    /// Rejected requests, included in `offered`.
     #[serde(rename = "declined", serialize_with = "serialize_rounded")]
     pub rejected: f64,
 }
@@ -109,14 +109,14 @@
     }
 }
 
-/// Load of one product of one customer: an array of their numbers, what was offered, and what was rejected if anything was.
+/// Load of a product of a customer, encoded as an array: product number, customer number, offered, and rejected if not 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompactClassLoad {
     /// The product's number.
     pub product: u32,
     /// The customer's number.
     pub customer: u32,
-    /// Its load.
+    /// Load of the class.
     pub rates: Rates,
 }
 
@@ -146,7 +146,7 @@
     type Value = CompactClassLoad;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("an array of product, customer, offered and, if any, rejected")
+        f.write_str("an array [product, customer, offered] or [product, customer, offered, rejected]")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut array: A) -> Result<CompactClassLoad, A::Error> {
@@ -158,7 +158,7 @@
     }
 }
 
-/// A figure as it is written: in few digits, and without a point where it is whole.
+/// A number serialized in few digits, and as an integer if it is one.
 struct RoundedNumber(f64);
 
 impl Serialize for RoundedNumber {
--- a/crates/reports/src/encoder.rs
+++ b/crates/reports/src/encoder.rs
@@ -1,4 +1,4 @@
-//! What a server sends on one connection to a control service, from the first report to the end of the connection.
+//! Encoder for the reports that a server sends on one connection to a control service.
 
 use crate::compact::{
     CompactClassLoad, CompactReport, FormatOffer, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT,
@@ -7,44 +7,44 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Bytes a second of all reports of one server to all control services: of the 12,000 that the operators give a server for
-/// control, the rest is for leases and configuration.
+/// Bytes per second of a server's reports to all control services. Leases and configuration use the rest of the control budget.
 const REPORT_BYTES_PER_SECOND: f64 = 10_000.0;
-/// Longest offer of formats, in bytes.
+/// Maximum length of a format offer, bytes.
 const MAX_OFFER_BYTES: usize = 256;
-/// Bytes of the names of a compact report's lists and of its `rest`, beside what is in them.
+/// Bytes of the field names of a compact report's lists and of its `rest`, without their content.
 const LIST_OVERHEAD_BYTES: usize = 96;
 
-/// Bytes of one report at the most, if a server reports to so many control services after each `interval`.
+/// Returns the maximum size in bytes of a report, for a server that reports to `services` control services every `interval`.
 pub fn max_report_bytes(services: usize, interval: Duration) -> usize {
     (REPORT_BYTES_PER_SECOND * interval.as_secs_f64() / services.max(1) as f64) as usize
 }
 
-/// What the service at the other end has said that it reads.
+/// State of the service's format offer.
 #[derive(Debug)]
 enum Offer {
-    /// Its line has not ended; the bytes so far.
+    /// The line is incomplete; holds the bytes received so far.
     Awaited(Vec<u8>),
-    /// It reads compact reports.
+    /// The service reads compact reports.
     Compact,
-    /// It reads full reports only.
+    /// The service reads full reports only.
     Full,
 }
 
-/// Writes the reports of one connection. The first is full; those after it are compact if the service has offered to read that.
-/// Once a line could not be sent whole, the connection ends and the encoder with it.
+/// Encoder for the reports of one connection. The first report is full; later ones are compact if the service offers to
+/// read them. If a line is not sent completely, the connection must be closed and the encoder discarded.
 #[derive(Debug)]
 pub struct ReportEncoder {
     offer: Offer,
-    /// A full report was written.
+    /// Whether a full report was encoded.
     full_report_sent: bool,
-    /// Which products and customers the service was told the names of.
+    /// By index of the product: whether its name was sent.
     sent_products: Vec<bool>,
+    /// By index of the customer: whether its name was sent.
     sent_customers: Vec<bool>,
 }
 
 impl ReportEncoder {
-    /// An encoder for a new connection.
+    /// Creates an encoder for a new connection.
     pub fn new(identity: &ServerIdentity) -> ReportEncoder {
         ReportEncoder {
             offer: Offer::Awaited(Vec::new()),
@@ -54,11 +54,11 @@
         }
     }
 
-    /// Takes bytes that the service sent.
+    /// Processes bytes received from the service.
     pub fn receive(&mut self, bytes: &[u8]) {
         let Offer::Awaited(line) = &mut self.offer else { return };
-        let capacity = (MAX_OFFER_BYTES + 1).saturating_sub(line.len());
-        line.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
+        let remaining = (MAX_OFFER_BYTES + 1).saturating_sub(line.len());
+        line.extend_from_slice(&bytes[..bytes.len().min(remaining)]);
         let end = line.iter().position(|byte| *byte == b'\n');
         if let Some(end) = end {
             self.offer = read_offer(&line[..end]);
@@ -67,13 +67,14 @@
         }
     }
 
-    /// Whether bytes of the service still matter.
+    /// Returns whether the service's format offer is still incomplete.
     pub fn awaits_offer(&self) -> bool {
         matches!(self.offer, Offer::Awaited(_))
     }
 
-    /// The next report as a line, with its end. A compact one takes `max_bytes` at the most, or what its figures alone take if that is
-    /// more; it names what was rejected most, then what was offered most, and tells in sum what has no room.
+    /// Encodes the next report as a line with its line end. A compact report takes at most `max_bytes`, or the size of
+    /// its fields without classes if that is more. Classes are listed by most rejected, then most offered; the others
+    /// are sent as a total.
     pub fn line(
         &mut self,
         identity: &ServerIdentity,
@@ -120,18 +121,19 @@
         }
     }
 
-    /// A class with the names that the service does not know yet; none where an index is out of range.
+    /// Returns a class's entry with the names not sent yet; none if an index is out of range.
     fn class_entry(&self, identity: &ServerIdentity, class: &ClassLoad) -> Option<ClassEntry> {
         let (product, customer) = (u32::try_from(class.product).ok()?, u32::try_from(class.customer).ok()?);
-        let (known_product, name) =
+        let (product_sent, named_product) =
             (*self.sent_products.get(class.product)?, identity.products.get(class.product)?);
-        let (known_customer, customer_name) =
+        let (customer_sent, customer_name) =
             (*self.sent_customers.get(class.customer)?, identity.customers.get(class.customer)?);
         let rates = Rates { offered: class.offered, rejected: class.rejected };
         let mut entry = ClassEntry {
             load: CompactClassLoad { product, customer, rates },
-            product: (!known_product).then(|| NamedProduct(product, name.name.clone(), name.priority_weight)),
-            customer: (!known_customer).then(|| NamedCustomer(customer, customer_name.clone())),
+            product: (!product_sent)
+                .then(|| NamedProduct(product, named_product.name.clone(), named_product.priority_weight)),
+            customer: (!customer_sent).then(|| NamedCustomer(customer, customer_name.clone())),
             bytes: 0,
         };
         let name_bytes = entry.product.as_ref().map_or(0, element_length)
@@ -146,12 +148,12 @@
     }
 }
 
-/// A class on its way into a report.
+/// A class to add to a report, with its new names.
 struct ClassEntry {
     load: CompactClassLoad,
     product: Option<NamedProduct>,
     customer: Option<NamedCustomer>,
-    /// What it takes in the report.
+    /// Encoded size in bytes.
     bytes: usize,
 }
 
@@ -162,7 +164,7 @@
     }
 }
 
-/// A report without its classes.
+/// Builds a compact report without classes.
 fn report_without_classes(
     identity: &ServerIdentity,
     sample: &LoadSample,
@@ -189,7 +191,7 @@
     }
 }
 
-/// The JSON of a value. Values of this crate always have one: their figures are numbers, and their keys are strings.
+/// Encodes a value as JSON. The values of this crate have string keys only, so encoding does not fail.
 fn encoded(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
@@ -198,7 +200,7 @@
     encoded(value).len()
 }
 
-/// Bytes of an element of a list, with the comma behind it.
+/// Returns the encoded size of a list element in bytes, including a comma.
 fn element_length(element: &impl Serialize) -> usize {
     encoded_length(element) + 1
 }
--- a/crates/reports/src/lib.rs
+++ b/crates/reports/src/lib.rs
@@ -1,9 +1,8 @@
-//! The load report by which a server tells a control service what it decided of late, written from plain values: no I/O, no clock.
-//! The serving process and the emulated servers write it by this one function, so that what is measured with the one holds of the
-//! other. `puffinladder_control::report` reads it.
+//! Encoding of the load reports that servers send to control services. Performs no I/O and reads no clock.
+//! Servers and emulated servers share it; `puffinladder_control::report` decodes it.
 //!
-//! A full report names each product of each customer that was asked for. To a control service that offers to read it, a server
-//! sends the compact format instead ([`compact`]), bounded in bytes ([`ReportEncoder`]).
+//! A full report names each class (a product of a customer) with load. To a control service that offers to read it, a
+//! server sends the compact format instead ([`compact`]), which is bounded in size ([`ReportEncoder`]).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -17,43 +16,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a connection to a control service may take to open, and a line to leave: a server never waits longer for one.
+/// Timeout of connecting to a control service, and of sending a line.
 pub const IO_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Classes that a full report names at the most, and the bytes that they take: a control service refuses a report of more than
-/// 4,096 classes, or of more than a megabyte, whole, and the server would seem silent.
+/// Maximum number of classes in a full report: control services reject reports of more than 4,096 classes.
 const MAX_FULL_CLASSES: usize = 4_000;
+/// Maximum encoded size of the classes of a full report, bytes: control services reject lines of more than 1 MiB.
 const MAX_FULL_CLASS_BYTES: usize = 1_000_000;
 
 /// A product that a server serves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Product {
-    /// Its name.
+    /// Name of the product.
     pub name: String,
-    /// Value of each unit of work, by which servers order whom they reject first.
+    /// Priority weight of the product: servers reject lower weights first.
     pub priority_weight: f64,
 }
 
-/// What does not change while the process lives.
+/// Properties of a server that are constant for its process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerIdentity {
     /// Name of the server, unique in the fleet.
     pub instance: String,
-    /// Grows with each start of the process.
+    /// Number that increases with each start of the process.
     pub incarnation: u64,
-    /// Zone that the server runs in.
+    /// Zone of the server.
     pub zone: String,
-    /// Where the server listens for requests.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
     /// Processor cores that the server may use.
     pub cores: f64,
-    /// Seconds from the start until the server is warm; none where it starts warm.
+    /// Seconds from the start until the server is warm; none if it starts warm.
     pub warm_up_span: Option<f64>,
-    /// What it carries at the start of its warm-up, as a fraction of what it carries once it is warm.
+    /// Capacity at the start of the warm-up, as a fraction of the capacity once warm.
     pub initial_capacity: f64,
-    /// Products that it serves.
+    /// Products that the server serves.
     pub products: Arc<[Product]>,
-    /// Names of the customers that it serves.
+    /// Names of the customers that the server serves.
     pub customers: Arc<[String]>,
 }
 
@@ -64,42 +63,42 @@
     pub product: usize,
     /// Index in [`ServerIdentity::customers`].
     pub customer: usize,
-    /// Requests a second that arrived.
+    /// Requests per second that arrived.
     pub offered: f64,
-    /// Requests a second, of those that arrived, that were rejected.
+    /// Rejected requests per second, included in `offered`.
     pub rejected: f64,
 }
 
-/// What changes from one report to the next.
+/// State and load of a server since its last report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSample {
-    /// Requests that the server runs at once at the most; reported as 1 at the least.
+    /// Maximum number of concurrent requests; reported as at least 1.
     pub concurrency_limit: f64,
-    /// Requests that run now.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// Seconds that one request takes to run; 0 where nothing ran.
+    /// Service time of a request in seconds; 0 if no request has run.
     pub service_time: f64,
     /// Overload signal, from 0 (idle) to 1 (saturated).
     pub pressure: f64,
-    /// Retry-After that the server gives with a rejection, seconds.
+    /// Retry-After of rejections, seconds.
     pub retry_after: f64,
     /// Result of the server's own health check.
     pub healthy: bool,
-    /// Seconds until a draining server is terminated; none while it is not draining.
+    /// Seconds until a draining server is terminated; none unless it is draining.
     pub terminates_in: Option<f64>,
-    /// Requests a second that were completed within their latency objective.
+    /// Requests per second completed within their latency objective.
     pub goodput: f64,
-    /// Load by product and customer; those without requests are left out.
+    /// Load by class; classes without requests are omitted.
     pub classes: Vec<ClassLoad>,
 }
 
 impl LoadSample {
-    /// The concurrency limit as it is reported: 1 at the least.
+    /// Returns the concurrency limit as reported: at least 1.
     fn reported_limit(&self) -> f64 {
         self.concurrency_limit.max(1.0)
     }
 
-    /// Places of the classes, ordered by how much depends on them: first what was rejected most, then what was offered most.
+    /// Returns the indices of the classes, ordered by most rejected, then by most offered.
     fn indices_by_load(&self) -> Vec<usize> {
         let mut indices: Vec<usize> = (0..self.classes.len()).collect();
         indices.sort_by(|a, b| {
@@ -112,7 +111,7 @@
 }
 
 impl ServerIdentity {
-    /// The report as it goes over the wire, with the end of its line. `created_at` is in seconds since the server started, by its
+    /// Encodes a full report as a line with its line end. `created_at` is in seconds since the server started, by its
     /// monotonic clock.
     pub fn report_line(&self, sample: &LoadSample, sequence: u64, created_at: f64) -> String {
         let classes = self.classes_json(sample);
@@ -138,14 +137,15 @@
         format!("{report}\n")
     }
 
-    /// Progress of the warm-up, from 0 to 1, so many seconds after the start.
+    /// Returns the warm-up progress, from 0 to 1, `since_start` seconds after the start.
     fn warm_up_progress(&self, since_start: f64) -> f64 {
         let Some(span) = self.warm_up_span else { return 1.0 };
         (self.initial_capacity + (1.0 - self.initial_capacity) * since_start / span).min(1.0)
     }
 
-    /// The classes of a full report in their order, as far as a service takes them; what is left out is one class without names,
-    /// so that the sum of what was offered is whole. No proxy can drop it, so that nothing of it counts as rejected.
+    /// Encodes the classes of a full report, up to the limits of control services. The remaining classes form one
+    /// unnamed class with their offered load, so that the total is exact. Its rejected load is 0: no drop rule can
+    /// apply to it.
     fn classes_json(&self, sample: &LoadSample) -> Vec<Value> {
         let mut named = Vec::with_capacity(sample.classes.len().min(MAX_FULL_CLASSES));
         let (mut bytes, mut offered_unnamed) = (0, 0.0);
@@ -169,7 +169,7 @@
         classes
     }
 
-    /// A class whose index is out of range has no name.
+    /// Encodes a class; names are empty where an index is out of range.
     fn class_json(&self, class: &ClassLoad) -> Value {
         let product = self.products.get(class.product);
         json!({
--- a/crates/reports/tests/compact.rs
+++ b/crates/reports/tests/compact.rs
@@ -1,9 +1,5 @@
-//! What a server sends on a connection whose service offers compact reports, and on one whose service does not.
-//!
-//! Symptom: a server asked 150 times a second spent 13.8 KB a second on one control service, of the 12 KB that it has for all of
-//! its control (`a_server_spends_no_more_on_control_than_the_plan_gives_it`). Cause: each report named each product of each customer
-//! that was asked for, 37 of them at 85 bytes, four times a second and to each service; 330 bytes more never changed while the
-//! process lived.
+//! Reports on connections with and without a format offer. Guards against reports that exceed the byte budget of a
+//! server's control traffic because they repeat names and constant fields.
 
 use puffinladder_reports::compact::{CompactReport, FormatOffer, Rates};
 use puffinladder_reports::{max_report_bytes, ClassLoad, LoadSample, Product, ReportEncoder, ServerIdentity};
@@ -12,14 +8,14 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// What operators give a server for all of its control, bytes a second.
+/// Budget of a server's control traffic, bytes per second.
 const CONTROL_BUDGET: usize = 12_000;
-/// The planned size.
+/// Planned size of a fleet.
 const PRODUCTS: usize = 2_300;
 const CUSTOMERS: usize = 15_000;
 const REQUESTS_PER_SECOND: f64 = 151.0;
 const INTERVAL: Duration = Duration::from_millis(250);
-/// Figures are told in four digits.
+/// Relative error of numbers that are rounded to four digits.
 const ROUNDING_ERROR: f64 = 1e-3;
 
 fn identity(products: usize, customers: usize) -> ServerIdentity {
@@ -37,7 +33,7 @@
     }
 }
 
-/// Load as the emulator draws it: products evenly, customers few for most.
+/// Draws load like the emulator: products uniformly, customers skewed.
 fn sample(random: &mut ChaCha8Rng, requests: usize, rejected: f64) -> LoadSample {
     let rate = 1.0 / INTERVAL.as_secs_f64();
     let mut classes: BTreeMap<(usize, usize), (f64, f64)> = BTreeMap::new();
@@ -93,7 +89,7 @@
             let mut random = ChaCha8Rng::seed_from_u64(1);
             let mut encoder = compact_encoder(&identity);
             let max_bytes = max_report_bytes(services, INTERVAL);
-            // The full report that begins the connection.
+            // The first report of a connection is full.
             encoder.line(&identity, &sample(&mut random, 0, 0.0), 0, 0.0, max_bytes);
             for second in 1..=60u32 {
                 let mut bytes = 0;
@@ -131,7 +127,7 @@
                 (expected.rejected - reported.rejected).abs() <= ROUNDING_ERROR * expected.rejected,
                 "{expected:?} {reported:?}"
             );
-            // Each number has a name by then, and each name is told once.
+            // Each name is sent once, before or with the first use of its number.
             assert!(report.products.iter().all(|named| products.insert(named.0)), "{line}");
             assert!(report.customers.iter().all(|named| customers.insert(named.0)), "{line}");
             assert!(report
@@ -171,7 +167,7 @@
             let expected = identity.report_line(&sample, sequence, 0.25);
             assert_eq!(encoder.line(&identity, &sample, sequence, 0.25, 100), expected);
         }
-        // Bytes beyond an offer are not kept, whatever comes.
+        // Bytes after the offer are ignored.
         encoder.receive(&endless);
     }
 }
@@ -193,7 +189,7 @@
 
 #[test]
 fn compact_report_wire_format_is_stable() {
-    // Control services of other versions read them, so that they may only change on purpose.
+    // Control services of other versions read these bytes.
     let identity = identity(3, 3);
     let class = |product, customer, offered, rejected| ClassLoad { product, customer, offered, rejected };
     let sample = LoadSample {
--- a/crates/reports/tests/line.rs
+++ b/crates/reports/tests/line.rs
@@ -1,4 +1,4 @@
-//! The bytes of a report: other versions of control services read them, so that they may only change on purpose.
+//! Wire format and limits of full reports, which control services of other versions read.
 
 use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity};
 
@@ -35,7 +35,6 @@
 
 #[test]
 fn full_report_wire_format_is_stable() {
-    // As the serving process wrote this state before the form was shared.
     let expected = concat!(
         r#"{"address":"127.0.0.1:4100","classes":[{"asked":80.0,"customer":"acme","declined":0.0,"product":"quote","worth":1.0},"#,
         r#"{"asked":4.0,"customer":"größe","declined":4.0,"product":"order \"b\"","worth":2.5}],"cores":4.0,"healthy":true,"#,
@@ -60,18 +59,16 @@
         .contains(r#""customer":"","declined":0.0,"product":"","worth":0.0"#));
 }
 
-/// What a control service reads of one report, in every version: classes, and bytes of a line.
+/// Limits of a control service of any version: classes of a report, and bytes of a line.
 const MAX_CLASSES_READ: usize = 4096;
 const MAX_LINE_BYTES_READ: usize = 1 << 20;
 
-/// Symptom: a server that was asked for more than 4,096 products of customers between two reports (a long interval, many customers)
-/// was silent for control services: each report was refused whole (`a class is out of range`), or its connection was closed for a
-/// line of over a megabyte, and so the server lost its share. Cause: a full report named every class, however many there were, and
-/// `puffinladder_control::report` takes 4,096 of them.
+/// Guards against reports that control services reject for too many classes or too long a line, so that the server
+/// loses its share.
 #[test]
 fn full_report_stays_within_service_limits() {
     const NAME_COUNT: usize = 150;
-    // Names as long as a service takes, of characters that JSON writes in six.
+    // Names of the maximum length, of characters that JSON escapes with six bytes.
     let long_name = |index: usize| format!("{index:04}{}", "\u{1}".repeat(124));
     for (name, name_length) in
         [(long_name as fn(usize) -> String, "long"), (|index| format!("k{index}"), "short")]
@@ -96,9 +93,9 @@
         let classes = report["classes"].as_array().unwrap();
         assert!(classes.len() <= MAX_CLASSES_READ, "{name_length}: {} classes", classes.len());
         let asked: f64 = classes.iter().map(|class| class["asked"].as_f64().unwrap()).sum();
-        assert_eq!(asked, 4.0 * (NAME_COUNT * NAME_COUNT) as f64, "sums are whole");
+        assert_eq!(asked, 4.0 * (NAME_COUNT * NAME_COUNT) as f64, "the total of the offered load differs");
         let is_most_rejected =
             |class: &serde_json::Value| class["customer"] == name(NAME_COUNT - 1) && class["declined"] == 4.0;
-        assert!(classes.iter().any(is_most_rejected), "what was rejected is named");
+        assert!(classes.iter().any(is_most_rejected), "the rejected class is not named");
     }
 }
