--- a/crates/control/src/plan/rebalance.rs
+++ b/crates/control/src/plan/rebalance.rs
@@ -1,28 +1,27 @@
-//! Shares of one zone's servers: toward their targets in bounded steps. Only what must stop (a drain, bad health, silence) stops
-//! at once.
+//! Shares of one zone's servers, moved toward their targets in bounded steps. Draining, unhealthy and silent servers lose their
+//! shares at once.
 
 use super::capacity::{total_capacity, Candidate};
 use super::per_incarnation::PerIncarnation;
 use super::{ServerShare, ShareExplanation, ShareLimit};
 use std::collections::HashSet;
 
-/// Relative difference from its target up to which a share stays: reports jitter by about as much.
+/// Relative difference from the target below which a share does not move: about the jitter of reports.
 const DEADBAND: f64 = 0.05;
-/// Fraction of itself, or of a mean share, that a share moves in a second: a slow machine is noticed in one or two.
+/// Maximum move of a share per second, as a fraction of the share or of the mean share.
 pub(super) const MAX_SHARE_STEP: f64 = 0.5;
-/// Fraction of a zone's load that moves in a second, forced moves aside: callers' connections follow about as fast.
+/// Maximum fraction of a zone's load that moves per second, except away from excluded servers.
 pub(super) const MAX_ZONE_STEP: f64 = 0.15;
-/// Seconds between a move one way and one the other: longer than reports and responses take to show the first.
+/// Minimum time between moves in opposite directions, seconds: longer than the effect of a move takes to be reported.
 const REVERSAL_DELAY: f64 = 1.0;
-/// Change of a share that counts as a move; less is rounding.
+/// Smallest change of a share that counts as a move; less is rounding.
 const MIN_MOVE: f64 = 1e-9;
-/// Times a server's concurrency limit that one proxy may have in flight there: a fleet of proxies shares it, none knows the
-/// others.
+/// Requests that one proxy may have in flight at a server, as a multiple of the server's concurrency limit.
 const PROXY_LIMIT_FACTOR: f64 = 4.0;
-/// Most requests that one proxy may have in flight at one server: beyond any server's limit, and within what proxies take.
+/// Maximum number of requests that one proxy may have in flight at a server.
 const MAX_PROXY_REQUESTS: f64 = 1e6;
 
-/// What is remembered of a share from one plan to the next.
+/// A share in the last plan and its last move.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastMove {
     weight: f64,
@@ -30,9 +29,9 @@
     at: f64,
 }
 
-/// One server's share on its way from the last plan into this one.
+/// Move of a server's share between two plans.
 struct Step {
-    /// The share before the move, once the excluded servers' shares are handed to the others.
+    /// Share before the move, after the shares of excluded servers are redistributed.
     base: f64,
     delta: f64,
     limit: ShareLimit,
@@ -40,14 +39,14 @@
 }
 
 impl Step {
-    /// Whether it stays where it is, and may take up what others move.
-    fn is_still(&self) -> bool {
+    /// Returns whether the share does not move and can compensate the moves of others.
+    fn is_unchanged(&self) -> bool {
         self.delta == 0.0 && !self.excluded
     }
 
-    /// Whether it moves toward its own target, rather than to make up for others.
-    fn is_deliberate(&self) -> bool {
-        self.delta != 0.0 && self.limit != ShareLimit::Absorbs
+    /// Returns whether the share moves toward its target rather than to compensate others.
+    fn moves_toward_target(&self) -> bool {
+        self.delta != 0.0 && self.limit != ShareLimit::Compensating
     }
 }
 
@@ -55,13 +54,13 @@
 struct NewShare {
     weight: f64,
     limit: ShareLimit,
-    deliberate: bool,
+    toward_target: bool,
 }
 
 impl From<Step> for NewShare {
     fn from(step: Step) -> NewShare {
         let weight = (step.base + step.delta).max(0.0);
-        NewShare { weight, limit: step.limit, deliberate: step.is_deliberate() }
+        NewShare { weight, limit: step.limit, toward_target: step.moves_toward_target() }
     }
 }
 
@@ -80,7 +79,7 @@
 }
 
 impl Rebalancer {
-    /// Appends the shares of one zone's servers, `elapsed` seconds after the last plan, if there was one.
+    /// Appends the new shares of one zone's servers. `elapsed` is the time since the last plan in seconds, none for the first.
     pub(super) fn rebalance(
         &mut self,
         now: f64,
@@ -89,7 +88,7 @@
         shares: &mut Vec<ServerShare>,
     ) {
         let total = total_capacity(servers);
-        // Another process under the same name starts from nothing.
+        // A restarted server starts without a share.
         let last_moves: Vec<LastMove> = servers
             .iter()
             .map(|server| self.last_moves.get(server.view.report).unwrap_or_default())
@@ -98,17 +97,17 @@
             Some(elapsed) => moved_shares(now, elapsed, servers, &last_moves, total),
             None => None,
         };
-        // Nobody has a share yet, or those who had are all gone: there is nothing to move from.
+        // Without previous shares, servers get their target shares.
         let new_shares = new_shares.unwrap_or_else(|| target_shares(servers, total));
         for ((server, last), new) in servers.iter().zip(&last_moves).zip(new_shares) {
-            self.remember(now, server, last, &new);
+            self.record_move(now, server, last, &new);
             shares.push(server_share(server, target_weight(server, total), &new));
         }
     }
 
-    fn remember(&mut self, now: f64, server: &Candidate, last: &LastMove, new: &NewShare) {
+    fn record_move(&mut self, now: f64, server: &Candidate, last: &LastMove, new: &NewShare) {
         let gain = new.weight - last.weight;
-        let moved = new.deliberate && gain.abs() > MIN_MOVE;
+        let moved = new.toward_target && gain.abs() > MIN_MOVE;
         let last_move = match moved {
             true => LastMove { weight: new.weight, upward: gain > 0.0, at: now },
             false => LastMove { weight: new.weight, ..*last },
@@ -116,7 +115,7 @@
         self.last_moves.insert(server.view.report, last_move);
     }
 
-    /// Forgets all servers but those named.
+    /// Removes the state of all other servers.
     pub(super) fn retain(&mut self, instances: &HashSet<&str>) {
         self.last_moves.retain(instances);
     }
@@ -145,12 +144,12 @@
     let share = |server: &&Candidate| NewShare {
         weight: target_weight(server, total),
         limit: ShareLimit::None,
-        deliberate: false,
+        toward_target: false,
     };
     servers.iter().map(share).collect()
 }
 
-/// Shares a bounded step nearer to their targets; none where no server that stays had a share.
+/// Returns the shares moved by a bounded step toward their targets; none if no eligible server had a share.
 fn moved_shares(
     now: f64,
     elapsed: f64,
@@ -158,10 +157,10 @@
     last_moves: &[LastMove],
     total: f64,
 ) -> Option<Vec<NewShare>> {
-    let staying = servers.iter().zip(last_moves).filter(|(server, _)| !server.is_excluded());
-    let kept: f64 = staying.map(|(_, last)| last.weight).sum();
-    if kept > 0.0 {
-        let mut steps = steps(now, elapsed, servers, last_moves, total, kept);
+    let eligible = servers.iter().zip(last_moves).filter(|(server, _)| !server.is_excluded());
+    let remaining_weight: f64 = eligible.map(|(_, last)| last.weight).sum();
+    if remaining_weight > 0.0 {
+        let mut steps = steps(now, elapsed, servers, last_moves, total, remaining_weight);
         balance(&mut steps, MAX_ZONE_STEP * elapsed);
         Some(steps.into_iter().map(NewShare::from).collect())
     } else {
@@ -169,75 +168,77 @@
     }
 }
 
-/// The step that each server would take by itself; `kept` is what the servers that stay had in all.
+/// Returns each server's step before the steps are balanced. `remaining_weight` is the total last weight of the
+/// eligible servers.
 fn steps(
     now: f64,
     elapsed: f64,
     servers: &[&Candidate],
     last_moves: &[LastMove],
     total: f64,
-    kept: f64,
+    remaining_weight: f64,
 ) -> Vec<Step> {
     let mean = 1.0 / servers.len().max(1) as f64;
     let step = |(server, last): (&&Candidate, &LastMove)| {
-        // What excluded servers had goes to the others in proportion, at once.
-        let base = if server.is_excluded() { 0.0 } else { last.weight / kept };
+        // The shares of excluded servers are redistributed proportionally at once.
+        let base = if server.is_excluded() { 0.0 } else { last.weight / remaining_weight };
         let target = target_weight(server, total);
-        let wanted = target - base;
-        let most = MAX_SHARE_STEP * elapsed * base.max(mean);
-        let reverses = last.at > 0.0 && last.upward != (wanted > 0.0) && now - last.at < REVERSAL_DELAY;
-        // A newcomer is never too near its target to begin.
-        let near = wanted.abs() <= DEADBAND * base.max(target) && base > 0.0;
+        let difference = target - base;
+        let max_step = MAX_SHARE_STEP * elapsed * base.max(mean);
+        let reverses = last.at > 0.0 && last.upward != (difference > 0.0) && now - last.at < REVERSAL_DELAY;
+        // A server without a share always moves, however small its target.
+        let within_deadband = difference.abs() <= DEADBAND * base.max(target) && base > 0.0;
         let (delta, limit) = match () {
-            _ if server.is_excluded() || wanted == 0.0 => (0.0, ShareLimit::None),
-            _ if near => (0.0, ShareLimit::NearTarget),
+            _ if server.is_excluded() || difference == 0.0 => (0.0, ShareLimit::None),
+            _ if within_deadband => (0.0, ShareLimit::NearTarget),
             _ if reverses => (0.0, ShareLimit::ReversedRecently),
-            _ if wanted.abs() > most => (wanted.clamp(-most, most), ShareLimit::StepSize),
-            _ => (wanted, ShareLimit::None),
+            _ if difference.abs() > max_step => (difference.clamp(-max_step, max_step), ShareLimit::StepSize),
+            _ => (difference, ShareLimit::None),
         };
         Step { base, delta, limit, excluded: server.is_excluded() }
     };
     servers.iter().zip(last_moves).map(step).collect()
 }
 
-/// What moves up and what moves down in all.
-fn up_and_down(steps: &[Step]) -> (f64, f64) {
+/// Returns the totals of the upward and of the downward moves.
+fn total_up_and_down(steps: &[Step]) -> (f64, f64) {
     let up: f64 = steps.iter().map(|step| step.delta).filter(|delta| *delta > 0.0).sum();
     let net: f64 = steps.iter().map(|step| step.delta).sum();
     (up, up - net)
 }
 
-/// Bounds what moves in all, and lets those who stay where they are take up the difference, so that shares still sum to 1.
-fn balance(steps: &mut [Step], most: f64) {
-    bound_total(steps, most);
-    let (up, down) = up_and_down(steps);
-    let absorbing: f64 = steps.iter().filter(|step| step.is_still()).map(|step| step.base).sum();
-    if absorbing > 0.0 && absorbing > up - down {
-        for step in steps.iter_mut().filter(|step| step.is_still()) {
-            step.delta = (down - up) * step.base / absorbing;
-            step.limit = ShareLimit::Absorbs;
+/// Limits the total move and lets the unchanged shares compensate the difference, so that the shares sum to 1.
+fn balance(steps: &mut [Step], max_move: f64) {
+    limit_total_move(steps, max_move);
+    let (up, down) = total_up_and_down(steps);
+    let compensating_weight: f64 =
+        steps.iter().filter(|step| step.is_unchanged()).map(|step| step.base).sum();
+    if compensating_weight > 0.0 && compensating_weight > up - down {
+        for step in steps.iter_mut().filter(|step| step.is_unchanged()) {
+            step.delta = (down - up) * step.base / compensating_weight;
+            step.limit = ShareLimit::Compensating;
         }
         return;
     }
-    // Nobody is left to absorb it: the larger side gives in.
-    let even = up.min(down);
+    // Too little unchanged weight to compensate: the larger total is scaled down to the smaller.
+    let matched = up.min(down);
     for step in steps {
         if step.delta > 0.0 {
-            step.delta *= even / up;
+            step.delta *= matched / up;
         } else if step.delta < 0.0 {
-            step.delta *= even / down;
+            step.delta *= matched / down;
         }
     }
 }
 
-fn bound_total(steps: &mut [Step], most: f64) {
-    let (up, down) = up_and_down(steps);
+fn limit_total_move(steps: &mut [Step], max_move: f64) {
+    let (up, down) = total_up_and_down(steps);
     let total = up.max(down);
-    if total <= most {
+    if total <= max_move {
         return;
     }
     for step in steps.iter_mut().filter(|step| step.delta != 0.0) {
-        step.delta *= most / total;
+        step.delta *= max_move / total;
         if step.limit == ShareLimit::None {
             step.limit = ShareLimit::ZoneStepSize;
         }
--- a/crates/control/src/report/decoder.rs
+++ b/crates/control/src/report/decoder.rs
@@ -1,36 +1,36 @@
-//! Reads the reports of one connection: full ones, and compact ones that lean on a full one before them.
+//! Decoder for the reports of one connection: full reports, and compact reports that refer to the last full report.
 
 use super::{ClassLoad, LoadReport, MAX_NAME_BYTES};
 use puffinladder_reports::compact::{
-    ClassFigures, CompactReport, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT, FULL_FORMAT,
+    CompactClassLoad, CompactReport, NamedCustomer, NamedProduct, Rates, COMPACT_FORMAT, FULL_FORMAT,
 };
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Highest number of a product or customer on one connection: several times what a fleet is planned to have.
+/// Maximum number of a product or customer on one connection: bounds memory.
 const MAX_NAME_NUMBER: u32 = 65_535;
-/// Most names that are remembered for all connections together; classes under further names are counted without one.
+/// Maximum number of names stored for all connections; classes with further names are counted as unnamed.
 const MAX_NAMES: usize = 1 << 20;
 
-/// Why a line of a connection can't be used.
+/// Error of decoding a line.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It is no report.
-    #[error("a report can't be read: {0}")]
+    /// The line is not a valid report.
+    #[error("cannot parse load report: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is in a format that was not offered.
-    #[error("a report has the unknown format {0}")]
+    /// The report is in a format that was not offered.
+    #[error("load report has format {0}, expected {FULL_FORMAT} or {COMPACT_FORMAT}")]
     UnknownFormat(u32),
-    /// A compact report came before any full one.
-    #[error("a compact report came before a full one")]
+    /// A compact report was received before any full report.
+    #[error("compact load report received before a full report")]
     NoFullReport,
-    /// A product or customer has a number that is out of range, or a name that is too long.
-    #[error("a name of a compact report is out of range")]
+    /// A product or customer has a number that is out of range or a name that is too long.
+    #[error("product or customer of a compact report has a number over {MAX_NAME_NUMBER} or a name over {MAX_NAME_BYTES} bytes")]
     Name,
 }
 
-/// The names on all connections, each stored once.
+/// Table of interned names, shared by all connections.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable(Arc<Mutex<Names>>);
 
@@ -47,7 +47,7 @@
 }
 
 impl Names {
-    /// The id of a name, as long as there is room for it.
+    /// Returns the id of a name; none if the table is full.
     fn intern(&mut self, name: &str) -> Option<u32> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
@@ -66,25 +66,26 @@
     }
 }
 
-/// A product as a connection has named it.
+/// A product named on a connection.
 #[derive(Clone, Copy, Debug)]
 struct KnownProduct {
     name: u32,
     priority_weight: f64,
 }
 
-/// Reads the reports of one connection.
+/// Decoder for the reports of one connection.
 #[derive(Debug)]
 pub struct ReportDecoder {
     names: NameTable,
-    /// What the last full report said of the server, without its classes.
-    server: Option<LoadReport>,
-    /// By their numbers on the connection.
+    /// Last full report, without its classes.
+    last_full_report: Option<LoadReport>,
+    /// Products by their numbers on the connection.
     products: Vec<Option<KnownProduct>>,
+    /// Interned names of customers by their numbers on the connection.
     customers: Vec<Option<u32>>,
 }
 
-/// Tells the format of a line.
+/// The field of a report that identifies its format.
 #[derive(Deserialize)]
 struct FormatProbe {
     #[serde(default = "full_format")]
@@ -96,12 +97,12 @@
 }
 
 impl ReportDecoder {
-    /// A decoder for a new connection.
+    /// Creates a decoder for a new connection.
     pub fn new(names: NameTable) -> ReportDecoder {
-        ReportDecoder { names, server: None, products: Vec::new(), customers: Vec::new() }
+        ReportDecoder { names, last_full_report: None, products: Vec::new(), customers: Vec::new() }
     }
 
-    /// The report of a line.
+    /// Decodes the report in a line.
     pub fn decode(&mut self, line: &str) -> Result<LoadReport, DecodeError> {
         let FormatProbe { format } = serde_json::from_str(line)?;
         match format {
@@ -113,13 +114,13 @@
 
     fn decode_full(&mut self, line: &str) -> Result<LoadReport, DecodeError> {
         let report: LoadReport = serde_json::from_str(line)?;
-        self.server = Some(LoadReport { classes: Vec::new(), ..report.clone() });
+        self.last_full_report = Some(LoadReport { classes: Vec::new(), ..report.clone() });
         Ok(report)
     }
 
     fn decode_compact(&mut self, compact: CompactReport) -> Result<LoadReport, DecodeError> {
-        let server = self.server.clone().ok_or(DecodeError::NoFullReport)?;
-        self.learn(&compact.products, &compact.customers)?;
+        let last_full_report = self.last_full_report.clone().ok_or(DecodeError::NoFullReport)?;
+        self.add_names(&compact.products, &compact.customers)?;
         Ok(LoadReport {
             sequence: compact.sequence,
             created_at: compact.created_at,
@@ -133,42 +134,47 @@
             warm_up_progress: compact.warm_up_progress,
             goodput: compact.goodput,
             classes: self.classes(&compact.load, compact.rest),
-            ..server
+            ..last_full_report
         })
     }
 
-    fn learn(&mut self, products: &[NamedProduct], customers: &[NamedCustomer]) -> Result<(), DecodeError> {
+    fn add_names(
+        &mut self,
+        products: &[NamedProduct],
+        customers: &[NamedCustomer],
+    ) -> Result<(), DecodeError> {
         let mut names = self.names.lock();
         for NamedProduct(number, name, priority_weight) in products {
-            let known = known_name(&mut names, *number, name)?;
-            let known = known.map(|name| KnownProduct { name, priority_weight: *priority_weight });
-            put(&mut self.products, *number, known);
+            let interned = intern_checked(&mut names, *number, name)?;
+            let interned = interned.map(|name| KnownProduct { name, priority_weight: *priority_weight });
+            set_at(&mut self.products, *number, interned);
         }
         for NamedCustomer(number, name) in customers {
-            let known = known_name(&mut names, *number, name)?;
-            put(&mut self.customers, *number, known);
+            let interned = intern_checked(&mut names, *number, name)?;
+            set_at(&mut self.customers, *number, interned);
         }
         Ok(())
     }
 
-    /// Load by product and customer. What has no name, or had no room, is one class without names, so that the sums are whole.
-    fn classes(&self, load: &[ClassFigures], mut unnamed: Rates) -> Vec<ClassLoad> {
+    /// Returns the load by class. Load with unknown names and the report's remainder form one unnamed class, so that
+    /// totals are exact.
+    fn classes(&self, load: &[CompactClassLoad], mut unnamed: Rates) -> Vec<ClassLoad> {
         let names = self.names.lock();
         let mut classes = Vec::with_capacity(load.len() + 1);
-        for figures in load {
-            let product = self.products.get(figures.product as usize).copied().flatten();
-            let customer = self.customers.get(figures.customer as usize).copied().flatten();
+        for class in load {
+            let product = self.products.get(class.product as usize).copied().flatten();
+            let customer = self.customers.get(class.customer as usize).copied().flatten();
             match (product, customer) {
                 (Some(product), Some(customer)) => classes.push(ClassLoad {
                     product: names.get(product.name).to_owned(),
                     customer: names.get(customer).to_owned(),
                     priority_weight: product.priority_weight,
-                    offered: figures.rates.offered,
-                    rejected: figures.rates.rejected,
+                    offered: class.rates.offered,
+                    rejected: class.rates.rejected,
                 }),
                 _ => {
-                    unnamed.offered += figures.rates.offered;
-                    unnamed.rejected += figures.rates.rejected;
+                    unnamed.offered += class.rates.offered;
+                    unnamed.rejected += class.rates.rejected;
                 }
             }
         }
@@ -179,14 +185,14 @@
     }
 }
 
-fn known_name(names: &mut Names, number: u32, name: &str) -> Result<Option<u32>, DecodeError> {
+fn intern_checked(names: &mut Names, number: u32, name: &str) -> Result<Option<u32>, DecodeError> {
     if number > MAX_NAME_NUMBER || name.len() > MAX_NAME_BYTES {
         return Err(DecodeError::Name);
     }
     Ok(names.intern(name))
 }
 
-fn put<T: Clone>(list: &mut Vec<Option<T>>, number: u32, value: Option<T>) {
+fn set_at<T: Clone>(list: &mut Vec<Option<T>>, number: u32, value: Option<T>) {
     let index = number as usize;
     if list.len() <= index {
         list.resize(index + 1, None);
--- a/crates/reports/tests/compact.rs
+++ b/crates/reports/tests/compact.rs
@@ -1,9 +1,5 @@
-//! What a server sends on a connection whose service offers compact reports, and on one whose service does not.
-//!
-//! Symptom: a server asked 150 times a second spent 13.8 KB a second on one control service, of the 12 KB that it has for all of
-//! its control (`a_server_spends_no_more_on_control_than_the_plan_gives_it`). Cause: each report named each product of each customer
-//! that was asked for, 37 of them at 85 bytes, four times a second and to each service; 330 bytes more never changed while the
-//! process lived.
+//! Reports on connections with and without a format offer. Guards against reports that exceed the byte budget of a
+//! server's control traffic because they repeat names and constant fields.
 
 use puffinladder_reports::compact::{CompactReport, FormatOffer, Rates};
 use puffinladder_reports::{max_report_bytes, ClassLoad, LoadSample, Product, ReportEncoder, ServerIdentity};
@@ -12,18 +8,18 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// What operators give a server for all of its control, bytes a second.
+/// Budget of a server's control traffic, bytes per second.
 const CONTROL_BUDGET: usize = 12_000;
-/// The planned size.
+/// Planned size of a fleet.
 const PRODUCTS: usize = 2_300;
 const CUSTOMERS: usize = 15_000;
 const REQUESTS_PER_SECOND: f64 = 151.0;
 const INTERVAL: Duration = Duration::from_millis(250);
-/// Figures are told in four digits.
-const FIGURE_ERROR: f64 = 1e-3;
+/// Relative error of numbers that are rounded to four digits.
+const ROUNDING_ERROR: f64 = 1e-3;
 
 fn identity(products: usize, customers: usize) -> ServerIdentity {
-    let product = |at| Product { name: format!("logistics-availability-v{at}"), priority_weight: 2.5 };
+    let product = |index| Product { name: format!("logistics-availability-v{index}"), priority_weight: 2.5 };
     ServerIdentity {
         instance: "n00001".into(),
         incarnation: 1_764_600_000_000_000,
@@ -33,11 +29,11 @@
         warm_up_span: None,
         initial_capacity: 1.0,
         products: (0..products).map(product).collect(),
-        customers: (0..customers).map(|at| format!("northern-logistics-{at:05}")).collect(),
+        customers: (0..customers).map(|index| format!("northern-logistics-{index:05}")).collect(),
     }
 }
 
-/// Load as the emulator draws it: products evenly, customers few for most.
+/// Draws load like the emulator: products uniformly, customers skewed.
 fn sample(random: &mut ChaCha8Rng, requests: usize, rejected: f64) -> LoadSample {
     let rate = 1.0 / INTERVAL.as_secs_f64();
     let mut classes: BTreeMap<(usize, usize), (f64, f64)> = BTreeMap::new();
@@ -72,12 +68,12 @@
     encoder
 }
 
-fn sums(sample: &LoadSample) -> Rates {
+fn sample_totals(sample: &LoadSample) -> Rates {
     let offered = sample.classes.iter().map(|class| class.offered).sum();
     Rates { offered, rejected: sample.classes.iter().map(|class| class.rejected).sum() }
 }
 
-fn told_sums(report: &CompactReport) -> Rates {
+fn report_totals(report: &CompactReport) -> Rates {
     let named = report.load.iter().map(|class| class.rates);
     named.fold(report.rest, |sum, rates| Rates {
         offered: sum.offered + rates.offered,
@@ -86,14 +82,14 @@
 }
 
 #[test]
-fn at_the_planned_size_all_reports_stay_within_what_a_server_has_for_control() {
+fn reports_at_planned_size_stay_within_byte_budget() {
     let identity = identity(PRODUCTS, CUSTOMERS);
     for services in [1, 2, 4, 8] {
         for rejected in [0.02, 0.5] {
             let mut random = ChaCha8Rng::seed_from_u64(1);
             let mut encoder = compact_encoder(&identity);
             let max_bytes = max_report_bytes(services, INTERVAL);
-            // The full report that begins the connection.
+            // The first report of a connection is full.
             encoder.line(&identity, &sample(&mut random, 0, 0.0), 0, 0.0, max_bytes);
             for second in 1..=60u32 {
                 let mut bytes = 0;
@@ -110,7 +106,7 @@
 }
 
 #[test]
-fn sums_are_whole_and_what_is_rejected_most_is_named_first_however_little_room_there_is() {
+fn totals_are_complete_and_most_rejected_is_named_first() {
     let identity = identity(PRODUCTS, CUSTOMERS);
     let mut random = ChaCha8Rng::seed_from_u64(2);
     for max_bytes in [0, 200, 400, 600, 2_500, 1 << 20] {
@@ -122,10 +118,16 @@
             let line = encoder.line(&identity, &sample, sequence, 1.0, max_bytes);
             let report: CompactReport = serde_json::from_str(&line).unwrap();
             assert!(line.len() <= max_bytes.max(300), "{} of {max_bytes}: {line}", line.len());
-            let (was, told) = (sums(&sample), told_sums(&report));
-            assert!((was.offered - told.offered).abs() <= FIGURE_ERROR * was.offered, "{was:?} {told:?}");
-            assert!((was.rejected - told.rejected).abs() <= FIGURE_ERROR * was.rejected, "{was:?} {told:?}");
-            // Each number has a name by then, and each name is told once.
+            let (expected, reported) = (sample_totals(&sample), report_totals(&report));
+            assert!(
+                (expected.offered - reported.offered).abs() <= ROUNDING_ERROR * expected.offered,
+                "{expected:?} {reported:?}"
+            );
+            assert!(
+                (expected.rejected - reported.rejected).abs() <= ROUNDING_ERROR * expected.rejected,
+                "{expected:?} {reported:?}"
+            );
+            // Each name is sent once, before or with the first use of its number.
             assert!(report.products.iter().all(|named| products.insert(named.0)), "{line}");
             assert!(report.customers.iter().all(|named| customers.insert(named.0)), "{line}");
             assert!(report
@@ -135,19 +137,19 @@
             if max_bytes == 1 << 20 {
                 assert_eq!((report.load.len(), report.rest), (sample.classes.len(), Rates::default()));
             }
-            let first = sample.classes.iter().map(|class| class.rejected).fold(0.0, f64::max);
+            let max_rejected = sample.classes.iter().map(|class| class.rejected).fold(0.0, f64::max);
             let named_first = report.load.first().map(|class| class.rates.rejected);
-            assert!(max_bytes < 400 || named_first == Some(first), "{line}");
+            assert!(max_bytes < 400 || named_first == Some(max_rejected), "{line}");
         }
     }
 }
 
 #[test]
-fn a_service_that_offers_nothing_or_nothing_known_gets_full_reports_for_ever() {
+fn sends_full_reports_without_valid_offer() {
     let identity = identity(3, 3);
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let endless = [b'x'; 5_000];
-    let not_offers: [&[u8]; 7] = [
+    let invalid_offers: [&[u8]; 7] = [
         b"",
         b"{\"report_formats\":[1,2]}",
         b"{\"report_formats\":[1]}\n{\"report_formats\":[1,2]}\n",
@@ -156,22 +158,22 @@
         b"\xff\xfe\n",
         &endless,
     ];
-    for said in not_offers {
+    for bytes in invalid_offers {
         let mut encoder = ReportEncoder::new(&identity);
-        encoder.receive(said);
+        encoder.receive(bytes);
         for sequence in 1..5 {
             let mut sample = sample(&mut random, 0, 0.0);
             sample.classes = vec![ClassLoad { product: 2, customer: 1, offered: 4.0, rejected: 0.0 }];
-            let wanted = identity.report_line(&sample, sequence, 0.25);
-            assert_eq!(encoder.line(&identity, &sample, sequence, 0.25, 100), wanted);
+            let expected = identity.report_line(&sample, sequence, 0.25);
+            assert_eq!(encoder.line(&identity, &sample, sequence, 0.25, 100), expected);
         }
-        // Bytes beyond an offer are not kept, whatever comes.
+        // Bytes after the offer are ignored.
         encoder.receive(&endless);
     }
 }
 
 #[test]
-fn an_offer_in_pieces_counts_once_it_is_whole_and_the_first_report_is_full_all_the_same() {
+fn reads_fragmented_offer_and_sends_full_report_first() {
     let identity = identity(3, 3);
     let mut random = ChaCha8Rng::seed_from_u64(4);
     let sample = sample(&mut random, 0, 0.0);
@@ -186,11 +188,11 @@
 }
 
 #[test]
-fn a_compact_report_is_these_bytes() {
-    // Control services of other versions read them, so that they may only change on purpose.
+fn compact_report_wire_format_is_stable() {
+    // Control services of other versions read these bytes.
     let identity = identity(3, 3);
     let class = |product, customer, offered, rejected| ClassLoad { product, customer, offered, rejected };
-    let state = LoadSample {
+    let sample = LoadSample {
         concurrency_limit: 4.123_456,
         in_flight: 3,
         service_time: 0.012_345_678,
@@ -202,19 +204,19 @@
         classes: vec![class(0, 1, 80.0, 0.0), class(2, 1, 4.0, 4.0), class(9, 9, 1.5, 0.0)],
     };
     let mut encoder = compact_encoder(&identity);
-    encoder.line(&identity, &state, 1, 0.25, 2_500);
-    let wanted = concat!(
+    encoder.line(&identity, &sample, 1, 0.25, 2_500);
+    let expected = concat!(
         r#"{"format":2,"sequence":2,"made":0.5,"limit":4.123,"running":3,"takes":0.01235,"pressure":0.75,"retry_after":1,"#,
         r#""settled":38,"products":[[2,"logistics-availability-v2",2.5],[0,"logistics-availability-v0",2.5]],"#,
         r#""customers":[[1,"northern-logistics-00001"]],"load":[[2,1,4,4],[0,1,80]],"rest":{"asked":1.5,"declined":0}}"#,
         "\n"
     );
-    assert_eq!(encoder.line(&identity, &state, 2, 0.500_04, 2_500), wanted);
-    let leaves = LoadSample { healthy: false, terminates_in: Some(1.25), classes: Vec::new(), ..state };
-    let wanted = concat!(
+    assert_eq!(encoder.line(&identity, &sample, 2, 0.500_04, 2_500), expected);
+    let draining = LoadSample { healthy: false, terminates_in: Some(1.25), classes: Vec::new(), ..sample };
+    let expected = concat!(
         r#"{"format":2,"sequence":3,"made":0.75,"limit":4.123,"running":3,"takes":0.01235,"pressure":0.75,"retry_after":1,"#,
         r#""healthy":false,"leaving":1.25,"settled":38}"#,
         "\n"
     );
-    assert_eq!(encoder.line(&identity, &leaves, 3, 0.75, 2_500), wanted);
+    assert_eq!(encoder.line(&identity, &draining, 3, 0.75, 2_500), expected);
 }
