--- a/crates/cli/tests/emulate.rs
+++ b/crates/cli/tests/emulate.rs
@@ -3,7 +3,7 @@
 use puffinladder_emulator::connection_stats::ConnectionStats;
 use puffinladder_emulator::publisher::publish;
 use puffinladder_reports::{ClassLoad, LoadSample, Product, ServerIdentity};
-use puffinladder_toy::town::Town;
+use puffinladder_toy::harness::ServerHarness;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read};
@@ -18,12 +18,12 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// A real serving process that reports there; long names in a zone make long lines.
-fn real(folder: &std::path::Path, control: SocketAddr, zone: &str) -> Town {
+fn real(folder: &std::path::Path, control: SocketAddr, zone: &str) -> ServerHarness {
     let file = folder.join("s.scm");
     let text = format!("(publish (control \"{control}\") (zone \"{zone}\") (every 50ms))");
     std::fs::write(&file, text).unwrap();
     let set = format!("PUFFINLADDER_SETTINGS={}", file.display());
-    Town::open(&["env", &set, PROGRAM, "serve"], |_| {})
+    ServerHarness::start(&["env", &set, PROGRAM, "serve"], |_| {})
 }
 
 /// An emulated one with the same names, and states as they are handed in.
@@ -144,10 +144,10 @@
 fn an_emulated_report_has_the_keys_kinds_and_bytes_of_a_real_one_in_the_same_state() {
     let folder = tempfile::tempdir().unwrap();
     let listeners = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let town = real(folder.path(), listeners[0].local_addr().unwrap(), "east");
+    let harness = real(folder.path(), listeners[0].local_addr().unwrap(), "east");
     let mut heard = Heard::accept(&listeners[0]);
-    let mut gateway = town.gateway();
-    let emulated = emulate(listeners[1].local_addr().unwrap(), "east", town.server);
+    let mut gateway = harness.connect_gateway();
+    let emulated = emulate(listeners[1].local_addr().unwrap(), "east", harness.address);
     let mut other = Heard::accept(&listeners[1]);
     // Until it is warm: an emulated one begins so.
     while heard.line().1["warmth"] != 1.0 {}
@@ -158,7 +158,7 @@
         assert!(lines < 400, "{busy} reports with runs");
         if lines > 5 {
             gateway.call("quote", "", b"quick");
-            assert_eq!(gateway.answer().unwrap().word, "200");
+            assert_eq!(gateway.read_response().unwrap().status, "200");
         }
         let (line, value) = heard.line();
         busy += usize::from(value["settled"].as_f64().unwrap() > 0.0);
@@ -212,7 +212,7 @@
 fn both_come_back_to_a_peer_that_died_and_go_on_counting() {
     let folder = tempfile::tempdir().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let _town = real(folder.path(), listener.local_addr().unwrap(), "east");
+    let _harness = real(folder.path(), listener.local_addr().unwrap(), "east");
     dies(listener);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let emulated = emulate(listener.local_addr().unwrap(), "east", "127.0.0.1:1".parse().unwrap());
@@ -263,7 +263,7 @@
     let folder = tempfile::tempdir().unwrap();
     let zone = "z".repeat(16_000);
     let listener = narrow();
-    let _town = real(folder.path(), listener.local_addr().unwrap(), &zone);
+    let _harness = real(folder.path(), listener.local_addr().unwrap(), &zone);
     hangs(&listener);
     let listener = narrow();
     let emulated = emulate(listener.local_addr().unwrap(), &zone, "127.0.0.1:1".parse().unwrap());
--- a/crates/gauging/src/server.rs
+++ b/crates/gauging/src/server.rs
@@ -14,8 +14,8 @@
 use crate::{count, pass, size, Counted, Gauge, Sizes, Taken};
 use peers::{Agent, Callers, Sink};
 use puffinladder_proving::measure::quantile;
-use puffinladder_toy::http::Place;
-use puffinladder_toy::town::EXAMPLE;
+use puffinladder_toy::harness::EXAMPLE_CONFIG;
+use puffinladder_toy::http::HttpStandIn;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
     customers: usize,
     seed: u64,
 ) -> Result<Value, String> {
-    let mut told: Value = serde_json::from_str(EXAMPLE).map_err(|e| e.to_string())?;
+    let mut told: Value = serde_json::from_str(EXAMPLE_CONFIG).map_err(|e| e.to_string())?;
     told["listen"] = json!("127.0.0.1:0");
     (told["agent"], told["store"], told["roster"]) = (json!(agent), json!(store), json!(roster));
     told["seed"] = json!(format!("{seed:x}"));
@@ -73,7 +73,7 @@
     };
     let (agent, sink) = (Agent::open(gauge.seed).await?, Sink::open().await?);
     let any = "127.0.0.1:0";
-    let (store, roster) = (Place::store(any), Place::roster(any));
+    let (store, roster) = (HttpStandIn::start_store(any), HttpStandIn::start_registry(any));
     let told = config(agent.at, store.address, roster.address, routes, customers, gauge.seed)?;
     let config = write("server.json", &told.to_string())?;
     let publish = format!(
--- a/crates/gauging/src/server/peers.rs
+++ b/crates/gauging/src/server/peers.rs
@@ -2,7 +2,7 @@
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use puffinladder_reports::compact::FormatOffer;
-use puffinladder_toy::gateway::{message, now};
+use puffinladder_toy::gateway::{encode_command, unix_time_ms};
 use puffinladder_transport::{connect, write_line, LineReader};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -177,7 +177,7 @@
 pub async fn serving(server: SocketAddr) -> bool {
     let check = async {
         let mut link = connect(server).await.ok()?;
-        link.write_all(&message(&[b"CHECK", b"1", b""])).await.ok()?;
+        link.write_all(&encode_command(&[b"CHECK", b"1", b""])).await.ok()?;
         answer(&mut BufReader::new(link)).await.ok()?.get(1).map(|word| word == b"serving")
     };
     matches!(tokio::time::timeout(CHECK, check).await, Ok(Some(true)))
@@ -274,9 +274,14 @@
         let name = format!("{:016x}", NAMES.fetch_add(1, Ordering::Relaxed));
         let route = super::route(chance.random_range(0..routes));
         let customer = super::customer(chance.random_range(0..customers));
-        let fields = format!("i={name},s={},f=1,t={customer},h=10.5,m=20.5,p=0.5", now());
-        let bytes =
-            message(&[b"CALL", tag.to_string().as_bytes(), route.as_bytes(), fields.as_bytes(), b"work"]);
+        let fields = format!("i={name},s={},f=1,t={customer},h=10.5,m=20.5,p=0.5", unix_time_ms());
+        let bytes = encode_command(&[
+            b"CALL",
+            tag.to_string().as_bytes(),
+            route.as_bytes(),
+            fields.as_bytes(),
+            b"work",
+        ]);
         lock(&awaited).insert(tag, (Instant::now(), name));
         if to.write_all(&bytes).await.is_err() {
             return;
--- a/crates/server/examples/trace_cost.rs
+++ b/crates/server/examples/trace_cost.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo build --release && cargo run --release -p puffinladder-server --example trace_cost
 
-use puffinladder_toy::town::Town;
+use puffinladder_toy::harness::ServerHarness;
 
 const ROUNDS: usize = 61;
 const REQUESTS_PER_ROUND: usize = 8000;
@@ -36,18 +36,18 @@
 }
 
 /// CPU microseconds per request of one round.
-fn run_round(town: &Town) -> f64 {
-    let before = usage(town.child.id()).cpu_seconds;
-    let mut gateway = town.gateway();
+fn run_round(harness: &ServerHarness) -> f64 {
+    let before = usage(harness.child.id()).cpu_seconds;
+    let mut gateway = harness.connect_gateway();
     for _ in 0..REQUESTS_PER_ROUND / CONCURRENCY {
         for _ in 0..CONCURRENCY {
             gateway.call("quote", "", b"quick");
         }
         for _ in 0..CONCURRENCY {
-            gateway.answer().expect("the server answers each request");
+            gateway.read_response().expect("the server answers each request");
         }
     }
-    let used = usage(town.child.id()).cpu_seconds - before;
+    let used = usage(harness.child.id()).cpu_seconds - before;
     used / REQUESTS_PER_ROUND as f64 * MICROSECONDS_PER_SECOND
 }
 
@@ -78,8 +78,8 @@
     std::fs::write(&settings, text).expect("the temporary folder takes files");
     let settings = format!("PUFFINLADDER_SETTINGS={}", settings.display());
     let filter = "RUST_LOG=info,may=warn";
-    let off = Town::open(&["env", filter, &program], |_| {});
-    let on = Town::open(&["env", filter, &settings, &program], |_| {});
+    let off = ServerHarness::start(&["env", filter, &program], |_| {});
+    let on = ServerHarness::start(&["env", filter, &settings, &program], |_| {});
     run_round(&off);
     run_round(&on);
     let rounds = (0..ROUNDS).map(|_| Round { off: run_round(&off), on: run_round(&on) });
@@ -96,6 +96,6 @@
         rounds[0].ratio(),
         rounds[ROUNDS - 1].ratio()
     );
-    let [off, on] = [&off, &on].map(|town| usage(town.child.id()).resident_megabytes);
+    let [off, on] = [&off, &on].map(|harness| usage(harness.child.id()).resident_megabytes);
     println!("resident: {off:.1} MB off, {on:.1} MB on");
 }
--- a/crates/server/src/ingress/tests.rs
+++ b/crates/server/src/ingress/tests.rs
@@ -11,7 +11,7 @@
 
 /// The example's server, and a connection to a listener of its own.
 fn server() -> (Server, std::net::TcpListener, TcpStream) {
-    let example = puffinladder_toy::town::EXAMPLE.as_bytes();
+    let example = puffinladder_toy::harness::EXAMPLE_CONFIG.as_bytes();
     let config = puffinladder_settings::parse_server_config(example, None, None).unwrap();
     let limits = crate::limits::Limits::new(&config, 0);
     let server = Server::new(config, limits, Default::default());
@@ -24,7 +24,7 @@
 fn served() -> (Server, Session, TcpStream, std::net::TcpStream) {
     let (server, listener, stream) = server();
     let gateway = listener.accept().unwrap().0;
-    gateway.set_read_timeout(Some(puffinladder_toy::PATIENCE)).unwrap();
+    gateway.set_read_timeout(Some(puffinladder_toy::WAIT_TIMEOUT)).unwrap();
     let connection = Arc::new(Connection::new(server.connections.context(), &stream));
     server.connections.insert(1, connection.clone());
     let session = Session { context: server.sessions.clone(), connection, serial: 1 };
@@ -33,7 +33,7 @@
 
 fn request() -> Vec<u8> {
     let fields = b"i=00000000000000aa,s=1764576000123,t=acme,m=1";
-    puffinladder_toy::gateway::message(&[b"CALL", b"7", b"quote", fields, b"body"])
+    puffinladder_toy::gateway::encode_command(&[b"CALL", b"7", b"quote", fields, b"body"])
 }
 
 #[test]
--- a/crates/server/src/request/tests.rs
+++ b/crates/server/src/request/tests.rs
@@ -12,8 +12,11 @@
 
 #[test]
 fn a_panic_in_a_request_still_answers_it_and_sets_its_key_free() {
-    let config =
-        puffinladder_settings::parse_server_config(puffinladder_toy::town::EXAMPLE.as_bytes(), None, None);
+    let config = puffinladder_settings::parse_server_config(
+        puffinladder_toy::harness::EXAMPLE_CONFIG.as_bytes(),
+        None,
+        None,
+    );
     let config = config.unwrap();
     let limits = Limits::new(&config, 0);
     let server = Server::new(config, limits, RequestLog::default());
--- a/crates/server/src/wire/gateway/tests.rs
+++ b/crates/server/src/wire/gateway/tests.rs
@@ -7,7 +7,7 @@
 
 /// The example's server, and a connection to a listener of its own.
 fn server() -> (Server, std::net::TcpListener, TcpStream) {
-    let example = puffinladder_toy::town::EXAMPLE.as_bytes();
+    let example = puffinladder_toy::harness::EXAMPLE_CONFIG.as_bytes();
     let config = puffinladder_settings::parse_server_config(example, None, None).unwrap();
     let limits = crate::limits::Limits::new(&config, 0);
     let server = Server::new(config, limits, Default::default());
--- a/crates/server/src/wire/store/tests.rs
+++ b/crates/server/src/wire/store/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_call_given_up_before_its_connection_stands_is_never_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let example = puffinladder_toy::town::EXAMPLE
+    let example = puffinladder_toy::harness::EXAMPLE_CONFIG
         .replace("127.0.0.1:7700", &listener.local_addr().unwrap().to_string());
     let config = puffinladder_settings::parse_server_config(example.as_bytes(), None, None).unwrap();
     let limits = Arc::new(crate::limits::Limits::new(&config, 0));
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Terms that hold for many processes or many callers together: restarts all at once, and the ramp of a cold server.
 
 use puffinladder_toy::gateway::Gateway;
-use puffinladder_toy::town::Town;
-use puffinladder_toy::PATIENCE;
+use puffinladder_toy::harness::ServerHarness;
+use puffinladder_toy::WAIT_TIMEOUT;
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
@@ -11,30 +11,30 @@
 const SERVER: &[&str] = &[env!("CARGO_BIN_EXE_puffinladder-server")];
 
 /// Waits until the server says that it is healthy.
-fn healthy(server: SocketAddr) {
-    let begun = Instant::now();
+fn wait_until_healthy(server: SocketAddr) {
+    let started_at = Instant::now();
     while TcpStream::connect(server).is_err() {
-        assert!(begun.elapsed() < PATIENCE, "nobody listens");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "nobody listens");
         thread::yield_now();
     }
-    assert_eq!(Gateway::open(server).check().word, "serving");
+    assert_eq!(Gateway::connect(server).check_health().status, "serving");
 }
 
-fn word(gateway: &mut Gateway, body: &[u8]) -> String {
+fn call_status(gateway: &mut Gateway, body: &[u8]) -> String {
     gateway.call("quote", "", body);
-    gateway.answer().expect("an answer").word
+    gateway.read_response().expect("an answer").status
 }
 
 #[test]
-fn of_thirty_servers_killed_at_work_and_started_again_nine_in_ten_are_ready_within_ten_seconds() {
+fn most_restarted_servers_are_ready_within_ten_seconds() {
     // Some registries take connections and say nothing, and some agents come up only once their server is healthy.
-    let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
-    let roster = deaf.local_addr().unwrap();
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    let roster = unresponsive.local_addr().unwrap();
     // Addresses of their own, so that nobody's outgoing connection takes a port while its server is dead.
     let id = std::process::id();
-    let mut towns: Vec<Town> = (0..30)
+    let mut harnesses: Vec<ServerHarness> = (0..30)
         .map(|at| {
-            Town::open(SERVER, |config| {
+            ServerHarness::start(SERVER, |config| {
                 config["listen"] = json!(format!("127.{}.{}.{}:0", 64 + (id >> 8) % 128, id % 256, at + 1));
                 if at % 5 == 0 {
                     config["roster"] = json!(roster);
@@ -42,35 +42,38 @@
             })
         })
         .collect();
-    let mut gateways: Vec<Gateway> = towns.iter().map(Town::gateway).collect();
-    for (town, gateway) in towns.iter().zip(&mut gateways) {
-        assert_eq!(word(gateway, b"quick"), "200");
-        let (_, name) = gateway.call("quote", "", b"hold");
-        town.agent.hears("launch", &name);
+    let mut gateways: Vec<Gateway> = harnesses.iter().map(ServerHarness::connect_gateway).collect();
+    for (harness, gateway) in harnesses.iter().zip(&mut gateways) {
+        assert_eq!(call_status(gateway, b"quick"), "200");
+        let (_, attempt_id) = gateway.call("quote", "", b"hold");
+        harness.agent.wait_for_command("launch", &attempt_id);
     }
-    for (at, town) in towns.iter_mut().enumerate() {
-        town.kill(at % 3 != 0);
+    for (at, harness) in harnesses.iter_mut().enumerate() {
+        harness.kill(at % 3 != 0);
     }
-    let begun = Instant::now();
-    towns.iter_mut().for_each(|town| town.start_again(SERVER));
-    let mut took: Vec<Duration> = thread::scope(|scope| {
-        let ready = |town: &Town| {
-            healthy(town.server);
-            town.agent.greet();
-            assert_eq!(word(&mut town.gateway(), b"the first one"), "200");
-            begun.elapsed()
+    let started_at = Instant::now();
+    harnesses.iter_mut().for_each(|harness| harness.restart(SERVER));
+    let mut durations: Vec<Duration> = thread::scope(|scope| {
+        let ready = |harness: &ServerHarness| {
+            wait_until_healthy(harness.address);
+            harness.agent.become_ready();
+            assert_eq!(call_status(&mut harness.connect_gateway(), b"the first one"), "200");
+            started_at.elapsed()
         };
-        let all: Vec<_> = towns.iter().map(|town| scope.spawn(move || ready(town))).collect();
-        all.into_iter().map(|one| one.join().unwrap()).collect()
+        let threads: Vec<_> = harnesses.iter().map(|harness| scope.spawn(move || ready(harness))).collect();
+        threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    took.sort();
-    println!("ready after: median {:?}, nine in ten {:?}, all {:?}", took[15], took[26], took[29]);
-    assert!(took[26] < Duration::from_secs(10), "{took:?}");
+    durations.sort();
+    println!(
+        "ready after: median {:?}, nine in ten {:?}, all {:?}",
+        durations[15], durations[26], durations[29]
+    );
+    assert!(durations[26] < Duration::from_secs(10), "{durations:?}");
 }
 
 #[test]
-fn thirty_callers_together_get_no_more_of_a_cold_server_than_its_ramp_and_each_hears_so() {
-    let town = Town::open(SERVER, |config| {
+fn cold_server_limits_concurrent_callers_to_its_ramp() {
+    let harness = ServerHarness::start(SERVER, |config| {
         let settings = &mut config["settings"];
         let info = &mut settings["FamilyInfo"];
         (info["Cold"], info["Cpus"], info["Upstreams"]) = (json!(true), json!(6), json!(30));
@@ -79,29 +82,29 @@
         settings["Lanes"][0]["GiveUp"] = json!(60_000);
         settings["Contract"] = json!({"FallMultiple": 5, "Fall": 1500, "Cold": 600_000, "ColdShare": 0.2, "StopSendingWithin": 1000});
     });
-    let n: f64 = 6.0 * (1.0 + 4.0 * 0.2);
-    let most = (n + 2.0 * n.sqrt() + 2.0) as usize;
+    let concurrency: f64 = 6.0 * (1.0 + 4.0 * 0.2);
+    let limit = (concurrency + 2.0 * concurrency.sqrt() + 2.0) as usize;
     // Each knows only of itself, and sends four unprompted, no run of which ends by itself.
-    let mut callers: Vec<Gateway> = (0..30).map(|_| town.gateway()).collect();
+    let mut callers: Vec<Gateway> = (0..30).map(|_| harness.connect_gateway()).collect();
     for caller in &mut callers {
         (0..4).for_each(|_| drop(caller.call("quote", "", b"hold")));
     }
-    town.log.wait("all beyond the ramp to be declined", |log| {
+    harness.log.wait_for("all beyond the ramp to be declined", |log| {
         let declined = log.iter().filter(|line| line.ends_with(": decline")).count();
-        (declined >= 120 - most).then_some(())
+        (declined >= 120 - limit).then_some(())
     });
-    town.agent.hears_times("sample", town.agent.count("sample", "") + 5);
-    let declined = town.log.lock().iter().filter(|line| line.ends_with(": decline")).count();
-    println!("of 120 in hand: {}, of {most}", 120 - declined);
-    assert_eq!(120 - declined, most);
+    harness.agent.wait_for_commands("sample", harness.agent.command_count("sample", "") + 5);
+    let declined = harness.log.lock().iter().filter(|line| line.ends_with(": decline")).count();
+    println!("of 120 in hand: {}, of {limit}", 120 - declined);
+    assert_eq!(120 - declined, limit);
     // What they are told adds up: no more is asked of anybody, and nobody comes back before its turn.
-    let answered = |caller: &&mut Gateway| {
+    let has_response = |caller: &&mut Gateway| {
         caller.stream.set_nonblocking(true).unwrap();
-        let any = caller.stream.peek(&mut [0]).is_ok();
+        let has_data = caller.stream.peek(&mut [0]).is_ok();
         caller.stream.set_nonblocking(false).unwrap();
-        any
+        has_data
     };
-    let advice = callers.iter_mut().filter(answered).map(|caller| caller.answer().unwrap().fields);
+    let advice = callers.iter_mut().filter(has_response).map(|caller| caller.read_response().unwrap().fields);
     let advice: Vec<String> = advice.collect();
     let field = |fields: &str, name: &str| -> f64 {
         let found = fields.split(',').find_map(|field| field.strip_prefix(name)?.parse().ok());
@@ -109,5 +112,5 @@
     };
     assert!(advice.len() >= 25 && advice.iter().all(|fields| field(fields, "w=") >= 1000.0), "{advice:?}");
     assert!(advice.iter().all(|fields| 30.0 * field(fields, "v=") < 1.0), "{advice:?}");
-    assert!(30.0 * field(&town.gateway().check().fields, "v=") < 1.0);
+    assert!(30.0 * field(&harness.connect_gateway().check_health().fields, "v=") < 1.0);
 }
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -1,9 +1,9 @@
 //! Rare moments, played to a whole server process over real connections. Each story forces its order: the process stands
 //! still while its sockets fill, or a stand-in waits for what it must have seen.
 
-use puffinladder_toy::gateway::{message, now, Gateway};
-use puffinladder_toy::http::Place;
-use puffinladder_toy::town::Town;
+use puffinladder_toy::gateway::{encode_command, unix_time_ms, Gateway};
+use puffinladder_toy::harness::ServerHarness;
+use puffinladder_toy::http::HttpStandIn;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpListener;
@@ -15,189 +15,196 @@
 const SERVER: &[&str] = &[env!("CARGO_BIN_EXE_puffinladder-server")];
 const KEY: &str = ",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-fn town() -> Town {
-    Town::open(SERVER, |_| {})
+fn start_server() -> ServerHarness {
+    ServerHarness::start(SERVER, |_| {})
 }
 
-fn word(gateway: &mut Gateway, class: &str, more: &str, body: &[u8]) -> String {
-    let (tag, _) = gateway.call(class, more, body);
-    let answer = gateway.answer().expect("an answer");
+fn call_status(gateway: &mut Gateway, class: &str, extra_fields: &str, body: &[u8]) -> String {
+    let (tag, _) = gateway.call(class, extra_fields, body);
+    let answer = gateway.read_response().expect("an answer");
     assert_eq!(answer.tag, tag);
-    answer.word
+    answer.status
 }
 
-fn still_serves(town: &Town) {
-    assert_eq!(word(&mut town.gateway(), "quote", "", b"still there"), "200");
+fn assert_serves(harness: &ServerHarness) {
+    assert_eq!(call_status(&mut harness.connect_gateway(), "quote", "", b"still there"), "200");
 }
 
 // ---- the end of a connection ----
 
 #[test]
-fn what_was_answered_before_a_broken_message_arrives_and_no_reset_takes_it_away() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn response_before_broken_message_survives_close() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     // Answered at once, unread by the policy; then what can't be read, and more behind it than one read takes.
-    let good = message(&[b"CALL", b"1", b"nothing", b"", b""]);
+    let good = encode_command(&[b"CALL", b"1", b"nothing", b"", b""]);
     let bytes = [good, b"*no array\r\n".to_vec(), vec![b'x'; 60_000]].concat();
-    town.pause();
+    harness.pause();
     gateway.stream.write_all(&bytes).unwrap();
-    town.resume();
-    assert_eq!(gateway.answer().expect("the answer that was owed").word, "500");
-    gateway.end().expect("an end, not a reset");
+    harness.resume();
+    assert_eq!(gateway.read_response().expect("the answer that was owed").status, "500");
+    gateway.read_to_end().expect("an end, not a reset");
 }
 
 #[test]
-fn half_a_message_ends_its_connection_only_behind_the_answers_that_are_owed_there() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
+fn incomplete_message_closes_after_pending_responses() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     gateway.stream.write_all(b"*5\r\n$4\r\nCA").unwrap();
     // A connection opened later whose time is over: that of the first one is over as well, twice.
     for _ in 0..2 {
-        town.gateway().end().unwrap();
+        harness.connect_gateway().read_to_end().unwrap();
     }
-    town.agent.finish(&name);
-    let answer = gateway.answer().expect("the answer that was owed");
-    assert_eq!((answer.tag, answer.word.as_str()), (tag, "200"));
-    gateway.end().unwrap();
+    harness.agent.finish_run(&attempt_id);
+    let answer = gateway.read_response().expect("the answer that was owed");
+    assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
+    gateway.read_to_end().unwrap();
 }
 
 #[test]
-fn a_gateway_that_never_reads_to_the_end_of_a_closed_connection_holds_it_for_a_moment_only() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn closed_connection_stops_reading_further_input() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     gateway.stream.write_all(b"*no array\r\n").unwrap();
     // It goes on sending: the server reads that for a while, then has enough.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while gateway.stream.write_all(&[b'x'; 65_536]).is_ok() {
-        assert!(begun.elapsed() < Duration::from_secs(20), "it is read for ever");
+        assert!(started_at.elapsed() < Duration::from_secs(20), "it is read for ever");
     }
-    still_serves(&town);
+    assert_serves(&harness);
 }
 
 // ---- the end of the process ----
 
 #[test]
-fn before_the_kill_every_connection_is_asked_to_leave_and_ended_with_all_that_is_owed() {
-    let mut town = town();
-    let (mut rests, mut works, mut silent) = (town.gateway(), town.gateway(), town.gateway());
-    assert_eq!(word(&mut rests, "quote", "", b""), "200");
-    let (tag, name) = works.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    town.term();
-    let goodbye = rests.answer().expect("a goodbye");
-    assert_eq!((goodbye.tag, goodbye.word.as_str()), (0, "goaway"));
-    rests.end().expect("an end, not a reset");
-    let mut words: Vec<(u64, String)> = Vec::new();
-    while let Some(answer) = works.answer() {
-        words.push((answer.tag, answer.word));
+fn exit_sends_goaway_and_pending_responses() {
+    let mut harness = start_server();
+    let (mut idle, mut busy, mut silent) =
+        (harness.connect_gateway(), harness.connect_gateway(), harness.connect_gateway());
+    assert_eq!(call_status(&mut idle, "quote", "", b""), "200");
+    let (tag, attempt_id) = busy.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.send_sigterm();
+    let notice = idle.read_response().expect("a notice");
+    assert_eq!((notice.tag, notice.status.as_str()), (0, "goaway"));
+    idle.read_to_end().expect("an end, not a reset");
+    let mut statuses: Vec<(u64, String)> = Vec::new();
+    while let Some(answer) = busy.read_response() {
+        statuses.push((answer.tag, answer.status));
     }
-    assert_eq!(words, [(tag, "500".to_string())]);
-    silent.end().expect("an end, not a reset");
-    assert!(town.end().success());
+    assert_eq!(statuses, [(tag, "500".to_string())]);
+    silent.read_to_end().expect("an end, not a reset");
+    assert!(harness.wait_for_exit().success());
 }
 
 #[test]
-fn the_notice_to_drain_finds_what_was_accepted_but_not_read_and_that_is_answered() {
-    let town = town();
-    let mut open = town.gateway();
-    assert_eq!(word(&mut open, "quote", "", b""), "200");
+fn drain_answers_accepted_but_unread_requests() {
+    let harness = start_server();
+    let mut open = harness.connect_gateway();
+    assert_eq!(call_status(&mut open, "quote", "", b""), "200");
     // On an open connection, on a new one and behind it in the backlog, then the notice, twice: all wait together.
-    town.pause();
-    let mut fresh: Vec<Gateway> = (0..60).map(|_| town.gateway()).collect();
+    harness.pause();
+    let mut fresh: Vec<Gateway> = (0..60).map(|_| harness.connect_gateway()).collect();
     for gateway in fresh.iter_mut().chain([&mut open]) {
         gateway.call("quote", "", b"before the notice was heard");
     }
-    town.term();
-    town.term();
-    town.resume();
+    harness.send_sigterm();
+    harness.send_sigterm();
+    harness.resume();
     for gateway in fresh.iter_mut().chain([&mut open]) {
-        assert!(["200", "503"].contains(&gateway.answer().expect("an answer").word.as_str()));
+        assert!(["200", "503"].contains(&gateway.read_response().expect("an answer").status.as_str()));
     }
 }
 
 #[test]
-fn the_notice_to_drain_before_the_agent_is_up_is_heeded_and_what_was_read_is_answered() {
-    let mut town = Town::found(SERVER, false, |_| {});
-    let mut gateway = town.gateway();
+fn drain_before_agent_is_ready_answers_read_requests() {
+    let mut harness = ServerHarness::spawn(SERVER, false, |_| {});
+    let mut gateway = harness.connect_gateway();
     gateway.call("order", KEY, b"read too soon");
-    town.logs("txn 1");
-    town.term();
-    assert!(["500", "503"].contains(&gateway.answer().expect("an answer").word.as_str()));
-    assert!(town.end().success());
-    assert_eq!(town.agent.count("launch", ""), 0);
+    harness.wait_for_log("txn 1");
+    harness.send_sigterm();
+    assert!(["500", "503"].contains(&gateway.read_response().expect("an answer").status.as_str()));
+    assert!(harness.wait_for_exit().success());
+    assert_eq!(harness.agent.command_count("launch", ""), 0);
 }
 
 #[test]
-fn a_reload_in_a_drain_moves_the_links_and_the_result_still_comes() {
-    let mut town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    town.term();
-    town.move_peers();
-    town.agent.hears_times("subscribe", 2);
-    town.agent.finish(&name);
-    let answer = gateway.answer().unwrap();
-    assert_eq!((answer.tag, answer.word.as_str()), (tag, "200"));
-    assert!(town.end().success());
+fn reload_during_drain_still_delivers_result() {
+    let mut harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.send_sigterm();
+    harness.move_peers();
+    harness.agent.wait_for_commands("subscribe", 2);
+    harness.agent.finish_run(&attempt_id);
+    let answer = gateway.read_response().unwrap();
+    assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
+    assert!(harness.wait_for_exit().success());
 }
 
 // ---- retries ----
 
 #[test]
-fn a_retry_that_lay_unread_past_its_window_never_runs_again() {
+fn retry_read_after_dedup_window_does_not_run_again() {
     // A window of 0.1 s, and tries that may lie unread for long before they are due.
-    let town = Town::open(SERVER, |config| {
+    let harness = ServerHarness::start(SERVER, |config| {
         config["settings"]["Lanes"][1]["DedupWindow"] = json!(100);
         config["settings"]["Lanes"][1]["GiveUp"] = json!(60_000);
     });
-    let mut gateway = town.gateway();
-    let came = now();
-    assert_eq!(word(&mut gateway, "order", &format!("{KEY},s={came}"), b"an order"), "200");
-    // Each came to the machine within the window; the last of them is read three seconds behind its end.
-    while now() < came + 3200 {
-        let repeat = format!("{KEY},r=1,s={}", came + 40);
-        assert!(["200", "503"].contains(&word(&mut gateway, "order", &repeat, b"an order").as_str()));
-        assert_eq!(town.agent.count("launch", ""), 1, "run again after {} ms", now() - came);
+    let mut gateway = harness.connect_gateway();
+    let arrived_at_ms = unix_time_ms();
+    assert_eq!(call_status(&mut gateway, "order", &format!("{KEY},s={arrived_at_ms}"), b"an order"), "200");
+    // Each arrived_at_ms to the machine within the window; the last of them is read three seconds behind its end.
+    while unix_time_ms() < arrived_at_ms + 3200 {
+        let repeat = format!("{KEY},r=1,s={}", arrived_at_ms + 40);
+        assert!(["200", "503"].contains(&call_status(&mut gateway, "order", &repeat, b"an order").as_str()));
+        assert_eq!(
+            harness.agent.command_count("launch", ""),
+            1,
+            "run again after {} ms",
+            unix_time_ms() - arrived_at_ms
+        );
     }
 }
 
 #[test]
-fn a_cancel_that_crosses_the_answer_costs_nobody_anything() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    town.pause();
-    town.agent.finish(&name);
+fn cancel_crossing_response_keeps_result_for_retry() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.pause();
+    harness.agent.finish_run(&attempt_id);
     gateway.cancel(tag);
-    town.resume();
+    harness.resume();
     // Whichever was read first, there is at most one answer, and the result serves a retry.
     let (repeat, _) = gateway.call("order", KEY, b"hold");
-    let mut answer = gateway.answer().unwrap();
+    let mut answer = gateway.read_response().unwrap();
     if answer.tag == tag {
-        answer = gateway.answer().unwrap();
+        answer = gateway.read_response().unwrap();
     }
-    assert_eq!((answer.tag, answer.word.as_str()), (repeat, "200"));
-    assert_eq!(town.agent.count("launch", ""), 1);
+    assert_eq!((answer.tag, answer.status.as_str()), (repeat, "200"));
+    assert_eq!(harness.agent.command_count("launch", ""), 1);
 }
 
 #[test]
-fn a_window_shorter_than_the_run_ends_no_sooner_than_the_run() {
-    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(1));
-    let mut gateway = town.gateway();
-    let (first, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    let begun = now();
-    while now() < begun + 300 {
-        still_serves(&town);
+fn dedup_window_lasts_at_least_as_long_as_run() {
+    let harness =
+        ServerHarness::start(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(1));
+    let mut gateway = harness.connect_gateway();
+    let (first, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let started_at = unix_time_ms();
+    while unix_time_ms() < started_at + 300 {
+        assert_serves(&harness);
     }
     let (repeat, _) = gateway.call("order", KEY, b"hold");
-    town.logs("replay");
-    town.agent.finish(&name);
-    let mut tags = [0; 2].map(|_| gateway.answer().map(|answer| (answer.tag, answer.word)).unwrap());
+    harness.wait_for_log("replay");
+    harness.agent.finish_run(&attempt_id);
+    let mut tags = [0; 2].map(|_| gateway.read_response().map(|answer| (answer.tag, answer.status)).unwrap());
     tags.sort();
     assert_eq!(tags, [(first, "200".to_string()), (repeat, "200".to_string())]);
 }
@@ -205,98 +212,99 @@
 // ---- the agent and the store ----
 
 #[test]
-fn half_a_notice_and_notices_that_come_twice_are_heard_once() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    town.agent.babble(&format!("{{\"op\":\"outcome\",\"seq\":1,\"id\":\"{name}\",\"end\":\"fi"));
-    town.agent.cut();
-    town.agent.finish(&name);
-    assert_eq!(gateway.answer().unwrap().tag, tag);
-    town.agent.repeat();
-    town.agent.repeat();
-    assert_eq!(word(&mut gateway, "order", &KEY.replace('5', "6"), b"the next answer here"), "200");
+fn duplicate_and_partial_notices_are_handled_once() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.agent.send_raw(&format!("{{\"op\":\"outcome\",\"seq\":1,\"id\":\"{attempt_id}\",\"end\":\"fi"));
+    harness.agent.disconnect();
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(gateway.read_response().unwrap().tag, tag);
+    harness.agent.resend_notices();
+    harness.agent.resend_notices();
+    assert_eq!(call_status(&mut gateway, "order", &KEY.replace('5', "6"), b"the next answer here"), "200");
 }
 
 #[test]
-fn an_expiry_without_end_breaks_no_call() {
+fn huge_deadline_does_not_break_store_call() {
     // Times far beyond what a duration holds: the call goes out all the same, and its reply comes back.
-    let town = Town::open(SERVER, |config| {
+    let harness = ServerHarness::start(SERVER, |config| {
         for lane in 0..2 {
             for key in ["Promise", "GiveUp", "DedupWindow"] {
                 config["settings"]["Lanes"][lane][key] = json!(1e300);
             }
         }
     });
-    let mut gateway = town.gateway();
+    let mut gateway = harness.connect_gateway();
     let (tag, _) = gateway.call("order", KEY, b"call for ever");
-    let answer = gateway.answer().unwrap();
+    let answer = gateway.read_response().unwrap();
     assert_eq!((answer.tag, answer.body.as_slice()), (tag, &b"stored for ever"[..]));
 }
 
 /// A listener whose backlog takes connections that nobody accepts.
-fn deaf() -> TcpListener {
+fn unresponsive_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
 #[test]
-fn a_registry_that_takes_connections_and_says_nothing_stops_nothing() {
-    let deaf = deaf();
-    let mut town = Town::open(SERVER, |config| config["roster"] = json!(deaf.local_addr().unwrap()));
-    town.logs("no report");
-    still_serves(&town);
-    town.agent.cut();
-    town.agent.hears_times("subscribe", 2);
-    still_serves(&town);
+fn unresponsive_registry_does_not_block_server() {
+    let unresponsive = unresponsive_listener();
+    let mut harness =
+        ServerHarness::start(SERVER, |config| config["roster"] = json!(unresponsive.local_addr().unwrap()));
+    harness.wait_for_log("no report");
+    assert_serves(&harness);
+    harness.agent.disconnect();
+    harness.agent.wait_for_commands("subscribe", 2);
+    assert_serves(&harness);
     // Found at a new address it hears at once.
-    town.move_peers();
-    town.roster.hears("PUT /roster/toy-1 ", "on");
-    still_serves(&town);
+    harness.move_peers();
+    harness.registry.wait_for_request("PUT /roster/toy-1 ", "on");
+    assert_serves(&harness);
 }
 
 // ---- descriptors ----
 
 #[test]
-fn silent_clients_in_a_full_table_leave_descriptors_for_work_and_for_our_own_links() {
-    let down = deaf();
+fn silent_clients_leave_descriptors_for_requests_and_links() {
+    let silent_listener = unresponsive_listener();
     let narrow = ["sh", "-c", "ulimit -n 64; exec \"$0\"", SERVER[0]];
-    let town = Town::open(&narrow, |config| {
+    let harness = ServerHarness::start(&narrow, |config| {
         config["limits"]["sockets"] = json!(64);
-        config["roster"] = json!(down.local_addr().unwrap());
+        config["roster"] = json!(silent_listener.local_addr().unwrap());
     });
-    let mut silent: Vec<Gateway> = (0..200).map(|_| town.gateway()).collect();
+    let mut silent: Vec<Gateway> = (0..200).map(|_| harness.connect_gateway()).collect();
     // As many calls below as there is room for beside a run, none of which ends.
-    let mut works = town.gateway();
+    let mut busy = harness.connect_gateway();
     for at in 0..12 {
-        works.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
+        busy.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
     }
-    town.store.calls.wait("12 calls", |calls| (calls.len() == 12).then_some(()));
-    silent.extend((0..200).map(|_| town.gateway()));
-    town.agent.cut();
-    town.agent.hears_times("subscribe", 2);
-    still_serves(&town);
+    harness.store.requests.wait_for("12 calls", |calls| (calls.len() == 12).then_some(()));
+    silent.extend((0..200).map(|_| harness.connect_gateway()));
+    harness.agent.disconnect();
+    harness.agent.wait_for_commands("subscribe", 2);
+    assert_serves(&harness);
     // Discovery is back where it was.
-    let back = Place::roster_at(down);
-    back.hears("PUT /roster/toy-1 ", "on");
-    still_serves(&town);
-    assert!(!town.log.lock().iter().any(|line| line.contains("no connection accepted")));
+    let registry = HttpStandIn::serve_registry(silent_listener);
+    registry.wait_for_request("PUT /roster/toy-1 ", "on");
+    assert_serves(&harness);
+    assert!(!harness.log.lock().iter().any(|line| line.contains("no connection accepted")));
 }
 
 /// Clients that connect as fast as they are accepted and never close: what the server ends stays half open. Some say
-/// nothing, some begin a message, some ask once and stay. Stands still while `gate` is taken, and ends when told, with all
+/// nothing, some begin a message, some ask once and stay. Stands still while `connect_gate` is taken, and ends when told, with all
 /// that it holds.
-fn flood(server: std::net::SocketAddr, over: &AtomicBool, gate: &RwLock<()>) {
+fn flood(server: std::net::SocketAddr, stopped: &AtomicBool, connect_gate: &RwLock<()>) {
     let mut held = std::collections::VecDeque::new();
-    while !over.load(Ordering::Relaxed) {
-        let _connecting = gate.read().unwrap();
+    while !stopped.load(Ordering::Relaxed) {
+        let _connecting = connect_gate.read().unwrap();
         let Ok(mut stream) = std::net::TcpStream::connect(server) else { continue };
-        let says: &[u8] = match held.len() % 3 {
+        let message: &[u8] = match held.len() % 3 {
             0 => b"",
             1 => b"*5\r\n$4\r\nCA",
             _ => b"*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n",
         };
-        let _ = stream.write_all(says);
+        let _ = stream.write_all(message);
         held.push_back(stream);
         if held.len() > 1000 {
             held.pop_front();
@@ -305,27 +313,27 @@
 }
 
 #[test]
-fn no_moment_of_a_flood_a_drain_or_a_new_life_holds_more_descriptors_than_were_given() {
-    const GIVEN: usize = 64;
+fn descriptor_limit_holds_during_flood_drain_and_restart() {
+    const DESCRIPTOR_LIMIT: usize = 64;
     // Its last moments are the ones in which all connections part while others still come.
-    let mut town = Town::open(SERVER, |config| {
-        config["limits"]["sockets"] = json!(GIVEN);
+    let mut harness = ServerHarness::start(SERVER, |config| {
+        config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
         config["stop_ms"] = json!(1500);
     });
-    let server = town.server;
-    let (over, most) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let process = AtomicUsize::new(town.child.id() as usize);
-    let gate = RwLock::new(());
+    let server = harness.address;
+    let (stopped, peak) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let process = AtomicUsize::new(harness.child.id() as usize);
+    let connect_gate = RwLock::new(());
     thread::scope(|scope| {
         for _ in 0..4 {
-            scope.spawn(|| flood(server, &over, &gate));
+            scope.spawn(|| flood(server, &stopped, &connect_gate));
         }
         // Looked at from outside, without a pause. A number is listed once, and new ones take the lowest that is free, so
         // that one look never counts more than were open together.
         scope.spawn(|| {
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 let open = std::fs::read_dir(format!("/proc/{}/fd", process.load(Ordering::Relaxed)));
-                most.fetch_max(open.map_or(0, Iterator::count), Ordering::Relaxed);
+                peak.fetch_max(open.map_or(0, Iterator::count), Ordering::Relaxed);
             }
         });
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
@@ -333,50 +341,59 @@
                 // Calls that hang below, and two links to the agent, while the table is full.
                 // The flood's connections stay meanwhile, but none comes: one that has said nothing yet is the first to
                 // make way for another, and this gateway might be it before its first call.
-                let no_new_connections = gate.write().unwrap();
-                let mut works = town.gateway();
+                let no_new_connections = connect_gate.write().unwrap();
+                let mut busy = harness.connect_gateway();
                 for at in 0..12 {
-                    works.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
+                    busy.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
                 }
-                town.store.calls.wait("12 calls", |calls| (calls.len() >= 12).then_some(()));
+                harness.store.requests.wait_for("12 calls", |calls| (calls.len() >= 12).then_some(()));
                 drop(no_new_connections);
-                town.store.calls.change(Vec::clear);
-                town.agent.cut();
-                town.agent.hears_times("subscribe", 2);
-                town.term();
-                assert!(town.end().success());
-                town.agent.anew(true);
-                town.start_again(SERVER);
-                // Until it has begun its own work it shows what it was started with, the flood's ends among that.
-                town.logs("listens on");
-                process.store(town.child.id() as usize, Ordering::Relaxed);
-                town.agent.hears("sample", "");
+                harness.store.requests.update(Vec::clear);
+                harness.agent.disconnect();
+                harness.agent.wait_for_commands("subscribe", 2);
+                harness.send_sigterm();
+                assert!(harness.wait_for_exit().success());
+                harness.agent.restart(true);
+                harness.restart(SERVER);
+                // Until it has started_at its own work it shows what it was started with, the flood's ends among that.
+                harness.wait_for_log("listens on");
+                process.store(harness.child.id() as usize, Ordering::Relaxed);
+                harness.agent.wait_for_command("sample", "");
             }
         }));
-        over.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
         result.unwrap();
     });
-    let most = most.into_inner();
-    println!("{most} descriptors of {GIVEN} at the most");
-    assert!((GIVEN / 2..=GIVEN).contains(&most), "{most} descriptors of {GIVEN}");
+    let peak = peak.into_inner();
+    println!("{peak} descriptors of {DESCRIPTOR_LIMIT} at the most");
+    assert!(
+        (DESCRIPTOR_LIMIT / 2..=DESCRIPTOR_LIMIT).contains(&peak),
+        "{peak} descriptors of {DESCRIPTOR_LIMIT}"
+    );
 }
 
 #[test]
-fn resets_behind_the_last_byte_by_the_hundred_leave_nothing_behind() {
-    let town = town();
-    let open = |town: &Town| std::fs::read_dir(format!("/proc/{}/fd", town.child.id())).unwrap().count();
-    still_serves(&town);
-    let before = open(&town);
+fn connection_resets_leak_no_descriptors() {
+    let harness = start_server();
+    let open = |harness: &ServerHarness| {
+        std::fs::read_dir(format!("/proc/{}/fd", harness.child.id())).unwrap().count()
+    };
+    assert_serves(&harness);
+    let before = open(&harness);
     for _ in 0..300 {
-        let mut gateway = town.gateway();
+        let mut gateway = harness.connect_gateway();
         gateway.call("quote", "", b"and away");
         // Closed over the unread answer, the connection is reset.
         gateway.stream.peek(&mut [0]).unwrap();
     }
-    still_serves(&town);
-    let begun = Instant::now();
-    while open(&town) > before + 3 {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{} descriptors stay open", open(&town) - before);
+    assert_serves(&harness);
+    let started_at = Instant::now();
+    while open(&harness) > before + 3 {
+        assert!(
+            started_at.elapsed() < Duration::from_secs(20),
+            "{} descriptors stay open",
+            open(&harness) - before
+        );
         std::thread::yield_now();
     }
 }
@@ -384,30 +401,30 @@
 // ---- settings of another customer ----
 
 #[test]
-fn names_with_dots_equal_beginnings_and_letters_of_any_alphabet_are_told_apart() {
-    let lane = |name: &str, effect: &str| json!({"Name": name, "Promise": 4000, "GiveUp": 8000, "Importance": 1, "Effect": effect, "DedupWindow": 900});
-    let town = Town::open(SERVER, |config| {
+fn similar_and_non_ascii_names_are_distinguished() {
+    let class = |name: &str, effect: &str| json!({"Name": name, "Promise": 4000, "GiveUp": 8000, "Importance": 1, "Effect": effect, "DedupWindow": 900});
+    let harness = ServerHarness::start(SERVER, |config| {
         let settings = &mut config["settings"];
         settings["Lanes"] =
-            json!([lane("cita", "safe"), lane("cita.año", "keyed"), lane("cita.año.新", "unsafe")]);
+            json!([class("cita", "safe"), class("cita.año", "keyed"), class("cita.año.新", "unsafe")]);
         settings["Tenants"] =
             json!([{"Name": "norte", "QuotaRps": 0}, {"Name": "norte.ñ", "QuotaRps": 1e300}]);
         settings["FamilyInfo"]["ClassCalls"] = Value::Null;
         settings["FamilyInfo"]["Unheard-Of"] = json!({"of": ["anything"]});
     });
-    let mut gateway = town.gateway();
+    let mut gateway = harness.connect_gateway();
     for tenant in ["norte", "norte.ñ"] {
-        for (at, class) in ["cita", "cita.año", "cita.año.新"].into_iter().enumerate() {
-            let key = KEY.replace("5c", &format!("{at}{}", tenant.len() % 10));
-            let (_, name) = gateway.call(class, &format!(",t={tenant}{key}"), b"");
-            assert_eq!(gateway.answer().unwrap().word, "200", "{class} of {tenant}");
-            assert_eq!(town.agent.hears("launch", &name)["class"], class);
+        for (index, class_name) in ["cita", "cita.año", "cita.año.新"].into_iter().enumerate() {
+            let key = KEY.replace("5c", &format!("{index}{}", tenant.len() % 10));
+            let (_, attempt_id) = gateway.call(class_name, &format!(",t={tenant}{key}"), b"");
+            assert_eq!(gateway.read_response().unwrap().status, "200", "{class_name} of {tenant}");
+            assert_eq!(harness.agent.wait_for_command("launch", &attempt_id)["class"], class_name);
         }
     }
     for wrong in ["cita.", "cit", "cita.ano", "norte"] {
-        assert_eq!(word(&mut gateway, wrong, ",t=norte", b""), "500", "{wrong}");
+        assert_eq!(call_status(&mut gateway, wrong, ",t=norte", b""), "500", "{wrong}");
     }
     for wrong in ["nort", "norte.", "norte.n", "acme"] {
-        assert_eq!(word(&mut gateway, "cita", &format!(",t={wrong}"), b""), "500", "{wrong}");
+        assert_eq!(call_status(&mut gateway, "cita", &format!(",t={wrong}"), b""), "500", "{wrong}");
     }
 }
--- a/crates/server/tests/stories.rs
+++ b/crates/server/tests/stories.rs
@@ -1,7 +1,7 @@
-//! Stories played to a whole server process by the example's stand-ins.
+//! Stories played to a encoded server process by the example's stand-ins.
 
-use puffinladder_toy::gateway::{message, now, Answer, Gateway};
-use puffinladder_toy::town::{start, Town, EXAMPLE};
+use puffinladder_toy::gateway::{encode_command, unix_time_ms, Gateway, Response};
+use puffinladder_toy::harness::{spawn_server, ServerHarness, EXAMPLE_CONFIG};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::Shutdown;
@@ -12,597 +12,614 @@
 const SERVER: &[&str] = &[env!("CARGO_BIN_EXE_puffinladder-server")];
 const KEY: &str = ",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-fn town() -> Town {
-    Town::open(SERVER, |_| {})
+fn start_server() -> ServerHarness {
+    ServerHarness::start(SERVER, |_| {})
 }
 
 /// The answer to the one request that is open.
-fn answer(gateway: &mut Gateway, tag: u64) -> Answer {
-    let answer = gateway.answer().expect("an answer");
+fn read_response(gateway: &mut Gateway, tag: u64) -> Response {
+    let answer = gateway.read_response().expect("an answer");
     assert_eq!(answer.tag, tag);
     answer
 }
 
-fn word(gateway: &mut Gateway, class: &str, more: &str, body: &[u8]) -> String {
-    let (tag, _) = gateway.call(class, more, body);
-    answer(gateway, tag).word
+fn call_status(gateway: &mut Gateway, class: &str, extra_fields: &str, body: &[u8]) -> String {
+    let (tag, _) = gateway.call(class, extra_fields, body);
+    read_response(gateway, tag).status
 }
 
 /// A server that is still well completes a request of a new gateway.
-fn still_serves(town: &Town) {
-    assert_eq!(word(&mut town.gateway(), "quote", "", b"still there"), "200");
+fn assert_serves(harness: &ServerHarness) {
+    assert_eq!(call_status(&mut harness.connect_gateway(), "quote", "", b"still there"), "200");
 }
 
 /// A stamp so long ago that the request has waited past any threshold.
-fn stale() -> String {
-    format!(",s={}", now() - 5000)
+fn stale_timestamp_field() -> String {
+    format!(",s={}", unix_time_ms() - 5000)
 }
 
 #[test]
-fn a_request_is_completed_with_the_bytes_of_its_run_and_they_may_be_any() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn returns_binary_result_of_run_unchanged() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     let body: Vec<u8> = (0..2048).map(|at| (at * 7 % 256) as u8).collect();
-    let (tag, name) = gateway.call("quote", "", &body);
-    let got = answer(&mut gateway, tag);
-    assert_eq!((got.word.as_str(), got.body), ("200", [b"done ", &body[..]].concat()));
-    assert_eq!(town.agent.hears("launch", &name)["class"], "quote");
+    let (tag, attempt_id) = gateway.call("quote", "", &body);
+    let got = read_response(&mut gateway, tag);
+    assert_eq!((got.status.as_str(), got.body), ("200", [b"done ", &body[..]].concat()));
+    assert_eq!(harness.agent.wait_for_command("launch", &attempt_id)["class"], "quote");
     let (tag, _) = gateway.call("quote", "", b"");
-    assert_eq!(answer(&mut gateway, tag).body, b"done ");
+    assert_eq!(read_response(&mut gateway, tag).body, b"done ");
 }
 
 #[test]
-fn answers_come_in_the_order_in_which_runs_end() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (slow, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
+fn responds_in_order_of_run_completion() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (slow, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     let (quick, _) = gateway.call("quote", "", b"quick");
-    assert_eq!(answer(&mut gateway, quick).word, "200");
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, slow).word, "200");
+    assert_eq!(read_response(&mut gateway, quick).status, "200");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, slow).status, "200");
 }
 
 #[test]
-fn a_request_that_waited_too_long_is_rejected_with_advice_and_never_runs() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", &stale(), b"too old");
-    let got = answer(&mut gateway, tag);
-    assert_eq!(got.word, "503");
+fn rejects_overdue_request_with_retry_after_without_running_it() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", &stale_timestamp_field(), b"too old");
+    let got = read_response(&mut gateway, tag);
+    assert_eq!(got.status, "503");
     assert!(got.fields.contains("w="), "{}", got.fields);
-    assert_eq!(town.agent.count("launch", &name), 0);
+    assert_eq!(harness.agent.command_count("launch", &attempt_id), 0);
 }
 
 #[test]
-fn a_faulty_run_is_answered_as_failed() {
-    assert_eq!(word(&mut town().gateway(), "quote", "", b"fail"), "500");
+fn reports_failed_run() {
+    assert_eq!(call_status(&mut start_server().connect_gateway(), "quote", "", b"fail"), "500");
 }
 
 #[test]
-fn a_retry_gets_the_result_of_its_earlier_attempt_during_the_run_and_behind_it() {
-    let town = town();
-    let (mut first, mut second) = (town.gateway(), town.gateway());
-    let (tag, name) = first.call("order", KEY, b"hold an order");
-    town.agent.hears("launch", &name);
+fn replays_result_to_retry_during_and_after_run() {
+    let harness = start_server();
+    let (mut first, mut second) = (harness.connect_gateway(), harness.connect_gateway());
+    let (tag, attempt_id) = first.call("order", KEY, b"hold an order");
+    harness.agent.wait_for_command("launch", &attempt_id);
     let (repeat, _) = second.call("order", KEY, b"hold an order");
-    town.logs("replay");
-    town.agent.finish(&name);
-    let wanted = answer(&mut first, tag).body;
-    assert_eq!(answer(&mut second, repeat).body, wanted);
+    harness.wait_for_log("replay");
+    harness.agent.finish_run(&attempt_id);
+    let wanted = read_response(&mut first, tag).body;
+    assert_eq!(read_response(&mut second, repeat).body, wanted);
     let (late, _) = second.call("order", &format!("{KEY},r=1"), b"hold an order");
-    assert_eq!(answer(&mut second, late).body, wanted);
+    assert_eq!(read_response(&mut second, late).body, wanted);
     let other = KEY.replace('5', "6");
-    assert_eq!(word(&mut second, "order", &other, b"another key"), "200");
-    assert_eq!(town.agent.count("launch", ""), 2);
+    assert_eq!(call_status(&mut second, "order", &other, b"another key"), "200");
+    assert_eq!(harness.agent.command_count("launch", ""), 2);
 }
 
 #[test]
-fn whoever_waited_for_an_attempt_that_never_ran_runs_in_its_place() {
-    let town = town();
-    let (mut first, mut second) = (town.gateway(), town.gateway());
-    let (_, name) = first.call("order", KEY, b"hold an order");
-    town.agent.hears("launch", &name);
+fn waiting_retry_runs_when_first_attempt_never_ran() {
+    let harness = start_server();
+    let (mut first, mut second) = (harness.connect_gateway(), harness.connect_gateway());
+    let (_, attempt_id) = first.call("order", KEY, b"hold an order");
+    harness.agent.wait_for_command("launch", &attempt_id);
     let (tag, repeat) = second.call("order", KEY, b"hold an order");
-    town.logs("replay");
-    town.agent.refuse(&name);
-    town.agent.hears("launch", &repeat);
-    town.agent.finish(&repeat);
-    assert_eq!(answer(&mut second, tag).word, "200");
+    harness.wait_for_log("replay");
+    harness.agent.refuse_run(&attempt_id);
+    harness.agent.wait_for_command("launch", &repeat);
+    harness.agent.finish_run(&repeat);
+    assert_eq!(read_response(&mut second, tag).status, "200");
 }
 
 #[test]
-fn the_key_of_another_request_is_never_served_and_spoils_nothing_even_if_it_came_first() {
-    let town = town();
-    let (mut good, mut bad) = (town.gateway(), town.gateway());
-    let (_, made_up) = bad.call("order", KEY, b"hold, made up");
-    town.agent.hears("launch", &made_up);
-    let (tag, _) = good.call("order", KEY, b"an order");
-    town.logs("waits for its key");
-    town.agent.refuse(&made_up);
-    assert_eq!(answer(&mut good, tag).word, "200");
-    assert_eq!(bad.answer().unwrap().word, "500");
-    assert_eq!(word(&mut bad, "order", KEY, b"another order"), "500");
-    assert_eq!(town.agent.count("launch", ""), 2);
+fn reused_key_with_other_content_is_not_replayed() {
+    let harness = start_server();
+    let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
+    let (_, forged) = forging.call("order", KEY, b"hold, made up");
+    harness.agent.wait_for_command("launch", &forged);
+    let (tag, _) = genuine.call("order", KEY, b"an order");
+    harness.wait_for_log("waits for its key");
+    harness.agent.refuse_run(&forged);
+    assert_eq!(read_response(&mut genuine, tag).status, "200");
+    assert_eq!(forging.read_response().unwrap().status, "500");
+    assert_eq!(call_status(&mut forging, "order", KEY, b"another order"), "500");
+    assert_eq!(harness.agent.command_count("launch", ""), 2);
 }
 
 #[test]
-fn a_run_that_failed_is_not_run_again_for_a_retry() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn failed_run_is_not_repeated_for_retry() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     for _ in 0..2 {
-        assert_eq!(word(&mut gateway, "order", KEY, b"fail"), "500");
+        assert_eq!(call_status(&mut gateway, "order", KEY, b"fail"), "500");
     }
-    assert_eq!(town.agent.count("launch", ""), 1);
+    assert_eq!(harness.agent.command_count("launch", ""), 1);
 }
 
 #[test]
-fn a_rejected_attempt_leaves_no_earlier_attempt() {
-    let town = town();
-    let mut gateway = town.gateway();
-    assert_eq!(word(&mut gateway, "order", &format!("{KEY}{}", stale()), b"an order"), "503");
-    assert_eq!(word(&mut gateway, "order", KEY, b"an order"), "200");
+fn rejected_attempt_does_not_hold_its_key() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    assert_eq!(
+        call_status(&mut gateway, "order", &format!("{KEY}{}", stale_timestamp_field()), b"an order"),
+        "503"
+    );
+    assert_eq!(call_status(&mut gateway, "order", KEY, b"an order"), "200");
 }
 
 #[test]
-fn a_run_that_never_began_leaves_its_key_free() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn run_that_never_started_releases_its_key() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     for body in ["late", "refuse"] {
-        assert_eq!(word(&mut gateway, "order", KEY, body.as_bytes()), "500");
+        assert_eq!(call_status(&mut gateway, "order", KEY, body.as_bytes()), "500");
     }
-    assert_eq!(word(&mut gateway, "order", KEY, b"an order"), "200");
+    assert_eq!(call_status(&mut gateway, "order", KEY, b"an order"), "200");
 }
 
 #[test]
-fn behind_its_window_a_key_is_free_again() {
-    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(100));
-    let mut gateway = town.gateway();
-    let begun = Instant::now();
-    while town.agent.count("launch", "") < 2 {
-        assert_eq!(word(&mut gateway, "order", KEY, b"an order"), "200");
-        assert!(begun.elapsed() < Duration::from_secs(20), "the key never came free");
+fn key_is_released_after_dedup_window() {
+    let harness =
+        ServerHarness::start(SERVER, |config| config["settings"]["Lanes"][1]["DedupWindow"] = json!(100));
+    let mut gateway = harness.connect_gateway();
+    let started_at = Instant::now();
+    while harness.agent.command_count("launch", "") < 2 {
+        assert_eq!(call_status(&mut gateway, "order", KEY, b"an order"), "200");
+        assert!(started_at.elapsed() < Duration::from_secs(20), "the key never came free");
     }
-    assert!(begun.elapsed() >= Duration::from_millis(150), "the window counts 50 ms more on sockets");
+    assert!(started_at.elapsed() >= Duration::from_millis(150), "the window counts 50 ms more on sockets");
 }
 
 #[test]
-fn a_cancelled_request_gets_no_answer_and_its_run_is_taken_off_the_cores() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
+fn cancel_stops_run_without_response() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     gateway.cancel(tag);
-    town.agent.hears("freeze", &name);
-    assert_eq!(word(&mut gateway, "quote", "", b"the next answer on this connection"), "200");
+    harness.agent.wait_for_command("freeze", &attempt_id);
+    assert_eq!(call_status(&mut gateway, "quote", "", b"the next answer on this connection"), "200");
 }
 
 #[test]
-fn requests_of_a_lost_gateway_count_as_gone() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (_, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
+fn cancels_requests_of_closed_connection() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (_, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     gateway.stream.shutdown(Shutdown::Both).unwrap();
-    town.agent.hears("freeze", &name);
-    still_serves(&town);
+    harness.agent.wait_for_command("freeze", &attempt_id);
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_keyed_run_goes_on_without_its_gateway_and_serves_the_retry() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
+fn cancelled_keyed_run_continues_and_serves_retry() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     gateway.cancel(tag);
-    town.logs("gone");
+    harness.wait_for_log("gone");
     let (repeat, _) = gateway.call("order", KEY, b"hold");
-    town.logs("replay");
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, repeat).word, "200");
+    harness.wait_for_log("replay");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, repeat).status, "200");
 }
 
 #[test]
-fn bytes_cut_off_at_any_place_hurt_nobody() {
-    let town = town();
+fn truncated_message_at_any_byte_is_harmless() {
+    let harness = start_server();
     let fields = format!("i=00000000000000aa,s=1764576000123,t=acme,m=1{KEY}");
-    let whole = message(&[b"CALL", b"7", b"order", fields.as_bytes(), b"a body"]);
-    for cut in 0..whole.len() {
-        let mut gateway = town.gateway();
-        gateway.stream.write_all(&whole[..cut]).unwrap();
+    let encoded = encode_command(&[b"CALL", b"7", b"order", fields.as_bytes(), b"a body"]);
+    for cut in 0..encoded.len() {
+        let mut gateway = harness.connect_gateway();
+        gateway.stream.write_all(&encoded[..cut]).unwrap();
         gateway.stream.shutdown(Shutdown::Write).unwrap();
-        assert_eq!(gateway.answer(), None, "{cut}");
+        assert_eq!(gateway.read_response(), None, "{cut}");
     }
-    assert_eq!(town.agent.count("launch", ""), 0);
-    still_serves(&town);
+    assert_eq!(harness.agent.command_count("launch", ""), 0);
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_corrupted_byte_at_any_place_ends_in_an_answer_or_in_that_connection_s_end() {
-    let town = town();
-    let whole =
-        message(&[b"CALL", b"7", b"quote", b"i=00000000000000aa,s=1764576000123,t=acme,m=1", b"body"]);
-    for at in 0..whole.len() {
-        let mut bad = whole.clone();
+fn corrupted_byte_yields_response_or_closes_connection() {
+    let harness = start_server();
+    let encoded =
+        encode_command(&[b"CALL", b"7", b"quote", b"i=00000000000000aa,s=1764576000123,t=acme,m=1", b"body"]);
+    for at in 0..encoded.len() {
+        let mut bad = encoded.clone();
         bad[at] ^= 0x55;
-        let mut gateway = town.gateway();
+        let mut gateway = harness.connect_gateway();
         gateway.stream.write_all(&bad).unwrap();
         gateway.stream.shutdown(Shutdown::Write).unwrap();
-        if let Some(answer) = gateway.answer() {
-            assert!(["200", "500", "503"].contains(&answer.word.as_str()), "{at}: {answer:?}");
-            assert_eq!(gateway.answer(), None);
+        if let Some(answer) = gateway.read_response() {
+            assert!(["200", "500", "503"].contains(&answer.status.as_str()), "{at}: {answer:?}");
+            assert_eq!(gateway.read_response(), None);
         }
     }
-    still_serves(&town);
+    assert_serves(&harness);
 }
 
 #[test]
-fn broken_framing_closes_its_connection_with_a_log_line_and_a_bad_field_does_not() {
-    let town = town();
-    let call = |tag: &[u8]| message(&[b"CALL", tag, b"nothing", b"", b""]);
+fn broken_framing_closes_connection_but_bad_field_does_not() {
+    let harness = start_server();
+    let call = |tag: &[u8]| encode_command(&[b"CALL", tag, b"nothing", b"", b""]);
     let cases: [(Vec<u8>, &str); 6] = [
         (b"*2\r\n+CHECK\r\n".to_vec(), "broken framing"),
         (b"*2\r\n$5\r\nCHECK\r\n$4000\r\n".to_vec(), "oversized element"),
         (b"*9999\r\n".to_vec(), "wrong number of elements"),
         (call(b"0"), "a tag that is no number"),
         ([call(b"3"), call(b"3")].concat(), "tag 3 used again"),
-        (message(&[b"PING", b"1"]), "unknown verb"),
+        (encode_command(&[b"PING", b"1"]), "unknown verb"),
     ];
     for (bytes, line) in cases {
-        let mut gateway = town.gateway();
+        let mut gateway = harness.connect_gateway();
         gateway.stream.write_all(&bytes).unwrap();
-        town.logs(line);
-        while gateway.answer().is_some() {}
+        harness.wait_for_log(line);
+        while gateway.read_response().is_some() {}
     }
-    let mut gateway = town.gateway();
+    let mut gateway = harness.connect_gateway();
     for (class, more) in [("nothing", ""), ("order", ",k=5")] {
-        assert_eq!(word(&mut gateway, class, more, b""), "500", "{class} {more}");
+        assert_eq!(call_status(&mut gateway, class, more, b""), "500", "{class} {more}");
     }
     let fields = "t=nobody m=-1 m=2000 m=nan i=5 f=-1 f=4294967296 f=x h=-1 h=1e300 h=inf p=1 p=x s=-5 s=now";
     for more in fields.split(' ') {
-        assert_eq!(word(&mut gateway, "quote", &format!(",{more}"), b""), "500", "{more}");
+        assert_eq!(call_status(&mut gateway, "quote", &format!(",{more}"), b""), "500", "{more}");
     }
-    assert_eq!(town.agent.count("launch", ""), 0);
-    assert_eq!(word(&mut gateway, "quote", "", b""), "200");
+    assert_eq!(harness.agent.command_count("launch", ""), 0);
+    assert_eq!(call_status(&mut gateway, "quote", "", b""), "200");
 }
 
 #[test]
-fn whoever_says_nothing_or_never_ends_a_message_is_closed_and_keeps_nobody_out() {
-    let town = Town::open(SERVER, |config| config["limits"]["sockets"] = json!(64));
-    let mut silent: Vec<Gateway> = (0..60).map(|_| town.gateway()).collect();
-    still_serves(&town);
+fn silent_and_incomplete_connections_are_closed() {
+    let harness = ServerHarness::start(SERVER, |config| config["limits"]["sockets"] = json!(64));
+    let mut silent: Vec<Gateway> = (0..60).map(|_| harness.connect_gateway()).collect();
+    assert_serves(&harness);
     for (at, gateway) in silent.iter_mut().enumerate().skip(50) {
         gateway.stream.write_all(&b"*5\r\n$4\r\nCALL\r\n"[..at - 49]).unwrap();
     }
-    assert!(silent.iter_mut().all(|gateway| gateway.answer().is_none()));
-    let lines = town.log.lock().iter().filter(|line| line.contains("a connection closed")).count();
+    assert!(silent.iter_mut().all(|gateway| gateway.read_response().is_none()));
+    let lines = harness.log.lock().iter().filter(|line| line.contains("a connection closed")).count();
     assert!(lines <= 25, "{lines} lines: whoever does wrong must not flood the log");
 }
 
 #[test]
-fn connections_that_lie_unused_make_room_and_those_at_work_stay() {
-    let town = Town::open(SERVER, |config| config["limits"]["sockets"] = json!(64));
-    let mut busy = town.gateway();
-    let (tag, name) = busy.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
+fn idle_connections_are_evicted_before_busy_ones() {
+    let harness = ServerHarness::start(SERVER, |config| config["limits"]["sockets"] = json!(64));
+    let mut busy = harness.connect_gateway();
+    let (tag, attempt_id) = busy.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     let mut parked = Vec::new();
     for _ in 0..100 {
-        let mut gateway = town.gateway();
-        assert_eq!(word(&mut gateway, "quote", "", b"asks once"), "200");
+        let mut gateway = harness.connect_gateway();
+        assert_eq!(call_status(&mut gateway, "quote", "", b"asks once"), "200");
         parked.push(gateway);
     }
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut busy, tag).word, "200");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut busy, tag).status, "200");
 }
 
 #[test]
-fn more_than_32_open_requests_close_the_connection() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn closes_connection_with_more_than_32_open_requests() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     for _ in 0..33 {
         gateway.call("quote", "", b"hold");
     }
-    town.logs("too many open txns");
-    while gateway.answer().is_some() {}
-    still_serves(&town);
+    harness.wait_for_log("too many open txns");
+    while gateway.read_response().is_some() {}
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_gateway_that_reads_nothing_stalls_nobody_and_is_closed() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn closes_connection_of_gateway_that_never_reads() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     // Whatever the system's buffers hold, the write fails once the server has closed.
     for thousand in 1..20_000 {
-        let check = |at: u32| message(&[b"CHECK", (1000 * thousand + at).to_string().as_bytes(), b""]);
+        let check = |at: u32| encode_command(&[b"CHECK", (1000 * thousand + at).to_string().as_bytes(), b""]);
         let checks: Vec<u8> = (0..1000).flat_map(check).collect();
         if gateway.stream.write_all(&checks).is_err() {
             break;
         }
     }
-    town.logs("lay unread there");
-    still_serves(&town);
+    harness.wait_for_log("lay unread there");
+    assert_serves(&harness);
 }
 
 /// A line of the process's own account, in kilobytes.
-fn memory(town: &Town, line: &str) -> f64 {
-    let text = std::fs::read_to_string(format!("/proc/{}/status", town.child.id())).unwrap();
+fn memory_kilobytes(harness: &ServerHarness, line: &str) -> f64 {
+    let text = std::fs::read_to_string(format!("/proc/{}/status", harness.child.id())).unwrap();
     let found =
         text.lines().find_map(|text| text.strip_prefix(line)?.strip_suffix("kB")?.trim().parse().ok());
     found.unwrap()
 }
 
 #[test]
-fn a_crowd_beyond_the_process_s_size_is_rejected_and_memory_holds() {
+fn rejects_requests_beyond_memory_limit() {
     // Runs that book almost nothing, so that the policy lets them all in; 16 MB bear 127 of them.
-    let town = Town::open(SERVER, |config| config["limits"]["memory_mb"] = json!(16));
-    let mut gateways: Vec<Gateway> = (0..8).map(|_| town.gateway()).collect();
+    let harness = ServerHarness::start(SERVER, |config| config["limits"]["memory_mb"] = json!(16));
+    let mut gateways: Vec<Gateway> = (0..8).map(|_| harness.connect_gateway()).collect();
     let body = [&b"hold"[..], &[b'x'; 2044]].concat();
     for gateway in &mut gateways {
         (0..32).for_each(|_| drop(gateway.call("quote", ",m=0.001", &body)));
     }
     let last = gateways.last_mut().unwrap();
-    assert_eq!(last.answer().unwrap().word, "503");
-    let most = memory(&town, "VmHWM:");
-    assert!(most < 16.0 * 1024.0, "{most} kB");
+    assert_eq!(last.read_response().unwrap().status, "503");
+    let peak = memory_kilobytes(&harness, "VmHWM:");
+    assert!(peak < 16.0 * 1024.0, "{peak} kB");
 }
 
 #[test]
-fn health_checks_are_answered_before_the_agent_is_up_and_the_registry_hears_only_behind_it() {
-    let town = Town::found(SERVER, false, |_| {});
-    assert_eq!(town.gateway().check().word, "serving");
-    assert_eq!(town.roster.calls.lock().len(), 0);
-    town.agent.greet();
-    town.roster.hears("PUT /roster/toy-1 ", r#"{"duty":"on"}"#);
-    still_serves(&town);
+fn registers_only_after_agent_is_ready() {
+    let harness = ServerHarness::spawn(SERVER, false, |_| {});
+    assert_eq!(harness.connect_gateway().check_health().status, "serving");
+    assert_eq!(harness.registry.requests.lock().len(), 0);
+    harness.agent.become_ready();
+    harness.registry.wait_for_request("PUT /roster/toy-1 ", r#"{"duty":"on"}"#);
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_lost_link_resumes_where_it_stood_and_no_run_is_asked_for_twice() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
-    town.agent.cut();
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, tag).word, "200");
-    assert_eq!(town.agent.count("launch", &name), 1);
-    assert_eq!(town.agent.hears("subscribe", "")["seq"], 0);
-    town.agent.hears_times("subscribe", 2);
+fn resumes_agent_link_without_repeating_launches() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.agent.disconnect();
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, tag).status, "200");
+    assert_eq!(harness.agent.command_count("launch", &attempt_id), 1);
+    assert_eq!(harness.agent.wait_for_command("subscribe", "")["seq"], 0);
+    harness.agent.wait_for_commands("subscribe", 2);
     // What is read while there is no link is launched once there is one again.
-    town.agent.cut();
+    harness.agent.disconnect();
     let (tag, _) = gateway.call("quote", "", b"read without a link");
-    assert_eq!(answer(&mut gateway, tag).word, "200");
+    assert_eq!(read_response(&mut gateway, tag).status, "200");
 }
 
 #[test]
-fn a_launch_that_was_heard_is_not_said_again_on_a_new_link() {
+fn acknowledged_launch_is_not_resent_after_reconnect() {
     // Said again in the moment in which its run ends, it could run twice.
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    let samples = town.agent.count("sample", "");
-    town.agent.hears_times("sample", samples + 3);
-    town.agent.cut();
-    town.agent.hears_times("subscribe", 2);
-    let samples = town.agent.count("sample", "");
-    town.agent.hears_times("sample", samples + 3);
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, tag).word, "200");
-    assert_eq!(town.agent.count("launch", &name), 1);
-}
-
-#[test]
-fn a_new_link_on_which_old_notices_never_end_is_made_anew() {
-    let town = town();
-    town.agent.mute(true);
-    town.agent.cut();
-    town.agent.hears_times("subscribe", 3);
-    town.agent.mute(false);
-    still_serves(&town);
-}
-
-#[test]
-fn a_line_that_cannot_be_read_breaks_the_link_only() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
-    town.agent.babble("{\"op\":\"outcome\",\n");
-    town.agent.hears_times("subscribe", 2);
-    town.agent.babble(&"x".repeat(70_000));
-    town.agent.hears_times("subscribe", 3);
-    town.agent
-        .babble("{\"op\":\"outcome\",\"id\":\"00000000000000ff\",\"end\":\"fine\",\"ms\":1,\"body\":\"\"}\n");
-    town.logs("not in hand");
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, tag).word, "200");
-}
-
-#[test]
-fn with_a_silent_agent_due_answers_still_go_out() {
-    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][0]["GiveUp"] = json!(600));
-    town.agent.mute(true);
-    assert_eq!(word(&mut town.gateway(), "quote", "", b"hold"), "500");
-}
-
-#[test]
-fn a_call_goes_below_under_the_name_of_its_request_and_the_reply_comes_back_unchanged() {
-    let town = town();
-    let mut gateway = town.gateway();
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let samples = harness.agent.command_count("sample", "");
+    harness.agent.wait_for_commands("sample", samples + 3);
+    harness.agent.disconnect();
+    harness.agent.wait_for_commands("subscribe", 2);
+    let samples = harness.agent.command_count("sample", "");
+    harness.agent.wait_for_commands("sample", samples + 3);
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, tag).status, "200");
+    assert_eq!(harness.agent.command_count("launch", &attempt_id), 1);
+}
+
+#[test]
+fn reconnects_when_notice_replay_never_completes() {
+    let harness = start_server();
+    harness.agent.mute_samples(true);
+    harness.agent.disconnect();
+    harness.agent.wait_for_commands("subscribe", 3);
+    harness.agent.mute_samples(false);
+    assert_serves(&harness);
+}
+
+#[test]
+fn unreadable_agent_line_breaks_only_the_link() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.agent.send_raw("{\"op\":\"outcome\",\n");
+    harness.agent.wait_for_commands("subscribe", 2);
+    harness.agent.send_raw(&"x".repeat(70_000));
+    harness.agent.wait_for_commands("subscribe", 3);
+    harness.agent.send_raw(
+        "{\"op\":\"outcome\",\"id\":\"00000000000000ff\",\"end\":\"fine\",\"ms\":1,\"body\":\"\"}\n",
+    );
+    harness.wait_for_log("not in hand");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, tag).status, "200");
+}
+
+#[test]
+fn responds_at_deadline_when_agent_is_silent() {
+    let harness =
+        ServerHarness::start(SERVER, |config| config["settings"]["Lanes"][0]["GiveUp"] = json!(600));
+    harness.agent.mute_samples(true);
+    assert_eq!(call_status(&mut harness.connect_gateway(), "quote", "", b"hold"), "500");
+}
+
+#[test]
+fn store_call_carries_attempt_id_and_returns_reply_unchanged() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     for (key, text) in [("5c", "a call"), ("5d", "a call with more"), ("5e", "the next one")] {
-        let (tag, name) = gateway.call("order", &KEY.replace("5c", key), format!("call {text}").as_bytes());
-        assert_eq!(answer(&mut gateway, tag).body, format!("stored {text}").as_bytes());
-        town.store.hears(&name, text);
+        let (tag, attempt_id) =
+            gateway.call("order", &KEY.replace("5c", key), format!("call {text}").as_bytes());
+        assert_eq!(read_response(&mut gateway, tag).body, format!("stored {text}").as_bytes());
+        harness.store.wait_for_request(&attempt_id, text);
     }
 }
 
 #[test]
-fn a_call_that_may_have_had_its_effect_is_not_repeated_and_one_that_never_ran_is() {
-    let town = Town::open(SERVER, |config| config["settings"]["Lanes"][1]["Promise"] = json!(700));
-    let mut gateway = town.gateway();
+fn retries_only_store_calls_that_never_ran() {
+    let harness =
+        ServerHarness::start(SERVER, |config| config["settings"]["Lanes"][1]["Promise"] = json!(700));
+    let mut gateway = harness.connect_gateway();
     for (at, end) in ["error", "late", "junk", "short", "break", "hang"].into_iter().enumerate() {
         let key = KEY.replace("5c0f", &format!("00{at:02}"));
-        let (tag, name) = gateway.call("order", &key, format!("call {end}").as_bytes());
-        assert_eq!(answer(&mut gateway, tag).word, "500", "{end}");
-        assert_eq!(town.store.calls.lock().iter().filter(|call| call.0 == name).count(), 1, "{end}");
+        let (tag, attempt_id) = gateway.call("order", &key, format!("call {end}").as_bytes());
+        assert_eq!(read_response(&mut gateway, tag).status, "500", "{end}");
+        assert_eq!(
+            harness.store.requests.lock().iter().filter(|request| request.0 == attempt_id).count(),
+            1,
+            "{end}"
+        );
     }
     for (at, end) in ["busy", "void"].into_iter().enumerate() {
         let key = KEY.replace("5c0f", &format!("01{at:02}"));
-        let (_, name) = gateway.call("order", &key, format!("call {end}").as_bytes());
-        town.store
-            .calls
-            .wait(end, |calls| (calls.iter().filter(|call| call.0 == name).count() > 1).then_some(()));
+        let (_, attempt_id) = gateway.call("order", &key, format!("call {end}").as_bytes());
+        harness.store.requests.wait_for(end, |calls| {
+            (calls.iter().filter(|request| request.0 == attempt_id).count() > 1).then_some(())
+        });
     }
     // Where the call may be left out, it is.
-    let (_, name) = gateway.call("quote", "", b"call error");
-    town.agent.hears("forgo", &name);
+    let (_, attempt_id) = gateway.call("quote", "", b"call error");
+    harness.agent.wait_for_command("forgo", &attempt_id);
 }
 
 #[test]
-fn without_a_store_calls_prove_unreachable_and_are_left_out() {
-    let town = Town::open(SERVER, |config| config["store"] = Value::Null);
-    let mut gateway = town.gateway();
+fn skips_optional_store_call_without_store() {
+    let harness = ServerHarness::start(SERVER, |config| config["store"] = Value::Null);
+    let mut gateway = harness.connect_gateway();
     let (tag, _) = gateway.call("quote", "", b"call nobody");
-    assert_eq!(answer(&mut gateway, tag).body, b"poorer");
+    assert_eq!(read_response(&mut gateway, tag).body, b"poorer");
 }
 
 #[test]
-fn a_run_that_ended_closes_the_call_it_stood_at() {
-    let town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"call hang");
-    town.store.hears(&name, "hang");
+fn ended_run_closes_its_store_call() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"call hang");
+    harness.store.wait_for_request(&attempt_id, "hang");
     gateway.cancel(tag);
-    town.agent.finish(&name);
-    town.store.ended.wait("the call's connection to end", |ended| (*ended == 1).then_some(()));
+    harness.agent.finish_run(&attempt_id);
+    harness
+        .store
+        .closed_connections
+        .wait_for("the call's connection to end", |ended| (*ended == 1).then_some(()));
 }
 
 #[test]
-fn a_reload_moves_every_link_and_a_run_goes_on() {
-    let mut town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
-    town.move_peers();
-    town.agent.hears_times("subscribe", 2);
-    town.roster.hears("PUT /roster/toy-1 ", "on");
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut gateway, tag).word, "200");
-    assert_eq!(word(&mut gateway, "quote", "", b"call elsewhere"), "200");
-    town.store.hears("", "elsewhere");
+fn reload_moves_links_while_run_continues() {
+    let mut harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    harness.move_peers();
+    harness.agent.wait_for_commands("subscribe", 2);
+    harness.registry.wait_for_request("PUT /roster/toy-1 ", "on");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut gateway, tag).status, "200");
+    assert_eq!(call_status(&mut gateway, "quote", "", b"call elsewhere"), "200");
+    harness.store.wait_for_request("", "elsewhere");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_anew_leaves_all_as_it_was() {
-    let mut town = town();
-    let other = EXAMPLE.replace("127.0.0.1:6100", "nowhere");
+fn invalid_reload_keeps_previous_configuration() {
+    let mut harness = start_server();
+    let other = EXAMPLE_CONFIG.replace("127.0.0.1:6100", "nowhere");
     for (text, key) in [("{\"name\":", "not JSON"), (&other, "agent should be an address")] {
-        town.reload(text);
-        town.logs(key);
+        harness.reload(text);
+        harness.wait_for_log(key);
     }
-    still_serves(&town);
-    assert_eq!(town.agent.count("subscribe", ""), 1);
+    assert_serves(&harness);
+    assert_eq!(harness.agent.command_count("subscribe", ""), 1);
     // What can't change while it runs is named, and a reload does not keep a server from leaving.
-    town.term();
-    town.logs("told to leave");
-    town.reload(&EXAMPLE.replace("1500,", "60000,"));
-    town.logs("stop_ms");
-    assert!(town.end().success());
+    harness.send_sigterm();
+    harness.wait_for_log("told to leave");
+    harness.reload(&EXAMPLE_CONFIG.replace("1500,", "60000,"));
+    harness.wait_for_log("stop_ms");
+    assert!(harness.wait_for_exit().success());
 }
 
 #[test]
-fn without_a_registry_the_server_serves() {
-    let town = Town::open(SERVER, |config| {
+fn serves_without_registry() {
+    let harness = ServerHarness::start(SERVER, |config| {
         let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         config["roster"] = json!(gone.local_addr().unwrap());
     });
-    town.logs("no report");
-    still_serves(&town);
+    harness.wait_for_log("no report");
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_server_that_leaves_reports_so_or_reports_no_more() {
-    let follows = Town::open(SERVER, |config| config["settings"]["FamilyInfo"]["ListFollows"] = json!(true));
-    let mut other = Town::open(SERVER, |config| config["stop_ms"] = json!(3500));
-    other.roster.hears("toy-1", "on");
-    for town in [&follows, &other] {
-        town.term();
-        town.logs("told to leave");
+fn draining_server_deregisters_or_stops_reporting() {
+    let follows =
+        ServerHarness::start(SERVER, |config| config["settings"]["FamilyInfo"]["ListFollows"] = json!(true));
+    let mut other = ServerHarness::start(SERVER, |config| config["stop_ms"] = json!(3500));
+    other.registry.wait_for_request("toy-1", "on");
+    for harness in [&follows, &other] {
+        harness.send_sigterm();
+        harness.wait_for_log("told to leave");
     }
-    follows.roster.hears("toy-1", r#"{"duty":"off"}"#);
+    follows.registry.wait_for_request("toy-1", r#"{"duty":"off"}"#);
     // One report may have been on its way; at one a second three more would have come by the end.
-    let before = other.roster.calls.lock().len();
-    other.end();
-    assert!(other.roster.calls.lock().len() <= before + 1);
+    let before = other.registry.requests.lock().len();
+    other.wait_for_exit();
+    assert!(other.registry.requests.lock().len() <= before + 1);
 }
 
 #[test]
-fn an_unused_connection_is_asked_to_leave_and_a_crossing_request_is_not_lost() {
-    let town = Town::open(SERVER, |config| config["settings"]["FamilyInfo"]["Idle"] = json!(200));
-    let mut gateway = town.gateway();
-    assert_eq!(word(&mut gateway, "quote", "", b""), "200");
-    let goodbye = gateway.answer().unwrap();
-    assert_eq!((goodbye.tag, goodbye.word.as_str()), (0, "goaway"));
-    assert_eq!(word(&mut gateway, "quote", "", b"crossing"), "200");
-    assert_eq!(gateway.answer(), None, "a gateway that does not leave is left");
+fn idle_connection_gets_goaway_and_late_request_is_served() {
+    let harness =
+        ServerHarness::start(SERVER, |config| config["settings"]["FamilyInfo"]["Idle"] = json!(200));
+    let mut gateway = harness.connect_gateway();
+    assert_eq!(call_status(&mut gateway, "quote", "", b""), "200");
+    let notice = gateway.read_response().unwrap();
+    assert_eq!((notice.tag, notice.status.as_str()), (0, "goaway"));
+    assert_eq!(call_status(&mut gateway, "quote", "", b"crossing"), "200");
+    assert_eq!(gateway.read_response(), None, "a gateway that does not leave is left");
 }
 
 #[test]
-fn a_drain_answers_what_was_read_runs_nothing_late_and_ends_in_time() {
-    let mut town = town();
-    let mut gateway = town.gateway();
-    let (tag, name) = gateway.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    let noticed = Instant::now();
-    town.term();
-    town.logs("told to leave");
+fn drain_answers_open_requests_and_exits_in_time() {
+    let mut harness = start_server();
+    let mut gateway = harness.connect_gateway();
+    let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let signalled_at = Instant::now();
+    harness.send_sigterm();
+    harness.wait_for_log("told to leave");
     // Past the grace nothing runs any more: each request is rejected, and the gateway may go elsewhere.
-    let mut other = town.gateway();
-    while word(&mut other, "quote", "", b"late") != "503" {
-        assert!(noticed.elapsed() < Duration::from_secs(20), "late txns still run");
+    let mut other = harness.connect_gateway();
+    while call_status(&mut other, "quote", "", b"late") != "503" {
+        assert!(signalled_at.elapsed() < Duration::from_secs(20), "late txns still run");
     }
-    assert_eq!(other.check().word, "not_serving");
-    assert_eq!(answer(&mut gateway, tag).word, "500");
-    assert!(town.end().success());
+    assert_eq!(other.check_health().status, "not_serving");
+    assert_eq!(read_response(&mut gateway, tag).status, "500");
+    assert!(harness.wait_for_exit().success());
 }
 
 #[test]
 fn accepting_survives_running_out_of_descriptors() {
-    let town = Town::open(&["sh", "-c", "ulimit -n 40; exec \"$0\"", SERVER[0]], |_| {});
-    let crowd: Vec<Gateway> = (0..60).map(|_| town.gateway()).collect();
-    town.logs("no connection accepted");
+    let harness = ServerHarness::start(&["sh", "-c", "ulimit -n 40; exec \"$0\"", SERVER[0]], |_| {});
+    let crowd: Vec<Gateway> = (0..60).map(|_| harness.connect_gateway()).collect();
+    harness.wait_for_log("no connection accepted");
     drop(crowd);
-    still_serves(&town);
+    assert_serves(&harness);
 }
 
 #[test]
-fn a_log_that_nobody_reads_stops_nothing() {
-    let town = town();
-    town.deaf.store(true, Ordering::Relaxed);
-    let mut gateway = town.gateway();
+fn unread_log_does_not_block_requests() {
+    let harness = start_server();
+    harness.log_paused.store(true, Ordering::Relaxed);
+    let mut gateway = harness.connect_gateway();
     // Every request is traced: far more than a pipe holds.
     for _ in 0..3000 {
-        assert_eq!(word(&mut gateway, "quote", "", b"traced"), "200");
+        assert_eq!(call_status(&mut gateway, "quote", "", b"traced"), "200");
     }
 }
 
 #[test]
-fn a_wrong_configuration_is_named_by_its_key_before_listening() {
+fn invalid_configuration_names_its_key_before_listening() {
     let cases = [
         ("{", "not JSON"),
         ("{}", "name"),
-        (&EXAMPLE.replace("\"127.0.0.1:4100\"", "7"), "listen"),
-        (&EXAMPLE.replace("127.0.0.1:6100", "nowhere"), "agent"),
-        (&EXAMPLE.replace("1500,", "-1,"), "stop_ms"),
-        (&EXAMPLE.replace("\"sockets\": 1024", "\"sockets\": 3"), "limits.sockets"),
-        (&EXAMPLE.replace("\"keyed\"", "\"odd\""), "settings.Lanes[1].Effect"),
+        (&EXAMPLE_CONFIG.replace("\"127.0.0.1:4100\"", "7"), "listen"),
+        (&EXAMPLE_CONFIG.replace("127.0.0.1:6100", "nowhere"), "agent"),
+        (&EXAMPLE_CONFIG.replace("1500,", "-1,"), "stop_ms"),
+        (&EXAMPLE_CONFIG.replace("\"sockets\": 1024", "\"sockets\": 3"), "limits.sockets"),
+        (&EXAMPLE_CONFIG.replace("\"keyed\"", "\"odd\""), "settings.Lanes[1].Effect"),
     ];
     for (text, key) in cases {
         let log = Arc::default();
-        let (mut child, _) = start(SERVER, text, &log, &Arc::default());
+        let (mut child, _) = spawn_server(SERVER, text, &log, &Arc::default());
         assert!(!child.wait().unwrap().success(), "{key}");
-        log.wait("the log's end", |log| log.iter().any(|line| line == "the log ends").then_some(()));
+        log.wait_for("the log's end", |log| log.iter().any(|line| line == "the log ends").then_some(()));
         let lines = log.lock().join("\n");
         assert!(lines.contains(key) && !lines.contains("listens"), "wanted {key}: {lines}");
     }
@@ -612,106 +629,106 @@
 /// second for which it may wait. Cause: it is known to nobody but the list of those who wait, whose deadlines took no notice of the
 /// kill; what the policy holds is answered before it.
 #[test]
-fn a_request_that_waits_for_a_key_is_answered_before_the_kill() {
-    let mut town = Town::open(SERVER, |config| {
+fn request_waiting_for_key_is_answered_before_exit() {
+    let mut harness = ServerHarness::start(SERVER, |config| {
         config["stop_ms"] = json!(700);
         config["settings"]["FamilyInfo"]["Halt"] = json!("silent");
     });
-    let (mut holder, mut waiter) = (town.gateway(), town.gateway());
-    let (_, name) = holder.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
+    let (mut holder, mut waiter) = (harness.connect_gateway(), harness.connect_gateway());
+    let (_, attempt_id) = holder.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
     let (tag, _) = waiter.call("order", KEY, b"of other content");
-    town.logs("waits for its key");
-    town.term();
-    assert_eq!(answer(&mut waiter, tag).word, "503");
-    assert!(town.end().success());
+    harness.wait_for_log("waits for its key");
+    harness.send_sigterm();
+    assert_eq!(read_response(&mut waiter, tag).status, "503");
+    assert!(harness.wait_for_exit().success());
 }
 
 /// The same fault at another moment: its caller's time is up before the second for which it may wait.
 #[test]
-fn a_request_that_waits_for_a_key_is_answered_in_its_own_time() {
+fn request_waiting_for_key_is_answered_by_its_deadline() {
     let time = 600;
-    let town = Town::open(SERVER, |config| {
+    let harness = ServerHarness::start(SERVER, |config| {
         for class in config["settings"]["Lanes"].as_array_mut().unwrap() {
             (class["Promise"], class["GiveUp"]) = (json!(time), json!(time));
         }
         config["settings"]["FamilyInfo"]["Halt"] = json!("silent");
     });
-    let (mut holder, mut waiter) = (town.gateway(), town.gateway());
-    let (_, name) = holder.call("order", KEY, b"hold");
-    town.agent.hears("launch", &name);
-    let called = Instant::now();
+    let (mut holder, mut waiter) = (harness.connect_gateway(), harness.connect_gateway());
+    let (_, attempt_id) = holder.call("order", KEY, b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let called_at = Instant::now();
     let (tag, _) = waiter.call("order", KEY, b"of other content");
-    assert_eq!(answer(&mut waiter, tag).word, "503");
-    assert!(called.elapsed() <= Duration::from_millis(time), "{:?}", called.elapsed());
+    assert_eq!(read_response(&mut waiter, tag).status, "503");
+    assert!(called_at.elapsed() <= Duration::from_millis(time), "{:?}", called_at.elapsed());
 }
 
 /// Symptom: a request under a name that a made-up one had taken a moment before was answered with 500, which an unsafe request's
 /// caller may not try again. Cause: an attempt id that was in flight already failed whoever came second, although the agent refuses
 /// the made-up one as soon as it is to run.
 #[test]
-fn the_name_of_another_request_spoils_nothing_even_if_it_came_first() {
-    let town = town();
-    let (mut good, mut bad) = (town.gateway(), town.gateway());
-    let (made_up, name) = bad.call("quote", "", b"hold, made up");
-    town.agent.hears("launch", &name);
-    let tag = good.call_named(&name, "quote", "", b"an order");
-    town.logs("waits for its attempt id");
-    town.agent.refuse(&name);
-    assert_eq!(answer(&mut bad, made_up).word, "500");
-    let got = answer(&mut good, tag);
-    assert_eq!((got.word.as_str(), got.body), ("200", b"done an order".to_vec()));
+fn forged_attempt_id_does_not_fail_real_request() {
+    let harness = start_server();
+    let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
+    let (forged, attempt_id) = forging.call("quote", "", b"hold, made up");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let tag = genuine.call_with_id(&attempt_id, "quote", "", b"an order");
+    harness.wait_for_log("waits for its attempt id");
+    harness.agent.refuse_run(&attempt_id);
+    assert_eq!(read_response(&mut forging, forged).status, "500");
+    let got = read_response(&mut genuine, tag);
+    assert_eq!((got.status.as_str(), got.body), ("200", b"done an order".to_vec()));
 }
 
 /// The first is the true one, and the second what was made up, or the same once more.
 #[test]
-fn a_second_request_under_a_name_fails_once_the_first_has_run_and_never_runs() {
-    let town = town();
-    let (mut good, mut bad) = (town.gateway(), town.gateway());
-    let (tag, name) = good.call("quote", "", b"hold an order");
-    town.agent.hears("launch", &name);
-    let second = bad.call_named(&name, "quote", "", b"made up");
+fn duplicate_attempt_id_fails_after_first_has_run() {
+    let harness = start_server();
+    let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
+    let (tag, attempt_id) = genuine.call("quote", "", b"hold an order");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let second = forging.call_with_id(&attempt_id, "quote", "", b"made up");
     // Only one waits.
-    let third = good.call_named(&name, "quote", "", b"made up too");
-    assert_eq!(answer(&mut good, third).word, "500");
-    town.agent.finish(&name);
-    assert_eq!(answer(&mut good, tag).word, "200");
-    assert_eq!(answer(&mut bad, second).word, "500");
-    assert_eq!(town.agent.count("launch", ""), 1);
+    let third = genuine.call_with_id(&attempt_id, "quote", "", b"made up too");
+    assert_eq!(read_response(&mut genuine, third).status, "500");
+    harness.agent.finish_run(&attempt_id);
+    assert_eq!(read_response(&mut genuine, tag).status, "200");
+    assert_eq!(read_response(&mut forging, second).status, "500");
+    assert_eq!(harness.agent.command_count("launch", ""), 1);
     // Its name is free again, and nothing is left of who waited for it.
-    let again = bad.call_named(&name, "quote", "", b"quick");
-    assert_eq!(answer(&mut bad, again).word, "200");
+    let again = forging.call_with_id(&attempt_id, "quote", "", b"quick");
+    assert_eq!(read_response(&mut forging, again).status, "200");
 }
 
 /// It has a second, or its own time, or until the kill, as one that waits for a key; then it fails, since the first may be the same.
 #[test]
-fn a_second_request_under_a_name_is_answered_in_time_while_the_first_runs_on() {
-    let mut town = Town::open(SERVER, |config| {
+fn duplicate_attempt_id_is_answered_while_first_runs() {
+    let mut harness = ServerHarness::start(SERVER, |config| {
         config["stop_ms"] = json!(700);
         config["settings"]["FamilyInfo"]["Halt"] = json!("silent");
     });
-    let (mut first, mut second) = (town.gateway(), town.gateway());
-    let (_, name) = first.call("quote", "", b"hold");
-    town.agent.hears("launch", &name);
-    let called = Instant::now();
-    let tag = second.call_named(&name, "quote", "", b"made up");
-    assert_eq!(answer(&mut second, tag).word, "500");
-    assert!(called.elapsed() <= Duration::from_millis(1500), "{:?}", called.elapsed());
-    let tag = second.call_named(&name, "quote", "", b"made up too");
-    town.logs("waits for its attempt id");
-    town.term();
-    assert_eq!(answer(&mut second, tag).word, "500");
-    assert!(town.end().success());
+    let (mut first, mut second) = (harness.connect_gateway(), harness.connect_gateway());
+    let (_, attempt_id) = first.call("quote", "", b"hold");
+    harness.agent.wait_for_command("launch", &attempt_id);
+    let called_at = Instant::now();
+    let tag = second.call_with_id(&attempt_id, "quote", "", b"made up");
+    assert_eq!(read_response(&mut second, tag).status, "500");
+    assert!(called_at.elapsed() <= Duration::from_millis(1500), "{:?}", called_at.elapsed());
+    let tag = second.call_with_id(&attempt_id, "quote", "", b"made up too");
+    harness.wait_for_log("waits for its attempt id");
+    harness.send_sigterm();
+    assert_eq!(read_response(&mut second, tag).status, "500");
+    assert!(harness.wait_for_exit().success());
 }
 
 /// Symptom: while one client sent well-formed requests that the agent does not know, on 8 connections with 30 open on each, another
 /// client's requests were rejected for as long as that went on. Cause: each made-up request was queued, counted against its tenant's
 /// quota and held a place until the agent had refused it, so that true ones stood behind as many as the flood kept open.
 #[test]
-fn a_flood_of_requests_that_the_agent_does_not_know_starves_nobody_else() {
+fn flood_of_unknown_requests_does_not_starve_others() {
     const FLOODERS: usize = 8;
     const OPEN_EACH: usize = 30;
-    let town = Town::open(SERVER, |config| {
+    let harness = ServerHarness::start(SERVER, |config| {
         for class in config["settings"]["Lanes"].as_array_mut().unwrap() {
             (class["Promise"], class["GiveUp"]) = (json!(2_000), json!(4_000));
         }
@@ -719,11 +736,11 @@
     let over = Arc::new(AtomicBool::new(false));
     let flooders: Vec<_> = (0..FLOODERS)
         .map(|_| {
-            let (mut gateway, over) = (town.gateway(), over.clone());
+            let (mut gateway, over) = (harness.connect_gateway(), over.clone());
             std::thread::spawn(move || {
                 (0..OPEN_EACH).for_each(|_| drop(gateway.call("quote", "", b"refuse slowly")));
                 while !over.load(Ordering::Relaxed) {
-                    if gateway.answer().expect("an answer").word == "503" {
+                    if gateway.read_response().expect("an answer").status == "503" {
                         // It is to keep the queue full, not the machine busy.
                         std::thread::sleep(Duration::from_millis(5));
                     }
@@ -733,10 +750,10 @@
         })
         .collect();
     // From here on more than the first of each connection are refused.
-    town.agent.hears_times("launch", 10 * FLOODERS);
-    let mut gateway = town.gateway();
+    harness.agent.wait_for_commands("launch", 10 * FLOODERS);
+    let mut gateway = harness.connect_gateway();
     for _ in 0..20 {
-        assert_eq!(word(&mut gateway, "quote", "", b"quick"), "200");
+        assert_eq!(call_status(&mut gateway, "quote", "", b"quick"), "200");
     }
     over.store(true, Ordering::Relaxed);
     flooders.into_iter().for_each(|flooder| flooder.join().unwrap());
@@ -744,24 +761,24 @@
 
 /// A connection whose requests the agent refused may bring true ones too: they are rejected for a moment at the most, and never fail.
 #[test]
-fn a_connection_that_brought_requests_that_the_agent_does_not_know_is_served_again() {
-    let town = town();
-    let mut gateway = town.gateway();
+fn connection_recovers_after_unknown_requests() {
+    let harness = start_server();
+    let mut gateway = harness.connect_gateway();
     let mut rejected = 0;
     for _ in 0..20 {
-        rejected += usize::from(word(&mut gateway, "quote", "", b"refuse") == "503");
+        rejected += usize::from(call_status(&mut gateway, "quote", "", b"refuse") == "503");
     }
-    assert!(rejected > 0 && town.agent.count("launch", "") < 20, "{rejected} rejected");
+    assert!(rejected > 0 && harness.agent.command_count("launch", "") < 20, "{rejected} rejected");
     let end = Instant::now() + Duration::from_secs(20);
-    while word(&mut gateway, "quote", "", b"quick") != "200" {
+    while call_status(&mut gateway, "quote", "", b"quick") != "200" {
         assert!(Instant::now() < end, "it is rejected for good");
         std::thread::yield_now();
     }
     // A few that it does not know are nobody's harm, and one that it knows clears the connection.
     for _ in 0..3 {
         for _ in 0..4 {
-            assert_eq!(word(&mut gateway, "quote", "", b"refuse"), "500");
+            assert_eq!(call_status(&mut gateway, "quote", "", b"refuse"), "500");
         }
-        assert_eq!(word(&mut gateway, "quote", "", b"quick"), "200");
+        assert_eq!(call_status(&mut gateway, "quote", "", b"quick"), "200");
     }
 }
--- a/crates/server/tests/trace.rs
+++ b/crates/server/tests/trace.rs
@@ -1,7 +1,7 @@
-//! Stories of a server that keeps a trace: what its file tells is what its gateways heard.
+//! Stories of a server that keeps a trace: what its file tells is what its gateways received.
 
-use puffinladder_toy::gateway::{now, Gateway};
-use puffinladder_toy::town::Town;
+use puffinladder_toy::gateway::{unix_time_ms, Gateway};
+use puffinladder_toy::harness::ServerHarness;
 use puffinladder_trace::anonymise::parse_key;
 use puffinladder_trace::file::Kind;
 use puffinladder_trace::recorder::{key_hash, keyed};
@@ -15,28 +15,28 @@
 use std::time::{Duration, Instant};
 
 const SERVER: &str = env!("CARGO_BIN_EXE_puffinladder-server");
-const HEX: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
+const KEY_HEX: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const KEY: &str = ",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 /// A folder with settings that ask for a trace in it.
-fn settings(folder: &Path, more: &str) -> String {
+fn write_settings(folder: &Path, options: &str) -> String {
     let (key, file) = (folder.join("key"), folder.join("ours.scm"));
-    std::fs::write(&key, HEX).unwrap();
+    std::fs::write(&key, KEY_HEX).unwrap();
     let (traces, key) = (folder.join("traces"), key.display());
-    let text = format!("(trace (folder \"{}\") (key-file \"{key}\") {more})", traces.display());
+    let text = format!("(trace (folder \"{}\") (key-file \"{key}\") {options})", traces.display());
     std::fs::write(&file, text).unwrap();
     file.display().to_string()
 }
 
 /// A server that records, whose runs nobody can halt: they outlive their answers.
-fn town(settings: &str) -> Town {
+fn start_server(settings: &str) -> ServerHarness {
     let settings = format!("PUFFINLADDER_SETTINGS={settings}");
-    Town::open(&["env", &settings, SERVER], |config| {
+    ServerHarness::start(&["env", &settings, SERVER], |config| {
         config["settings"]["FamilyInfo"]["Halt"] = "silent".into()
     })
 }
 
-fn files(folder: &Path) -> Vec<PathBuf> {
+fn trace_files(folder: &Path) -> Vec<PathBuf> {
     let Ok(found) = std::fs::read_dir(folder.join("traces")) else { return Vec::new() };
     let mut all: Vec<PathBuf> = found.map(|entry| entry.unwrap().path()).collect();
     all.sort();
@@ -46,7 +46,7 @@
 /// Rows of all files by the hash of their try's name, with the words of their steps.
 fn recorded_rows(folder: &Path, names: &mut Names) -> BTreeMap<u32, (Row, Vec<String>)> {
     let mut all = BTreeMap::new();
-    for path in files(folder) {
+    for path in trace_files(folder) {
         let Ok(mut trace) = Trace::open(File::open(path).unwrap()) else { continue };
         let mut rows = Vec::new();
         for entry in trace.entries.clone() {
@@ -60,17 +60,17 @@
     all
 }
 
-fn hash(name: &str) -> u32 {
-    keyed(&parse_key(HEX).unwrap(), name.as_bytes()) as u32
+fn attempt_hash(name: &str) -> u32 {
+    keyed(&parse_key(KEY_HEX).unwrap(), name.as_bytes()) as u32
 }
 
 #[test]
-fn a_drained_server_leaves_a_sealed_trace_that_tells_each_request_and_why() {
+fn drained_server_seals_complete_trace() {
     let folder = tempfile::tempdir().unwrap();
-    let mut town = town(&settings(folder.path(), "(block-span 0.2s)"));
-    let mut gateway = town.gateway();
+    let mut harness = start_server(&write_settings(folder.path(), "(block-span 0.2s)"));
+    let mut gateway = harness.connect_gateway();
     let mut sent = BTreeMap::new();
-    let stale = format!(",s={}", now() - 5000);
+    let stale = format!(",s={}", unix_time_ms() - 5000);
     for (class, more, body) in [
         ("quote", "", "plain"),
         ("quote", stale.as_str(), "too old"),
@@ -80,30 +80,30 @@
         ("order", KEY, "an order"),
     ] {
         let (tag, name) = gateway.call(class, more, body.as_bytes());
-        let answer = gateway.answer().unwrap();
+        let answer = gateway.read_response().unwrap();
         assert_eq!(answer.tag, tag);
-        sent.insert(hash(&name), (answer, class));
+        sent.insert(attempt_hash(&name), (answer, class));
     }
     let (tag, held) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &held);
+    harness.agent.wait_for_command("launch", &held);
     gateway.cancel(tag);
-    town.logs("gone");
+    harness.wait_for_log("gone");
     let (_, open) = gateway.call("quote", "", b"hold");
-    town.agent.hears("launch", &open);
-    town.term();
-    assert!(town.end().success());
+    harness.agent.wait_for_command("launch", &open);
+    harness.send_sigterm();
+    assert!(harness.wait_for_exit().success());
 
     let mut names = Names::default();
     let rows = recorded_rows(folder.path(), &mut names);
     assert_eq!(rows.len(), 8);
     for (name, (answer, class)) in &sent {
         let (row, steps) = &rows[name];
-        let word = match names.steps(row.path).fate().word() {
+        let status = match names.steps(row.path).fate().word() {
             "settled" => "200",
             "declined" => "503",
             _ => "500",
         };
-        assert_eq!(word, answer.word, "{steps:?}");
+        assert_eq!(status, answer.status, "{steps:?}");
         assert_eq!(&names.terms(row.product).name, class);
         assert_eq!((names.text(row.customer), row.caller, names.text(row.node)), ("acme", 1, "toy-1"));
         assert_eq!(
@@ -115,7 +115,7 @@
         assert_eq!(row.key != 0, *class == "order");
     }
     let all: Vec<String> = rows.values().map(|(_, steps)| steps.join(", ")).collect();
-    for wanted in [
+    for expected in [
         "run, ended (done), settled",
         "declined (waited)",
         "run, ended (failed), voided (run failed)",
@@ -123,17 +123,17 @@
         "replayed, settled",
         "run, gone",
     ] {
-        assert!(all.iter().any(|steps| steps == wanted), "{wanted} is not in {all:?}");
+        assert!(all.iter().any(|steps| steps == expected), "{expected} is not in {all:?}");
     }
     // Still open at the kill: its answer went out before, and its page is closed all the same.
-    let steps = &rows[&hash(&open)].1;
-    assert_eq!(gateway.answer().unwrap().word, "500");
+    let steps = &rows[&attempt_hash(&open)].1;
+    assert_eq!(gateway.read_response().unwrap().status, "500");
     assert_eq!(steps.join(", "), "run, voided (due)");
-    let key = key_hash(&parse_key(HEX).unwrap(), &KEY.as_bytes()[3..]);
+    let key = key_hash(&parse_key(KEY_HEX).unwrap(), &KEY.as_bytes()[3..]);
     assert_eq!(rows.values().filter(|(row, _)| row.key == key).count(), 2);
 
     let mut state = Vec::new();
-    for path in files(folder.path()) {
+    for path in trace_files(folder.path()) {
         let mut trace = Trace::open(File::open(&path).unwrap()).unwrap();
         assert!(trace.sealed && trace.damage.is_empty(), "{path:?}");
         state.extend(notes(&mut trace, &mut names, &Choice::default(), &mut Vec::new()).unwrap());
@@ -147,46 +147,47 @@
 }
 
 #[test]
-fn a_server_killed_under_load_leaves_a_trace_that_agrees_with_every_answer_it_tells_of() {
+fn trace_of_killed_server_agrees_with_responses() {
     let folder = tempfile::tempdir().unwrap();
-    let mut town = town(&settings(folder.path(), "(block-rows 64) (block-span 600s)"));
-    let server = town.server;
+    let mut harness = start_server(&write_settings(folder.path(), "(block-rows 64) (block-span 600s)"));
+    let server = harness.address;
     let load = move |id: usize| {
-        let mut gateway = Gateway::open(server);
-        let mut heard: Vec<(u32, String)> = Vec::new();
+        let mut gateway = Gateway::connect(server);
+        let mut received: Vec<(u32, String)> = Vec::new();
         // Bounded: the kill comes long before.
         for at in 0..100_000 {
             let body = if at % 7 == id { "fail" } else { "quick" };
-            let Some((name, word)) = try_call(&mut gateway, body) else { break };
-            heard.push((hash(&name), word));
+            let Some((name, status)) = call_until_closed(&mut gateway, body) else { break };
+            received.push((attempt_hash(&name), status));
         }
-        heard
+        received
     };
     let gateways: Vec<_> = (0..3).map(|id| std::thread::spawn(move || load(id))).collect();
     let end = Instant::now() + Duration::from_secs(20);
     let blocks = || {
-        let trace = files(folder.path()).first().and_then(|path| Trace::open(File::open(path).ok()?).ok());
+        let trace =
+            trace_files(folder.path()).first().and_then(|path| Trace::open(File::open(path).ok()?).ok());
         trace.map_or(0, |trace| trace.count(Kind::Rows))
     };
     while blocks() < 256 {
         assert!(Instant::now() < end, "no block is written");
         std::thread::yield_now();
     }
-    town.child.kill().unwrap();
-    town.end();
-    let heard: Vec<_> = gateways.into_iter().map(|thread| thread.join().unwrap()).collect();
+    harness.child.kill().unwrap();
+    harness.wait_for_exit();
+    let received: Vec<_> = gateways.into_iter().map(|thread| thread.join().unwrap()).collect();
 
     let mut names = Names::default();
     let rows = recorded_rows(folder.path(), &mut names);
     assert!(rows.len() >= 256, "{}", rows.len());
-    for gateway in &heard {
+    for gateway in &received {
         let mut missing = false;
-        for (name, word) in gateway {
+        for (name, status) in gateway {
             match rows.get(name) {
                 Some((row, steps)) => {
                     assert!(!missing, "a txn is missing that was answered before one that is there");
                     let settled = names.steps(row.path).fate().word() == "settled";
-                    assert_eq!(settled, word == "200", "{word}: {steps:?}");
+                    assert_eq!(settled, status == "200", "{status}: {steps:?}");
                 }
                 None => missing = true,
             }
@@ -194,36 +195,37 @@
     }
 }
 
-/// The name and the answer's word, until the connection ends.
-fn try_call(gateway: &mut Gateway, body: &str) -> Option<(String, String)> {
+/// The name and the answer's status, until the connection ends.
+fn call_until_closed(gateway: &mut Gateway, body: &str) -> Option<(String, String)> {
     use std::panic::{catch_unwind, AssertUnwindSafe};
     // Sending panics once the server is gone.
     let (_, name) = catch_unwind(AssertUnwindSafe(|| gateway.call("quote", "", body.as_bytes()))).ok()?;
-    gateway.answer().map(|answer| (name, answer.word))
+    gateway.read_response().map(|answer| (name, answer.status))
 }
 
 #[test]
-fn settings_that_are_wrong_end_the_start_with_every_fault_at_its_place() {
+fn invalid_settings_report_every_error_with_position() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("ours.scm");
     std::fs::write(&file, "(trace\n  (block-rows 1)\n  (folder 5))").unwrap();
     let config = folder.path().join("config.json");
-    std::fs::write(&config, puffinladder_toy::town::EXAMPLE).unwrap();
+    std::fs::write(&config, puffinladder_toy::harness::EXAMPLE_CONFIG).unwrap();
     let out = Command::new(SERVER)
         .env("PUFFINLADDER_SETTINGS", &file)
         .env("BALANCER_CONFIG", &config)
         .output()
         .unwrap();
-    let said = String::from_utf8(out.stderr).unwrap();
-    assert_eq!(out.status.code(), Some(1), "{said}");
+    let errors = String::from_utf8(out.stderr).unwrap();
+    assert_eq!(out.status.code(), Some(1), "{errors}");
     assert!(
-        said.contains("ours.scm:2:15: trace.block-rows: ") && said.contains("ours.scm:3:11: trace.folder: "),
-        "{said}"
+        errors.contains("ours.scm:2:15: trace.block-rows: ")
+            && errors.contains("ours.scm:3:11: trace.folder: "),
+        "{errors}"
     );
 }
 
 #[test]
-fn help_is_help_and_an_unknown_flag_is_refused() {
+fn prints_help_and_rejects_unknown_flag() {
     let run = |flag: &str| Command::new(SERVER).arg(flag).output().unwrap();
     let help = run("--help");
     assert!(help.status.success() && String::from_utf8_lossy(&help.stdout).contains("BALANCER_CONFIG"));
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -1,9 +1,9 @@
 //! What the process puts on its wires, byte for byte: RESP to gateways, JSON lines to the agent, HTTP to store and
 //! registry. The peers here are bare sockets, so that nothing between them and the process can hide a change.
 
-use puffinladder_toy::gateway::{message, now};
-use puffinladder_toy::town::{start, EXAMPLE};
-use puffinladder_toy::PATIENCE;
+use puffinladder_toy::gateway::{encode_command, unix_time_ms};
+use puffinladder_toy::harness::{spawn_server, EXAMPLE_CONFIG};
+use puffinladder_toy::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -16,7 +16,7 @@
 }
 
 /// The next line of the agent's link that is no poll of the gauges; those are compared and passed over.
-fn command(link: &mut BufReader<TcpStream>) -> String {
+fn next_command(link: &mut BufReader<TcpStream>) -> String {
     loop {
         let mut line = String::new();
         link.read_line(&mut line).unwrap();
@@ -27,7 +27,7 @@
 }
 
 /// One HTTP request with its body.
-fn request(stream: &mut TcpStream) -> String {
+fn read_request(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     loop {
         let mut byte = [0];
@@ -42,64 +42,67 @@
     }
 }
 
-fn answer(gateway: &mut TcpStream, wanted: &str) {
-    let mut got = vec![0; wanted.len()];
+fn assert_response(gateway: &mut TcpStream, expected: &str) {
+    let mut got = vec![0; expected.len()];
     gateway.read_exact(&mut got).unwrap();
-    assert_eq!(String::from_utf8_lossy(&got), wanted);
+    assert_eq!(String::from_utf8_lossy(&got), expected);
 }
 
 #[test]
-fn every_kind_of_message_goes_out_byte_for_byte_as_the_peers_know_it() {
-    let (agent, store, roster) = (listener(), listener(), listener());
-    let mut config: Value = serde_json::from_str(EXAMPLE).unwrap();
+fn wire_messages_match_protocol_byte_for_byte() {
+    let (agent, store, registry) = (listener(), listener(), listener());
+    let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG).unwrap();
     config["listen"] = json!("127.0.0.1:0");
     config["agent"] = json!(agent.local_addr().unwrap());
     config["store"] = json!(store.local_addr().unwrap());
-    config["roster"] = json!(roster.local_addr().unwrap());
+    config["roster"] = json!(registry.local_addr().unwrap());
     config["settings"]["FamilyInfo"]["Signal"] = json!("silent");
     config["settings"]["Lanes"][0]["Promise"] = json!(1e300);
     config["settings"]["Lanes"][0]["GiveUp"] = json!(1e300);
     let log = Arc::default();
-    let (mut child, _) = start(SERVER, &config.to_string(), &log, &Arc::default());
-    let server = log.wait("the server to listen", |log: &mut Vec<String>| {
+    let (mut child, _) = spawn_server(SERVER, &config.to_string(), &log, &Arc::default());
+    let server = log.wait_for("the server to listen", |log: &mut Vec<String>| {
         log.iter().find_map(|line| line.split_once("listens on ")?.1.parse::<std::net::SocketAddr>().ok())
     });
 
-    let stamp = now();
+    let stamp = unix_time_ms();
 
     // The agent's link: where to go on, then the mark behind old notices.
     let link = agent.accept().unwrap().0;
-    link.set_read_timeout(Some(PATIENCE)).unwrap();
-    let mut say = link.try_clone().unwrap();
+    link.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    let mut agent_input = link.try_clone().unwrap();
     let mut link = BufReader::new(link);
-    assert_eq!(command(&mut link), "{\"op\":\"subscribe\",\"seq\":0}\n");
-    say.write_all(b"{\"op\":\"greeting\",\"end\":\"up\"}\n").unwrap();
+    assert_eq!(next_command(&mut link), "{\"op\":\"subscribe\",\"seq\":0}\n");
+    agent_input.write_all(b"{\"op\":\"greeting\",\"end\":\"up\"}\n").unwrap();
     let mut mark = String::new();
     link.read_line(&mut mark).unwrap();
     assert_eq!(mark, "{\"op\":\"sample\",\"tag\":\"mark\"}\n");
-    say.write_all(b"{\"op\":\"sampled\",\"tag\":\"mark\",\"values\":[]}\n").unwrap();
+    agent_input.write_all(b"{\"op\":\"sampled\",\"tag\":\"mark\",\"values\":[]}\n").unwrap();
 
     // The registry's report.
-    let mut report = roster.accept().unwrap().0;
-    let wanted = "PUT /roster/toy-1 HTTP/1.1\r\nHost: roster\r\nContent-Length: 13\r\n\r\n{\"duty\":\"on\"}";
-    assert_eq!(request(&mut report), wanted);
+    let mut report = registry.accept().unwrap().0;
+    let expected =
+        "PUT /roster/toy-1 HTTP/1.1\r\nHost: roster\r\nContent-Length: 13\r\n\r\n{\"duty\":\"on\"}";
+    assert_eq!(read_request(&mut report), expected);
     report.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
 
     // A health check, a message that can't be read, a run with a call that is answered.
     let mut gateway = TcpStream::connect(server).unwrap();
-    gateway.set_read_timeout(Some(PATIENCE)).unwrap();
-    gateway.write_all(&message(&[b"CHECK", b"1", b""])).unwrap();
-    answer(&mut gateway, "*3\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n");
-    gateway.write_all(&message(&[b"CALL", b"2", b"nothing", b"", b""])).unwrap();
-    answer(&mut gateway, "*4\r\n$1\r\n2\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n");
+    gateway.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    gateway.write_all(&encode_command(&[b"CHECK", b"1", b""])).unwrap();
+    assert_response(&mut gateway, "*3\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n");
+    gateway.write_all(&encode_command(&[b"CALL", b"2", b"nothing", b"", b""])).unwrap();
+    assert_response(&mut gateway, "*4\r\n$1\r\n2\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n");
     let fields = format!("i=00000000000000aa,s={stamp},t=acme,m=1");
-    gateway.write_all(&message(&[b"CALL", b"3", b"quote", fields.as_bytes(), b"body"])).unwrap();
-    let wanted =
+    gateway.write_all(&encode_command(&[b"CALL", b"3", b"quote", fields.as_bytes(), b"body"])).unwrap();
+    let expected =
         "{\"op\":\"launch\",\"id\":\"00000000000000aa\",\"class\":\"quote\",\"body\":\"Ym9keQ==\"}\n";
-    assert_eq!(command(&mut link), wanted);
-    say.write_all(b"{\"op\":\"request\",\"seq\":1,\"id\":\"00000000000000aa\",\"body\":\"YXNr\"}\n").unwrap();
+    assert_eq!(next_command(&mut link), expected);
+    agent_input
+        .write_all(b"{\"op\":\"request\",\"seq\":1,\"id\":\"00000000000000aa\",\"body\":\"YXNr\"}\n")
+        .unwrap();
     let mut call = store.accept().unwrap().0;
-    let text = request(&mut call);
+    let text = read_request(&mut call);
     let (before, after) = text.split_once("X-Wait-Ms: ").unwrap();
     assert_eq!(before, "POST /query HTTP/1.1\r\nHost: store\r\nX-For-Request: 00000000000000aa\r\n");
     let (wait, rest) = after.split_once("\r\n").unwrap();
@@ -107,32 +110,34 @@
     assert_eq!(rest, "Content-Length: 3\r\n\r\nask");
     call.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply").unwrap();
     assert_eq!(
-        command(&mut link),
+        next_command(&mut link),
         "{\"op\":\"deliver\",\"id\":\"00000000000000aa\",\"body\":\"cmVwbHk=\"}\n"
     );
 
     // Its next call fails and is left out; then it ends.
-    say.write_all(b"{\"op\":\"request\",\"seq\":2,\"id\":\"00000000000000aa\",\"body\":\"\"}\n").unwrap();
+    agent_input
+        .write_all(b"{\"op\":\"request\",\"seq\":2,\"id\":\"00000000000000aa\",\"body\":\"\"}\n")
+        .unwrap();
     let mut call = store.accept().unwrap().0;
-    request(&mut call);
+    read_request(&mut call);
     call.write_all(b"HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(command(&mut link), "{\"op\":\"forgo\",\"id\":\"00000000000000aa\",\"seq\":2}\n");
+    assert_eq!(next_command(&mut link), "{\"op\":\"forgo\",\"id\":\"00000000000000aa\",\"seq\":2}\n");
     let end = b"{\"op\":\"outcome\",\"seq\":3,\"id\":\"00000000000000aa\",\"end\":\"fine\",\"ms\":1,\"body\":\"ZW5k\"}\n";
-    say.write_all(end).unwrap();
-    answer(&mut gateway, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nend\r\n");
+    agent_input.write_all(end).unwrap();
+    assert_response(&mut gateway, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nend\r\n");
 
     // A cancelled one is taken off the cores.
     let fields = format!("i=00000000000000bb,s={stamp},t=acme,m=1");
-    gateway.write_all(&message(&[b"CALL", b"4", b"quote", fields.as_bytes(), b""])).unwrap();
-    let wanted = "{\"op\":\"launch\",\"id\":\"00000000000000bb\",\"class\":\"quote\",\"body\":\"\"}\n";
-    assert_eq!(command(&mut link), wanted);
-    gateway.write_all(&message(&[b"CANCEL", b"4"])).unwrap();
-    assert_eq!(command(&mut link), "{\"op\":\"freeze\",\"id\":\"00000000000000bb\"}\n");
+    gateway.write_all(&encode_command(&[b"CALL", b"4", b"quote", fields.as_bytes(), b""])).unwrap();
+    let expected = "{\"op\":\"launch\",\"id\":\"00000000000000bb\",\"class\":\"quote\",\"body\":\"\"}\n";
+    assert_eq!(next_command(&mut link), expected);
+    gateway.write_all(&encode_command(&[b"CANCEL", b"4"])).unwrap();
+    assert_eq!(next_command(&mut link), "{\"op\":\"freeze\",\"id\":\"00000000000000bb\"}\n");
 
     // The notice to drain: a report, a goodbye and the end.
     let killed = std::process::Command::new("kill").arg(child.id().to_string()).status().unwrap();
     assert!(killed.success());
-    answer(&mut gateway, "*2\r\n$1\r\n0\r\n$6\r\ngoaway\r\n");
+    assert_response(&mut gateway, "*2\r\n$1\r\n0\r\n$6\r\ngoaway\r\n");
     assert_eq!(gateway.read(&mut [0]).unwrap(), 0);
     assert!(child.wait().unwrap().success());
 }
--- a/examples/toy/src/gateway.rs
+++ b/examples/toy/src/gateway.rs
@@ -1,6 +1,6 @@
 //! One connection of a gateway.
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,9 +8,9 @@
 
 /// The answer to a tag.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub tag: u64,
-    pub word: String,
+    pub status: String,
     pub fields: String,
     pub body: Vec<u8>,
 }
@@ -22,31 +22,31 @@
 }
 
 /// The Unix clock in milliseconds, as stamps have it.
-pub fn now() -> u128 {
+pub fn unix_time_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock past 1970").as_millis()
 }
 
 /// Names are new with every try.
-static NAMES: AtomicU64 = AtomicU64::new(1);
+static NEXT_ATTEMPT_ID: AtomicU64 = AtomicU64::new(1);
 
 impl Gateway {
-    pub fn open(server: SocketAddr) -> Gateway {
+    pub fn connect(server: SocketAddr) -> Gateway {
         let stream = TcpStream::connect(server).expect("a server that accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Gateway { stream, input: Vec::new(), tag: 0 }
     }
 
     /// Sends a txn under a new name, which it returns with the tag.
     pub fn call(&mut self, class: &str, more: &str, body: &[u8]) -> (u64, String) {
-        let name = format!("{:016x}", NAMES.fetch_add(1, Ordering::Relaxed));
-        (self.call_named(&name, class, more, body), name)
+        let name = format!("{:016x}", NEXT_ATTEMPT_ID.fetch_add(1, Ordering::Relaxed));
+        (self.call_with_id(&name, class, more, body), name)
     }
 
     /// Sends a txn under this name, and returns its tag.
-    pub fn call_named(&mut self, name: &str, class: &str, more: &str, body: &[u8]) -> u64 {
-        let now = now();
-        let fields = format!("i={name},s={now},f=1,t=acme,h=10.5,m=20.5,p=0.5{more}");
+    pub fn call_with_id(&mut self, attempt_id: &str, class: &str, more: &str, body: &[u8]) -> u64 {
+        let now = unix_time_ms();
+        let fields = format!("i={attempt_id},s={now},f=1,t=acme,h=10.5,m=20.5,p=0.5{more}");
         self.tag += 1;
         let tag = self.tag.to_string();
         self.send(&[b"CALL", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
@@ -54,7 +54,7 @@
     }
 
     /// Reads to the end of the connection; an error if it was reset.
-    pub fn end(&mut self) -> std::io::Result<()> {
+    pub fn read_to_end(&mut self) -> std::io::Result<()> {
         self.stream.read_to_end(&mut Vec::new()).map(drop)
     }
 
@@ -63,26 +63,26 @@
     }
 
     /// The answer to a health check.
-    pub fn check(&mut self) -> Answer {
+    pub fn check_health(&mut self) -> Response {
         self.tag += 1;
         let tag = self.tag.to_string();
         self.send(&[b"CHECK", tag.as_bytes(), b""]);
-        self.answer().expect("an answer to a check")
+        self.read_response().expect("an answer to a check")
     }
 
     pub fn send(&mut self, elements: &[&[u8]]) {
-        self.stream.write_all(&message(elements)).expect("a connection that takes bytes");
+        self.stream.write_all(&encode_command(elements)).expect("a connection that takes bytes");
     }
 
     /// The next answer, or `None` at the end of the connection. A notice to leave has tag 0.
-    pub fn answer(&mut self) -> Option<Answer> {
+    pub fn read_response(&mut self) -> Option<Response> {
         loop {
-            if let Some((elements, size)) = array(&self.input) {
+            if let Some((elements, size)) = decode_array(&self.input) {
                 self.input.drain(..size);
                 let text = |at: usize| elements.get(at).map(|e| String::from_utf8_lossy(e).into_owned());
-                return Some(Answer {
+                return Some(Response {
                     tag: text(0).and_then(|tag| tag.parse().ok()).expect("a tag"),
-                    word: text(1).expect("a word"),
+                    status: text(1).expect("a word"),
                     fields: text(2).unwrap_or_default(),
                     body: elements.get(3).cloned().unwrap_or_default(),
                 });
@@ -99,7 +99,7 @@
 }
 
 /// An array of bulk strings, as bytes.
-pub fn message(elements: &[&[u8]]) -> Vec<u8> {
+pub fn encode_command(elements: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", elements.len()).into_bytes();
     for element in elements {
         out.extend(format!("${}\r\n", element.len()).as_bytes());
@@ -110,7 +110,7 @@
 }
 
 /// The first array, if it is whole, and its size.
-fn array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
+fn decode_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
     let mut at = 0;
     let number = |from: &mut usize| -> Option<usize> {
         let end = bytes[*from..].windows(2).position(|pair| pair == b"\r\n")? + *from;
--- a/examples/toy/src/town.rs
+++ b/examples/toy/src/harness.rs
@@ -2,8 +2,8 @@
 
 use crate::agent::Agent;
 use crate::gateway::Gateway;
-use crate::http::Place;
-use crate::Watched;
+use crate::http::HttpStandIn;
+use crate::Monitor;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 use std::thread;
 
 /// The example's configuration, on which stories change what they need.
-pub const EXAMPLE: &str = include_str!("../../server.json");
+pub const EXAMPLE_CONFIG: &str = include_str!("../../server.json");
 
-pub struct Town {
+pub struct ServerHarness {
     pub agent: Agent,
-    pub store: Place,
-    pub roster: Place,
-    pub server: SocketAddr,
+    pub store: HttpStandIn,
+    pub registry: HttpStandIn,
+    pub address: SocketAddr,
     /// Lines of the server's log.
-    pub log: Arc<Watched<Vec<String>>>,
+    pub log: Arc<Monitor<Vec<String>>>,
     /// Nobody reads the log any more.
-    pub deaf: Arc<AtomicBool>,
+    pub log_paused: Arc<AtomicBool>,
     pub child: Child,
-    told: Value,
-    path: PathBuf,
+    config: Value,
+    config_path: PathBuf,
 }
 
 /// Starts `program` with this configuration, and says where that lies; its log comes line by line.
-pub fn start(
+pub fn spawn_server(
     program: &[&str],
     text: &str,
-    log: &Arc<Watched<Vec<String>>>,
-    deaf: &Arc<AtomicBool>,
+    log: &Arc<Monitor<Vec<String>>>,
+    log_paused: &Arc<AtomicBool>,
 ) -> (Child, PathBuf) {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let serial = FILES.fetch_add(1, Ordering::Relaxed);
@@ -52,76 +52,79 @@
         .spawn()
         .expect("the server's program");
     let (lines, log) = (BufReader::new(child.stderr.take().expect("its log")), log.clone());
-    let (deaf, file) = (deaf.clone(), path.clone());
+    let (log_paused, file) = (log_paused.clone(), path.clone());
     thread::spawn(move || {
         let mut lines = lines.lines().map_while(Result::ok);
         lines.by_ref().for_each(|line| {
-            log.change(|log| log.push(line));
-            while deaf.load(Ordering::Relaxed) {
+            log.update(|log| log.push(line));
+            while log_paused.load(Ordering::Relaxed) {
                 thread::park();
             }
         });
-        log.change(|log| log.push("the log ends".into()));
+        log.update(|log| log.push("the log ends".into()));
         let _ = std::fs::remove_file(file);
     });
     (child, path)
 }
 
-impl Town {
+impl ServerHarness {
     /// A town that serves.
-    pub fn open(program: &[&str], change: impl FnOnce(&mut Value)) -> Town {
-        let town = Town::found(program, true, change);
-        town.agent.hears("sample", "");
-        town
+    pub fn start(program: &[&str], change: impl FnOnce(&mut Value)) -> ServerHarness {
+        let harness = ServerHarness::spawn(program, true, change);
+        harness.agent.wait_for_command("sample", "");
+        harness
     }
 
     /// A town whose agent may not have come up yet.
-    pub fn found(program: &[&str], greet: bool, change: impl FnOnce(&mut Value)) -> Town {
+    pub fn spawn(program: &[&str], agent_ready: bool, change: impl FnOnce(&mut Value)) -> ServerHarness {
         let any = "127.0.0.1:0";
-        let (agent, store, roster) = (Agent::open(any, greet), Place::store(any), Place::roster(any));
-        let mut told: Value = serde_json::from_str(EXAMPLE).expect("an example that is JSON");
-        told["listen"] = json!(any);
-        told["agent"] = json!(agent.address);
-        told["store"] = json!(store.address);
-        told["roster"] = json!(roster.address);
-        change(&mut told);
-        let (log, deaf) = (Arc::default(), Arc::default());
-        let (child, path) = start(program, &told.to_string(), &log, &deaf);
-        let server = log.wait("the server to listen", |log| {
+        let (agent, store, registry) =
+            (Agent::start(any, agent_ready), HttpStandIn::start_store(any), HttpStandIn::start_registry(any));
+        let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG).expect("an example that is JSON");
+        config["listen"] = json!(any);
+        config["agent"] = json!(agent.address);
+        config["store"] = json!(store.address);
+        config["roster"] = json!(registry.address);
+        change(&mut config);
+        let (log, log_paused) = (Arc::default(), Arc::default());
+        let (child, config_path) = spawn_server(program, &config.to_string(), &log, &log_paused);
+        let address = log.wait_for("the server to listen", |log| {
             log.iter().find_map(|line| line.split_once("listens on ")?.1.parse().ok())
         });
-        Town { agent, store, roster, server, log, deaf, child, told, path }
+        ServerHarness { agent, store, registry, address, log, log_paused, child, config, config_path }
     }
 
-    pub fn gateway(&self) -> Gateway {
-        Gateway::open(self.server)
+    pub fn connect_gateway(&self) -> Gateway {
+        Gateway::connect(self.address)
     }
 
     /// Waits for a line of the log that holds this text.
-    pub fn logs(&self, text: &str) {
-        self.log.wait(text, |log| log.iter().any(|line| line.contains(text)).then_some(()));
+    pub fn wait_for_log(&self, text: &str) {
+        self.log.wait_for(text, |log| log.iter().any(|line| line.contains(text)).then_some(()));
     }
 
     /// Gives the notice to leave.
-    pub fn term(&self) {
+    pub fn send_sigterm(&self) {
         self.signal("-TERM");
     }
 
     /// Has the server read its configuration anew, with this text in the file.
     pub fn reload(&self, text: &str) {
-        let new = self.path.with_extension("new");
-        std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &self.path)).expect("a new file");
+        let new = self.config_path.with_extension("new");
+        std::fs::write(&new, text)
+            .and_then(|()| std::fs::rename(&new, &self.config_path))
+            .expect("a new file");
         self.signal("-HUP");
     }
 
     /// Moves agent, store and roster to new addresses and has the server told so.
     pub fn move_peers(&mut self) {
         let any = "127.0.0.1:0";
-        (self.store, self.roster) = (Place::store(any), Place::roster(any));
-        self.told["agent"] = json!(self.agent.listen(any));
-        self.told["store"] = json!(self.store.address);
-        self.told["roster"] = json!(self.roster.address);
-        self.reload(&self.told.to_string());
+        (self.store, self.registry) = (HttpStandIn::start_store(any), HttpStandIn::start_registry(any));
+        self.config["agent"] = json!(self.agent.listen(any));
+        self.config["store"] = json!(self.store.address);
+        self.config["roster"] = json!(self.registry.address);
+        self.reload(&self.config.to_string());
     }
 
     /// Has the process stand still: what comes meanwhile waits in its sockets.
@@ -138,17 +141,18 @@
     }
 
     /// Kills the process and its agent outright.
-    pub fn kill(&mut self, agent_is_up: bool) {
+    pub fn kill(&mut self, agent_ready: bool) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.agent.anew(agent_is_up);
+        self.agent.restart(agent_ready);
     }
 
     /// Starts the process again at its old address.
-    pub fn start_again(&mut self, program: &[&str]) {
-        self.told["listen"] = json!(self.server);
+    pub fn restart(&mut self, program: &[&str]) {
+        self.config["listen"] = json!(self.address);
         self.log = Arc::default();
-        (self.child, self.path) = start(program, &self.told.to_string(), &self.log, &self.deaf);
+        (self.child, self.config_path) =
+            spawn_server(program, &self.config.to_string(), &self.log, &self.log_paused);
     }
 
     fn signal(&self, signal: &str) {
@@ -157,12 +161,12 @@
         assert!(done.success());
     }
 
-    pub fn end(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("an end")
     }
 }
 
-impl Drop for Town {
+impl Drop for ServerHarness {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/examples/toy/src/http.rs
+++ b/examples/toy/src/http.rs
@@ -2,27 +2,27 @@
 //! `short` (the reply stops half way), `break` (the connection ends) or `hang` (nothing comes); any other is answered
 //! with `stored` and the body, if it holds `more` with what is not its own before and behind it.
 
-use crate::Watched;
+use crate::Monitor;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
 
 /// Every call that was read: its path or the txn it names, and its body.
-type Calls = Arc<Watched<Vec<(String, String)>>>;
+type Requests = Arc<Monitor<Vec<(String, String)>>>;
 
 #[derive(Clone)]
-pub struct Place {
+pub struct HttpStandIn {
     pub address: SocketAddr,
-    pub calls: Calls,
+    pub requests: Requests,
     /// Connections that ended.
-    pub ended: Arc<Watched<usize>>,
+    pub closed_connections: Arc<Monitor<usize>>,
 }
 
-impl Place {
+impl HttpStandIn {
     /// The store.
-    pub fn store(address: &str) -> Place {
-        Place::open(address, |body| {
+    pub fn start_store(address: &str) -> HttpStandIn {
+        HttpStandIn::start(address, |body| {
             let (status, more, body) = match body {
                 "busy" => ("503 Busy", "X-Not-Run: 1\r\n", ""),
                 "error" => ("500 Error", "", ""),
@@ -43,45 +43,45 @@
     }
 
     /// The roster.
-    pub fn roster(address: &str) -> Place {
-        Place::roster_at(TcpListener::bind(address).expect("an address"))
+    pub fn start_registry(address: &str) -> HttpStandIn {
+        HttpStandIn::serve_registry(TcpListener::bind(address).expect("an address"))
     }
 
     /// The roster, which begins to speak where it was only connected to so far.
-    pub fn roster_at(listener: TcpListener) -> Place {
-        Place::serve(listener, |_| "HTTP/1.1 204 No Content\r\n\r\n".into())
+    pub fn serve_registry(listener: TcpListener) -> HttpStandIn {
+        HttpStandIn::serve(listener, |_| "HTTP/1.1 204 No Content\r\n\r\n".into())
     }
 
-    fn open(address: &str, reply: fn(&str) -> String) -> Place {
-        Place::serve(TcpListener::bind(address).expect("an address"), reply)
+    fn start(address: &str, reply: fn(&str) -> String) -> HttpStandIn {
+        HttpStandIn::serve(TcpListener::bind(address).expect("an address"), reply)
     }
 
-    fn serve(listener: TcpListener, reply: fn(&str) -> String) -> Place {
+    fn serve(listener: TcpListener, reply: fn(&str) -> String) -> HttpStandIn {
         let address = listener.local_addr().expect("an address");
-        let place = Place { address, calls: Arc::default(), ended: Arc::default() };
-        let (calls, ended) = (place.calls.clone(), place.ended.clone());
+        let stand_in = HttpStandIn { address, requests: Arc::default(), closed_connections: Arc::default() };
+        let (requests, closed_connections) = (stand_in.requests.clone(), stand_in.closed_connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 stream.set_nodelay(true).expect("no delay");
-                let (calls, ended) = (calls.clone(), ended.clone());
+                let (requests, closed_connections) = (requests.clone(), closed_connections.clone());
                 thread::spawn(move || {
-                    serve(stream, &calls, reply);
-                    ended.change(|ended| *ended += 1);
+                    serve(stream, &requests, reply);
+                    closed_connections.update(|closed_connections| *closed_connections += 1);
                 });
             }
         });
-        place
+        stand_in
     }
 
     /// Waits for a call whose name and body hold these texts.
-    pub fn hears(&self, name: &str, body: &str) {
-        self.calls.wait(&format!("{name} {body}"), |calls| {
-            calls.iter().any(|call| call.0.contains(name) && call.1.contains(body)).then_some(())
+    pub fn wait_for_request(&self, name: &str, body: &str) {
+        self.requests.wait_for(&format!("{name} {body}"), |requests| {
+            requests.iter().any(|request| request.0.contains(name) && request.1.contains(body)).then_some(())
         });
     }
 }
 
-fn serve(stream: TcpStream, calls: &Calls, reply: fn(&str) -> String) {
+fn serve(stream: TcpStream, requests: &Requests, reply: fn(&str) -> String) {
     let mut input = BufReader::new(stream);
     loop {
         let (mut name, mut len) = (String::new(), 0);
@@ -106,7 +106,7 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         let reply = reply(&body);
         let breaks = body == "break";
-        calls.change(|calls| calls.push((name, body)));
+        requests.update(|requests| requests.push((name, body)));
         if breaks || input.get_mut().write_all(reply.as_bytes()).is_err() {
             return;
         }
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -4,39 +4,39 @@
 
 pub mod agent;
 pub mod gateway;
+pub mod harness;
 pub mod http;
-pub mod town;
 
 use std::fmt::Debug;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// Longer than anything here should take: a wait that comes this far has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Something that changes, and those who wait until it has become what they want.
 #[derive(Default)]
-pub struct Watched<T> {
+pub struct Monitor<T> {
     value: Mutex<T>,
     changed: Condvar,
 }
 
-impl<T> Watched<T> {
+impl<T> Monitor<T> {
     pub fn lock(&self) -> MutexGuard<'_, T> {
         self.value.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn change<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
-        let result = change(&mut self.lock());
+    pub fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
+        let result = update(&mut self.lock());
         self.changed.notify_all();
         result
     }
 }
 
-impl<T: Debug> Watched<T> {
+impl<T: Debug> Monitor<T> {
     /// What `find` finds, as soon as it finds anything.
-    pub fn wait<R>(&self, what: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for<R>(&self, what: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let mut value = self.lock();
         loop {
             if let Some(found) = find(&mut value) {
