--- a/crates/cli/src/control/bench.rs
+++ b/crates/cli/src/control/bench.rs
@@ -80,7 +80,9 @@
         for proxy in fleet.iter().skip(looks as usize % 7).step_by(fleet.len().div_ceil(50)) {
             looks += 1;
             match proxy.pick("p", "k", [0.5; 3]) {
-                Pick::To { left, .. } => oldest = oldest.max(bound - left.as_secs_f64()),
+                Pick::RouteTo { remaining_lease, .. } => {
+                    oldest = oldest.max(bound - remaining_lease.as_secs_f64())
+                }
                 _ => nothing += 1,
             }
         }
@@ -136,7 +138,9 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let each = (memory("VmRSS:") - before) * 1024.0 / count as f64;
-    let bytes = || fleet.iter().map(|p| p.counts()).fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.2));
+    let bytes = || {
+        fleet.iter().map(|p| p.received_counts()).fold((0, 0), |sum, c| (sum.0 + c.updates, sum.1 + c.bytes))
+    };
     let (mut first, mut last) = (Vec::new(), Vec::new());
     let start_bytes = bytes();
     let mut sent_at = Instant::now();
--- a/crates/cli/src/control/town.rs
+++ b/crates/cli/src/control/town.rs
@@ -67,7 +67,7 @@
             for n in 0..50u32 {
                 let draw = (f64::from(n) + 0.5) / 50.0;
                 let name = match proxy.pick("p", "k", [draw, 0.5, draw]) {
-                    Pick::To { server, .. } => match TcpStream::connect(server).await {
+                    Pick::RouteTo { server, .. } => match TcpStream::connect(server).await {
                         Ok(_) => servers
                             .iter()
                             .find(|s| s.address == server)
@@ -76,7 +76,7 @@
                         Err(_) => "unreachable".into(),
                     },
                     Pick::Dropped { .. } => "dropped".into(),
-                    Pick::Nothing => "nowhere".into(),
+                    Pick::Unroutable => "nowhere".into(),
                 };
                 *sent.entry((at, name)).or_insert(0) += 1;
             }
--- a/crates/control/tests/certificates.rs
+++ b/crates/control/tests/certificates.rs
@@ -37,7 +37,7 @@
         if let Some((certificate, key)) = shown {
             tls = tls.identity(Identity::from_pem(certificate, key));
         }
-        Proxy::start_with(vec![running.xds], node, "a", true, Some(tls))
+        Proxy::start_with_tls(vec![running.xds], node, "a", true, Some(tls))
     }
 }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -98,5 +98,5 @@
 }
 
 pub fn routes(proxy: &Proxy) -> bool {
-    matches!(pick(proxy, 0.5), Pick::To { .. })
+    matches!(pick(proxy, 0.5), Pick::RouteTo { .. })
 }
--- a/crates/control/tests/sockets.rs
+++ b/crates/control/tests/sockets.rs
@@ -5,7 +5,7 @@
 use common::{pick, report, routes, service, until, Servers, BOUND};
 use puffinladder_control::report::ClassLoad;
 use puffinladder_control::serve::RunningService;
-use puffinladder_proxy::{Habit, Pick, Proxy};
+use puffinladder_proxy::{Behaviour, Pick, Proxy};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -14,7 +14,7 @@
 fn ports(proxy: &Proxy) -> Vec<u16> {
     let mut all: Vec<u16> = (0..200)
         .filter_map(|at| match pick(proxy, f64::from(at) / 200.0) {
-            Pick::To { server, .. } => Some(server.port()),
+            Pick::RouteTo { server, .. } => Some(server.port()),
             _ => None,
         })
         .collect();
@@ -52,7 +52,7 @@
     servers.change(|server| server.classes = vec![class("p")]);
     for proxy in &proxies {
         until("a drop", || matches!(pick(proxy, 0.0), Pick::Dropped { .. })).await;
-        assert!(matches!(proxy.pick("other", "k", [0.0; 3]), Pick::To { .. }));
+        assert!(matches!(proxy.pick("other", "k", [0.0; 3]), Pick::RouteTo { .. }));
     }
 }
 
@@ -80,8 +80,8 @@
 async fn a_proxy_that_was_dark_routes_nothing_by_its_old_version_and_catches_up_in_one_exchange() {
     let (_running, servers, proxies) = world(2).await;
     let (dark, others) = proxies.split_first().unwrap();
-    let before = dark.plan().unwrap();
-    dark.habit(Habit { dark: true, ..Habit::default() });
+    let before = dark.endpoints_plan().unwrap();
+    dark.set_behaviour(Behaviour { unresponsive: true, ..Behaviour::default() });
     servers.with(|(_, all)| all.push(report(7)));
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
     assert!(!routes(dark), "{:?}", pick(dark, 0.5));
@@ -89,19 +89,21 @@
         until("the others to go on", || routes(other)).await;
         until("the new server", || ports(other).contains(&4007)).await;
     }
-    let seen = dark.counts().0;
-    dark.habit(Habit::default());
+    let seen = dark.received_counts().updates;
+    dark.set_behaviour(Behaviour::default());
     until("the dark one to route again", || routes(dark)).await;
     until("the new server", || ports(dark).contains(&4007)).await;
-    assert_ne!(dark.plan().unwrap(), before);
+    assert_ne!(dark.endpoints_plan().unwrap(), before);
     // What was under way, and then the latest: not every plan that it missed.
-    assert!(dark.counts().0 - seen <= 12, "{}", dark.counts().0 - seen);
+    assert!(dark.received_counts().updates - seen <= 12, "{}", dark.received_counts().updates - seen);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn decisions_that_flip_faster_than_proxies_answer_coalesce_and_each_holds_the_latest() {
     let (running, servers, proxies) = world(4).await;
-    proxies.iter().for_each(|p| p.habit(Habit { ack_after: Duration::from_millis(200), ..Habit::default() }));
+    proxies.iter().for_each(|p| {
+        p.set_behaviour(Behaviour { ack_delay: Duration::from_millis(200), ..Behaviour::default() })
+    });
     let begun = Instant::now();
     let mut flip = 0u32;
     while begun.elapsed() < Duration::from_secs(3) {
@@ -115,7 +117,7 @@
     servers.change(|server| server.service_time = 0.01);
     for proxy in &proxies {
         // No older plan after a newer one.
-        let plans = proxy.plans();
+        let plans = proxy.recent_plans();
         let numbers: Vec<u64> = plans.iter().map(|p| p.split_once('.').unwrap().1.parse().unwrap()).collect();
         assert!(numbers.is_sorted(), "{numbers:?}");
     }
@@ -125,16 +127,16 @@
         assert!(Instant::now() < end);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let versions: Vec<_> = proxies.iter().map(|p| p.version()).collect();
+    let versions: Vec<_> = proxies.iter().map(|p| p.endpoints_version()).collect();
     assert!(versions.iter().all(|v| v == &versions[0]), "{versions:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn proxies_that_refuse_never_answer_or_lie_disturb_no_other() {
     let (running, servers, proxies) = world(3).await;
-    proxies[0].habit(Habit { refuses: true, ..Habit::default() });
-    proxies[1].habit(Habit { never_acks: true, ..Habit::default() });
-    proxies[2].habit(Habit { lies: true, ..Habit::default() });
+    proxies[0].set_behaviour(Behaviour { reject_updates: true, ..Behaviour::default() });
+    proxies[1].set_behaviour(Behaviour { withhold_acks: true, ..Behaviour::default() });
+    proxies[2].set_behaviour(Behaviour { forge_nonces: true, ..Behaviour::default() });
     servers.with(|(_, all)| all[0].healthy = false);
     until("the well one", || ports(&proxies[3]) == [4001, 4002]).await;
     let (mut refused, mut unknown) = (0, 0);
@@ -149,7 +151,7 @@
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
     assert!(!ports(&proxies[0]).contains(&4000) && !ports(&proxies[1]).contains(&4000));
     until("the well one to go on", || routes(&proxies[3])).await;
-    proxies[0].habit(Habit::default());
+    proxies[0].set_behaviour(Behaviour::default());
     servers.with(|(_, all)| all[0].healthy = true);
     until("it to come back", || ports(&proxies[0]).contains(&4000)).await;
 }
@@ -164,7 +166,7 @@
     let proxy = Proxy::start(first.xds, "p", "a", true);
     until("it to route", || routes(&proxy)).await;
     let epoch = |plan: &str| plan.split_once('.').unwrap().0.parse::<u64>().unwrap();
-    let before = epoch(&proxy.plan().unwrap());
+    let before = epoch(&proxy.endpoints_plan().unwrap());
     first.stop().await;
     assert!(file.exists());
     let second = service(Some(file.clone()), None).await;
@@ -172,7 +174,7 @@
     let early = Proxy::start(second.xds, "early", "a", false);
     servers.with(|(at, _)| *at = vec![second.reports]);
     until("the new plan", || routes(&early) && ports(&early).len() == 3).await;
-    assert!(epoch(&early.plan().unwrap()) > before);
+    assert!(epoch(&early.endpoints_plan().unwrap()) > before);
     second.stop().await;
     // A snapshot that can't be read is none.
     std::fs::write(&file, b"{ half a").unwrap();
--- a/crates/control/tests/two.rs
+++ b/crates/control/tests/two.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{report, routes, service, until, Servers};
-use puffinladder_proxy::{Habit, Proxy};
+use puffinladder_proxy::{Behaviour, Proxy};
 use std::time::{Duration, Instant};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_proxy_that_loses_one_service_takes_the_other_and_routes_by_nothing_too_old_between() {
     let (one, two) = (service(None, None).await, service(None, None).await);
     let _servers = Servers::start(vec![one.reports, two.reports], vec![report(1)]);
-    let proxy = Proxy::start_among(vec![one.xds, two.xds], "p1", "a", true);
+    let proxy = Proxy::start_with_services(vec![one.xds, two.xds], "p1", "a", true);
     until("the first service", || routes(&proxy)).await;
     assert_eq!(one.handle.query(|core, _| core.proxy_count()).await, Some(1));
     one.kill();
@@ -41,12 +41,12 @@
     let _servers = Servers::start(vec![one.reports], vec![report(1)]);
     let proxy = Proxy::start(one.xds, "p1", "a", true);
     until("it to route", || routes(&proxy)).await;
-    let (bodies, version) = (proxy.counts().0, proxy.version());
-    proxy.habit(Habit { off: true, ..Habit::default() });
+    let (bodies, version) = (proxy.received_counts().updates, proxy.endpoints_version());
+    proxy.set_behaviour(Behaviour { disconnected: true, ..Behaviour::default() });
     tokio::time::sleep(Duration::from_millis(1200)).await;
     assert!(!routes(&proxy));
-    proxy.habit(Habit::default());
+    proxy.set_behaviour(Behaviour::default());
     until("it to route again", || routes(&proxy)).await;
     // Same content: leases were renewed, nothing was sent again.
-    assert_eq!((proxy.counts().0, proxy.version()), (bodies, version));
+    assert_eq!((proxy.received_counts().updates, proxy.endpoints_version()), (bodies, version));
 }
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -5,7 +5,7 @@
 use crate::decision_latency::{DecisionLatencies, PlanVersion};
 use crate::{instance_seed, names, staggered_starts};
 use puffinladder_leases::SeededRandom;
-use puffinladder_proxy::{Event, Proxy, TYPES};
+use puffinladder_proxy::{Event, Proxy, TYPE_URLS};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -21,8 +21,8 @@
 const BACKOFF_GROWTH: u32 = 3;
 
 /// Bits of all types of resources.
-const ALL_TYPES: u8 = (1 << TYPES.len()) - 1;
-/// Types whose decisions age, as bits by their places in [`TYPES`]: each stream has to acknowledge them anew. The others are not sent
+const ALL_TYPES: u8 = (1 << TYPE_URLS.len()) - 1;
+/// Types whose decisions age, as bits by their places in [`TYPE_URLS`]: each stream has to acknowledge them anew. The others are not sent
 /// again to a caller that says it holds their present versions.
 const AGING_TYPES: u8 = 1 << 1 | 1 << 3;
 
@@ -119,7 +119,7 @@
         let highest = lock(&self.latencies).highest();
         let mut counts = CallerCounts::default();
         for caller in &self.callers {
-            counts.holding += usize::from(caller.proxy.holds());
+            counts.holding += usize::from(caller.proxy.can_route());
             let state = lock(&caller.state);
             counts.acknowledged += usize::from(state.acknowledged == ALL_TYPES);
             counts.latest += usize::from(highest.is_some() && state.plan == highest);
@@ -146,7 +146,7 @@
         let (stats, latencies, entered) = (stats.clone(), latencies.clone(), state.clone());
         let listener = Arc::new(move |event: &Event| record_event(event, &stats, &latencies, &entered));
         let zone = names::zone(number, config.zones);
-        let proxy = Proxy::new(&node, &service, &zone, config.incremental).heard(listener);
+        let proxy = Proxy::new(&node, &service, &zone, config.incremental).with_listener(listener);
         Caller { proxy, state }
     }
 }
@@ -164,7 +164,7 @@
     for index in (0..control.len()).cycle().skip(number % control.len().max(1)) {
         let opened = Instant::now();
         // However the stream ended, another is opened.
-        let _ = proxy.follow(control[index]).await;
+        let _ = proxy.run_stream(control[index]).await;
         let previous = if opened.elapsed() > STABLE_STREAM { MIN_BACKOFF } else { last };
         last = backoff(previous, random.next_unit());
         sleep(last).await;
@@ -178,12 +178,12 @@
     state: &Mutex<CallerState>,
 ) {
     match event {
-        Event::Opened => {
+        Event::StreamOpened => {
             let mut state = lock(state);
             state.connection.opened(stats);
             state.connected = Some(GaugeGuard::new(stats, |stats| &stats.connected));
         }
-        Event::Ended => {
+        Event::StreamClosed => {
             let mut state = lock(state);
             state.connection.closed();
             (state.connected, state.plan) = (None, None);
@@ -197,10 +197,10 @@
             stats.received.add(*bytes as u64);
             stats.messages_received.add(1);
         }
-        Event::Acked(acked) => {
+        Event::Acknowledged(acked) => {
             {
                 let mut state = lock(state);
-                state.acknowledged |= acked.kind.map_or(0, |kind| 1 << kind);
+                state.acknowledged |= acked.type_index.map_or(0, |kind| 1 << kind);
                 state.plan = PlanVersion::parse(acked.plan);
             }
             lock(latencies).acknowledged(acked, Instant::now());
--- a/crates/emulator/src/decision_latency.rs
+++ b/crates/emulator/src/decision_latency.rs
@@ -1,7 +1,7 @@
 //! How long it takes from a control service's decision until callers hold it.
 
 use hdrhistogram::Histogram;
-use puffinladder_proxy::Acked;
+use puffinladder_proxy::Acknowledgement;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -81,13 +81,13 @@
 
     /// Enters that a caller acknowledged a response. The decision was made no later than the earliest time that any response of it
     /// tells. One that was made before the caller's stream was opened tells how late the caller came, so it doesn't count.
-    pub fn acknowledged(&mut self, acked: &Acked, now: Instant) {
+    pub fn acknowledged(&mut self, acked: &Acknowledgement, now: Instant) {
         let Some(version) = PlanVersion::parse(acked.plan) else { return };
         self.highest = self.highest.max(Some(version));
         let Some(ttl) = acked.ttl else { return };
-        let Some(made) = acked.received.checked_sub(self.lease.saturating_sub(ttl)) else { return };
+        let Some(made) = acked.received_at.checked_sub(self.lease.saturating_sub(ttl)) else { return };
         let decided = self.earliest_decision((acked.service, version), made);
-        if acked.bodies && decided >= acked.opened {
+        if acked.has_resources && decided >= acked.stream_opened_at {
             let latency = now.saturating_duration_since(decided).as_micros() as u64;
             self.recent.saturating_record(latency.max(1));
             self.total.saturating_record(latency.max(1));
--- a/crates/emulator/tests/peers.rs
+++ b/crates/emulator/tests/peers.rs
@@ -8,7 +8,7 @@
 use puffinladder_emulator::servers::{EmulatedServers, ServersConfig};
 use puffinladder_leases::coordination::{QuotaCoordinator, ServerReport, QUOTA_TASK};
 use puffinladder_leases::{drain, Task};
-use puffinladder_proxy::{Acked, Proxy};
+use puffinladder_proxy::{Acknowledgement, Proxy};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
             && seen.iter().all(|s| s.acked == seen[0].acked)
             && all.iter().all(|(emulated, real)| {
                 let latest = Some(PlanVersion { epoch: serial.epoch, number: serial.number });
-                let real = real.plan().and_then(|plan| PlanVersion::parse(&plan));
+                let real = real.endpoints_plan().and_then(|plan| PlanVersion::parse(&plan));
                 emulated.counts().latest == 1 && emulated.latencies().highest() == latest && real == latest
             })
     })
@@ -93,7 +93,7 @@
         let heard = || emulated.stats.messages_received.get();
         let (before, said, after) = (heard(), emulated.stats.messages_sent.get(), heard());
         assert!(said >= 4 + before - 1 && said <= 4 + after, "{before} {said} {after}");
-        assert!(emulated.counts().holding == 1 && real.holds());
+        assert!(emulated.counts().holding == 1 && real.can_route());
     }
 }
 
@@ -182,14 +182,14 @@
     let (bound, second) = (Duration::from_secs(2), Duration::from_secs(1));
     let mut latencies = DecisionLatencies::new(bound);
     let begun = Instant::now() + 100 * second;
-    let acked = |plan: &'static str, ttl: f64, received: Duration, opened: Duration| Acked {
+    let acked = |plan: &'static str, ttl: f64, received: Duration, opened: Duration| Acknowledgement {
         service: "127.0.0.1:1".parse().unwrap(),
-        kind: Some(1),
+        type_index: Some(1),
         plan,
         ttl: Some(Duration::from_secs_f64(ttl)),
-        bodies: true,
-        opened: begun + opened,
-        received: begun + received,
+        has_resources: true,
+        stream_opened_at: begun + opened,
+        received_at: begun + received,
     };
     let ms = Duration::from_millis;
     // Decided 0.1 s before it was received at 5 s.
@@ -213,7 +213,7 @@
     for number in 2..2000u64 {
         let plan = format!("7.{number}");
         let at = ms(10_000 + number * 10);
-        latencies.acknowledged(&Acked { plan: &plan, ..acked("", 2.0, at, ms(0)) }, begun + at);
+        latencies.acknowledged(&Acknowledgement { plan: &plan, ..acked("", 2.0, at, ms(0)) }, begun + at);
     }
     assert!(
         latencies.len() <= 256 && latencies.highest() == Some(PlanVersion { epoch: 7, number: 1999 }),
--- a/examples/proxy/src/lib.rs
+++ b/examples/proxy/src/lib.rs
@@ -23,85 +23,85 @@
 
 use tonic::transport::Endpoint;
 
-pub const TYPES: [&str; 4] = [
+pub const TYPE_URLS: [&str; 4] = [
     "type.googleapis.com/envoy.config.cluster.v3.Cluster",
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
     "type.googleapis.com/envoy.config.listener.v3.Listener",
     "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 ];
-const ENDPOINTS: &str = TYPES[1];
-const ROUTES: &str = TYPES[3];
+const ENDPOINTS_TYPE_URL: &str = TYPE_URLS[1];
+const ROUTES_TYPE_URL: &str = TYPE_URLS[3];
 
 /// How it behaves; can be changed while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Habit {
+pub struct Behaviour {
     /// Neither reads nor writes, its connection stands.
-    pub dark: bool,
+    pub unresponsive: bool,
     /// Not connected, as if its process were down.
-    pub off: bool,
+    pub disconnected: bool,
     /// Before it answers.
-    pub ack_after: Duration,
-    pub never_acks: bool,
-    pub refuses: bool,
+    pub ack_delay: Duration,
+    pub withhold_acks: bool,
+    pub reject_updates: bool,
     /// Answers with nonces that never were.
-    pub lies: bool,
+    pub forge_nonces: bool,
 }
 
 /// What happens to it, for whoever counts.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// A stream stands, and a stream is over.
-    Opened,
-    Ended,
+    StreamOpened,
+    StreamClosed,
     /// Bytes of a message, with the five that gRPC puts before it.
     Sent(usize),
     Received(usize),
     /// It took a response and said so.
-    Acked(&'a Acked<'a>),
+    Acknowledged(&'a Acknowledgement<'a>),
 }
 
 /// A response that was taken.
 #[derive(Clone, Copy, Debug)]
-pub struct Acked<'a> {
+pub struct Acknowledgement<'a> {
     pub service: SocketAddr,
-    /// Its type's place in [`TYPES`], none if it is of another.
-    pub kind: Option<usize>,
+    /// Its type's place in [`TYPE_URLS`], none if it is of another.
+    pub type_index: Option<usize>,
     pub plan: &'a str,
     /// The least lease of its pieces.
     pub ttl: Option<Duration>,
     /// It had content, and not leases alone.
-    pub bodies: bool,
-    pub opened: Instant,
-    pub received: Instant,
+    pub has_resources: bool,
+    pub stream_opened_at: Instant,
+    pub received_at: Instant,
 }
 
 /// Is told what happens; it may not wait.
-pub type Ears = Arc<dyn Fn(&Event) + Send + Sync>;
+pub type EventListener = Arc<dyn Fn(&Event) + Send + Sync>;
 
 /// Plans and times of requests that are remembered, names that are held: what a service sends is bounded by these.
-const PLANS: usize = 128;
-const SENT: usize = 256;
-const NAMES: usize = 16_384;
+const MAX_RECENT_PLANS: usize = 128;
+const MAX_SENT_TIMES: usize = 256;
+const MAX_RESOURCES: usize = 16_384;
 /// Bytes of a message, and what gRPC puts before each.
-const LONGEST: usize = 64 << 20;
-const PREFIX: usize = 5;
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+const GRPC_PREFIX_BYTES: usize = 5;
 /// A service that does not answer a question of HTTP/2 for so long is hung; asked as often.
-const ALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// When requests of the present stream were sent: all are counted, the first and the latest are known.
 #[derive(Default)]
-struct Sent {
+struct SentTimes {
     count: usize,
     first: Option<Instant>,
     times: VecDeque<Instant>,
 }
 
-impl Sent {
+impl SentTimes {
     fn push(&mut self, at: Instant) {
         self.count += 1;
         self.first.get_or_insert(at);
         self.times.push_back(at);
-        if self.times.len() > SENT {
+        if self.times.len() > MAX_SENT_TIMES {
             self.times.pop_front();
         }
     }
@@ -115,7 +115,7 @@
 
 /// What it holds of one type, by name.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldResource {
     version: String,
     plan: String,
     body: Vec<u8>,
@@ -123,15 +123,24 @@
     until: Option<Instant>,
 }
 
+/// Counts of what a proxy has received since it started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReceivedCounts {
+    /// Responses with resource bodies.
+    pub updates: u64,
+    /// Responses that only renew leases.
+    pub renewals: u64,
+    /// Bytes of all responses.
+    pub bytes: u64,
+}
+
 #[derive(Default)]
 struct State {
-    held: BTreeMap<(String, String), Held>,
+    held: BTreeMap<(String, String), HeldResource>,
     /// When each request on the present stream was sent.
-    sent: Sent,
+    sent: SentTimes,
     /// Responses with bodies, renewals, bytes of all, since it began.
-    responses: u64,
-    renewals: u64,
-    bytes: u64,
+    received: ReceivedCounts,
     /// The latest plans that it saw, in the order in which they came.
     plans: VecDeque<String>,
 }
@@ -140,49 +149,49 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pick {
     /// To this server, by this plan; how much of the lease was left.
-    To { server: SocketAddr, plan: String, left: Duration },
+    RouteTo { server: SocketAddr, plan: String, remaining_lease: Duration },
     /// Nowhere: the plan has it dropped.
     Dropped { plan: String },
     /// Nowhere: nothing that it holds may be used any more.
-    Nothing,
+    Unroutable,
 }
 
 /// A running stand-in.
 #[derive(Clone)]
 pub struct Proxy {
     state: Arc<Mutex<State>>,
-    habit: watch::Sender<Habit>,
+    behaviour: watch::Sender<Behaviour>,
     tls: Option<ClientTlsConfig>,
     node: Node,
     incremental: bool,
-    ears: Option<Ears>,
+    listener: Option<EventListener>,
 }
 
 /// What is told of a response, of either protocol.
-struct Told {
-    kind: String,
+struct Update {
+    type_url: String,
     plan: String,
     nonce: String,
-    pieces: Vec<Resource>,
+    resources: Vec<Resource>,
     removed: Vec<String>,
     /// All names that there are, where the response has all.
-    whole: bool,
+    full_state: bool,
     size: usize,
 }
 
 impl Proxy {
     /// Starts on the present runtime and connects there.
     pub fn start(control: SocketAddr, node: &str, zone: &str, incremental: bool) -> Proxy {
-        Proxy::start_with(vec![control], node, zone, incremental, None)
+        Proxy::start_with_tls(vec![control], node, zone, incremental, None)
     }
 
     /// One that knows several services, and takes the next where one fails.
-    pub fn start_among(control: Vec<SocketAddr>, node: &str, zone: &str, incremental: bool) -> Proxy {
-        Proxy::start_with(control, node, zone, incremental, None)
+    pub fn start_with_services(control: Vec<SocketAddr>, node: &str, zone: &str, incremental: bool) -> Proxy {
+        Proxy::start_with_tls(control, node, zone, incremental, None)
     }
 
     /// The same over TLS.
-    pub fn start_with(
+    pub fn start_with_tls(
         control: Vec<SocketAddr>,
         node: &str,
         zone: &str,
@@ -192,21 +201,21 @@
         let proxy = Proxy { tls, ..Proxy::new(node, "", zone, incremental) };
         let run = proxy.clone();
         tokio::spawn(async move {
-            let mut habits = run.habit.subscribe();
+            let mut behaviours = run.behaviour.subscribe();
             for at in (0..control.len()).cycle() {
-                while habits.borrow().off {
-                    if habits.changed().await.is_err() {
+                while behaviours.borrow().disconnected {
+                    if behaviours.changed().await.is_err() {
                         return;
                     }
                 }
-                let _ = run.follow(control[at]).await;
+                let _ = run.run_stream(control[at]).await;
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
         proxy
     }
 
-    /// One that is not connected: whoever has it calls [`Proxy::follow`].
+    /// One that is not connected: whoever has it calls [`Proxy::run_stream`].
     pub fn new(node: &str, service: &str, zone: &str, incremental: bool) -> Proxy {
         let node = Node {
             id: node.into(),
@@ -215,40 +224,40 @@
             user_agent_name: "puffinladder stand-in".into(),
             ..Default::default()
         };
-        let habit = watch::Sender::new(Habit::default());
-        Proxy { state: Arc::default(), habit, tls: None, node, incremental, ears: None }
+        let behaviour = watch::Sender::new(Behaviour::default());
+        Proxy { state: Arc::default(), behaviour, tls: None, node, incremental, listener: None }
     }
 
     /// The same, and what happens to it is told there.
-    pub fn heard(self, ears: Ears) -> Proxy {
-        Proxy { ears: Some(ears), ..self }
+    pub fn with_listener(self, listener: EventListener) -> Proxy {
+        Proxy { listener: Some(listener), ..self }
     }
 
-    fn tell(&self, event: &Event) {
-        if let Some(ears) = &self.ears {
-            ears(event);
+    fn emit(&self, event: &Event) {
+        if let Some(listener) = &self.listener {
+            listener(event);
         }
     }
 
     /// One stream with one service, until it ends or is broken off; what it holds it keeps.
-    pub async fn follow(&self, control: SocketAddr) -> Result<(), tonic::Status> {
-        let ended = self.connect(control, &mut self.habit.subscribe()).await;
-        self.lock().sent = Sent::default();
+    pub async fn run_stream(&self, control: SocketAddr) -> Result<(), tonic::Status> {
+        let ended = self.open_stream(control, &mut self.behaviour.subscribe()).await;
+        self.lock().sent = SentTimes::default();
         ended
     }
 
-    pub fn habit(&self, habit: Habit) {
-        let _ = self.habit.send(habit);
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        let _ = self.behaviour.send(behaviour);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn connect(
+    async fn open_stream(
         &self,
         control: SocketAddr,
-        habits: &mut watch::Receiver<Habit>,
+        behaviours: &mut watch::Receiver<Behaviour>,
     ) -> Result<(), tonic::Status> {
         let node = &self.node;
         let wrong = |e: tonic::transport::Error| tonic::Status::unavailable(e.to_string());
@@ -259,13 +268,16 @@
         }
         let endpoint = endpoint.connect_timeout(Duration::from_secs(1)).tcp_nodelay(true);
         // A service that hangs is left for another.
-        let endpoint =
-            endpoint.http2_keep_alive_interval(ALIVE).keep_alive_timeout(ALIVE).keep_alive_while_idle(true);
+        let endpoint = endpoint
+            .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
+            .keep_alive_timeout(KEEPALIVE_INTERVAL)
+            .keep_alive_while_idle(true);
         let channel = endpoint.connect().await.map_err(wrong)?;
-        let mut client = AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(LONGEST);
+        let mut client =
+            AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         if self.incremental {
             let (out, requests) = mpsc::channel::<DeltaDiscoveryRequest>(64);
-            for kind in TYPES {
+            for kind in TYPE_URLS {
                 let held = self.lock().held.clone().into_iter().filter(|((of, _), _)| of == kind);
                 let request = DeltaDiscoveryRequest {
                     node: Some(node.clone()),
@@ -279,27 +291,27 @@
                 client.delta_aggregated_resources(ReceiverStream::new(requests)).await?.into_inner();
             let read = |r: DeltaDiscoveryResponse| {
                 let size = r.encoded_len();
-                Told {
-                    kind: r.type_url,
+                Update {
+                    type_url: r.type_url,
                     plan: r.system_version_info,
                     nonce: r.nonce,
-                    pieces: r.resources,
+                    resources: r.resources,
                     removed: r.removed_resources,
-                    whole: false,
+                    full_state: false,
                     size,
                 }
             };
             let answer =
-                |kind: String, nonce: String, fault: Option<Fault>, _: String| DeltaDiscoveryRequest {
-                    type_url: kind,
+                |type_url: String, nonce: String, fault: Option<Fault>, _: String| DeltaDiscoveryRequest {
+                    type_url,
                     response_nonce: nonce,
                     error_detail: fault,
                     ..Default::default()
                 };
-            self.talk(control, &mut answers, &out, habits, read, answer).await
+            self.exchange(control, &mut answers, &out, behaviours, read, answer).await
         } else {
             let (out, requests) = mpsc::channel::<DiscoveryRequest>(64);
-            for kind in TYPES {
+            for kind in TYPE_URLS {
                 let node = Some(node.clone());
                 let request = DiscoveryRequest { node, type_url: kind.into(), ..Default::default() };
                 self.send(&out, request).await?;
@@ -312,24 +324,25 @@
                     true => Resource::decode(&any.value[..]).unwrap_or_default(),
                     false => Resource { resource: Some(any), ..Default::default() },
                 };
-                Told {
-                    kind: r.type_url,
+                Update {
+                    type_url: r.type_url,
                     plan: r.version_info,
                     nonce: r.nonce,
-                    pieces: r.resources.into_iter().map(open).collect(),
+                    resources: r.resources.into_iter().map(open).collect(),
                     removed: Vec::new(),
-                    whole: true,
+                    full_state: true,
                     size,
                 }
             };
-            let answer = |kind: String, nonce: String, fault: Option<Fault>, plan: String| DiscoveryRequest {
-                type_url: kind,
-                response_nonce: nonce,
-                error_detail: fault,
-                version_info: plan,
-                ..Default::default()
-            };
-            self.talk(control, &mut answers, &out, habits, read, answer).await
+            let answer =
+                |type_url: String, nonce: String, fault: Option<Fault>, plan: String| DiscoveryRequest {
+                    type_url,
+                    response_nonce: nonce,
+                    error_detail: fault,
+                    version_info: plan,
+                    ..Default::default()
+                };
+            self.exchange(control, &mut answers, &out, behaviours, read, answer).await
         }
     }
 
@@ -337,113 +350,126 @@
         self.lock().sent.push(Instant::now());
         let size = request.encoded_len();
         out.send(request).await.map_err(|_| tonic::Status::unavailable("the stream ended"))?;
-        self.tell(&Event::Sent(size + PREFIX));
+        self.emit(&Event::Sent(size + GRPC_PREFIX_BYTES));
         Ok(())
     }
 
-    async fn talk<A, Q: Message>(
+    async fn exchange<A, Q: Message>(
         &self,
         control: SocketAddr,
         answers: &mut tonic::Streaming<A>,
         out: &mpsc::Sender<Q>,
-        habits: &mut watch::Receiver<Habit>,
-        read: impl Fn(A) -> Told,
+        behaviours: &mut watch::Receiver<Behaviour>,
+        read: impl Fn(A) -> Update,
         answer: impl Fn(String, String, Option<Fault>, String) -> Q,
     ) -> Result<(), tonic::Status> {
         /// Says that the stream is over, also where the task of its proxy ends in the middle.
         struct Stream<'a>(&'a Proxy);
         impl Drop for Stream<'_> {
             fn drop(&mut self) {
-                self.0.tell(&Event::Ended);
+                self.0.emit(&Event::StreamClosed);
             }
         }
-        let opened = Instant::now();
-        self.tell(&Event::Opened);
+        let stream_opened_at = Instant::now();
+        self.emit(&Event::StreamOpened);
         let _stream = Stream(self);
         loop {
-            let habit = *habits.borrow_and_update();
-            if habit.off {
+            let behaviour = *behaviours.borrow_and_update();
+            if behaviour.disconnected {
                 return Ok(());
             }
-            if habit.dark {
-                let _ = habits.changed().await;
+            if behaviour.unresponsive {
+                let _ = behaviours.changed().await;
                 continue;
             }
-            let told = tokio::select! {
+            let update = tokio::select! {
                 message = answers.message() => message?,
-                _ = habits.changed() => continue,
+                _ = behaviours.changed() => continue,
             };
-            let Some(told) = told.map(&read) else { return Ok(()) };
-            let received = Instant::now();
-            self.tell(&Event::Received(told.size + PREFIX));
-            let (kind, nonce, plan) = (told.kind.clone(), told.nonce.clone(), told.plan.clone());
-            let bodies = told.pieces.iter().any(|piece| piece.resource.is_some());
-            let ttls = told.pieces.iter().filter_map(|piece| piece.ttl);
+            let Some(update) = update.map(&read) else { return Ok(()) };
+            let received_at = Instant::now();
+            self.emit(&Event::Received(update.size + GRPC_PREFIX_BYTES));
+            let (type_url, nonce, plan) =
+                (update.type_url.clone(), update.nonce.clone(), update.plan.clone());
+            let has_resources = update.resources.iter().any(|resource| resource.resource.is_some());
+            let ttls = update.resources.iter().filter_map(|resource| resource.ttl);
             let ttl = ttls.map(|ttl| Duration::new(ttl.seconds.max(0) as u64, ttl.nanos.max(0) as u32)).min();
-            let refused = habit.refuses && bodies;
-            if !refused && !self.take(told) {
+            let refused = behaviour.reject_updates && has_resources;
+            if !refused && !self.apply(update) {
                 return Err(tonic::Status::resource_exhausted("more names than are held"));
             }
-            if habit.never_acks {
+            if behaviour.withhold_acks {
                 continue;
             }
-            tokio::time::sleep(habit.ack_after).await;
-            let nonce = if habit.lies { format!("9999{nonce}") } else { nonce };
+            tokio::time::sleep(behaviour.ack_delay).await;
+            let nonce = if behaviour.forge_nonces { format!("9999{nonce}") } else { nonce };
             let fault =
                 refused.then(|| Fault { code: 3, message: "as scripted".into(), details: Vec::new() });
-            let at = TYPES.iter().position(|of| *of == kind);
-            self.send(out, answer(kind, nonce, fault, plan.clone())).await?;
-            if !refused && !habit.lies {
+            let type_index = TYPE_URLS.iter().position(|of| *of == type_url);
+            self.send(out, answer(type_url, nonce, fault, plan.clone())).await?;
+            if !refused && !behaviour.forge_nonces {
                 let (service, plan) = (control, plan.as_str());
-                self.tell(&Event::Acked(&Acked { service, kind: at, plan, ttl, bodies, opened, received }));
+                self.emit(&Event::Acknowledged(&Acknowledgement {
+                    service,
+                    type_index,
+                    plan,
+                    ttl,
+                    has_resources,
+                    stream_opened_at,
+                    received_at,
+                }));
             }
         }
     }
 
     /// Takes a response in, unless it holds too much by then. Its lease counts from the last request that it had seen.
-    fn take(&self, told: Told) -> bool {
+    fn apply(&self, update: Update) -> bool {
         let mut state = self.lock();
-        let seen = told.nonce.split_once('.').and_then(|(_, heard)| heard.parse::<usize>().ok());
+        let seen = update.nonce.split_once('.').and_then(|(_, heard)| heard.parse::<usize>().ok());
         let since = seen.and_then(|seen| state.sent.at(seen));
         let since = since.unwrap_or_else(Instant::now);
-        state.bytes += told.size as u64;
-        if state.plans.back() != Some(&told.plan) {
-            state.plans.push_back(told.plan.clone());
+        state.received.bytes += update.size as u64;
+        if state.plans.back() != Some(&update.plan) {
+            state.plans.push_back(update.plan.clone());
         }
-        if state.plans.len() > PLANS {
+        if state.plans.len() > MAX_RECENT_PLANS {
             state.plans.pop_front();
         }
-        let bodies = told.pieces.iter().filter(|piece| piece.resource.is_some()).count();
-        *if bodies > 0 { &mut state.responses } else { &mut state.renewals } += 1;
+        let bodies = update.resources.iter().filter(|resource| resource.resource.is_some()).count();
+        *if bodies > 0 { &mut state.received.updates } else { &mut state.received.renewals } += 1;
         let mut names = Vec::new();
-        for piece in told.pieces {
-            let until = piece
+        for resource in update.resources {
+            let until = resource
                 .ttl
                 .map(|ttl| since + Duration::new(ttl.seconds.max(0) as u64, ttl.nanos.max(0) as u32));
-            let name = if piece.name.is_empty() { "only".to_owned() } else { piece.name };
+            let name = if resource.name.is_empty() { "only".to_owned() } else { resource.name };
             names.push(name.clone());
-            let key = (told.kind.clone(), name);
-            match piece.resource {
+            let key = (update.type_url.clone(), name);
+            match resource.resource {
                 Some(any) => {
-                    let plan = told.plan.clone();
-                    state.held.insert(key, Held { version: piece.version, plan, body: any.value, until });
+                    let plan = update.plan.clone();
+                    state.held.insert(
+                        key,
+                        HeldResource { version: resource.version, plan, body: any.value, until },
+                    );
                 }
                 // A lease for what it holds; never for other content.
                 None => {
-                    if let Some(held) = state.held.get_mut(&key).filter(|held| held.version == piece.version)
+                    if let Some(held) =
+                        state.held.get_mut(&key).filter(|held| held.version == resource.version)
                     {
-                        (held.until, held.plan) = (until, told.plan.clone());
+                        (held.until, held.plan) = (until, update.plan.clone());
                     }
                 }
             }
         }
-        for name in told.removed {
-            state.held.remove(&(told.kind.clone(), name));
+        for name in update.removed {
+            state.held.remove(&(update.type_url.clone(), name));
         }
-        if told.whole {
-            state.held.retain(|(kind, name), _| *kind != told.kind || names.contains(name));
+        if update.full_state {
+            state.held.retain(|(kind, name), _| *kind != update.type_url || names.contains(name));
         }
-        state.held.len() <= NAMES
+        state.held.len() <= MAX_RESOURCES
     }
 
     /// Where a request of this product and customer goes now; the draws, from 0 to under 1, are the caller's chance.
@@ -455,52 +481,62 @@
             let until = held.until?;
             (now < until).then_some((held, until - now))
         };
-        let (Some((endpoints, left)), Some((routes, left_too))) = (valid(ENDPOINTS), valid(ROUTES)) else {
-            return Pick::Nothing;
+        let (Some((endpoints, endpoints_lease)), Some((routes, routes_lease))) =
+            (valid(ENDPOINTS_TYPE_URL), valid(ROUTES_TYPE_URL))
+        else {
+            return Pick::Unroutable;
         };
         let config = RouteConfiguration::decode(&routes.body[..]).unwrap_or_default();
         let headers = [("x-product", product), ("x-customer", customer)];
-        if dropped(&config, &headers, draws[0]) {
+        if is_dropped(&config, &headers, draws[0]) {
             return Pick::Dropped { plan: routes.plan.clone() };
         }
-        let told = ClusterLoadAssignment::decode(&endpoints.body[..]).unwrap_or_default();
-        match server(&told, draws[1], draws[2]) {
-            Some(server) => Pick::To { server, plan: endpoints.plan.clone(), left: left.min(left_too) },
-            None => Pick::Nothing,
+        let assignment = ClusterLoadAssignment::decode(&endpoints.body[..]).unwrap_or_default();
+        match choose_server(&assignment, draws[1], draws[2]) {
+            Some(server) => Pick::RouteTo {
+                server,
+                plan: endpoints.plan.clone(),
+                remaining_lease: endpoints_lease.min(routes_lease),
+            },
+            None => Pick::Unroutable,
         }
     }
 
     /// The plan of what it holds of endpoints, whether it may still be used or not.
-    pub fn plan(&self) -> Option<String> {
+    pub fn endpoints_plan(&self) -> Option<String> {
         let state = self.lock();
-        state.held.iter().find(|((kind, _), _)| kind == ENDPOINTS).map(|(_, held)| held.plan.clone())
+        state.held.iter().find(|((kind, _), _)| kind == ENDPOINTS_TYPE_URL).map(|(_, held)| held.plan.clone())
     }
     /// The version of what it holds of endpoints.
-    pub fn version(&self) -> Option<String> {
+    pub fn endpoints_version(&self) -> Option<String> {
         let state = self.lock();
-        state.held.iter().find(|((kind, _), _)| kind == ENDPOINTS).map(|(_, held)| held.version.clone())
+        state
+            .held
+            .iter()
+            .find(|((kind, _), _)| kind == ENDPOINTS_TYPE_URL)
+            .map(|(_, held)| held.version.clone())
     }
     /// Responses with bodies, renewals, bytes.
-    pub fn counts(&self) -> (u64, u64, u64) {
+    pub fn received_counts(&self) -> ReceivedCounts {
         let state = self.lock();
-        (state.responses, state.renewals, state.bytes)
+        state.received
     }
     /// The latest plans that it saw.
-    pub fn plans(&self) -> Vec<String> {
+    pub fn recent_plans(&self) -> Vec<String> {
         self.lock().plans.iter().cloned().collect()
     }
     /// Whether it may route now: leases of endpoints and routes hold.
-    pub fn holds(&self) -> bool {
+    pub fn can_route(&self) -> bool {
         let (state, now) = (self.lock(), Instant::now());
         let valid = |kind: &str| {
             state.held.iter().any(|((of, _), held)| of == kind && held.until.is_some_and(|until| now < until))
         };
-        valid(ENDPOINTS) && valid(ROUTES)
+        valid(ENDPOINTS_TYPE_URL) && valid(ROUTES_TYPE_URL)
     }
 }
 
 /// Whether the first route that matches ends in a refusal.
-fn dropped(config: &RouteConfiguration, headers: &[(&str, &str)], draw: f64) -> bool {
+fn is_dropped(config: &RouteConfiguration, headers: &[(&str, &str)], draw: f64) -> bool {
     for route in config.virtual_hosts.iter().flat_map(|host| &host.routes) {
         let Some(wanted) = &route.r#match else { continue };
         let header = |matcher: &envoy_types::pb::envoy::config::route::v3::HeaderMatcher| {
@@ -523,13 +559,13 @@
 }
 
 /// A server by the weights of zones and then of servers.
-fn server(told: &ClusterLoadAssignment, zone: f64, endpoint: f64) -> Option<SocketAddr> {
+fn choose_server(assignment: &ClusterLoadAssignment, zone: f64, endpoint: f64) -> Option<SocketAddr> {
     let weigh =
         |weight: &Option<envoy_types::pb::google::protobuf::UInt32Value>| weight.map_or(0, |w| w.value);
-    let zones: Vec<u32> = told.endpoints.iter().map(|z| weigh(&z.load_balancing_weight)).collect();
-    let zone = &told.endpoints[drawn(&zones, zone)?];
+    let zones: Vec<u32> = assignment.endpoints.iter().map(|z| weigh(&z.load_balancing_weight)).collect();
+    let zone = &assignment.endpoints[weighted_index(&zones, zone)?];
     let servers: Vec<u32> = zone.lb_endpoints.iter().map(|e| weigh(&e.load_balancing_weight)).collect();
-    let chosen = &zone.lb_endpoints[drawn(&servers, endpoint)?];
+    let chosen = &zone.lb_endpoints[weighted_index(&servers, endpoint)?];
     let Some(lb_endpoint::HostIdentifier::Endpoint(endpoint)) = &chosen.host_identifier else { return None };
     let Some(address::Address::SocketAddress(at)) = endpoint.address.as_ref()?.address.as_ref() else {
         return None;
@@ -538,7 +574,7 @@
     Some(SocketAddr::new(at.address.parse().ok()?, u16::try_from(port).ok()?))
 }
 
-fn drawn(weights: &[u32], draw: f64) -> Option<usize> {
+fn weighted_index(weights: &[u32], draw: f64) -> Option<usize> {
     let mut left = draw * weights.iter().map(|w| f64::from(*w)).sum::<f64>();
     for (at, weight) in weights.iter().enumerate().filter(|(_, weight)| **weight > 0) {
         left -= f64::from(*weight);
