--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Terms that hold for many processes or many callers together: restarts all at once, and the ramp of a cold server.
+//! Tests with many processes or many callers at once: simultaneous restarts, and the ramp of a cold server.
 
 use puffinladder_toy::gateway::Gateway;
 use puffinladder_toy::harness::ServerHarness;
@@ -10,11 +10,11 @@
 
 const SERVER: &[&str] = &[env!("CARGO_BIN_EXE_puffinladder-server")];
 
-/// Waits until the server says that it is healthy.
+/// Waits until the server listens and checks that it reports itself healthy.
 fn wait_until_healthy(server: SocketAddr) {
     let started_at = Instant::now();
     while TcpStream::connect(server).is_err() {
-        assert!(started_at.elapsed() < WAIT_TIMEOUT, "nobody listens");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "{server} does not listen after {WAIT_TIMEOUT:?}");
         thread::yield_now();
     }
     assert_eq!(Gateway::connect(server).check_health().status, "serving");
@@ -22,21 +22,22 @@
 
 fn call_status(gateway: &mut Gateway, body: &[u8]) -> String {
     gateway.call("quote", "", body);
-    gateway.read_response().expect("an answer").status
+    gateway.read_response().expect("the server answers the request").status
 }
 
 #[test]
 fn most_restarted_servers_are_ready_within_ten_seconds() {
-    // Some registries take connections and say nothing, and some agents come up only once their server is healthy.
+    // Some registries accept connections and never respond, and some agents become ready only after their server is healthy.
     let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
     let roster = unresponsive.local_addr().unwrap();
-    // Addresses of their own, so that nobody's outgoing connection takes a port while its server is dead.
+    // Each server has an address of its own, so that no outgoing connection takes its port while it is down.
     let id = std::process::id();
     let mut harnesses: Vec<ServerHarness> = (0..30)
-        .map(|at| {
+        .map(|index| {
             ServerHarness::start(SERVER, |config| {
-                config["listen"] = json!(format!("127.{}.{}.{}:0", 64 + (id >> 8) % 128, id % 256, at + 1));
-                if at % 5 == 0 {
+                config["listen"] =
+                    json!(format!("127.{}.{}.{}:0", 64 + (id >> 8) % 128, id % 256, index + 1));
+                if index % 5 == 0 {
                     config["roster"] = json!(roster);
                 }
             })
@@ -48,8 +49,8 @@
         let (_, attempt_id) = gateway.call("quote", "", b"hold");
         harness.agent.wait_for_command("launch", &attempt_id);
     }
-    for (at, harness) in harnesses.iter_mut().enumerate() {
-        harness.kill(at % 3 != 0);
+    for (index, harness) in harnesses.iter_mut().enumerate() {
+        harness.kill(index % 3 != 0);
     }
     let started_at = Instant::now();
     harnesses.iter_mut().for_each(|harness| harness.restart(SERVER));
@@ -57,7 +58,7 @@
         let ready = |harness: &ServerHarness| {
             wait_until_healthy(harness.address);
             harness.agent.become_ready();
-            assert_eq!(call_status(&mut harness.connect_gateway(), b"the first one"), "200");
+            assert_eq!(call_status(&mut harness.connect_gateway(), b"the first request"), "200");
             started_at.elapsed()
         };
         let threads: Vec<_> = harnesses.iter().map(|harness| scope.spawn(move || ready(harness))).collect();
@@ -78,18 +79,18 @@
         let info = &mut settings["FamilyInfo"];
         (info["Cold"], info["Cpus"], info["Upstreams"]) = (json!(true), json!(6), json!(30));
         (info["Signal"], info["RamKb"]) = (json!("tokens"), json!(1e6));
-        // Nobody is rejected for its wait meanwhile.
+        // No request is rejected for its wait.
         settings["Lanes"][0]["GiveUp"] = json!(60_000);
         settings["Contract"] = json!({"FallMultiple": 5, "Fall": 1500, "Cold": 600_000, "ColdShare": 0.2, "StopSendingWithin": 1000});
     });
     let concurrency: f64 = 6.0 * (1.0 + 4.0 * 0.2);
     let limit = (concurrency + 2.0 * concurrency.sqrt() + 2.0) as usize;
-    // Each knows only of itself, and sends four unprompted, no run of which ends by itself.
+    // Each caller sends four requests at once, whose runs do not end.
     let mut callers: Vec<Gateway> = (0..30).map(|_| harness.connect_gateway()).collect();
     for caller in &mut callers {
         (0..4).for_each(|_| drop(caller.call("quote", "", b"hold")));
     }
-    harness.log.wait_for("all beyond the ramp to be declined", |log| {
+    harness.log.wait_for("decline of every request beyond the ramp", |log| {
         let declined = log.iter().filter(|line| line.ends_with(": decline")).count();
         (declined >= 120 - limit).then_some(())
     });
@@ -97,7 +98,7 @@
     let declined = harness.log.lock().iter().filter(|line| line.ends_with(": decline")).count();
     println!("of 120 in hand: {}, of {limit}", 120 - declined);
     assert_eq!(120 - declined, limit);
-    // What they are told adds up: no more is asked of anybody, and nobody comes back before its turn.
+    // The advice to all callers together stays within the ramp, and none may retry within a second.
     let has_response = |caller: &&mut Gateway| {
         caller.stream.set_nonblocking(true).unwrap();
         let has_data = caller.stream.peek(&mut [0]).is_ok();
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -1,5 +1,5 @@
-//! What the process is to its machine when it is started as the platform starts it: threads, descriptors, addresses.
-//! The operators' standing test refuses other programs, forks and Unix sockets; whatever is added to the program must be off here.
+//! Resources of a server process in its default configuration: threads, descriptors and addresses. The operators' acceptance
+//! test allows no child processes and no Unix sockets, so that optional features must not open any by default.
 
 use puffinladder_toy::harness::ServerHarness;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
     PathBuf::from(format!("/proc/{}/{file}", harness.child.id()))
 }
 
-/// Names of its threads, as the kernel shows them.
+/// Returns the sorted names of the process's threads as the kernel shows them.
 fn thread_names(harness: &ServerHarness) -> Vec<String> {
     let tasks = fs::read_dir(proc_path(harness, "task")).unwrap();
     let name = |task: fs::DirEntry| fs::read_to_string(task.path().join("comm")).unwrap().trim().to_string();
@@ -21,12 +21,12 @@
     names
 }
 
-/// What its descriptors are, standard streams apart.
+/// Returns the sorted link targets of the open descriptors, without the standard streams.
 fn open_descriptors(harness: &ServerHarness) -> Vec<String> {
     let open = fs::read_dir(proc_path(harness, "fd")).unwrap().map(Result::unwrap);
     let beyond_standard =
         open.filter(|entry| entry.file_name().to_str().unwrap().parse::<u32>().unwrap() > 2);
-    // One may close while it is looked at: an entry that is gone is none.
+    // A descriptor may be closed after it is listed.
     let mut targets: Vec<String> = beyond_standard
         .filter_map(|entry| Some(fs::read_link(entry.path()).ok()?.to_str()?.to_string()))
         .collect();
@@ -34,13 +34,13 @@
     targets
 }
 
-/// Inodes in a table of the kernel's sockets, of which they are the word at this place.
+/// Returns the socket inodes in a table below `/proc/PID`, which stand in the given column.
 fn socket_inodes(harness: &ServerHarness, table: &str, column: usize) -> BTreeSet<String> {
     let text = fs::read_to_string(proc_path(harness, table)).unwrap_or_default();
     text.lines().skip(1).filter_map(|line| Some(line.split_whitespace().nth(column)?.to_string())).collect()
 }
 
-/// A town that has served, so that all its coroutines and links stand, and whose gateway has left.
+/// Starts a server that has served a request, so that all its coroutines and links are up. The gateway has disconnected.
 fn start_server() -> ServerHarness {
     let harness = ServerHarness::start(SERVER, |_| {});
     let mut gateway = harness.connect_gateway();
@@ -52,7 +52,7 @@
 #[test]
 fn runs_expected_threads_and_no_child_process() {
     let harness = start_server();
-    // The main one, may's worker and may's timer have the program's name.
+    // The main thread, may's worker and may's timer have the program's name.
     assert_eq!(
         thread_names(&harness),
         ["log", "puffinladder-se", "puffinladder-se", "puffinladder-se", "signals"]
@@ -71,7 +71,7 @@
         assert!(!unix.contains(socket), "a Unix socket among {open:?}");
         sockets += usize::from(tcp.contains(socket));
     }
-    // The listener, the agent's link, at most a report to the registry and the gateway on its way out.
+    // The listener and the agent's link, and possibly a report to the registry and the closing gateway connection.
     assert!((2..=4).contains(&sockets), "{open:?}");
     assert!(open.len() <= 14, "{open:?}");
     let table = fs::read_to_string(proc_path(&harness, "net/tcp")).unwrap();
@@ -98,7 +98,7 @@
     assert_eq!(harness.log.lock().iter().filter(|line| line.contains("was told to leave")).count(), 1);
 }
 
-/// Coordination lives in processes of its own: nothing of it may come in through some dependency.
+/// Coordination runs in separate processes, so that the server must not link it through a dependency.
 #[test]
 fn links_no_consensus_store_or_second_runtime() {
     let arguments =
--- a/crates/server/tests/publish.rs
+++ b/crates/server/tests/publish.rs
@@ -1,14 +1,15 @@
-//! Stories of a server that tells a control service what it decided.
+//! Tests of the load reports that a server publishes to a control service.
 
 use puffinladder_control::report::decoder::{NameTable, ReportDecoder};
 use puffinladder_control::report::LoadReport;
 use puffinladder_reports::compact::FormatOffer;
 use puffinladder_toy::gateway::unix_time_ms;
 use puffinladder_toy::harness::ServerHarness;
+use puffinladder_toy::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 const SERVER: &str = env!("CARGO_BIN_EXE_puffinladder-server");
 
@@ -27,6 +28,7 @@
     ServerHarness::start(&["env", &format!("PUFFINLADDER_SETTINGS={}", file.display()), SERVER], change)
 }
 
+/// Reads load reports from an accepted connection.
 struct ReportReader(BufReader<TcpStream>);
 
 impl ReportReader {
@@ -35,15 +37,18 @@
         self.0.read_line(&mut line).unwrap();
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"))
     }
-    /// The first report that is as wanted.
+    /// Reads reports until one matches and returns it.
     fn until(&mut self, awaited: &str, matches: impl Fn(&LoadReport) -> bool) -> LoadReport {
-        let end = Instant::now() + Duration::from_secs(20);
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             let report = self.read();
             if matches(&report) {
                 return report;
             }
-            assert!(Instant::now() < end, "waited in vain for {awaited}: {report:?}");
+            assert!(
+                Instant::now() < end,
+                "no report of {awaited} within {WAIT_TIMEOUT:?}; the last is {report:?}"
+            );
         }
     }
 }
@@ -63,7 +68,7 @@
         gateway.call("quote", "", b"quick");
         assert_eq!(gateway.read_response().unwrap().status, "200");
     }
-    let report = reports.until("runs", |r| r.goodput > 0.0);
+    let report = reports.until("completed runs", |r| r.goodput > 0.0);
     assert!(
         report.service_time > 0.0
             && report.service_time < 1.0
@@ -78,7 +83,7 @@
         b"too old",
     );
     assert_eq!(gateway.read_response().unwrap().status, "503");
-    let report = reports.until("a decline", |r| r.classes.iter().any(|c| c.rejected > 0.0));
+    let report = reports.until("a rejection", |r| r.classes.iter().any(|c| c.rejected > 0.0));
     assert_eq!(report.classes.iter().find(|c| c.rejected > 0.0).unwrap().product, "order");
     assert!(report.retry_after > 0.0);
     let (_, attempt_id) = gateway.call("quote", "", b"hold");
@@ -101,7 +106,7 @@
     let offer = serde_json::to_string(&FormatOffer::supported()).unwrap();
     stream.write_all(format!("{offer}\n").as_bytes()).unwrap();
     let mut gateway = harness.connect_gateway();
-    let end = Instant::now() + Duration::from_secs(20);
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         gateway.call("quote", "", b"quick");
         assert_eq!(gateway.read_response().unwrap().status, "200");
@@ -114,14 +119,12 @@
             assert!(class.offered > 0.0 && report.sequence > first.sequence);
             return;
         }
-        assert!(Instant::now() < end, "waited in vain for a compact report: {line}");
+        assert!(Instant::now() < end, "no compact report within {WAIT_TIMEOUT:?}; the last is {line}");
     }
 }
 
-/// Symptom: after the agent's link was away for so long that the agent no longer had all notices (it retains 4,000), a server reported
-/// runs that had ended long ago, for as long as it lived, and gave their places and memory to nobody else. Cause: a request stays in
-/// hand until the outcome of its run is read, and an outcome that the agent has dropped never is. The log said `notices 1 to 4 are
-/// missing` and nothing more of these requests; `running` of the reports stood at 4, with the callers long answered.
+/// An agent retains a limited number of notices. A run whose outcome it dropped while the link was down must release its run
+/// slot and memory, and must not stay in the reports.
 #[test]
 fn run_with_dropped_outcome_releases_its_slot() {
     let folder = tempfile::tempdir().unwrap();
@@ -139,24 +142,24 @@
         gateway.call("order", &format!(",k={key:032x}"), b"hold");
     }
     harness.agent.wait_for_commands("launch", runs);
-    // Polls that are answered after the launches show that these were read: none is sent again.
+    // Polls answered after the launches show that the agent has read these, so that none is resent.
     harness.agent.wait_for_commands("sample", harness.agent.command_count("sample", "") + 3);
     assert_eq!(harness.agent.finish_all_disconnected(), runs);
     for _ in 0..runs {
         assert_eq!(gateway.read_response().unwrap().status, "500");
     }
-    reports.until("runs that ended unheard", |report| report.in_flight == runs as f64);
-    // The next notice shows that some are missing.
+    reports.until("runs with dropped outcomes", |report| report.in_flight == runs as f64);
+    // The sequence number of the next notice reveals the gap.
     gateway.call("quote", "", b"quick");
     assert_eq!(gateway.read_response().unwrap().status, "200");
-    reports.until("their places to be free", |report| report.in_flight == 0.0);
-    // They ran, for all that is known: a retry gets no second run.
+    reports.until("released run slots", |report| report.in_flight == 0.0);
+    // The runs may have completed, so that a retry does not run again.
     gateway.call("order", &format!(",k={:032x}", 1), b"hold");
     assert_eq!(gateway.read_response().unwrap().status, "500");
     assert_eq!(harness.agent.command_count("launch", ""), runs + 1);
 }
 
-/// A run that goes on through the gap, and says so or ends after it, is in hand until it ends.
+/// A run that continues through a gap in the notices stays in flight until its outcome arrives.
 #[test]
 fn run_reported_after_notice_gap_stays_in_flight() {
     let folder = tempfile::tempdir().unwrap();
@@ -171,10 +174,10 @@
     harness.agent.drop_notices();
     gateway.call("quote", "", b"quick");
     assert_eq!(gateway.read_response().unwrap().status, "200");
-    reports.until("the run", |report| report.in_flight == 1.0);
+    reports.until("the open run", |report| report.in_flight == 1.0);
     harness.agent.finish_run(&attempt_id);
     assert_eq!(gateway.read_response().unwrap().status, "200");
-    reports.until("its end", |report| report.in_flight == 0.0);
+    reports.until("the end of the run", |report| report.in_flight == 0.0);
 }
 
 #[test]
--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -1,16 +1,17 @@
-//! Rare moments, played to a whole server process over real connections. Each story forces its order: the process stands
-//! still while its sockets fill, or a stand-in waits for what it must have seen.
+//! Race conditions, provoked in a server process over real connections. Each test forces its order of events: the
+//! process is paused while its sockets fill, or a stand-in waits until it has observed an event.
 
 use puffinladder_toy::gateway::{encode_command, unix_time_ms, Gateway};
 use puffinladder_toy::harness::ServerHarness;
 use puffinladder_toy::http::HttpStandIn;
+use puffinladder_toy::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::RwLock;
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 const SERVER: &[&str] = &[env!("CARGO_BIN_EXE_puffinladder-server")];
 const KEY: &str = ",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -21,7 +22,7 @@
 
 fn call_status(gateway: &mut Gateway, class: &str, extra_fields: &str, body: &[u8]) -> String {
     let (tag, _) = gateway.call(class, extra_fields, body);
-    let answer = gateway.read_response().expect("an answer");
+    let answer = gateway.read_response().expect("the server answers the request");
     assert_eq!(answer.tag, tag);
     answer.status
 }
@@ -30,20 +31,20 @@
     assert_eq!(call_status(&mut harness.connect_gateway(), "quote", "", b"still there"), "200");
 }
 
-// ---- the end of a connection ----
+// ---- closing connections ----
 
 #[test]
 fn response_before_broken_message_survives_close() {
     let harness = start_server();
     let mut gateway = harness.connect_gateway();
-    // Answered at once, unread by the policy; then what can't be read, and more behind it than one read takes.
+    // One request that is answered without the policy, then invalid bytes, more than one read returns.
     let good = encode_command(&[b"CALL", b"1", b"nothing", b"", b""]);
     let bytes = [good, b"*no array\r\n".to_vec(), vec![b'x'; 60_000]].concat();
     harness.pause();
     gateway.stream.write_all(&bytes).unwrap();
     harness.resume();
-    assert_eq!(gateway.read_response().expect("the answer that was owed").status, "500");
-    gateway.read_to_end().expect("an end, not a reset");
+    assert_eq!(gateway.read_response().expect("a response to the open request").status, "500");
+    gateway.read_to_end().expect("the connection is closed without a reset");
 }
 
 #[test]
@@ -53,12 +54,12 @@
     let (tag, attempt_id) = gateway.call("quote", "", b"hold");
     harness.agent.wait_for_command("launch", &attempt_id);
     gateway.stream.write_all(b"*5\r\n$4\r\nCA").unwrap();
-    // A connection opened later whose time is over: that of the first one is over as well, twice.
+    // Two connections that are opened later and time out show that the timeout of the first one has passed.
     for _ in 0..2 {
         harness.connect_gateway().read_to_end().unwrap();
     }
     harness.agent.finish_run(&attempt_id);
-    let answer = gateway.read_response().expect("the answer that was owed");
+    let answer = gateway.read_response().expect("a response to the open request");
     assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
     gateway.read_to_end().unwrap();
 }
@@ -68,15 +69,15 @@
     let harness = start_server();
     let mut gateway = harness.connect_gateway();
     gateway.stream.write_all(b"*no array\r\n").unwrap();
-    // It goes on sending: the server reads that for a while, then has enough.
+    // The server discards further input for a limited time, then closes the socket.
     let started_at = Instant::now();
     while gateway.stream.write_all(&[b'x'; 65_536]).is_ok() {
-        assert!(started_at.elapsed() < Duration::from_secs(20), "it is read for ever");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "the server still reads after {WAIT_TIMEOUT:?}");
     }
     assert_serves(&harness);
 }
 
-// ---- the end of the process ----
+// ---- drain and exit ----
 
 #[test]
 fn exit_sends_goaway_and_pending_responses() {
@@ -87,15 +88,15 @@
     let (tag, attempt_id) = busy.call("order", KEY, b"hold");
     harness.agent.wait_for_command("launch", &attempt_id);
     harness.send_sigterm();
-    let notice = idle.read_response().expect("a notice");
+    let notice = idle.read_response().expect("a goaway notice");
     assert_eq!((notice.tag, notice.status.as_str()), (0, "goaway"));
-    idle.read_to_end().expect("an end, not a reset");
+    idle.read_to_end().expect("the connection is closed without a reset");
     let mut statuses: Vec<(u64, String)> = Vec::new();
     while let Some(answer) = busy.read_response() {
         statuses.push((answer.tag, answer.status));
     }
     assert_eq!(statuses, [(tag, "500".to_string())]);
-    silent.read_to_end().expect("an end, not a reset");
+    silent.read_to_end().expect("the connection is closed without a reset");
     assert!(harness.wait_for_exit().success());
 }
 
@@ -104,17 +105,18 @@
     let harness = start_server();
     let mut open = harness.connect_gateway();
     assert_eq!(call_status(&mut open, "quote", "", b""), "200");
-    // On an open connection, on a new one and behind it in the backlog, then the notice, twice: all wait together.
+    // While the process is paused: requests on an open connection and on new ones in the backlog, then SIGTERM twice.
     harness.pause();
     let mut fresh: Vec<Gateway> = (0..60).map(|_| harness.connect_gateway()).collect();
     for gateway in fresh.iter_mut().chain([&mut open]) {
-        gateway.call("quote", "", b"before the notice was heard");
+        gateway.call("quote", "", b"before the drain");
     }
     harness.send_sigterm();
     harness.send_sigterm();
     harness.resume();
     for gateway in fresh.iter_mut().chain([&mut open]) {
-        assert!(["200", "503"].contains(&gateway.read_response().expect("an answer").status.as_str()));
+        assert!(["200", "503"]
+            .contains(&gateway.read_response().expect("the server answers each request").status.as_str()));
     }
 }
 
@@ -122,10 +124,11 @@
 fn drain_before_agent_is_ready_answers_read_requests() {
     let mut harness = ServerHarness::spawn(SERVER, false, |_| {});
     let mut gateway = harness.connect_gateway();
-    gateway.call("order", KEY, b"read too soon");
+    gateway.call("order", KEY, b"read before the agent is ready");
     harness.wait_for_log("txn 1");
     harness.send_sigterm();
-    assert!(["500", "503"].contains(&gateway.read_response().expect("an answer").status.as_str()));
+    assert!(["500", "503"]
+        .contains(&gateway.read_response().expect("the server answers each request").status.as_str()));
     assert!(harness.wait_for_exit().success());
     assert_eq!(harness.agent.command_count("launch", ""), 0);
 }
@@ -149,7 +152,7 @@
 
 #[test]
 fn retry_read_after_dedup_window_does_not_run_again() {
-    // A window of 0.1 s, and tries that may lie unread for long before they are due.
+    // A dedup window of 0.1 s, and attempts with far deadlines that may stay unread for long.
     let harness = ServerHarness::start(SERVER, |config| {
         config["settings"]["Lanes"][1]["DedupWindow"] = json!(100);
         config["settings"]["Lanes"][1]["GiveUp"] = json!(60_000);
@@ -157,7 +160,7 @@
     let mut gateway = harness.connect_gateway();
     let arrived_at_ms = unix_time_ms();
     assert_eq!(call_status(&mut gateway, "order", &format!("{KEY},s={arrived_at_ms}"), b"an order"), "200");
-    // Each arrived_at_ms to the machine within the window; the last of them is read three seconds behind its end.
+    // Each retry arrives within the window by its timestamp; the last is read three seconds after its end.
     while unix_time_ms() < arrived_at_ms + 3200 {
         let repeat = format!("{KEY},r=1,s={}", arrived_at_ms + 40);
         assert!(["200", "503"].contains(&call_status(&mut gateway, "order", &repeat, b"an order").as_str()));
@@ -180,7 +183,7 @@
     harness.agent.finish_run(&attempt_id);
     gateway.cancel(tag);
     harness.resume();
-    // Whichever was read first, there is at most one answer, and the result serves a retry.
+    // In either order there is at most one response, and the result serves a retry.
     let (repeat, _) = gateway.call("order", KEY, b"hold");
     let mut answer = gateway.read_response().unwrap();
     if answer.tag == tag {
@@ -209,7 +212,7 @@
     assert_eq!(tags, [(first, "200".to_string()), (repeat, "200".to_string())]);
 }
 
-// ---- the agent and the store ----
+// ---- agent, store and registry ----
 
 #[test]
 fn duplicate_and_partial_notices_are_handled_once() {
@@ -223,16 +226,16 @@
     assert_eq!(gateway.read_response().unwrap().tag, tag);
     harness.agent.resend_notices();
     harness.agent.resend_notices();
-    assert_eq!(call_status(&mut gateway, "order", &KEY.replace('5', "6"), b"the next answer here"), "200");
+    assert_eq!(call_status(&mut gateway, "order", &KEY.replace('5', "6"), b"the next response"), "200");
 }
 
 #[test]
 fn huge_deadline_does_not_break_store_call() {
-    // Times far beyond what a duration holds: the call goes out all the same, and its reply comes back.
+    // Times beyond the range of a duration must not prevent the store call.
     let harness = ServerHarness::start(SERVER, |config| {
-        for lane in 0..2 {
+        for class in 0..2 {
             for key in ["Promise", "GiveUp", "DedupWindow"] {
-                config["settings"]["Lanes"][lane][key] = json!(1e300);
+                config["settings"]["Lanes"][class][key] = json!(1e300);
             }
         }
     });
@@ -242,7 +245,7 @@
     assert_eq!((answer.tag, answer.body.as_slice()), (tag, &b"stored for ever"[..]));
 }
 
-/// A listener whose backlog takes connections that nobody accepts.
+/// Returns a listener that accepts nothing: peers connect to its backlog and get no response.
 fn unresponsive_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
@@ -257,7 +260,7 @@
     harness.agent.disconnect();
     harness.agent.wait_for_commands("subscribe", 2);
     assert_serves(&harness);
-    // Found at a new address it hears at once.
+    // At a new address the registry gets a report at once.
     harness.move_peers();
     harness.registry.wait_for_request("PUT /roster/toy-1 ", "on");
     assert_serves(&harness);
@@ -274,26 +277,26 @@
         config["roster"] = json!(silent_listener.local_addr().unwrap());
     });
     let mut silent: Vec<Gateway> = (0..200).map(|_| harness.connect_gateway()).collect();
-    // As many calls below as there is room for beside a run, none of which ends.
+    // As many hanging store calls as there are descriptors for.
     let mut busy = harness.connect_gateway();
-    for at in 0..12 {
-        busy.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
+    for index in 0..12 {
+        busy.call("order", &KEY.replace("5c0f", &format!("00{index:02}")), b"call hang");
     }
-    harness.store.requests.wait_for("12 calls", |calls| (calls.len() == 12).then_some(()));
+    harness.store.requests.wait_for("12 store calls", |requests| (requests.len() == 12).then_some(()));
     silent.extend((0..200).map(|_| harness.connect_gateway()));
     harness.agent.disconnect();
     harness.agent.wait_for_commands("subscribe", 2);
     assert_serves(&harness);
-    // Discovery is back where it was.
+    // The registry is reachable again at the same address.
     let registry = HttpStandIn::serve_registry(silent_listener);
     registry.wait_for_request("PUT /roster/toy-1 ", "on");
     assert_serves(&harness);
     assert!(!harness.log.lock().iter().any(|line| line.contains("no connection accepted")));
 }
 
-/// Clients that connect as fast as they are accepted and never close: what the server ends stays half open. Some say
-/// nothing, some begin a message, some ask once and stay. Stands still while `connect_gate` is taken, and ends when told, with all
-/// that it holds.
+/// Opens connections as fast as the server accepts them and keeps up to 1000 of its own ends open, so that those the server
+/// closed stay half open. A third sends nothing, a third part of a message and a third one health check. Pauses while
+/// `connect_gate` is held for writing and ends once `stopped` is set.
 fn flood(server: std::net::SocketAddr, stopped: &AtomicBool, connect_gate: &RwLock<()>) {
     let mut held = std::collections::VecDeque::new();
     while !stopped.load(Ordering::Relaxed) {
@@ -315,7 +318,7 @@
 #[test]
 fn descriptor_limit_holds_during_flood_drain_and_restart() {
     const DESCRIPTOR_LIMIT: usize = 64;
-    // Its last moments are the ones in which all connections part while others still come.
+    // A short stop time makes all connections close while new ones arrive.
     let mut harness = ServerHarness::start(SERVER, |config| {
         config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
         config["stop_ms"] = json!(1500);
@@ -328,8 +331,8 @@
         for _ in 0..4 {
             scope.spawn(|| flood(server, &stopped, &connect_gate));
         }
-        // Looked at from outside, without a pause. A number is listed once, and new ones take the lowest that is free, so
-        // that one look never counts more than were open together.
+        // Counts descriptors through /proc in a loop. A number is listed once and new descriptors take the lowest free
+        // number, so that one listing never counts more than were open at the same time.
         scope.spawn(|| {
             while !stopped.load(Ordering::Relaxed) {
                 let open = std::fs::read_dir(format!("/proc/{}/fd", process.load(Ordering::Relaxed)));
@@ -338,15 +341,17 @@
         });
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             for _ in 0..2 {
-                // Calls that hang below, and two links to the agent, while the table is full.
-                // The flood's connections stay meanwhile, but none comes: one that has said nothing yet is the first to
-                // make way for another, and this gateway might be it before its first call.
+                // Hanging store calls and two agent links while the connection table is full. The flood pauses here,
+                // because a connection without a request is evicted first and this gateway might be it.
                 let no_new_connections = connect_gate.write().unwrap();
                 let mut busy = harness.connect_gateway();
-                for at in 0..12 {
-                    busy.call("order", &KEY.replace("5c0f", &format!("00{at:02}")), b"call hang");
+                for index in 0..12 {
+                    busy.call("order", &KEY.replace("5c0f", &format!("00{index:02}")), b"call hang");
                 }
-                harness.store.requests.wait_for("12 calls", |calls| (calls.len() >= 12).then_some(()));
+                harness
+                    .store
+                    .requests
+                    .wait_for("12 store calls", |requests| (requests.len() >= 12).then_some(()));
                 drop(no_new_connections);
                 harness.store.requests.update(Vec::clear);
                 harness.agent.disconnect();
@@ -355,7 +360,7 @@
                 assert!(harness.wait_for_exit().success());
                 harness.agent.restart(true);
                 harness.restart(SERVER);
-                // Until it has started_at its own work it shows what it was started with, the flood's ends among that.
+                // Before the new process listens, /proc shows descriptors inherited at the fork, the flood's among them.
                 harness.wait_for_log("listens on");
                 process.store(harness.child.id() as usize, Ordering::Relaxed);
                 harness.agent.wait_for_command("sample", "");
@@ -365,10 +370,10 @@
         result.unwrap();
     });
     let peak = peak.into_inner();
-    println!("{peak} descriptors of {DESCRIPTOR_LIMIT} at the most");
+    println!("{peak} descriptors open at most, limit {DESCRIPTOR_LIMIT}");
     assert!(
         (DESCRIPTOR_LIMIT / 2..=DESCRIPTOR_LIMIT).contains(&peak),
-        "{peak} descriptors of {DESCRIPTOR_LIMIT}"
+        "{peak} descriptors open at most, limit {DESCRIPTOR_LIMIT}"
     );
 }
 
@@ -382,23 +387,23 @@
     let before = open(&harness);
     for _ in 0..300 {
         let mut gateway = harness.connect_gateway();
-        gateway.call("quote", "", b"and away");
-        // Closed over the unread answer, the connection is reset.
+        gateway.call("quote", "", b"reset");
+        // Closing with an unread response resets the connection.
         gateway.stream.peek(&mut [0]).unwrap();
     }
     assert_serves(&harness);
     let started_at = Instant::now();
     while open(&harness) > before + 3 {
         assert!(
-            started_at.elapsed() < Duration::from_secs(20),
-            "{} descriptors stay open",
+            started_at.elapsed() < WAIT_TIMEOUT,
+            "{} more descriptors open after {WAIT_TIMEOUT:?}",
             open(&harness) - before
         );
         std::thread::yield_now();
     }
 }
 
-// ---- settings of another customer ----
+// ---- names in the settings ----
 
 #[test]
 fn similar_and_non_ascii_names_are_distinguished() {
@@ -421,10 +426,10 @@
             assert_eq!(harness.agent.wait_for_command("launch", &attempt_id)["class"], class_name);
         }
     }
-    for wrong in ["cita.", "cit", "cita.ano", "norte"] {
-        assert_eq!(call_status(&mut gateway, wrong, ",t=norte", b""), "500", "{wrong}");
+    for unknown in ["cita.", "cit", "cita.ano", "norte"] {
+        assert_eq!(call_status(&mut gateway, unknown, ",t=norte", b""), "500", "{unknown}");
     }
-    for wrong in ["nort", "norte.", "norte.n", "acme"] {
-        assert_eq!(call_status(&mut gateway, "cita", &format!(",t={wrong}"), b""), "500", "{wrong}");
+    for unknown in ["nort", "norte.", "norte.n", "acme"] {
+        assert_eq!(call_status(&mut gateway, "cita", &format!(",t={unknown}"), b""), "500", "{unknown}");
     }
 }
--- a/crates/server/tests/stories.rs
+++ b/crates/server/tests/stories.rs
@@ -1,7 +1,8 @@
-//! Stories played to a encoded server process by the example's stand-ins.
+//! Integration tests of a server process with stand-ins for its peers.
 
 use puffinladder_toy::gateway::{encode_command, unix_time_ms, Gateway, Response};
-use puffinladder_toy::harness::{spawn_server, ServerHarness, EXAMPLE_CONFIG};
+use puffinladder_toy::harness::{spawn_server, ServerHarness, END_OF_LOG, EXAMPLE_CONFIG};
+use puffinladder_toy::WAIT_TIMEOUT;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::Shutdown;
@@ -16,9 +17,9 @@
     ServerHarness::start(SERVER, |_| {})
 }
 
-/// The answer to the one request that is open.
+/// Reads the next response and checks that it answers the request with `tag`.
 fn read_response(gateway: &mut Gateway, tag: u64) -> Response {
-    let answer = gateway.read_response().expect("an answer");
+    let answer = gateway.read_response().expect("the server answers the request");
     assert_eq!(answer.tag, tag);
     answer
 }
@@ -28,12 +29,12 @@
     read_response(gateway, tag).status
 }
 
-/// A server that is still well completes a request of a new gateway.
+/// Checks that the server completes a request on a new connection.
 fn assert_serves(harness: &ServerHarness) {
     assert_eq!(call_status(&mut harness.connect_gateway(), "quote", "", b"still there"), "200");
 }
 
-/// A stamp so long ago that the request has waited past any threshold.
+/// Returns a timestamp field old enough that the request has waited past any threshold.
 fn stale_timestamp_field() -> String {
     format!(",s={}", unix_time_ms() - 5000)
 }
@@ -115,7 +116,7 @@
 fn reused_key_with_other_content_is_not_replayed() {
     let harness = start_server();
     let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
-    let (_, forged) = forging.call("order", KEY, b"hold, made up");
+    let (_, forged) = forging.call("order", KEY, b"hold, forged");
     harness.agent.wait_for_command("launch", &forged);
     let (tag, _) = genuine.call("order", KEY, b"an order");
     harness.wait_for_log("waits for its key");
@@ -165,9 +166,13 @@
     let started_at = Instant::now();
     while harness.agent.command_count("launch", "") < 2 {
         assert_eq!(call_status(&mut gateway, "order", KEY, b"an order"), "200");
-        assert!(started_at.elapsed() < Duration::from_secs(20), "the key never came free");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "the key was not released within {WAIT_TIMEOUT:?}");
     }
-    assert!(started_at.elapsed() >= Duration::from_millis(150), "the window counts 50 ms more on sockets");
+    assert!(
+        started_at.elapsed() >= Duration::from_millis(150),
+        "released after {:?}, before the window and its 50 ms margin",
+        started_at.elapsed()
+    );
 }
 
 #[test]
@@ -215,7 +220,7 @@
         let mut gateway = harness.connect_gateway();
         gateway.stream.write_all(&encoded[..cut]).unwrap();
         gateway.stream.shutdown(Shutdown::Write).unwrap();
-        assert_eq!(gateway.read_response(), None, "{cut}");
+        assert_eq!(gateway.read_response(), None, "cut off after {cut} bytes");
     }
     assert_eq!(harness.agent.command_count("launch", ""), 0);
     assert_serves(&harness);
@@ -233,7 +238,10 @@
         gateway.stream.write_all(&bad).unwrap();
         gateway.stream.shutdown(Shutdown::Write).unwrap();
         if let Some(answer) = gateway.read_response() {
-            assert!(["200", "500", "503"].contains(&answer.status.as_str()), "{at}: {answer:?}");
+            assert!(
+                ["200", "500", "503"].contains(&answer.status.as_str()),
+                "byte {at} corrupted: {answer:?}"
+            );
             assert_eq!(gateway.read_response(), None);
         }
     }
@@ -280,7 +288,7 @@
     }
     assert!(silent.iter_mut().all(|gateway| gateway.read_response().is_none()));
     let lines = harness.log.lock().iter().filter(|line| line.contains("a connection closed")).count();
-    assert!(lines <= 25, "{lines} lines: whoever does wrong must not flood the log");
+    assert!(lines <= 25, "{lines} log lines for 60 closed connections");
 }
 
 #[test]
@@ -315,7 +323,7 @@
 fn closes_connection_of_gateway_that_never_reads() {
     let harness = start_server();
     let mut gateway = harness.connect_gateway();
-    // Whatever the system's buffers hold, the write fails once the server has closed.
+    // The write fails once the server has closed the connection, however much the socket buffers hold.
     for thousand in 1..20_000 {
         let check = |at: u32| encode_command(&[b"CHECK", (1000 * thousand + at).to_string().as_bytes(), b""]);
         let checks: Vec<u8> = (0..1000).flat_map(check).collect();
@@ -327,7 +335,7 @@
     assert_serves(&harness);
 }
 
-/// A line of the process's own account, in kilobytes.
+/// Returns a line of the process's `/proc` status in kilobytes.
 fn memory_kilobytes(harness: &ServerHarness, line: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{}/status", harness.child.id())).unwrap();
     let found =
@@ -337,7 +345,7 @@
 
 #[test]
 fn rejects_requests_beyond_memory_limit() {
-    // Runs that book almost nothing, so that the policy lets them all in; 16 MB bear 127 of them.
+    // The runs declare almost no memory, so that the policy admits them all; 16 MB hold 127 of them.
     let harness = ServerHarness::start(SERVER, |config| config["limits"]["memory_mb"] = json!(16));
     let mut gateways: Vec<Gateway> = (0..8).map(|_| harness.connect_gateway()).collect();
     let body = [&b"hold"[..], &[b'x'; 2044]].concat();
@@ -372,7 +380,7 @@
     assert_eq!(harness.agent.command_count("launch", &attempt_id), 1);
     assert_eq!(harness.agent.wait_for_command("subscribe", "")["seq"], 0);
     harness.agent.wait_for_commands("subscribe", 2);
-    // What is read while there is no link is launched once there is one again.
+    // A request read while the link is down is launched once the link is up again.
     harness.agent.disconnect();
     let (tag, _) = gateway.call("quote", "", b"read without a link");
     assert_eq!(read_response(&mut gateway, tag).status, "200");
@@ -380,7 +388,7 @@
 
 #[test]
 fn acknowledged_launch_is_not_resent_after_reconnect() {
-    // Said again in the moment in which its run ends, it could run twice.
+    // A launch that is resent while its run ends could run twice.
     let harness = start_server();
     let mut gateway = harness.connect_gateway();
     let (tag, attempt_id) = gateway.call("order", KEY, b"hold");
@@ -449,24 +457,24 @@
     let harness =
         ServerHarness::start(SERVER, |config| config["settings"]["Lanes"][1]["Promise"] = json!(700));
     let mut gateway = harness.connect_gateway();
-    for (at, end) in ["error", "late", "junk", "short", "break", "hang"].into_iter().enumerate() {
-        let key = KEY.replace("5c0f", &format!("00{at:02}"));
+    for (index, end) in ["error", "late", "junk", "short", "break", "hang"].into_iter().enumerate() {
+        let key = KEY.replace("5c0f", &format!("00{index:02}"));
         let (tag, attempt_id) = gateway.call("order", &key, format!("call {end}").as_bytes());
         assert_eq!(read_response(&mut gateway, tag).status, "500", "{end}");
         assert_eq!(
-            harness.store.requests.lock().iter().filter(|request| request.0 == attempt_id).count(),
+            harness.store.requests.lock().iter().filter(|request| request.subject == attempt_id).count(),
             1,
             "{end}"
         );
     }
-    for (at, end) in ["busy", "void"].into_iter().enumerate() {
-        let key = KEY.replace("5c0f", &format!("01{at:02}"));
+    for (index, end) in ["busy", "void"].into_iter().enumerate() {
+        let key = KEY.replace("5c0f", &format!("01{index:02}"));
         let (_, attempt_id) = gateway.call("order", &key, format!("call {end}").as_bytes());
-        harness.store.requests.wait_for(end, |calls| {
-            (calls.iter().filter(|request| request.0 == attempt_id).count() > 1).then_some(())
+        harness.store.requests.wait_for(&format!("second call that ends in {end:?}"), |requests| {
+            (requests.iter().filter(|request| request.subject == attempt_id).count() > 1).then_some(())
         });
     }
-    // Where the call may be left out, it is.
+    // Where the call is optional, the run continues without it.
     let (_, attempt_id) = gateway.call("quote", "", b"call error");
     harness.agent.wait_for_command("forgo", &attempt_id);
 }
@@ -487,10 +495,7 @@
     harness.store.wait_for_request(&attempt_id, "hang");
     gateway.cancel(tag);
     harness.agent.finish_run(&attempt_id);
-    harness
-        .store
-        .closed_connections
-        .wait_for("the call's connection to end", |ended| (*ended == 1).then_some(()));
+    harness.store.closed_connections.wait_for("closed store connection", |ended| (*ended == 1).then_some(()));
 }
 
 #[test]
@@ -518,7 +523,7 @@
     }
     assert_serves(&harness);
     assert_eq!(harness.agent.command_count("subscribe", ""), 1);
-    // What can't change while it runs is named, and a reload does not keep a server from leaving.
+    // A setting that cannot change at run time is named in the log, and a reload does not stop a drain.
     harness.send_sigterm();
     harness.wait_for_log("told to leave");
     harness.reload(&EXAMPLE_CONFIG.replace("1500,", "60000,"));
@@ -547,7 +552,7 @@
         harness.wait_for_log("told to leave");
     }
     follows.registry.wait_for_request("toy-1", r#"{"duty":"off"}"#);
-    // One report may have been on its way; at one a second three more would have come by the end.
+    // One report may have been in flight; at one per second three more would arrive before the exit.
     let before = other.registry.requests.lock().len();
     other.wait_for_exit();
     assert!(other.registry.requests.lock().len() <= before + 1);
@@ -562,7 +567,7 @@
     let notice = gateway.read_response().unwrap();
     assert_eq!((notice.tag, notice.status.as_str()), (0, "goaway"));
     assert_eq!(call_status(&mut gateway, "quote", "", b"crossing"), "200");
-    assert_eq!(gateway.read_response(), None, "a gateway that does not leave is left");
+    assert_eq!(gateway.read_response(), None, "the server closes a connection whose gateway ignores goaway");
 }
 
 #[test]
@@ -574,10 +579,10 @@
     let signalled_at = Instant::now();
     harness.send_sigterm();
     harness.wait_for_log("told to leave");
-    // Past the grace nothing runs any more: each request is rejected, and the gateway may go elsewhere.
+    // After the grace period every new request is rejected, so that the gateway can retry elsewhere.
     let mut other = harness.connect_gateway();
     while call_status(&mut other, "quote", "", b"late") != "503" {
-        assert!(signalled_at.elapsed() < Duration::from_secs(20), "late txns still run");
+        assert!(signalled_at.elapsed() < WAIT_TIMEOUT, "requests still run {WAIT_TIMEOUT:?} after SIGTERM");
     }
     assert_eq!(other.check_health().status, "not_serving");
     assert_eq!(read_response(&mut gateway, tag).status, "500");
@@ -598,7 +603,7 @@
     let harness = start_server();
     harness.log_paused.store(true, Ordering::Relaxed);
     let mut gateway = harness.connect_gateway();
-    // Every request is traced: far more than a pipe holds.
+    // Each request is logged at trace level, far more than a pipe buffer holds.
     for _ in 0..3000 {
         assert_eq!(call_status(&mut gateway, "quote", "", b"traced"), "200");
     }
@@ -619,15 +624,17 @@
         let log = Arc::default();
         let (mut child, _) = spawn_server(SERVER, text, &log, &Arc::default());
         assert!(!child.wait().unwrap().success(), "{key}");
-        log.wait_for("the log's end", |log| log.iter().any(|line| line == "the log ends").then_some(()));
+        log.wait_for("end of the log", |log| log.iter().any(|line| line == END_OF_LOG).then_some(()));
         let lines = log.lock().join("\n");
-        assert!(lines.contains(key) && !lines.contains("listens"), "wanted {key}: {lines}");
+        assert!(
+            lines.contains(key) && !lines.contains("listens"),
+            "expected an error that names {key}: {lines}"
+        );
     }
 }
 
-/// Symptom: a request that waits for a key which one of other content holds got no answer where the process was killed within the
-/// second for which it may wait. Cause: it is known to nobody but the list of those who wait, whose deadlines took no notice of the
-/// kill; what the policy holds is answered before it.
+/// A request that waits for a key held by a request of other content must be answered before the process exits, although
+/// the policy does not know it yet.
 #[test]
 fn request_waiting_for_key_is_answered_before_exit() {
     let mut harness = ServerHarness::start(SERVER, |config| {
@@ -644,7 +651,7 @@
     assert!(harness.wait_for_exit().success());
 }
 
-/// The same fault at another moment: its caller's time is up before the second for which it may wait.
+/// The caller's deadline passes before the one second for which a request may wait for a key.
 #[test]
 fn request_waiting_for_key_is_answered_by_its_deadline() {
     let time = 600;
@@ -663,14 +670,13 @@
     assert!(called_at.elapsed() <= Duration::from_millis(time), "{:?}", called_at.elapsed());
 }
 
-/// Symptom: a request under a name that a made-up one had taken a moment before was answered with 500, which an unsafe request's
-/// caller may not try again. Cause: an attempt id that was in flight already failed whoever came second, although the agent refuses
-/// the made-up one as soon as it is to run.
+/// A forged request in flight must not fail a genuine one with the same attempt id: callers do not retry unsafe requests
+/// after a 500.
 #[test]
 fn forged_attempt_id_does_not_fail_real_request() {
     let harness = start_server();
     let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
-    let (forged, attempt_id) = forging.call("quote", "", b"hold, made up");
+    let (forged, attempt_id) = forging.call("quote", "", b"hold, forged");
     harness.agent.wait_for_command("launch", &attempt_id);
     let tag = genuine.call_with_id(&attempt_id, "quote", "", b"an order");
     harness.wait_for_log("waits for its attempt id");
@@ -680,27 +686,28 @@
     assert_eq!((got.status.as_str(), got.body), ("200", b"done an order".to_vec()));
 }
 
-/// The first is the true one, and the second what was made up, or the same once more.
+/// The first request is the genuine one; the second is forged, or a duplicate.
 #[test]
 fn duplicate_attempt_id_fails_after_first_has_run() {
     let harness = start_server();
     let (mut genuine, mut forging) = (harness.connect_gateway(), harness.connect_gateway());
     let (tag, attempt_id) = genuine.call("quote", "", b"hold an order");
     harness.agent.wait_for_command("launch", &attempt_id);
-    let second = forging.call_with_id(&attempt_id, "quote", "", b"made up");
-    // Only one waits.
-    let third = genuine.call_with_id(&attempt_id, "quote", "", b"made up too");
+    let second = forging.call_with_id(&attempt_id, "quote", "", b"forged");
+    // At most one request waits for an attempt id.
+    let third = genuine.call_with_id(&attempt_id, "quote", "", b"forged too");
     assert_eq!(read_response(&mut genuine, third).status, "500");
     harness.agent.finish_run(&attempt_id);
     assert_eq!(read_response(&mut genuine, tag).status, "200");
     assert_eq!(read_response(&mut forging, second).status, "500");
     assert_eq!(harness.agent.command_count("launch", ""), 1);
-    // Its name is free again, and nothing is left of who waited for it.
+    // The attempt id is free again and nothing waits for it.
     let again = forging.call_with_id(&attempt_id, "quote", "", b"quick");
     assert_eq!(read_response(&mut forging, again).status, "200");
 }
 
-/// It has a second, or its own time, or until the kill, as one that waits for a key; then it fails, since the first may be the same.
+/// A duplicate waits at most one second, until its deadline or until the exit, whichever is first. Then it fails, because
+/// the first may be the same request.
 #[test]
 fn duplicate_attempt_id_is_answered_while_first_runs() {
     let mut harness = ServerHarness::start(SERVER, |config| {
@@ -711,19 +718,18 @@
     let (_, attempt_id) = first.call("quote", "", b"hold");
     harness.agent.wait_for_command("launch", &attempt_id);
     let called_at = Instant::now();
-    let tag = second.call_with_id(&attempt_id, "quote", "", b"made up");
+    let tag = second.call_with_id(&attempt_id, "quote", "", b"forged");
     assert_eq!(read_response(&mut second, tag).status, "500");
     assert!(called_at.elapsed() <= Duration::from_millis(1500), "{:?}", called_at.elapsed());
-    let tag = second.call_with_id(&attempt_id, "quote", "", b"made up too");
+    let tag = second.call_with_id(&attempt_id, "quote", "", b"forged too");
     harness.wait_for_log("waits for its attempt id");
     harness.send_sigterm();
     assert_eq!(read_response(&mut second, tag).status, "500");
     assert!(harness.wait_for_exit().success());
 }
 
-/// Symptom: while one client sent well-formed requests that the agent does not know, on 8 connections with 30 open on each, another
-/// client's requests were rejected for as long as that went on. Cause: each made-up request was queued, counted against its tenant's
-/// quota and held a place until the agent had refused it, so that true ones stood behind as many as the flood kept open.
+/// Requests that the agent refuses as unknown must not occupy the queue and the tenant's quota, or a client that floods a
+/// server with them gets every other client's requests rejected.
 #[test]
 fn flood_of_unknown_requests_does_not_starve_others() {
     const FLOODERS: usize = 8;
@@ -740,8 +746,8 @@
             std::thread::spawn(move || {
                 (0..OPEN_EACH).for_each(|_| drop(gateway.call("quote", "", b"refuse slowly")));
                 while !over.load(Ordering::Relaxed) {
-                    if gateway.read_response().expect("an answer").status == "503" {
-                        // It is to keep the queue full, not the machine busy.
+                    if gateway.read_response().expect("the server answers each request").status == "503" {
+                        // Keeps the queue full without busying the machine.
                         std::thread::sleep(Duration::from_millis(5));
                     }
                     gateway.call("quote", "", b"refuse slowly");
@@ -749,7 +755,7 @@
             })
         })
         .collect();
-    // From here on more than the first of each connection are refused.
+    // Wait until more than the first request of each connection has been refused.
     harness.agent.wait_for_commands("launch", 10 * FLOODERS);
     let mut gateway = harness.connect_gateway();
     for _ in 0..20 {
@@ -759,7 +765,7 @@
     flooders.into_iter().for_each(|flooder| flooder.join().unwrap());
 }
 
-/// A connection whose requests the agent refused may bring true ones too: they are rejected for a moment at the most, and never fail.
+/// Genuine requests on a connection whose earlier ones were refused are rejected for a short time at most and never fail.
 #[test]
 fn connection_recovers_after_unknown_requests() {
     let harness = start_server();
@@ -769,12 +775,12 @@
         rejected += usize::from(call_status(&mut gateway, "quote", "", b"refuse") == "503");
     }
     assert!(rejected > 0 && harness.agent.command_count("launch", "") < 20, "{rejected} rejected");
-    let end = Instant::now() + Duration::from_secs(20);
+    let end = Instant::now() + WAIT_TIMEOUT;
     while call_status(&mut gateway, "quote", "", b"quick") != "200" {
-        assert!(Instant::now() < end, "it is rejected for good");
+        assert!(Instant::now() < end, "still rejected after {WAIT_TIMEOUT:?}");
         std::thread::yield_now();
     }
-    // A few that it does not know are nobody's harm, and one that it knows clears the connection.
+    // A few unknown requests are tolerated, and a known one resets the count.
     for _ in 0..3 {
         for _ in 0..4 {
             assert_eq!(call_status(&mut gateway, "quote", "", b"refuse"), "500");
--- a/crates/server/tests/trace.rs
+++ b/crates/server/tests/trace.rs
@@ -1,7 +1,8 @@
-//! Stories of a server that keeps a trace: what its file tells is what its gateways received.
+//! Tests of the trace that a server records: it agrees with the responses that gateways received.
 
 use puffinladder_toy::gateway::{unix_time_ms, Gateway};
 use puffinladder_toy::harness::ServerHarness;
+use puffinladder_toy::WAIT_TIMEOUT;
 use puffinladder_trace::anonymise::parse_key;
 use puffinladder_trace::file::Kind;
 use puffinladder_trace::recorder::{key_hash, keyed};
@@ -12,13 +13,13 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 const SERVER: &str = env!("CARGO_BIN_EXE_puffinladder-server");
 const KEY_HEX: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 const KEY: &str = ",k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-/// A folder with settings that ask for a trace in it.
+/// Writes settings that record a trace in `folder` and returns their path.
 fn write_settings(folder: &Path, options: &str) -> String {
     let (key, file) = (folder.join("key"), folder.join("ours.scm"));
     std::fs::write(&key, KEY_HEX).unwrap();
@@ -28,7 +29,7 @@
     file.display().to_string()
 }
 
-/// A server that records, whose runs nobody can halt: they outlive their answers.
+/// Starts a server that records a trace and does not stop runs, so that they outlast their responses.
 fn start_server(settings: &str) -> ServerHarness {
     let settings = format!("PUFFINLADDER_SETTINGS={settings}");
     ServerHarness::start(&["env", &settings, SERVER], |config| {
@@ -43,7 +44,7 @@
     all
 }
 
-/// Rows of all files by the hash of their try's name, with the words of their steps.
+/// Returns the rows of all files with the texts of their steps, by the hash of the attempt id.
 fn recorded_rows(folder: &Path, names: &mut Names) -> BTreeMap<u32, (Row, Vec<String>)> {
     let mut all = BTreeMap::new();
     for path in trace_files(folder) {
@@ -54,14 +55,14 @@
         }
         for row in rows {
             let steps = names.steps(row.path).steps().map(|step| step.text()).collect();
-            assert!(all.insert(row.name, (row, steps)).is_none(), "a try stands there twice");
+            assert!(all.insert(row.name, (row, steps)).is_none(), "attempt recorded twice");
         }
     }
     all
 }
 
-fn attempt_hash(name: &str) -> u32 {
-    keyed(&parse_key(KEY_HEX).unwrap(), name.as_bytes()) as u32
+fn attempt_hash(attempt_id: &str) -> u32 {
+    keyed(&parse_key(KEY_HEX).unwrap(), attempt_id.as_bytes()) as u32
 }
 
 #[test]
@@ -123,9 +124,9 @@
         "replayed, settled",
         "run, gone",
     ] {
-        assert!(all.iter().any(|steps| steps == expected), "{expected} is not in {all:?}");
+        assert!(all.iter().any(|steps| steps == expected), "no attempt with steps {expected:?} in {all:?}");
     }
-    // Still open at the kill: its answer went out before, and its page is closed all the same.
+    // The run still open at the exit has a response and a complete row too.
     let steps = &rows[&attempt_hash(&open)].1;
     assert_eq!(gateway.read_response().unwrap().status, "500");
     assert_eq!(steps.join(", "), "run, voided (due)");
@@ -137,12 +138,12 @@
         let mut trace = Trace::open(File::open(&path).unwrap()).unwrap();
         assert!(trace.sealed && trace.damage.is_empty(), "{path:?}");
         state.extend(notes(&mut trace, &mut names, &Choice::default(), &mut Vec::new()).unwrap());
-        // Neither name nor key of anything stands in it.
+        // The file contains neither attempt ids nor keys in plain text.
         let bytes = std::fs::read(&path).unwrap();
         assert!(!bytes.windows(16).any(|w| w == held.as_bytes() || w == &KEY.as_bytes()[3..19]));
     }
     for topic in [Topic::LIMIT, Topic::CALLS, Topic::HEALTH, Topic::LEAVE, Topic::BUSY, Topic::MEMORY] {
-        assert!(state.iter().any(|note| note.topic == topic), "nothing of {}", topic.text());
+        assert!(state.iter().any(|note| note.topic == topic), "the trace has no note on {}", topic.text());
     }
 }
 
@@ -154,7 +155,7 @@
     let load = move |id: usize| {
         let mut gateway = Gateway::connect(server);
         let mut received: Vec<(u32, String)> = Vec::new();
-        // Bounded: the kill comes long before.
+        // An upper bound; the server is killed long before.
         for at in 0..100_000 {
             let body = if at % 7 == id { "fail" } else { "quick" };
             let Some((name, status)) = call_until_closed(&mut gateway, body) else { break };
@@ -163,14 +164,14 @@
         received
     };
     let gateways: Vec<_> = (0..3).map(|id| std::thread::spawn(move || load(id))).collect();
-    let end = Instant::now() + Duration::from_secs(20);
+    let end = Instant::now() + WAIT_TIMEOUT;
     let blocks = || {
         let trace =
             trace_files(folder.path()).first().and_then(|path| Trace::open(File::open(path).ok()?).ok());
         trace.map_or(0, |trace| trace.count(Kind::Rows))
     };
     while blocks() < 256 {
-        assert!(Instant::now() < end, "no block is written");
+        assert!(Instant::now() < end, "{} of 256 blocks written within {WAIT_TIMEOUT:?}", blocks());
         std::thread::yield_now();
     }
     harness.child.kill().unwrap();
@@ -185,7 +186,7 @@
         for (name, status) in gateway {
             match rows.get(name) {
                 Some((row, steps)) => {
-                    assert!(!missing, "a txn is missing that was answered before one that is there");
+                    assert!(!missing, "the trace lacks an attempt answered before a recorded one");
                     let settled = names.steps(row.path).fate().word() == "settled";
                     assert_eq!(settled, status == "200", "{status}: {steps:?}");
                 }
@@ -195,7 +196,7 @@
     }
 }
 
-/// The name and the answer's status, until the connection ends.
+/// Sends a request and returns its attempt id and status, or `None` once the connection is closed.
 fn call_until_closed(gateway: &mut Gateway, body: &str) -> Option<(String, String)> {
     use std::panic::{catch_unwind, AssertUnwindSafe};
     // Sending panics once the server is gone.
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -1,5 +1,5 @@
-//! What the process puts on its wires, byte for byte: RESP to gateways, JSON lines to the agent, HTTP to store and
-//! registry. The peers here are bare sockets, so that nothing between them and the process can hide a change.
+//! Byte-for-byte test of the messages that a server sends: RESP to gateways, JSON lines to the agent, HTTP to store and
+//! registry. The peers are plain sockets, so that no codec of the stand-ins can hide a change.
 
 use puffinladder_toy::gateway::{encode_command, unix_time_ms};
 use puffinladder_toy::harness::{spawn_server, EXAMPLE_CONFIG};
@@ -15,7 +15,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// The next line of the agent's link that is no poll of the gauges; those are compared and passed over.
+/// Returns the next line on the agent's link that is not a sample poll. Polls are checked and skipped.
 fn next_command(link: &mut BufReader<TcpStream>) -> String {
     loop {
         let mut line = String::new();
@@ -26,7 +26,7 @@
     }
 }
 
-/// One HTTP request with its body.
+/// Reads one HTTP request with its body.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     loop {
@@ -61,13 +61,13 @@
     config["settings"]["Lanes"][0]["GiveUp"] = json!(1e300);
     let log = Arc::default();
     let (mut child, _) = spawn_server(SERVER, &config.to_string(), &log, &Arc::default());
-    let server = log.wait_for("the server to listen", |log: &mut Vec<String>| {
+    let server = log.wait_for("log line with the server's address", |log: &mut Vec<String>| {
         log.iter().find_map(|line| line.split_once("listens on ")?.1.parse::<std::net::SocketAddr>().ok())
     });
 
     let stamp = unix_time_ms();
 
-    // The agent's link: where to go on, then the mark behind old notices.
+    // The agent's link: the subscription, then the mark that ends the replay of old notices.
     let link = agent.accept().unwrap().0;
     link.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut agent_input = link.try_clone().unwrap();
@@ -79,14 +79,14 @@
     assert_eq!(mark, "{\"op\":\"sample\",\"tag\":\"mark\"}\n");
     agent_input.write_all(b"{\"op\":\"sampled\",\"tag\":\"mark\",\"values\":[]}\n").unwrap();
 
-    // The registry's report.
+    // The report to the registry.
     let mut report = registry.accept().unwrap().0;
     let expected =
         "PUT /roster/toy-1 HTTP/1.1\r\nHost: roster\r\nContent-Length: 13\r\n\r\n{\"duty\":\"on\"}";
     assert_eq!(read_request(&mut report), expected);
     report.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
 
-    // A health check, a message that can't be read, a run with a call that is answered.
+    // A health check, an invalid request, a run with a store call that is answered.
     let mut gateway = TcpStream::connect(server).unwrap();
     gateway.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     gateway.write_all(&encode_command(&[b"CHECK", b"1", b""])).unwrap();
@@ -114,7 +114,7 @@
         "{\"op\":\"deliver\",\"id\":\"00000000000000aa\",\"body\":\"cmVwbHk=\"}\n"
     );
 
-    // Its next call fails and is left out; then it ends.
+    // The next store call fails and is skipped; then the run ends.
     agent_input
         .write_all(b"{\"op\":\"request\",\"seq\":2,\"id\":\"00000000000000aa\",\"body\":\"\"}\n")
         .unwrap();
@@ -126,7 +126,7 @@
     agent_input.write_all(end).unwrap();
     assert_response(&mut gateway, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nend\r\n");
 
-    // A cancelled one is taken off the cores.
+    // A cancelled run is stopped.
     let fields = format!("i=00000000000000bb,s={stamp},t=acme,m=1");
     gateway.write_all(&encode_command(&[b"CALL", b"4", b"quote", fields.as_bytes(), b""])).unwrap();
     let expected = "{\"op\":\"launch\",\"id\":\"00000000000000bb\",\"class\":\"quote\",\"body\":\"\"}\n";
@@ -134,7 +134,7 @@
     gateway.write_all(&encode_command(&[b"CANCEL", b"4"])).unwrap();
     assert_eq!(next_command(&mut link), "{\"op\":\"freeze\",\"id\":\"00000000000000bb\"}\n");
 
-    // The notice to drain: a report, a goodbye and the end.
+    // SIGTERM: goaway, then the end of the connection and of the process.
     let killed = std::process::Command::new("kill").arg(child.id().to_string()).status().unwrap();
     assert!(killed.success());
     assert_response(&mut gateway, "*2\r\n$1\r\n0\r\n$6\r\ngoaway\r\n");
--- a/examples/proxy/src/lib.rs
+++ b/examples/proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a proxy that takes its routing from an xDS control service, written from the published protocol. It
-//! keeps the lease of what it holds, counted from its own last request that a response had seen, and can be told to
-//! misbehave: to go dark, to answer late or never, to refuse, to lie about nonces.
+//! A stand-in for a proxy that gets its routing from an xDS control service, written from the published protocol. It
+//! holds each resource until its lease ends, counted from the latest of its own requests that the service had read, and
+//! can be scripted to misbehave: to hang, to acknowledge late or never, to reject updates, to forge nonces.
 #![forbid(unsafe_code)]
 
 use envoy_types::pb::envoy::config::core::v3::{address, socket_address, Locality, Node};
@@ -23,6 +23,7 @@
 
 use tonic::transport::Endpoint;
 
+/// The type URLs that a proxy subscribes to.
 pub const TYPE_URLS: [&str; 4] = [
     "type.googleapis.com/envoy.config.cluster.v3.Cluster",
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
@@ -32,63 +33,72 @@
 const ENDPOINTS_TYPE_URL: &str = TYPE_URLS[1];
 const ROUTES_TYPE_URL: &str = TYPE_URLS[3];
 
-/// How it behaves; can be changed while it runs.
+/// Scripted behaviour of a proxy, which can be changed while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Behaviour {
-    /// Neither reads nor writes, its connection stands.
+    /// Neither reads nor writes; the connection stays open.
     pub unresponsive: bool,
-    /// Not connected, as if its process were down.
+    /// Closes its stream and opens no other, as if the process were down.
     pub disconnected: bool,
-    /// Before it answers.
+    /// Delay before each acknowledgement or rejection.
     pub ack_delay: Duration,
     pub withhold_acks: bool,
+    /// Rejects responses with resources.
     pub reject_updates: bool,
-    /// Answers with nonces that never were.
+    /// Acknowledges nonces that were never sent.
     pub forge_nonces: bool,
 }
 
-/// What happens to it, for whoever counts.
+/// An event on the stream of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A stream stands, and a stream is over.
     StreamOpened,
     StreamClosed,
-    /// Bytes of a message, with the five that gRPC puts before it.
+    /// A message of this many bytes, gRPC prefix included.
     Sent(usize),
+    /// A message of this many bytes, gRPC prefix included.
     Received(usize),
-    /// It took a response and said so.
+    /// A response was applied and acknowledged.
     Acknowledged(&'a Acknowledgement<'a>),
 }
 
-/// A response that was taken.
+/// A response that was applied and acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub struct Acknowledgement<'a> {
     pub service: SocketAddr,
-    /// Its type's place in [`TYPE_URLS`], none if it is of another.
+    /// Index of its type in [`TYPE_URLS`], `None` for other types.
     pub type_index: Option<usize>,
     pub plan: &'a str,
-    /// The least lease of its pieces.
+    /// The shortest lease of its resources.
     pub ttl: Option<Duration>,
-    /// It had content, and not leases alone.
+    /// Whether it had resource bodies and did not only renew leases.
     pub has_resources: bool,
     pub stream_opened_at: Instant,
     pub received_at: Instant,
 }
 
-/// Is told what happens; it may not wait.
+/// A callback for events. It must not block.
 pub type EventListener = Arc<dyn Fn(&Event) + Send + Sync>;
 
-/// Plans and times of requests that are remembered, names that are held: what a service sends is bounded by these.
 const MAX_RECENT_PLANS: usize = 128;
 const MAX_SENT_TIMES: usize = 256;
 const MAX_RESOURCES: usize = 16_384;
-/// Bytes of a message, and what gRPC puts before each.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Bytes that gRPC puts before each message.
 const GRPC_PREFIX_BYTES: usize = 5;
-/// A service that does not answer a question of HTTP/2 for so long is hung; asked as often.
+/// Interval of HTTP/2 pings, and the time after which an unanswered one fails the connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-
-/// When requests of the present stream were sent: all are counted, the first and the latest are known.
+/// Denominator of the routes' runtime fractions.
+const FRACTION_DENOMINATOR: f64 = 1e6;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const REQUEST_QUEUE_LENGTH: usize = 64;
+/// gRPC status code `INVALID_ARGUMENT`.
+const INVALID_ARGUMENT: i32 = 3;
+/// Name of the only resource of a type whose resources have no names.
+const UNNAMED_RESOURCE: &str = "only";
+
+/// Times at which the requests of the current stream were sent. Only the first and the latest ones are kept.
 #[derive(Default)]
 struct SentTimes {
     count: usize,
@@ -105,21 +115,22 @@
             self.times.pop_front();
         }
     }
-    /// When the request of that number was sent, from 1 on. For one that is no longer known the first has to do: a lease may
-    /// be counted from too early, never from too late.
+
+    /// Returns when the request with this number, from 1 on, was sent. Falls back to the first one where the time is no longer
+    /// kept: a lease may be counted from too early a time, never from too late a one.
     fn at(&self, number: usize) -> Option<Instant> {
         let back = self.count.checked_sub(number).filter(|_| number > 0)?;
         self.times.iter().rev().nth(back).copied().or(self.first)
     }
 }
 
-/// What it holds of one type, by name.
+/// A resource and its lease.
 #[derive(Clone, Debug)]
 struct HeldResource {
     version: String,
     plan: String,
     body: Vec<u8>,
-    /// When its lease ends; none where it has none.
+    /// End of its lease, `None` without one.
     until: Option<Instant>,
 }
 
@@ -137,26 +148,24 @@
 #[derive(Default)]
 struct State {
     held: BTreeMap<(String, String), HeldResource>,
-    /// When each request on the present stream was sent.
     sent: SentTimes,
-    /// Responses with bodies, renewals, bytes of all, since it began.
     received: ReceivedCounts,
-    /// The latest plans that it saw, in the order in which they came.
+    /// The latest plans received, oldest first.
     plans: VecDeque<String>,
 }
 
-/// Where a request goes.
+/// A routing decision for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pick {
-    /// To this server, by this plan; how much of the lease was left.
+    /// Goes to `server` by `plan`, with this much of the lease remaining.
     RouteTo { server: SocketAddr, plan: String, remaining_lease: Duration },
-    /// Nowhere: the plan has it dropped.
+    /// Dropped, as the plan demands.
     Dropped { plan: String },
-    /// Nowhere: nothing that it holds may be used any more.
+    /// Not routable: the proxy holds no endpoints and routes with valid leases, or no endpoint has a weight.
     Unroutable,
 }
 
-/// A running stand-in.
+/// A proxy. Clones share its state.
 #[derive(Clone)]
 pub struct Proxy {
     state: Arc<Mutex<State>>,
@@ -167,30 +176,30 @@
     listener: Option<EventListener>,
 }
 
-/// What is told of a response, of either protocol.
+/// A response of either variant of the protocol, incremental or state of the world.
 struct Update {
     type_url: String,
     plan: String,
     nonce: String,
     resources: Vec<Resource>,
     removed: Vec<String>,
-    /// All names that there are, where the response has all.
+    /// Whether the response contains every resource of its type.
     full_state: bool,
     size: usize,
 }
 
 impl Proxy {
-    /// Starts on the present runtime and connects there.
+    /// Starts a proxy on the current runtime that connects to `control`.
     pub fn start(control: SocketAddr, node: &str, zone: &str, incremental: bool) -> Proxy {
         Proxy::start_with_tls(vec![control], node, zone, incremental, None)
     }
 
-    /// One that knows several services, and takes the next where one fails.
+    /// Starts a proxy that knows several services and connects to the next one when a stream ends.
     pub fn start_with_services(control: Vec<SocketAddr>, node: &str, zone: &str, incremental: bool) -> Proxy {
         Proxy::start_with_tls(control, node, zone, incremental, None)
     }
 
-    /// The same over TLS.
+    /// Starts a proxy with several services that connects over TLS if `tls` is given.
     pub fn start_with_tls(
         control: Vec<SocketAddr>,
         node: &str,
@@ -202,20 +211,20 @@
         let run = proxy.clone();
         tokio::spawn(async move {
             let mut behaviours = run.behaviour.subscribe();
-            for at in (0..control.len()).cycle() {
+            for index in (0..control.len()).cycle() {
                 while behaviours.borrow().disconnected {
                     if behaviours.changed().await.is_err() {
                         return;
                     }
                 }
-                let _ = run.run_stream(control[at]).await;
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                let _ = run.run_stream(control[index]).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
             }
         });
         proxy
     }
 
-    /// One that is not connected: whoever has it calls [`Proxy::run_stream`].
+    /// Creates a proxy that is not connected. [`Proxy::run_stream`] opens a stream.
     pub fn new(node: &str, service: &str, zone: &str, incremental: bool) -> Proxy {
         let node = Node {
             id: node.into(),
@@ -228,7 +237,7 @@
         Proxy { state: Arc::default(), behaviour, tls: None, node, incremental, listener: None }
     }
 
-    /// The same, and what happens to it is told there.
+    /// Sets the callback for events.
     pub fn with_listener(self, listener: EventListener) -> Proxy {
         Proxy { listener: Some(listener), ..self }
     }
@@ -239,13 +248,14 @@
         }
     }
 
-    /// One stream with one service, until it ends or is broken off; what it holds it keeps.
+    /// Runs one stream with a service until it ends or fails. The proxy keeps its resources.
     pub async fn run_stream(&self, control: SocketAddr) -> Result<(), tonic::Status> {
         let ended = self.open_stream(control, &mut self.behaviour.subscribe()).await;
         self.lock().sent = SentTimes::default();
         ended
     }
 
+    /// Changes the behaviour of the running proxy.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         let _ = self.behaviour.send(behaviour);
     }
@@ -260,34 +270,35 @@
         behaviours: &mut watch::Receiver<Behaviour>,
     ) -> Result<(), tonic::Status> {
         let node = &self.node;
-        let wrong = |e: tonic::transport::Error| tonic::Status::unavailable(e.to_string());
+        let unavailable = |e: tonic::transport::Error| tonic::Status::unavailable(e.to_string());
         let scheme = if self.tls.is_some() { "https" } else { "http" };
-        let mut endpoint = Endpoint::from_shared(format!("{scheme}://{control}")).map_err(wrong)?;
+        let mut endpoint = Endpoint::from_shared(format!("{scheme}://{control}")).map_err(unavailable)?;
         if let Some(tls) = &self.tls {
-            endpoint = endpoint.tls_config(tls.clone()).map_err(wrong)?;
+            endpoint = endpoint.tls_config(tls.clone()).map_err(unavailable)?;
         }
-        let endpoint = endpoint.connect_timeout(Duration::from_secs(1)).tcp_nodelay(true);
-        // A service that hangs is left for another.
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
+        // Pings detect a service that hangs.
         let endpoint = endpoint
             .http2_keep_alive_interval(KEEPALIVE_INTERVAL)
             .keep_alive_timeout(KEEPALIVE_INTERVAL)
             .keep_alive_while_idle(true);
-        let channel = endpoint.connect().await.map_err(wrong)?;
+        let channel = endpoint.connect().await.map_err(unavailable)?;
         let mut client =
             AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         if self.incremental {
-            let (out, requests) = mpsc::channel::<DeltaDiscoveryRequest>(64);
-            for kind in TYPE_URLS {
-                let held = self.lock().held.clone().into_iter().filter(|((of, _), _)| of == kind);
+            let (out, requests) = mpsc::channel::<DeltaDiscoveryRequest>(REQUEST_QUEUE_LENGTH);
+            for type_url in TYPE_URLS {
+                let held =
+                    self.lock().held.clone().into_iter().filter(|((held_type, _), _)| held_type == type_url);
                 let request = DeltaDiscoveryRequest {
                     node: Some(node.clone()),
-                    type_url: kind.into(),
+                    type_url: type_url.into(),
                     initial_resource_versions: held.map(|((_, name), held)| (name, held.version)).collect(),
                     ..Default::default()
                 };
                 self.send(&out, request).await?;
             }
-            let mut answers =
+            let mut responses =
                 client.delta_aggregated_resources(ReceiverStream::new(requests)).await?.into_inner();
             let read = |r: DeltaDiscoveryResponse| {
                 let size = r.encoded_len();
@@ -301,22 +312,22 @@
                     size,
                 }
             };
-            let answer =
+            let acknowledge =
                 |type_url: String, nonce: String, fault: Option<Fault>, _: String| DeltaDiscoveryRequest {
                     type_url,
                     response_nonce: nonce,
                     error_detail: fault,
                     ..Default::default()
                 };
-            self.exchange(control, &mut answers, &out, behaviours, read, answer).await
+            self.exchange(control, &mut responses, &out, behaviours, read, acknowledge).await
         } else {
-            let (out, requests) = mpsc::channel::<DiscoveryRequest>(64);
-            for kind in TYPE_URLS {
+            let (out, requests) = mpsc::channel::<DiscoveryRequest>(REQUEST_QUEUE_LENGTH);
+            for type_url in TYPE_URLS {
                 let node = Some(node.clone());
-                let request = DiscoveryRequest { node, type_url: kind.into(), ..Default::default() };
+                let request = DiscoveryRequest { node, type_url: type_url.into(), ..Default::default() };
                 self.send(&out, request).await?;
             }
-            let mut answers =
+            let mut responses =
                 client.stream_aggregated_resources(ReceiverStream::new(requests)).await?.into_inner();
             let read = |r: DiscoveryResponse| {
                 let size = r.encoded_len();
@@ -334,7 +345,7 @@
                     size,
                 }
             };
-            let answer =
+            let acknowledge =
                 |type_url: String, nonce: String, fault: Option<Fault>, plan: String| DiscoveryRequest {
                     type_url,
                     response_nonce: nonce,
@@ -342,14 +353,14 @@
                     version_info: plan,
                     ..Default::default()
                 };
-            self.exchange(control, &mut answers, &out, behaviours, read, answer).await
+            self.exchange(control, &mut responses, &out, behaviours, read, acknowledge).await
         }
     }
 
     async fn send<Q: Message>(&self, out: &mpsc::Sender<Q>, request: Q) -> Result<(), tonic::Status> {
         self.lock().sent.push(Instant::now());
         let size = request.encoded_len();
-        out.send(request).await.map_err(|_| tonic::Status::unavailable("the stream ended"))?;
+        out.send(request).await.map_err(|_| tonic::Status::unavailable("the request stream has ended"))?;
         self.emit(&Event::Sent(size + GRPC_PREFIX_BYTES));
         Ok(())
     }
@@ -357,22 +368,22 @@
     async fn exchange<A, Q: Message>(
         &self,
         control: SocketAddr,
-        answers: &mut tonic::Streaming<A>,
+        responses: &mut tonic::Streaming<A>,
         out: &mpsc::Sender<Q>,
         behaviours: &mut watch::Receiver<Behaviour>,
         read: impl Fn(A) -> Update,
-        answer: impl Fn(String, String, Option<Fault>, String) -> Q,
+        acknowledge: impl Fn(String, String, Option<Fault>, String) -> Q,
     ) -> Result<(), tonic::Status> {
-        /// Says that the stream is over, also where the task of its proxy ends in the middle.
-        struct Stream<'a>(&'a Proxy);
-        impl Drop for Stream<'_> {
+        /// Reports the end of the stream, also where the task is aborted.
+        struct StreamGuard<'a>(&'a Proxy);
+        impl Drop for StreamGuard<'_> {
             fn drop(&mut self) {
                 self.0.emit(&Event::StreamClosed);
             }
         }
         let stream_opened_at = Instant::now();
         self.emit(&Event::StreamOpened);
-        let _stream = Stream(self);
+        let _stream = StreamGuard(self);
         loop {
             let behaviour = *behaviours.borrow_and_update();
             if behaviour.disconnected {
@@ -383,7 +394,7 @@
                 continue;
             }
             let update = tokio::select! {
-                message = answers.message() => message?,
+                message = responses.message() => message?,
                 _ = behaviours.changed() => continue,
             };
             let Some(update) = update.map(&read) else { return Ok(()) };
@@ -394,20 +405,25 @@
             let has_resources = update.resources.iter().any(|resource| resource.resource.is_some());
             let ttls = update.resources.iter().filter_map(|resource| resource.ttl);
             let ttl = ttls.map(|ttl| Duration::new(ttl.seconds.max(0) as u64, ttl.nanos.max(0) as u32)).min();
-            let refused = behaviour.reject_updates && has_resources;
-            if !refused && !self.apply(update) {
-                return Err(tonic::Status::resource_exhausted("more names than are held"));
+            let rejected = behaviour.reject_updates && has_resources;
+            if !rejected && !self.apply(update) {
+                return Err(tonic::Status::resource_exhausted(format!(
+                    "more than {MAX_RESOURCES} resources held"
+                )));
             }
             if behaviour.withhold_acks {
                 continue;
             }
             tokio::time::sleep(behaviour.ack_delay).await;
             let nonce = if behaviour.forge_nonces { format!("9999{nonce}") } else { nonce };
-            let fault =
-                refused.then(|| Fault { code: 3, message: "as scripted".into(), details: Vec::new() });
-            let type_index = TYPE_URLS.iter().position(|of| *of == type_url);
-            self.send(out, answer(type_url, nonce, fault, plan.clone())).await?;
-            if !refused && !behaviour.forge_nonces {
+            let fault = rejected.then(|| Fault {
+                code: INVALID_ARGUMENT,
+                message: "as scripted".into(),
+                details: Vec::new(),
+            });
+            let type_index = TYPE_URLS.iter().position(|known| *known == type_url);
+            self.send(out, acknowledge(type_url, nonce, fault, plan.clone())).await?;
+            if !rejected && !behaviour.forge_nonces {
                 let (service, plan) = (control, plan.as_str());
                 self.emit(&Event::Acknowledged(&Acknowledgement {
                     service,
@@ -422,11 +438,12 @@
         }
     }
 
-    /// Takes a response in, unless it holds too much by then. Its lease counts from the last request that it had seen.
+    /// Applies a response, whose leases count from the last request that the service had read. Returns whether the proxy holds
+    /// at most [`MAX_RESOURCES`] resources afterwards.
     fn apply(&self, update: Update) -> bool {
         let mut state = self.lock();
-        let seen = update.nonce.split_once('.').and_then(|(_, heard)| heard.parse::<usize>().ok());
-        let since = seen.and_then(|seen| state.sent.at(seen));
+        let requests_read = update.nonce.split_once('.').and_then(|(_, count)| count.parse::<usize>().ok());
+        let since = requests_read.and_then(|number| state.sent.at(number));
         let since = since.unwrap_or_else(Instant::now);
         state.received.bytes += update.size as u64;
         if state.plans.back() != Some(&update.plan) {
@@ -442,7 +459,7 @@
             let until = resource
                 .ttl
                 .map(|ttl| since + Duration::new(ttl.seconds.max(0) as u64, ttl.nanos.max(0) as u32));
-            let name = if resource.name.is_empty() { "only".to_owned() } else { resource.name };
+            let name = if resource.name.is_empty() { UNNAMED_RESOURCE.to_owned() } else { resource.name };
             names.push(name.clone());
             let key = (update.type_url.clone(), name);
             match resource.resource {
@@ -453,7 +470,7 @@
                         HeldResource { version: resource.version, plan, body: any.value, until },
                     );
                 }
-                // A lease for what it holds; never for other content.
+                // Without a body it renews the lease of the same version only.
                 None => {
                     if let Some(held) =
                         state.held.get_mut(&key).filter(|held| held.version == resource.version)
@@ -467,17 +484,19 @@
             state.held.remove(&(update.type_url.clone(), name));
         }
         if update.full_state {
-            state.held.retain(|(kind, name), _| *kind != update.type_url || names.contains(name));
+            state.held.retain(|(type_url, name), _| *type_url != update.type_url || names.contains(name));
         }
         state.held.len() <= MAX_RESOURCES
     }
 
-    /// Where a request of this product and customer goes now; the draws, from 0 to under 1, are the caller's chance.
+    /// Routes a request of this product and customer. The draws are uniform random numbers in `0..1` for drops, the zone and
+    /// the endpoint.
     pub fn pick(&self, product: &str, customer: &str, draws: [f64; 3]) -> Pick {
         let state = self.lock();
         let now = Instant::now();
-        let valid = |kind: &str| {
-            let held = state.held.iter().find(|((of, _), _)| of == kind).map(|(_, held)| held)?;
+        let valid = |type_url: &str| {
+            let held =
+                state.held.iter().find(|((held_type, _), _)| held_type == type_url).map(|(_, held)| held)?;
             let until = held.until?;
             (now < until).then_some((held, until - now))
         };
@@ -502,46 +521,55 @@
         }
     }
 
-    /// The plan of what it holds of endpoints, whether it may still be used or not.
+    /// Returns the plan of the endpoints held, even if their lease has ended.
     pub fn endpoints_plan(&self) -> Option<String> {
         let state = self.lock();
-        state.held.iter().find(|((kind, _), _)| kind == ENDPOINTS_TYPE_URL).map(|(_, held)| held.plan.clone())
+        state
+            .held
+            .iter()
+            .find(|((type_url, _), _)| type_url == ENDPOINTS_TYPE_URL)
+            .map(|(_, held)| held.plan.clone())
     }
-    /// The version of what it holds of endpoints.
+
+    /// Returns the version of the endpoints held.
     pub fn endpoints_version(&self) -> Option<String> {
         let state = self.lock();
         state
             .held
             .iter()
-            .find(|((kind, _), _)| kind == ENDPOINTS_TYPE_URL)
+            .find(|((type_url, _), _)| type_url == ENDPOINTS_TYPE_URL)
             .map(|(_, held)| held.version.clone())
     }
-    /// Responses with bodies, renewals, bytes.
+
+    /// Returns counts of what was received.
     pub fn received_counts(&self) -> ReceivedCounts {
-        let state = self.lock();
-        state.received
+        self.lock().received
     }
-    /// The latest plans that it saw.
+
+    /// Returns the latest plans received, oldest first.
     pub fn recent_plans(&self) -> Vec<String> {
         self.lock().plans.iter().cloned().collect()
     }
-    /// Whether it may route now: leases of endpoints and routes hold.
+
+    /// Returns whether the proxy holds endpoints and routes with valid leases.
     pub fn can_route(&self) -> bool {
         let (state, now) = (self.lock(), Instant::now());
-        let valid = |kind: &str| {
-            state.held.iter().any(|((of, _), held)| of == kind && held.until.is_some_and(|until| now < until))
+        let valid = |type_url: &str| {
+            state.held.iter().any(|((held_type, _), held)| {
+                held_type == type_url && held.until.is_some_and(|until| now < until)
+            })
         };
         valid(ENDPOINTS_TYPE_URL) && valid(ROUTES_TYPE_URL)
     }
 }
 
-/// Whether the first route that matches ends in a refusal.
+/// Returns whether the first route that matches is a direct response, which drops the request.
 fn is_dropped(config: &RouteConfiguration, headers: &[(&str, &str)], draw: f64) -> bool {
     for route in config.virtual_hosts.iter().flat_map(|host| &host.routes) {
-        let Some(wanted) = &route.r#match else { continue };
-        let header = |matcher: &envoy_types::pb::envoy::config::route::v3::HeaderMatcher| {
-            let found = headers.iter().find(|(name, _)| *name == matcher.name).map(|(_, value)| *value);
-            match &matcher.header_match_specifier {
+        let Some(matcher) = &route.r#match else { continue };
+        let header_matches = |header: &envoy_types::pb::envoy::config::route::v3::HeaderMatcher| {
+            let found = headers.iter().find(|(name, _)| *name == header.name).map(|(_, value)| *value);
+            match &header.header_match_specifier {
                 Some(header_matcher::HeaderMatchSpecifier::StringMatch(m)) => match &m.match_pattern {
                     Some(MatchPattern::Exact(text)) => found == Some(text.as_str()),
                     _ => false,
@@ -549,37 +577,39 @@
                 _ => false,
             }
         };
-        let part = wanted.runtime_fraction.as_ref().and_then(|f| f.default_value.as_ref());
-        let within = part.is_none_or(|part| draw * 1e6 < f64::from(part.numerator));
-        if wanted.headers.iter().all(header) && within {
+        let fraction = matcher.runtime_fraction.as_ref().and_then(|f| f.default_value.as_ref());
+        let within =
+            fraction.is_none_or(|fraction| draw * FRACTION_DENOMINATOR < f64::from(fraction.numerator));
+        if matcher.headers.iter().all(header_matches) && within {
             return matches!(route.action, Some(route::Action::DirectResponse(_)));
         }
     }
     false
 }
 
-/// A server by the weights of zones and then of servers.
+/// Chooses a server by the weights of zones and then of the zone's endpoints.
 fn choose_server(assignment: &ClusterLoadAssignment, zone: f64, endpoint: f64) -> Option<SocketAddr> {
-    let weigh =
+    let weight_of =
         |weight: &Option<envoy_types::pb::google::protobuf::UInt32Value>| weight.map_or(0, |w| w.value);
-    let zones: Vec<u32> = assignment.endpoints.iter().map(|z| weigh(&z.load_balancing_weight)).collect();
+    let zones: Vec<u32> = assignment.endpoints.iter().map(|z| weight_of(&z.load_balancing_weight)).collect();
     let zone = &assignment.endpoints[weighted_index(&zones, zone)?];
-    let servers: Vec<u32> = zone.lb_endpoints.iter().map(|e| weigh(&e.load_balancing_weight)).collect();
+    let servers: Vec<u32> = zone.lb_endpoints.iter().map(|e| weight_of(&e.load_balancing_weight)).collect();
     let chosen = &zone.lb_endpoints[weighted_index(&servers, endpoint)?];
     let Some(lb_endpoint::HostIdentifier::Endpoint(endpoint)) = &chosen.host_identifier else { return None };
-    let Some(address::Address::SocketAddress(at)) = endpoint.address.as_ref()?.address.as_ref() else {
+    let Some(address::Address::SocketAddress(socket)) = endpoint.address.as_ref()?.address.as_ref() else {
         return None;
     };
-    let Some(socket_address::PortSpecifier::PortValue(port)) = at.port_specifier else { return None };
-    Some(SocketAddr::new(at.address.parse().ok()?, u16::try_from(port).ok()?))
+    let Some(socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
+    Some(SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?))
 }
 
+/// Returns the index that `draw`, in `0..1`, selects by weight, or `None` if all weights are 0.
 fn weighted_index(weights: &[u32], draw: f64) -> Option<usize> {
-    let mut left = draw * weights.iter().map(|w| f64::from(*w)).sum::<f64>();
-    for (at, weight) in weights.iter().enumerate().filter(|(_, weight)| **weight > 0) {
-        left -= f64::from(*weight);
-        if left < 0.0 {
-            return Some(at);
+    let mut remaining = draw * weights.iter().map(|w| f64::from(*w)).sum::<f64>();
+    for (index, weight) in weights.iter().enumerate().filter(|(_, weight)| **weight > 0) {
+        remaining -= f64::from(*weight);
+        if remaining < 0.0 {
+            return Some(index);
         }
     }
     None
--- a/examples/toy/src/agent.rs
+++ b/examples/toy/src/agent.rs
@@ -1,14 +1,14 @@
-//! The agent that owns the cores. A txn's body says what its run does:
+//! A stand-in for the agent, which executes runs. The body of a request scripts its run:
 //!
-//! | body begins with | the run |
+//! | body begins with | run |
 //! | --- | --- |
-//! | `hold` | runs until [`Agent::finish_run`] |
-//! | `call TEXT` | calls below with `TEXT`; its result is the reply |
-//! | `fail` | ends in a fault |
-//! | `late` | never begins |
-//! | `refuse` | is refused, as that of a txn it does not know |
-//! | `refuse slowly` | likewise, and the agent takes a moment for it |
-//! | anything else | gives `done` and the body |
+//! | `hold` | runs until [`Agent::finish_run`] or [`Agent::refuse_run`] |
+//! | `call TEXT` | calls the store with `TEXT`; its result is the reply |
+//! | `fail` | ends with `fault` |
+//! | `late` | ends with `late`, without having started |
+//! | `refuse` | is refused as unknown |
+//! | `refuse slowly` | is refused as unknown after a short delay |
+//! | anything else | returns `done` and the body |
 
 use crate::Monitor;
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -20,23 +20,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a refusal takes that takes a moment.
 const SLOW_REFUSAL_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Default, Debug)]
 struct AgentState {
+    /// Greets a server that subscribes.
     ready: bool,
     samples_muted: bool,
-    /// All notices so far that it retains; the first has the number after those that it has dropped.
+    /// Notices that are retained. The first has the sequence number `dropped + 1`.
     notices: Vec<Value>,
-    /// How many notices it has dropped.
     dropped: usize,
     connection: Option<TcpStream>,
+    /// Bodies of the open runs by attempt id.
     runs: HashMap<String, Vec<u8>>,
-    /// Every command that was read, over all links.
+    /// Every command received, over all connections.
     received: Vec<Value>,
 }
 
+/// A listening agent. It talks to the server that connected last.
 #[derive(Clone)]
 pub struct Agent {
     pub address: SocketAddr,
@@ -44,7 +45,7 @@
 }
 
 impl Agent {
-    /// Listens; `greet` says whether it is up already.
+    /// Starts an agent at `address`. Unless `ready`, it greets nobody before [`Agent::become_ready`].
     pub fn start(address: &str, ready: bool) -> Agent {
         let mut agent = Agent { address: ([127, 0, 0, 1], 0).into(), state: Arc::default() };
         agent.state.lock().ready = ready;
@@ -52,42 +53,44 @@
         agent
     }
 
-    /// Listens at another address too; runs and notices go on.
+    /// Listens at one more address, with the same runs and notices.
     pub fn listen(&self, address: &str) -> SocketAddr {
-        let listener = TcpListener::bind(address).expect("an address for the agent");
-        let address = listener.local_addr().expect("an address");
+        let listener =
+            TcpListener::bind(address).unwrap_or_else(|e| panic!("agent cannot listen on {address}: {e}"));
+        let address = listener.local_addr().expect("a bound listener has an address");
         let state = self.state.clone();
         thread::spawn(move || {
-            for link in listener.incoming().flatten() {
-                link.set_nodelay(true).expect("no delay");
-                let old = state.lock().connection.replace(link.try_clone().expect("a second handle"));
+            for connection in listener.incoming().flatten() {
+                connection.set_nodelay(true).expect("TCP_NODELAY can be set");
+                let old =
+                    state.lock().connection.replace(connection.try_clone().expect("a socket can be cloned"));
                 old.map(|old| old.shutdown(Shutdown::Both));
                 let state = state.clone();
-                thread::spawn(move || serve(&state, link));
+                thread::spawn(move || serve(&state, connection));
             }
         });
         address
     }
 
-    /// Comes up, if it was late.
+    /// Greets the server from now on.
     pub fn become_ready(&self) {
         self.state.update(|state| state.ready = true);
     }
 
-    /// Answers no more samples, or does so again.
+    /// Stops or resumes responses to sample polls.
     pub fn mute_samples(&self, muted: bool) {
         self.state.update(|state| state.samples_muted = muted);
     }
 
-    /// Dies with its server and is to come up anew: no runs, and notices from 1.
+    /// Drops the connection and all state, as a restart does: no runs, and notices from 1.
     pub fn restart(&self, ready: bool) {
         self.state.update(|state| {
-            state.connection.take().map(|link| link.shutdown(Shutdown::Both));
+            state.connection.take().map(|connection| connection.shutdown(Shutdown::Both));
             *state = AgentState { ready, ..AgentState::default() };
         });
     }
 
-    /// Says all its notices once more, each under its old number.
+    /// Sends all retained notices again with their sequence numbers.
     pub fn resend_notices(&self) {
         self.state.update(|state| {
             let notices = state.notices.clone();
@@ -95,30 +98,30 @@
         });
     }
 
-    /// Cuts the link; runs go on.
+    /// Closes the connection. Runs continue.
     pub fn disconnect(&self) {
-        self.state.lock().connection.take().map(|link| link.shutdown(Shutdown::Both));
+        self.state.lock().connection.take().map(|connection| connection.shutdown(Shutdown::Both));
     }
 
-    /// Says something that is no notice.
+    /// Sends arbitrary text.
     pub fn send_raw(&self, text: &str) {
         let state = self.state.lock();
-        state.connection.as_ref().map(|mut link| link.write_all(text.as_bytes()));
+        state.connection.as_ref().map(|mut connection| connection.write_all(text.as_bytes()));
     }
 
-    /// Ends a run that holds.
+    /// Completes an open run.
     pub fn finish_run(&self, id: &str) {
         self.state.update(|state| {
-            let body = state.runs.remove(id).expect("a run to finish");
+            let body = state.runs.remove(id).unwrap_or_else(|| panic!("no open run {id} to finish"));
             state.send_outcome(id, "fine", &[b"done ", &body[..]].concat());
         });
     }
 
-    /// Ends all runs that hold while the link is cut, and retains none of the notices so far, as after too many others. Gives the
-    /// number of runs.
+    /// Closes the connection, completes all open runs and drops all notices, those outcomes included. Returns the number
+    /// of runs.
     pub fn finish_all_disconnected(&self) -> usize {
         let mut state = self.state.lock();
-        state.connection.take().map(|link| link.shutdown(Shutdown::Both));
+        state.connection.take().map(|connection| connection.shutdown(Shutdown::Both));
         let runs: Vec<(String, Vec<u8>)> = state.runs.drain().collect();
         for (id, body) in &runs {
             state.send_outcome(id, "fine", &[b"done ", &body[..]].concat());
@@ -127,35 +130,36 @@
         runs.len()
     }
 
-    /// Cuts the link, and drops notices as after too many: none that was said before is said again, and some are missing.
+    /// Closes the connection and drops all notices, with one that was never sent among them.
     pub fn drop_notices(&self) {
         let mut state = self.state.lock();
-        state.connection.take().map(|link| link.shutdown(Shutdown::Both));
-        state.send_notice(json!({"op": "aside", "end": "one that nobody hears"}));
+        state.connection.take().map(|connection| connection.shutdown(Shutdown::Both));
+        state.send_notice(json!({"op": "aside", "end": "dropped"}));
         state.drop_notices();
     }
 
-    /// Refuses a run that holds, as that of a txn it does not know.
+    /// Refuses an open run as unknown.
     pub fn refuse_run(&self, id: &str) {
         self.state.update(|state| {
-            state.runs.remove(id).expect("a run to refuse");
+            state.runs.remove(id).unwrap_or_else(|| panic!("no open run {id} to refuse"));
             state.send(&json!({"op": "refusal", "end": "launch", "id": id}));
         });
     }
 
-    /// The first command of this kind for this txn, once it has come; of any txn for an empty id.
+    /// Waits for a command with this `op` and attempt id and returns the first. An empty id matches any.
     pub fn wait_for_command(&self, op: &str, id: &str) -> Value {
-        self.state.wait_for(&format!("{op} of {id}"), |state| state.commands(op, id).next().cloned())
+        self.state
+            .wait_for(&format!("{op:?} command for {id:?}"), |state| state.commands(op, id).next().cloned())
     }
 
-    /// How many commands of this kind came for this txn; of all txns for an empty id.
+    /// Returns the number of commands received with this `op` and attempt id. An empty id matches any.
     pub fn command_count(&self, op: &str, id: &str) -> usize {
         self.state.lock().commands(op, id).count()
     }
 
-    /// Waits until so many commands of this kind have come.
+    /// Waits until `count` commands with this `op` have been received in total.
     pub fn wait_for_commands(&self, op: &str, count: usize) {
-        self.state.wait_for(&format!("{op} {count} times"), |state| {
+        self.state.wait_for(&format!("{count} {op:?} commands"), |state| {
             (state.commands(op, "").count() >= count).then_some(())
         });
     }
@@ -172,9 +176,9 @@
     }
 
     fn send(&mut self, line: &Value) {
-        if let Some(link) = &mut self.connection {
-            // A cut link gets it later, with the notices.
-            let _ = link.write_all(format!("{line}\n").as_bytes());
+        if let Some(connection) = &mut self.connection {
+            // A failed write is made up for: the server gets retained notices when it subscribes again.
+            let _ = connection.write_all(format!("{line}\n").as_bytes());
         }
     }
 
@@ -225,12 +229,12 @@
     }
 }
 
-fn serve(state: &Monitor<AgentState>, link: TcpStream) {
-    for line in BufReader::new(link).lines().map_while(Result::ok) {
+fn serve(state: &Monitor<AgentState>, connection: TcpStream) {
+    for line in BufReader::new(connection).lines().map_while(Result::ok) {
         let Ok(line) = serde_json::from_str::<Value>(&line) else { return };
         if line["op"] == "subscribe" {
             let after = line["seq"].as_u64().unwrap_or_default() as usize;
-            state.wait_for("the agent to come up", |state| state.ready.then_some(()));
+            state.wait_for("ready agent", |state| state.ready.then_some(()));
             let mut state = state.lock();
             state.send(&json!({"op": "greeting", "end": "running", "ms": 5}));
             let notices = state.notices.clone();
--- a/examples/toy/src/gateway.rs
+++ b/examples/toy/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One connection of a gateway.
+//! Client side of the gateway protocol: one connection of a gateway to a server.
 
 use crate::WAIT_TIMEOUT;
 use std::io::{Read, Write};
@@ -6,83 +6,90 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The answer to a tag.
+/// A response to the request with the same tag, or a notice of the server with tag 0.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
     pub tag: u64,
+    /// `200`, `503`, `500`, a health or `goaway`.
     pub status: String,
     pub fields: String,
     pub body: Vec<u8>,
 }
 
+/// A connection to a server.
 pub struct Gateway {
     pub stream: TcpStream,
     input: Vec<u8>,
-    tag: u64,
+    last_tag: u64,
 }
 
-/// The Unix clock in milliseconds, as stamps have it.
+/// Returns the Unix time in milliseconds, the unit of timestamps on the wire.
 pub fn unix_time_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock past 1970").as_millis()
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past 1970").as_millis()
 }
 
-/// Names are new with every try.
 static NEXT_ATTEMPT_ID: AtomicU64 = AtomicU64::new(1);
 
 impl Gateway {
+    /// Connects to a server. Reads fail after [`WAIT_TIMEOUT`].
     pub fn connect(server: SocketAddr) -> Gateway {
-        let stream = TcpStream::connect(server).expect("a server that accepts");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
-        Gateway { stream, input: Vec::new(), tag: 0 }
+        let stream = TcpStream::connect(server).unwrap_or_else(|e| panic!("connecting to {server}: {e}"));
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout can be set");
+        stream.set_nodelay(true).expect("TCP_NODELAY can be set");
+        Gateway { stream, input: Vec::new(), last_tag: 0 }
     }
 
-    /// Sends a txn under a new name, which it returns with the tag.
-    pub fn call(&mut self, class: &str, more: &str, body: &[u8]) -> (u64, String) {
-        let name = format!("{:016x}", NEXT_ATTEMPT_ID.fetch_add(1, Ordering::Relaxed));
-        (self.call_with_id(&name, class, more, body), name)
+    /// Sends a request with a new attempt id. Returns its tag and the attempt id.
+    pub fn call(&mut self, class: &str, extra_fields: &str, body: &[u8]) -> (u64, String) {
+        let attempt_id = format!("{:016x}", NEXT_ATTEMPT_ID.fetch_add(1, Ordering::Relaxed));
+        (self.call_with_id(&attempt_id, class, extra_fields, body), attempt_id)
     }
 
-    /// Sends a txn under this name, and returns its tag.
-    pub fn call_with_id(&mut self, attempt_id: &str, class: &str, more: &str, body: &[u8]) -> u64 {
+    /// Sends a request with the given attempt id and returns its tag. `extra_fields` is appended to the default fields
+    /// and overrides them.
+    pub fn call_with_id(&mut self, attempt_id: &str, class: &str, extra_fields: &str, body: &[u8]) -> u64 {
         let now = unix_time_ms();
-        let fields = format!("i={attempt_id},s={now},f=1,t=acme,h=10.5,m=20.5,p=0.5{more}");
-        self.tag += 1;
-        let tag = self.tag.to_string();
+        let fields = format!("i={attempt_id},s={now},f=1,t=acme,h=10.5,m=20.5,p=0.5{extra_fields}");
+        self.last_tag += 1;
+        let tag = self.last_tag.to_string();
         self.send(&[b"CALL", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
-        self.tag
+        self.last_tag
     }
 
-    /// Reads to the end of the connection; an error if it was reset.
+    /// Reads until the server closes the connection. Fails if the connection is reset.
     pub fn read_to_end(&mut self) -> std::io::Result<()> {
         self.stream.read_to_end(&mut Vec::new()).map(drop)
     }
 
+    /// Cancels the request with this tag.
     pub fn cancel(&mut self, tag: u64) {
         self.send(&[b"CANCEL", tag.to_string().as_bytes()]);
     }
 
-    /// The answer to a health check.
+    /// Sends a health check and returns the next response.
     pub fn check_health(&mut self) -> Response {
-        self.tag += 1;
-        let tag = self.tag.to_string();
+        self.last_tag += 1;
+        let tag = self.last_tag.to_string();
         self.send(&[b"CHECK", tag.as_bytes(), b""]);
-        self.read_response().expect("an answer to a check")
+        self.read_response().expect("the server answers a health check")
     }
 
+    /// Sends one command.
     pub fn send(&mut self, elements: &[&[u8]]) {
-        self.stream.write_all(&encode_command(elements)).expect("a connection that takes bytes");
+        self.stream.write_all(&encode_command(elements)).expect("the server accepts a command");
     }
 
-    /// The next answer, or `None` at the end of the connection. A notice to leave has tag 0.
+    /// Returns the next response, or `None` once the connection is closed or reset. A `goaway` notice has tag 0.
     pub fn read_response(&mut self) -> Option<Response> {
         loop {
             if let Some((elements, size)) = decode_array(&self.input) {
                 self.input.drain(..size);
-                let text = |at: usize| elements.get(at).map(|e| String::from_utf8_lossy(e).into_owned());
+                let text = |index: usize| {
+                    elements.get(index).map(|element| String::from_utf8_lossy(element).into_owned())
+                };
                 return Some(Response {
-                    tag: text(0).and_then(|tag| tag.parse().ok()).expect("a tag"),
-                    status: text(1).expect("a word"),
+                    tag: text(0).and_then(|tag| tag.parse().ok()).expect("a response has a numeric tag"),
+                    status: text(1).expect("a response has a status"),
                     fields: text(2).unwrap_or_default(),
                     body: elements.get(3).cloned().unwrap_or_default(),
                 });
@@ -92,13 +99,13 @@
                 Ok(0) => return None,
                 Ok(count) => self.input.extend(&bytes[..count]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no answer: {e}"),
+                Err(e) => panic!("reading a response: {e}"),
             }
         }
     }
 }
 
-/// An array of bulk strings, as bytes.
+/// Encodes a command as a RESP array of bulk strings.
 pub fn encode_command(elements: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", elements.len()).into_bytes();
     for element in elements {
@@ -109,22 +116,22 @@
     out
 }
 
-/// The first array, if it is whole, and its size.
+/// Decodes the first RESP array. Returns its elements and its size in bytes, or `None` if it is incomplete.
 fn decode_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
-    let mut at = 0;
-    let number = |from: &mut usize| -> Option<usize> {
-        let end = bytes[*from..].windows(2).position(|pair| pair == b"\r\n")? + *from;
-        let value = std::str::from_utf8(&bytes[*from + 1..end]).ok()?.parse().ok()?;
-        *from = end + 2;
+    let mut position = 0;
+    let read_number = |position: &mut usize| -> Option<usize> {
+        let end = bytes[*position..].windows(2).position(|pair| pair == b"\r\n")? + *position;
+        let value = std::str::from_utf8(&bytes[*position + 1..end]).ok()?.parse().ok()?;
+        *position = end + 2;
         Some(value)
     };
-    let count = number(&mut at)?;
+    let count = read_number(&mut position)?;
     let mut elements = Vec::new();
     for _ in 0..count {
-        let len = number(&mut at)?;
-        elements.push(bytes.get(at..at + len)?.to_vec());
-        bytes.get(at + len..at + len + 2)?;
-        at += len + 2;
+        let length = read_number(&mut position)?;
+        elements.push(bytes.get(position..position + length)?.to_vec());
+        bytes.get(position + length..position + length + 2)?;
+        position += length + 2;
     }
-    Some((elements, at))
+    Some((elements, position))
 }
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for all that a server speaks with, written from the protocol's pages: enough to try it by hand
-//! and to tell stories to it in tests. What a txn does is written in its body, see [`agent`].
+//! Stand-ins for the peers of a server (agent, store, registry and gateway), written from the protocol
+//! documentation. They serve to try a server by hand and to drive one in integration tests. The body of a request
+//! scripts how the stand-ins handle it, see [`agent`] and [`http`].
 #![forbid(unsafe_code)]
 
 pub mod agent;
@@ -11,10 +12,10 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here should take: a wait that comes this far has failed.
+/// Time after which a wait of the stand-ins fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Something that changes, and those who wait until it has become what they want.
+/// A value behind a mutex, with a condition variable to wait for its changes.
 #[derive(Default)]
 pub struct Monitor<T> {
     value: Mutex<T>,
@@ -22,10 +23,12 @@
 }
 
 impl<T> Monitor<T> {
+    /// Locks the value. Changes made through the guard wake no waiting thread.
     pub fn lock(&self) -> MutexGuard<'_, T> {
         self.value.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the value and wakes all waiting threads.
     pub fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
         let result = update(&mut self.lock());
         self.changed.notify_all();
@@ -34,17 +37,17 @@
 }
 
 impl<T: Debug> Monitor<T> {
-    /// What `find` finds, as soon as it finds anything.
-    pub fn wait_for<R>(&self, what: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
+    /// Waits until `find` returns `Some` and returns its content. Panics after [`WAIT_TIMEOUT`], naming `awaited`.
+    pub fn wait_for<R>(&self, awaited: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
         let end = Instant::now() + WAIT_TIMEOUT;
         let mut value = self.lock();
         loop {
             if let Some(found) = find(&mut value) {
                 return found;
             }
-            let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "waited in vain for {what}: {value:?}");
-            value = self.changed.wait_timeout(value, left).unwrap_or_else(PoisonError::into_inner).0;
+            let remaining = end.saturating_duration_since(Instant::now());
+            assert!(!remaining.is_zero(), "no {awaited} within {WAIT_TIMEOUT:?}; the value is {value:?}");
+            value = self.changed.wait_timeout(value, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
