--- a/crates/server/tests/races.rs
+++ b/crates/server/tests/races.rs
@@ -22,9 +22,9 @@
 
 fn call_status(gateway: &mut Gateway, class: &str, extra_fields: &str, body: &[u8]) -> String {
     let (tag, _) = gateway.call(class, extra_fields, body);
-    let answer = gateway.read_response().expect("the server answers the request");
-    assert_eq!(answer.tag, tag);
-    answer.status
+    let response = gateway.read_response().expect("the server answers the request");
+    assert_eq!(response.tag, tag);
+    response.status
 }
 
 fn assert_serves(harness: &ServerHarness) {
@@ -59,8 +59,8 @@
         harness.connect_gateway().read_to_end().unwrap();
     }
     harness.agent.finish_run(&attempt_id);
-    let answer = gateway.read_response().expect("a response to the open request");
-    assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
+    let response = gateway.read_response().expect("a response to the open request");
+    assert_eq!((response.tag, response.status.as_str()), (tag, "200"));
     gateway.read_to_end().unwrap();
 }
 
@@ -92,8 +92,8 @@
     assert_eq!((notice.tag, notice.status.as_str()), (0, "goaway"));
     idle.read_to_end().expect("the connection is closed without a reset");
     let mut statuses: Vec<(u64, String)> = Vec::new();
-    while let Some(answer) = busy.read_response() {
-        statuses.push((answer.tag, answer.status));
+    while let Some(response) = busy.read_response() {
+        statuses.push((response.tag, response.status));
     }
     assert_eq!(statuses, [(tag, "500".to_string())]);
     silent.read_to_end().expect("the connection is closed without a reset");
@@ -143,8 +143,8 @@
     harness.move_peers();
     harness.agent.wait_for_commands("subscribe", 2);
     harness.agent.finish_run(&attempt_id);
-    let answer = gateway.read_response().unwrap();
-    assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
+    let response = gateway.read_response().unwrap();
+    assert_eq!((response.tag, response.status.as_str()), (tag, "200"));
     assert!(harness.wait_for_exit().success());
 }
 
@@ -185,11 +185,11 @@
     harness.resume();
     // In either order there is at most one response, and the result serves a retry.
     let (repeat, _) = gateway.call("order", KEY, b"hold");
-    let mut answer = gateway.read_response().unwrap();
-    if answer.tag == tag {
-        answer = gateway.read_response().unwrap();
+    let mut response = gateway.read_response().unwrap();
+    if response.tag == tag {
+        response = gateway.read_response().unwrap();
     }
-    assert_eq!((answer.tag, answer.status.as_str()), (repeat, "200"));
+    assert_eq!((response.tag, response.status.as_str()), (repeat, "200"));
     assert_eq!(harness.agent.command_count("launch", ""), 1);
 }
 
@@ -207,7 +207,8 @@
     let (repeat, _) = gateway.call("order", KEY, b"hold");
     harness.wait_for_log("replay");
     harness.agent.finish_run(&attempt_id);
-    let mut tags = [0; 2].map(|_| gateway.read_response().map(|answer| (answer.tag, answer.status)).unwrap());
+    let mut tags =
+        [0; 2].map(|_| gateway.read_response().map(|response| (response.tag, response.status)).unwrap());
     tags.sort();
     assert_eq!(tags, [(first, "200".to_string()), (repeat, "200".to_string())]);
 }
@@ -241,8 +242,8 @@
     });
     let mut gateway = harness.connect_gateway();
     let (tag, _) = gateway.call("order", KEY, b"call for ever");
-    let answer = gateway.read_response().unwrap();
-    assert_eq!((answer.tag, answer.body.as_slice()), (tag, &b"stored for ever"[..]));
+    let response = gateway.read_response().unwrap();
+    assert_eq!((response.tag, response.body.as_slice()), (tag, &b"stored for ever"[..]));
 }
 
 /// Returns a listener that accepts nothing: peers connect to its backlog and get no response.
@@ -295,7 +296,7 @@
 }
 
 /// Opens connections as fast as the server accepts them and keeps up to 1000 of its own ends open, so that those the server
-/// closed stay half open. A third sends nothing, a third part of a message and a third one health check. Pauses while
+/// closed stay half open. Some send nothing, some part of a message, some one health check. Pauses while
 /// `connect_gate` is held for writing and ends once `stopped` is set.
 fn flood(server: std::net::SocketAddr, stopped: &AtomicBool, connect_gate: &RwLock<()>) {
     let mut held = std::collections::VecDeque::new();
--- a/crates/server/tests/stories.rs
+++ b/crates/server/tests/stories.rs
@@ -19,9 +19,9 @@
 
 /// Reads the next response and checks that it answers the request with `tag`.
 fn read_response(gateway: &mut Gateway, tag: u64) -> Response {
-    let answer = gateway.read_response().expect("the server answers the request");
-    assert_eq!(answer.tag, tag);
-    answer
+    let response = gateway.read_response().expect("the server answers the request");
+    assert_eq!(response.tag, tag);
+    response
 }
 
 fn call_status(gateway: &mut Gateway, class: &str, extra_fields: &str, body: &[u8]) -> String {
@@ -183,7 +183,7 @@
     harness.agent.wait_for_command("launch", &attempt_id);
     gateway.cancel(tag);
     harness.agent.wait_for_command("freeze", &attempt_id);
-    assert_eq!(call_status(&mut gateway, "quote", "", b"the next answer on this connection"), "200");
+    assert_eq!(call_status(&mut gateway, "quote", "", b"the next response on this connection"), "200");
 }
 
 #[test]
@@ -237,10 +237,10 @@
         let mut gateway = harness.connect_gateway();
         gateway.stream.write_all(&bad).unwrap();
         gateway.stream.shutdown(Shutdown::Write).unwrap();
-        if let Some(answer) = gateway.read_response() {
+        if let Some(response) = gateway.read_response() {
             assert!(
-                ["200", "500", "503"].contains(&answer.status.as_str()),
-                "byte {at} corrupted: {answer:?}"
+                ["200", "500", "503"].contains(&response.status.as_str()),
+                "byte {at} corrupted: {response:?}"
             );
             assert_eq!(gateway.read_response(), None);
         }
--- a/crates/server/tests/trace.rs
+++ b/crates/server/tests/trace.rs
@@ -39,14 +39,14 @@
 
 fn trace_files(folder: &Path) -> Vec<PathBuf> {
     let Ok(found) = std::fs::read_dir(folder.join("traces")) else { return Vec::new() };
-    let mut all: Vec<PathBuf> = found.map(|entry| entry.unwrap().path()).collect();
-    all.sort();
-    all
+    let mut paths: Vec<PathBuf> = found.map(|entry| entry.unwrap().path()).collect();
+    paths.sort();
+    paths
 }
 
 /// Returns the rows of all files with the texts of their steps, by the hash of the attempt id.
 fn recorded_rows(folder: &Path, names: &mut Names) -> BTreeMap<u32, (Row, Vec<String>)> {
-    let mut all = BTreeMap::new();
+    let mut rows_by_hash = BTreeMap::new();
     for path in trace_files(folder) {
         let Ok(mut trace) = Trace::open(File::open(path).unwrap()) else { continue };
         let mut rows = Vec::new();
@@ -55,10 +55,10 @@
         }
         for row in rows {
             let steps = names.steps(row.path).steps().map(|step| step.text()).collect();
-            assert!(all.insert(row.name, (row, steps)).is_none(), "attempt recorded twice");
+            assert!(rows_by_hash.insert(row.name, (row, steps)).is_none(), "attempt recorded twice");
         }
     }
-    all
+    rows_by_hash
 }
 
 fn attempt_hash(attempt_id: &str) -> u32 {
@@ -80,10 +80,10 @@
         ("order", KEY, "an order"),
         ("order", KEY, "an order"),
     ] {
-        let (tag, name) = gateway.call(class, more, body.as_bytes());
-        let answer = gateway.read_response().unwrap();
-        assert_eq!(answer.tag, tag);
-        sent.insert(attempt_hash(&name), (answer, class));
+        let (tag, attempt_id) = gateway.call(class, more, body.as_bytes());
+        let response = gateway.read_response().unwrap();
+        assert_eq!(response.tag, tag);
+        sent.insert(attempt_hash(&attempt_id), (response, class));
     }
     let (tag, held) = gateway.call("quote", "", b"hold");
     harness.agent.wait_for_command("launch", &held);
@@ -97,25 +97,25 @@
     let mut names = Names::default();
     let rows = recorded_rows(folder.path(), &mut names);
     assert_eq!(rows.len(), 8);
-    for (name, (answer, class)) in &sent {
-        let (row, steps) = &rows[name];
+    for (hash, (response, class)) in &sent {
+        let (row, steps) = &rows[hash];
         let status = match names.steps(row.path).fate().word() {
             "settled" => "200",
             "declined" => "503",
             _ => "500",
         };
-        assert_eq!(status, answer.status, "{steps:?}");
+        assert_eq!(status, response.status, "{steps:?}");
         assert_eq!(&names.terms(row.product).name, class);
         assert_eq!((names.text(row.customer), row.caller, names.text(row.node)), ("acme", 1, "toy-1"));
         assert_eq!(
-            answer.fields.contains(&format!("w={}", row.keep_off)),
+            response.fields.contains(&format!("w={}", row.keep_off)),
             row.keep_off > 0,
             "{}",
-            answer.fields
+            response.fields
         );
         assert_eq!(row.key != 0, *class == "order");
     }
-    let all: Vec<String> = rows.values().map(|(_, steps)| steps.join(", ")).collect();
+    let recorded: Vec<String> = rows.values().map(|(_, steps)| steps.join(", ")).collect();
     for expected in [
         "run, ended (done), settled",
         "declined (waited)",
@@ -124,7 +124,10 @@
         "replayed, settled",
         "run, gone",
     ] {
-        assert!(all.iter().any(|steps| steps == expected), "no attempt with steps {expected:?} in {all:?}");
+        assert!(
+            recorded.iter().any(|steps| steps == expected),
+            "no attempt with steps {expected:?} in {recorded:?}"
+        );
     }
     // The run still open at the exit has a response and a complete row too.
     let steps = &rows[&attempt_hash(&open)].1;
@@ -158,8 +161,8 @@
         // An upper bound; the server is killed long before.
         for at in 0..100_000 {
             let body = if at % 7 == id { "fail" } else { "quick" };
-            let Some((name, status)) = call_until_closed(&mut gateway, body) else { break };
-            received.push((attempt_hash(&name), status));
+            let Some((attempt_id, status)) = call_until_closed(&mut gateway, body) else { break };
+            received.push((attempt_hash(&attempt_id), status));
         }
         received
     };
@@ -183,8 +186,8 @@
     assert!(rows.len() >= 256, "{}", rows.len());
     for gateway in &received {
         let mut missing = false;
-        for (name, status) in gateway {
-            match rows.get(name) {
+        for (hash, status) in gateway {
+            match rows.get(hash) {
                 Some((row, steps)) => {
                     assert!(!missing, "the trace lacks an attempt answered before a recorded one");
                     let settled = names.steps(row.path).fate().word() == "settled";
@@ -200,8 +203,9 @@
 fn call_until_closed(gateway: &mut Gateway, body: &str) -> Option<(String, String)> {
     use std::panic::{catch_unwind, AssertUnwindSafe};
     // Sending panics once the server is gone.
-    let (_, name) = catch_unwind(AssertUnwindSafe(|| gateway.call("quote", "", body.as_bytes()))).ok()?;
-    gateway.read_response().map(|answer| (name, answer.status))
+    let (_, attempt_id) =
+        catch_unwind(AssertUnwindSafe(|| gateway.call("quote", "", body.as_bytes()))).ok()?;
+    gateway.read_response().map(|response| (attempt_id, response.status))
 }
 
 #[test]
