--- a/crates/config-rollout/src/change.rs
+++ b/crates/config-rollout/src/change.rs
@@ -63,7 +63,7 @@
     }
 
     /// Adds a later change, so that this one does what both do one after the other.
-    pub fn then(&mut self, later: &Change) {
+    pub fn append(&mut self, later: &Change) {
         for (key, value) in &later.settings {
             self.settings.insert(key.clone(), *value);
         }
--- a/crates/config-rollout/src/content.rs
+++ b/crates/config-rollout/src/content.rs
@@ -46,7 +46,7 @@
     }
 
     /// The content with a change applied. An error where the result would be too large or a setting of the change is not valid.
-    pub fn after(&self, change: &Change) -> Result<Content, ValidationError> {
+    pub fn with_change(&self, change: &Change) -> Result<Content, ValidationError> {
         let mut content = self.clone();
         for (key, value) in change.iter() {
             match value {
--- a/crates/config-rollout/src/digest.rs
+++ b/crates/config-rollout/src/digest.rs
@@ -13,7 +13,7 @@
 /// The same for the tag of a target message.
 const TAG_DOMAIN: &[u8] = b"puffinladder config target 1\0";
 /// Bytes of a digest that its text shows.
-const SHOWN_BYTES: usize = 6;
+const DISPLAYED_BYTES: usize = 6;
 const DIGEST_BYTES: usize = 32;
 
 /// A BLAKE3 hash, keyed or not. Written as base64 in JSON.
@@ -31,14 +31,14 @@
 
 /// Computes digests and tags; the same at lease-store replicas, distributors and servers.
 #[derive(Clone, Default, PartialEq, Eq)]
-pub struct Seal {
+pub struct Digester {
     key: Option<[u8; 32]>,
 }
 
-impl Seal {
+impl Digester {
     /// Digests under a secret of the fleet. The default has no key: it finds faults, but does not keep anybody out.
-    pub fn keyed(key: [u8; 32]) -> Seal {
-        Seal { key: Some(key) }
+    pub fn keyed(key: [u8; 32]) -> Digester {
+        Digester { key: Some(key) }
     }
 
     fn hasher(&self) -> blake3::Hasher {
@@ -77,16 +77,16 @@
     }
 }
 
-impl fmt::Debug for Seal {
+impl fmt::Debug for Digester {
     /// Without the key, which must not appear in logs.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        out.write_str(if self.key.is_some() { "Seal(keyed)" } else { "Seal(plain)" })
+        out.write_str(if self.key.is_some() { "Digester(keyed)" } else { "Digester(plain)" })
     }
 }
 
 impl fmt::Display for Digest {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        self.0.iter().take(SHOWN_BYTES).try_for_each(|byte| write!(out, "{byte:02x}"))
+        self.0.iter().take(DISPLAYED_BYTES).try_for_each(|byte| write!(out, "{byte:02x}"))
     }
 }
 
--- a/crates/config-rollout/src/digest/tests.rs
+++ b/crates/config-rollout/src/digest/tests.rs
@@ -3,12 +3,12 @@
 use crate::key::{Field, Key};
 
 fn content() -> Content {
-    Content::default().after(&Change::default().set(Key::tenant("acme"), 5.0)).unwrap()
+    Content::default().with_change(&Change::default().set(Key::tenant("acme"), 5.0)).unwrap()
 }
 
 #[test]
-fn no_content_passes_under_another_number_or_by_another_key() {
-    let (plain, ours, theirs) = (Seal::default(), Seal::keyed([1; 32]), Seal::keyed([2; 32]));
+fn digest_depends_on_the_number_and_the_secret_key() {
+    let (plain, ours, theirs) = (Digester::default(), Digester::keyed([1; 32]), Digester::keyed([2; 32]));
     assert_eq!(plain.digest(4, &content()), plain.digest(4, &content()));
     assert_ne!(plain.digest(4, &content()), plain.digest(5, &content()), "an old content as a new version");
     assert_ne!(ours.digest(4, &content()), theirs.digest(4, &content()), "a version that somebody made up");
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn every_part_of_a_content_counts() {
-    let seal = Seal::default();
+fn digest_covers_every_part_of_a_content() {
+    let digester = Digester::default();
     let base = content();
     let others = [
         Change::default().set(Key::tenant("acme"), 5.000001),
@@ -26,12 +26,12 @@
         Change::default().set(Key::route("acme", Field::LatencyObjective), 5.0),
     ];
     for change in others {
-        let other = base.after(&change).unwrap();
-        assert_ne!(seal.digest(1, &base), seal.digest(1, &other), "{change:?}");
+        let other = base.with_change(&change).unwrap();
+        assert_ne!(digester.digest(1, &base), digester.digest(1, &other), "{change:?}");
     }
 }
 
 #[test]
-fn a_key_is_not_for_logs() {
-    assert_eq!(format!("{:?}", Seal::keyed([9; 32])), "Seal(keyed)");
+fn debug_output_hides_the_secret_key() {
+    assert_eq!(format!("{:?}", Digester::keyed([9; 32])), "Digester(keyed)");
 }
--- a/crates/config-rollout/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -222,7 +222,7 @@
     }
 
     /// The version that a server should be brought to, if it lacks it.
-    fn lacking(&self, history: &History, name: &str, server: &Server) -> Option<VersionId> {
+    fn missing_target(&self, history: &History, name: &str, server: &Server) -> Option<VersionId> {
         let target = history.version_id(history.state().target(name))?;
         let lacks = server.staged.number < target.number && server.rejected != Some(target);
         lacks.then_some(target)
@@ -232,7 +232,7 @@
     fn enqueue_lagging(&mut self, history: &History) {
         let lagging = |(name, server): (&String, &Server)| {
             let idle = server.transfer.is_none() && !server.queued;
-            (idle && self.lacking(history, name, server).is_some()).then(|| name.clone())
+            (idle && self.missing_target(history, name, server).is_some()).then(|| name.clone())
         };
         let mut newcomers: Vec<String> = self.servers.iter().filter_map(lagging).collect();
         newcomers.sort_by_cached_key(|name| {
@@ -253,7 +253,7 @@
         if now - server.last_heard > self.settings.silence_timeout {
             return;
         }
-        let Some(target) = self.lacking(history, name, server) else {
+        let Some(target) = self.missing_target(history, name, server) else {
             if let Some(server) = self.servers.get_mut(name) {
                 server.queued = false;
             }
@@ -337,7 +337,8 @@
         if round.now - server.last_target < self.settings.target_interval {
             return;
         }
-        let message = DistributorMessage::target(history.seal(), name, target, round.age, server.sequence);
+        let message =
+            DistributorMessage::target(history.digester(), name, target, round.age, server.sequence);
         let cost = message.line_bytes();
         if TokenBucket::take_from_both(&mut server.bucket, &mut self.bucket, cost as f64) {
             self.counters.count_line(cost);
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::change::Change;
-use crate::digest::Seal;
+use crate::digest::Digester;
 use crate::history::{Command, LogEntry, Origin, PutRequest, RetentionLimits};
 use crate::key::Key;
 use crate::messages::{encode_change, encode_content, Chunk, RejectedVersion, TransferId, TransferProgress};
@@ -25,7 +25,7 @@
     apply(history, Command::Release { epoch: 1, number });
 }
 
-fn many(keys: usize, quota: f64) -> Change {
+fn quota_changes(keys: usize, quota: f64) -> Change {
     (0..keys).fold(Change::default(), |change, at| change.set(Key::tenant(&format!("tenant-{at}")), quota))
 }
 
@@ -42,12 +42,12 @@
 
 /// A history of one large version and a few small ones.
 fn history() -> (History, Vec<VersionId>) {
-    let mut history = History::new(Seal::default(), RetentionLimits::default());
+    let mut history = History::new(Digester::default(), RetentionLimits::default());
     let mut heads = vec![history.head()];
-    put(&mut history, many(400, 5.0));
+    put(&mut history, quota_changes(400, 5.0));
     heads.push(history.head());
     for at in 0..4 {
-        put(&mut history, many(2, f64::from(at)));
+        put(&mut history, quota_changes(2, f64::from(at)));
         heads.push(history.head());
     }
     release(&mut history);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_change_or_a_whole_whichever_is_shorter() {
+fn sends_the_shorter_of_change_and_whole_content() {
     let (mut history, heads) = history();
     let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
     distributor.receive(0.0, &ack("near", 1, heads[1]));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn no_server_is_sent_more_than_its_bytes_in_any_second_also_when_it_goes_from_one_to_another() {
+fn byte_budget_holds_when_a_server_switches_distributors() {
     let (history, heads) = history();
     let mut sent: Vec<(f64, f64)> = Vec::new();
     let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_is_lost_is_sent_again_from_where_the_server_is() {
+fn resumes_a_transfer_from_the_acknowledged_offset() {
     let (history, heads) = history();
     let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
     distributor.receive(0.0, &ack("n1", 1, heads[0]));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_mass_restart_is_spread_bounded_and_nobody_waits_forever() {
+fn mass_restart_respects_catch_up_slots_without_starvation() {
     let (history, heads) = history();
     let settings = DistributorSettings { catch_up_slots: 3, ..DistributorSettings::default() };
     let mut distributor = Distributor::new(settings, 1, 0.0);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_dead_peer_holds_no_body_and_is_forgotten() {
+fn ends_transfers_to_silent_servers_and_removes_them() {
     let (history, heads) = history();
     let settings = DistributorSettings { max_servers: 5, ..DistributorSettings::default() };
     let mut distributor = Distributor::new(settings, 1, 0.0);
@@ -223,10 +223,10 @@
 }
 
 #[test]
-fn canaries_come_first_and_what_is_reverted_goes_no_further() {
+fn sends_to_canaries_first_and_stops_sending_reverted_versions() {
     let (mut history, heads) = history();
     let last = *heads.last().unwrap();
-    put(&mut history, many(1, 99.0));
+    put(&mut history, quota_changes(1, 99.0));
     let (epoch, number) = (1, history.head().number);
     apply(&mut history, Command::StartCanary { epoch, number, canaries: BTreeSet::from(["n1".to_string()]) });
     let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_replica_that_is_behind_sends_nothing_and_old_acknowledgements_count_for_nothing() {
+fn ignores_stale_replicas_and_stale_acknowledgements() {
     let (mut history, heads) = history();
     let old = history.clone();
     apply(&mut history, Command::Announce { epoch: 4 });
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn settings_that_could_not_be_kept_are_rejected() {
+fn rejects_invalid_settings() {
     assert_eq!(DistributorSettings::default().check(), Ok(()));
     let invalid = [
         DistributorSettings { burst: 100.0, ..DistributorSettings::default() },
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -19,7 +19,7 @@
 pub use versioned_content::VersionedContent;
 
 use crate::content::Content;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use crate::messages::Acknowledgement;
 use crate::validation::ContentValidator;
 use last_good::LastGoodWriter;
@@ -64,7 +64,7 @@
 
 /// With which content a server started.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartedWith {
+pub enum StartSource {
     /// The last good version from its own disk.
     LastGood(VersionId),
     /// Its base settings alone; with the reason where something was on its disk.
@@ -76,7 +76,7 @@
 pub struct Follower {
     server: HolderId,
     zone: String,
-    seal: Seal,
+    digester: Digester,
     active: VersionedContent,
     active_since: f64,
     staged: Option<VersionedContent>,
@@ -100,25 +100,27 @@
     pub fn start(
         server: HolderId,
         zone: &str,
-        seal: Seal,
+        digester: Digester,
         disk: Option<&[u8]>,
         validator: &dyn ContentValidator,
-    ) -> (Follower, StartedWith) {
-        let base =
-            VersionedContent { version: seal.version_id(0, &Content::default()), content: Arc::default() };
-        let (active, started_with) = match disk.map(|bytes| last_good::read(&seal, bytes, validator)) {
+    ) -> (Follower, StartSource) {
+        let base = VersionedContent {
+            version: digester.version_id(0, &Content::default()),
+            content: Arc::default(),
+        };
+        let (active, start_source) = match disk.map(|bytes| last_good::read(&digester, bytes, validator)) {
             Some(Ok(last_good)) => {
                 let version = last_good.version;
-                (last_good, StartedWith::LastGood(version))
+                (last_good, StartSource::LastGood(version))
             }
-            Some(Err(error)) => (base, StartedWith::BaseSettings(Some(error))),
-            None => (base, StartedWith::BaseSettings(None)),
+            Some(Err(error)) => (base, StartSource::BaseSettings(Some(error))),
+            None => (base, StartSource::BaseSettings(None)),
         };
-        let stored = matches!(started_with, StartedWith::LastGood(_)).then_some(active.version);
+        let stored = matches!(start_source, StartSource::LastGood(_)).then_some(active.version);
         let follower = Follower {
             server,
             zone: zone.into(),
-            seal,
+            digester,
             version_log: VersionLog::new(active.version),
             active,
             active_since: f64::MIN,
@@ -133,7 +135,7 @@
             last_ack: None,
             ack_urgent: true,
         };
-        (follower, started_with)
+        (follower, start_source)
     }
 
     /// The server and its incarnation.
--- a/crates/config-rollout/src/follower/last_good.rs
+++ b/crates/config-rollout/src/follower/last_good.rs
@@ -5,7 +5,7 @@
 
 use super::versioned_content::VersionedContent;
 use crate::content::Content;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use crate::setting::ValidationError;
 use crate::validation::ContentValidator;
 use serde::{Deserialize, Serialize};
@@ -48,7 +48,7 @@
 
 /// Reads what [`LastGoodWriter::next_write`] wrote.
 pub(super) fn read(
-    seal: &Seal,
+    digester: &Digester,
     bytes: &[u8],
     validator: &dyn ContentValidator,
 ) -> Result<VersionedContent, LastGoodError> {
@@ -56,7 +56,7 @@
     if stored.format != FORMAT {
         return Err(LastGoodError::Format(stored.format));
     }
-    if seal.version_id(stored.version.number, &stored.content) != stored.version {
+    if digester.version_id(stored.version.number, &stored.content) != stored.version {
         return Err(LastGoodError::WrongDigest);
     }
     stored.content.check().map_err(LastGoodError::OutOfBounds)?;
--- a/crates/config-rollout/src/follower/partial_bodies.rs
+++ b/crates/config-rollout/src/follower/partial_bodies.rs
@@ -18,7 +18,7 @@
 }
 
 /// What a chunk did to its body.
-pub(super) enum Extended {
+pub(super) enum ExtendOutcome {
     /// Bytes before the chunk are missing.
     Gap,
     /// More is to come.
@@ -30,13 +30,13 @@
 impl PartialBodies {
     /// Adds a chunk to its body; bytes that are there already are not written again. Where there are too many bodies, the one that has
     /// not grown for longest is dropped.
-    pub(super) fn extend(&mut self, chunk: &Chunk) -> Extended {
+    pub(super) fn extend(&mut self, chunk: &Chunk) -> ExtendOutcome {
         let offset = chunk.offset as usize;
         let position = self.bodies.iter().position(|body| body.transfer == chunk.transfer);
         let mut body = match position {
             Some(position) => self.bodies.remove(position),
             None if offset == 0 => PartialBody { transfer: chunk.transfer, bytes: Vec::new() },
-            None => return Extended::Gap,
+            None => return ExtendOutcome::Gap,
         };
         let received = body.bytes.len();
         let gap = offset > received;
@@ -44,16 +44,16 @@
             body.bytes.extend(chunk.bytes.iter().skip(received - offset));
         }
         if body.bytes.len() >= chunk.transfer.total_bytes as usize {
-            return Extended::Complete(body.bytes);
+            return ExtendOutcome::Complete(body.bytes);
         }
         self.bodies.push(body);
         if self.bodies.len() > MAX_BODIES {
             self.bodies.remove(0);
         }
         if gap {
-            Extended::Gap
+            ExtendOutcome::Gap
         } else {
-            Extended::Incomplete
+            ExtendOutcome::Incomplete
         }
     }
 
--- a/crates/config-rollout/src/follower/receive.rs
+++ b/crates/config-rollout/src/follower/receive.rs
@@ -1,6 +1,6 @@
 //! How a server takes messages from distributors in: bounds first, then the body, its digest, and the server's own checks.
 
-use super::partial_bodies::Extended;
+use super::partial_bodies::ExtendOutcome;
 use super::version_log::Conflict;
 use super::versioned_content::VersionedContent;
 use super::Follower;
@@ -87,7 +87,7 @@
         if !(age >= 0.0 && age.is_finite()) {
             return self.invalid_field(InvalidField::Age);
         }
-        if tag != self.seal.tag(&self.server.instance, target, age, acknowledged) {
+        if tag != self.digester.tag(&self.server.instance, target, age, acknowledged) {
             return self.invalid_field(InvalidField::Tag);
         }
         if let Some(conflict) = self.find_conflict(target) {
@@ -128,9 +128,9 @@
             return self.gap();
         }
         match self.partial_bodies.extend(chunk) {
-            Extended::Gap => self.gap(),
-            Extended::Incomplete => Received::Incomplete,
-            Extended::Complete(body) => self.stage(chunk.transfer, &body, validator),
+            ExtendOutcome::Gap => self.gap(),
+            ExtendOutcome::Incomplete => Received::Incomplete,
+            ExtendOutcome::Complete(body) => self.stage(chunk.transfer, &body, validator),
         }
     }
 
@@ -174,7 +174,7 @@
             self.counters.undecodable += 1;
             return Received::Invalid(MessageError::Undecodable(version.number));
         };
-        if self.seal.digest(version.number, &content) != version.digest {
+        if self.digester.digest(version.number, &content) != version.digest {
             self.counters.wrong_digests += 1;
             return Received::Invalid(MessageError::WrongDigest(version.number));
         }
@@ -193,7 +193,7 @@
             None => postcard::from_bytes::<Content>(body).ok().filter(|content| content.check().is_ok()),
             Some(base) => {
                 let change = postcard::from_bytes::<Change>(body).ok()?;
-                self.base_content(base)?.after(&change).ok()
+                self.base_content(base)?.with_change(&change).ok()
             }
         }
     }
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -9,28 +9,28 @@
 use crate::setting::ValidationError;
 use crate::validation::BoundsValidator;
 
-fn seal() -> Seal {
-    Seal::keyed([3; 32])
+fn digester() -> Digester {
+    Digester::keyed([3; 32])
 }
 
 fn change(name: &str, quota: f64) -> Change {
     Change::default().set(Key::tenant(name), quota)
 }
 
-fn fresh() -> Follower {
-    Follower::start(HolderId::new("n1", 1), "east", seal(), None, &BoundsValidator).0
+fn new_follower() -> Follower {
+    Follower::start(HolderId::new("n1", 1), "east", digester(), None, &BoundsValidator).0
 }
 
-/// A line of versions, each of one change.
-fn line(count: u32) -> Vec<(VersionId, Content, Change)> {
+/// A versions of versions, each of one change.
+fn versions(count: u32) -> Vec<(VersionId, Content, Change)> {
     let mut content = Content::default();
-    let mut line = vec![(seal().version_id(0, &content), content.clone(), Change::default())];
+    let mut versions = vec![(digester().version_id(0, &content), content.clone(), Change::default())];
     for at in 1..=count {
         let change = change(["a", "b", "c"][at as usize % 3], f64::from(at));
-        content = content.after(&change).unwrap();
-        line.push((seal().version_id(u64::from(at), &content), content.clone(), change));
+        content = content.with_change(&change).unwrap();
+        versions.push((digester().version_id(u64::from(at), &content), content.clone(), change));
     }
-    line
+    versions
 }
 
 fn chunks(transfer: TransferId, body: &[u8], size: usize) -> Vec<DistributorMessage> {
@@ -40,94 +40,108 @@
     body.chunks(size).enumerate().map(chunk).collect()
 }
 
-fn step(line: &[(VersionId, Content, Change)], from: usize, to: usize) -> DistributorMessage {
+fn change_message(versions: &[(VersionId, Content, Change)], from: usize, to: usize) -> DistributorMessage {
     let mut change = Change::default();
-    line[from + 1..=to].iter().for_each(|(.., one)| change.then(one));
+    versions[from + 1..=to].iter().for_each(|(.., one)| change.append(one));
     let body = encode_change(&change);
     let transfer =
-        TransferId { base: Some(line[from].0), target: line[to].0, total_bytes: body.len() as u32 };
+        TransferId { base: Some(versions[from].0), target: versions[to].0, total_bytes: body.len() as u32 };
     chunks(transfer, &body, MAX_CHUNK_BYTES).remove(0)
 }
 
-fn whole(line: &[(VersionId, Content, Change)], to: usize, size: usize) -> Vec<DistributorMessage> {
-    let body = encode_content(&line[to].1);
-    chunks(TransferId { base: None, target: line[to].0, total_bytes: body.len() as u32 }, &body, size)
+fn content_messages(
+    versions: &[(VersionId, Content, Change)],
+    to: usize,
+    size: usize,
+) -> Vec<DistributorMessage> {
+    let body = encode_content(&versions[to].1);
+    chunks(TransferId { base: None, target: versions[to].0, total_bytes: body.len() as u32 }, &body, size)
 }
 
 #[test]
-fn a_version_is_acknowledged_once_it_is_active_and_not_before() {
-    let (mut follower, line) = (fresh(), line(2));
-    assert_eq!(follower.acknowledge(0.0).unwrap().active, line[0].0);
-    assert_eq!(follower.receive(&step(&line, 0, 1), &BoundsValidator), Received::Staged(line[1].0));
+fn acknowledges_a_version_only_after_activation() {
+    let (mut follower, versions) = (new_follower(), versions(2));
+    assert_eq!(follower.acknowledge(0.0).unwrap().active, versions[0].0);
+    assert_eq!(
+        follower.receive(&change_message(&versions, 0, 1), &BoundsValidator),
+        Received::Staged(versions[1].0)
+    );
     let ack = follower.acknowledge(1.1).unwrap();
-    assert_eq!((ack.active, ack.staged), (line[0].0, line[1].0));
+    assert_eq!((ack.active, ack.staged), (versions[0].0, versions[1].0));
     let next = follower.staged().unwrap().clone();
-    assert_eq!((next.version, &*next.content), (line[1].0, &line[1].1));
-    assert!(!follower.activated(1.2, line[2].0), "another than was given out");
+    assert_eq!((next.version, &*next.content), (versions[1].0, &versions[1].1));
+    assert!(!follower.activated(1.2, versions[2].0), "another than was given out");
     assert!(follower.activated(1.2, next.version));
     assert!(!follower.activated(1.2, next.version), "twice");
-    assert_eq!(follower.acknowledge(1.3).unwrap().active, line[1].0);
+    assert_eq!(follower.acknowledge(1.3).unwrap().active, versions[1].0);
     assert_eq!(follower.staged(), None);
     // The next one may come before the last is active, and takes its place.
-    follower.receive(&step(&line, 1, 2), &BoundsValidator);
-    assert_eq!(follower.staged().unwrap().version, line[2].0);
+    follower.receive(&change_message(&versions, 1, 2), &BoundsValidator);
+    assert_eq!(follower.staged().unwrap().version, versions[2].0);
 }
 
 #[test]
-fn versions_never_go_back_and_a_wide_step_is_one() {
-    let (mut follower, line) = (fresh(), line(12));
-    assert_eq!(follower.receive(&step(&line, 0, 10), &BoundsValidator), Received::Staged(line[10].0));
-    follower.activated(0.0, line[10].0);
+fn never_activates_an_older_version() {
+    let (mut follower, versions) = (new_follower(), versions(12));
+    assert_eq!(
+        follower.receive(&change_message(&versions, 0, 10), &BoundsValidator),
+        Received::Staged(versions[10].0)
+    );
+    follower.activated(0.0, versions[10].0);
     for old in 1..=10 {
-        assert_eq!(follower.receive(&step(&line, 0, old), &BoundsValidator), Received::Outdated, "{old}");
         assert_eq!(
-            follower.receive(&whole(&line, old, MAX_CHUNK_BYTES)[0], &BoundsValidator),
+            follower.receive(&change_message(&versions, 0, old), &BoundsValidator),
+            Received::Outdated,
+            "{old}"
+        );
+        assert_eq!(
+            follower.receive(&content_messages(&versions, old, MAX_CHUNK_BYTES)[0], &BoundsValidator),
             Received::Outdated,
             "{old}"
         );
     }
     assert_eq!(
-        follower.receive(&step(&line, 11, 12), &BoundsValidator),
+        follower.receive(&change_message(&versions, 11, 12), &BoundsValidator),
         Received::Gap,
         "its base is missing"
     );
-    assert_eq!(follower.active().version, line[10].0);
+    assert_eq!(follower.active().version, versions[10].0);
     assert_eq!(follower.staged(), None);
 }
 
 #[test]
-fn two_contents_under_one_number_are_rejected_remembered_and_reported() {
-    let (mut follower, line) = (fresh(), line(2));
-    follower.receive(&step(&line, 0, 1), &BoundsValidator);
-    follower.activated(0.0, line[1].0);
-    let other = Content::default().after(&change("mine", 7.0)).unwrap();
+fn rejects_and_reports_a_second_content_under_the_same_number() {
+    let (mut follower, versions) = (new_follower(), versions(2));
+    follower.receive(&change_message(&versions, 0, 1), &BoundsValidator);
+    follower.activated(0.0, versions[1].0);
+    let other = Content::default().with_change(&change("mine", 7.0)).unwrap();
     let body = encode_content(&other);
     let transfer =
-        TransferId { base: None, target: seal().version_id(1, &other), total_bytes: body.len() as u32 };
+        TransferId { base: None, target: digester().version_id(1, &other), total_bytes: body.len() as u32 };
     for _ in 0..20 {
         let received = follower.receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::Conflict(_))), "{received:?}");
     }
-    let target = DistributorMessage::target(&seal(), "n1", transfer.target, 0.0, 1);
+    let target = DistributorMessage::target(&digester(), "n1", transfer.target, 0.0, 1);
     assert!(matches!(
         follower.receive(&target, &BoundsValidator),
         Received::Invalid(MessageError::Conflict(_))
     ));
     assert_eq!(follower.conflicts().count(), 1, "the same one is kept once");
     assert_eq!(follower.acknowledge(1.0).unwrap().conflicts, 21);
-    assert_eq!(follower.active().version, line[1].0);
+    assert_eq!(follower.active().version, versions[1].0);
 }
 
 #[test]
-fn what_is_torn_changed_or_made_up_is_never_applicable() {
-    let line = line(6);
-    let body = encode_content(&line[6].1);
-    let transfer = TransferId { base: None, target: line[6].0, total_bytes: body.len() as u32 };
+fn never_stages_corrupted_truncated_or_forged_bodies() {
+    let versions = versions(6);
+    let body = encode_content(&versions[6].1);
+    let transfer = TransferId { base: None, target: versions[6].0, total_bytes: body.len() as u32 };
     for at in 0..body.len() {
         for bit in [1, 0x40] {
             let mut other = body.clone();
             other[at] ^= bit;
-            let mut follower = fresh();
+            let mut follower = new_follower();
             let received = follower.receive(&chunks(transfer, &other, MAX_CHUNK_BYTES)[0], &BoundsValidator);
             assert!(
                 matches!(
@@ -140,10 +154,10 @@
             // And the right one is taken after it.
             assert_eq!(
                 follower.receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator),
-                Received::Staged(line[6].0)
+                Received::Staged(versions[6].0)
             );
         }
-        let mut follower = fresh();
+        let mut follower = new_follower();
         let short = TransferId { total_bytes: at as u32, ..transfer };
         assert!(!matches!(
             follower.receive(
@@ -154,15 +168,15 @@
         ));
     }
     // A content under a number that is not its own, though both are right by themselves.
-    let transfer = TransferId { target: VersionId { number: 9, digest: line[6].0.digest }, ..transfer };
-    let received = fresh().receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
+    let transfer = TransferId { target: VersionId { number: 9, digest: versions[6].0.digest }, ..transfer };
+    let received = new_follower().receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
     assert_eq!(received, Received::Invalid(MessageError::WrongDigest(9)));
 }
 
 #[test]
-fn no_claimed_size_is_trusted() {
-    let line = line(1);
-    let to = line[1].0;
+fn rejects_invalid_sizes_and_ages() {
+    let versions = versions(1);
+    let to = versions[1].0;
     let chunk = |total: u32, at: u32, length: usize| {
         DistributorMessage::Chunk(Chunk {
             transfer: TransferId { base: None, target: to, total_bytes: total },
@@ -170,14 +184,14 @@
             bytes: vec![0; length],
         })
     };
-    let mut follower = fresh();
+    let mut follower = new_follower();
     for message in
         [chunk(0, 0, 0), chunk(u32::MAX, 0, 9), chunk(9, 0, 10), chunk(9, u32::MAX, 1), chunk(9, 0, 0)]
     {
         let received = follower.receive(&message, &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::InvalidField(_))), "{received:?}");
     }
-    let back = TransferId { base: Some(to), target: line[0].0, total_bytes: 1 };
+    let back = TransferId { base: Some(to), target: versions[0].0, total_bytes: 1 };
     let received = follower.receive(
         &DistributorMessage::Chunk(Chunk { transfer: back, offset: 0, bytes: vec![0] }),
         &BoundsValidator,
@@ -185,7 +199,7 @@
     assert!(matches!(received, Received::Invalid(MessageError::InvalidField(_))), "{received:?}");
     for age in [f64::NAN, -1.0, f64::INFINITY] {
         let received =
-            follower.receive(&DistributorMessage::target(&seal(), "n1", to, age, 1), &BoundsValidator);
+            follower.receive(&DistributorMessage::target(&digester(), "n1", to, age, 1), &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::InvalidField(_))), "{received:?}");
     }
     // Bodies that never end: only so many are kept.
@@ -202,9 +216,9 @@
 }
 
 #[test]
-fn a_body_comes_in_chunks_doubled_and_broken_off_and_resumes_where_it_was() {
-    let (mut follower, line) = (fresh(), line(9));
-    let chunks = whole(&line, 9, 7);
+fn assembles_a_body_from_duplicated_and_interrupted_chunks() {
+    let (mut follower, versions) = (new_follower(), versions(9));
+    let chunks = content_messages(&versions, 9, 7);
     assert!(chunks.len() > 4);
     assert_eq!(follower.receive(&chunks[1], &BoundsValidator), Received::Gap, "its beginning is missing");
     assert_eq!(follower.receive(&chunks[0], &BoundsValidator), Received::Incomplete);
@@ -212,56 +226,59 @@
     assert_eq!(follower.receive(&chunks[3], &BoundsValidator), Received::Gap);
     follower.connected();
     let TransferProgress { transfer, received_bytes } = follower.acknowledge(0.0).unwrap().progress.unwrap();
-    assert_eq!((transfer.target, received_bytes), (line[9].0, 7));
+    assert_eq!((transfer.target, received_bytes), (versions[9].0, 7));
     for chunk in &chunks[1..chunks.len() - 1] {
         assert_eq!(follower.receive(chunk, &BoundsValidator), Received::Incomplete);
     }
-    assert_eq!(follower.receive(chunks.last().unwrap(), &BoundsValidator), Received::Staged(line[9].0));
+    assert_eq!(follower.receive(chunks.last().unwrap(), &BoundsValidator), Received::Staged(versions[9].0));
     assert!(follower.partial_bodies.bodies.is_empty());
 }
 
 #[test]
-fn what_the_own_check_rejects_is_reported_with_its_cause_and_what_was_active_stays() {
-    let (mut follower, line) = (fresh(), line(2));
+fn reports_the_cause_of_a_rejection_and_keeps_the_active_version() {
+    let (mut follower, versions) = (new_follower(), versions(2));
     let never = |content: &Content| match content.get(&Key::tenant("b")) {
         Some(1.0) => Err(ValidationError::at(&Key::tenant("b"), "not here")),
         _ => Ok(()),
     };
-    let received = follower.receive(&step(&line, 0, 1), &never);
+    let received = follower.receive(&change_message(&versions, 0, 1), &never);
     assert!(matches!(received, Received::Invalid(MessageError::Rejected { number: 1, .. })), "{received:?}");
     let rejected = follower.acknowledge(1.0).unwrap().rejected.unwrap();
-    assert_eq!((rejected.version, rejected.cause.as_str()), (line[1].0, "tenant \"b\" quota: not here"));
-    assert_eq!((follower.active().version, follower.staged()), (line[0].0, None));
+    assert_eq!((rejected.version, rejected.cause.as_str()), (versions[1].0, "tenant \"b\" quota: not here"));
+    assert_eq!((follower.active().version, follower.staged()), (versions[0].0, None));
     // The same again costs no second look; what comes after it may be taken.
     assert!(matches!(
-        follower.receive(&step(&line, 0, 1), &BoundsValidator),
+        follower.receive(&change_message(&versions, 0, 1), &BoundsValidator),
         Received::Invalid(MessageError::Rejected { .. })
     ));
-    assert_eq!(follower.receive(&step(&line, 0, 2), &BoundsValidator), Received::Staged(line[2].0));
-    follower.reject(line[2].0, "the module would not have it");
+    assert_eq!(
+        follower.receive(&change_message(&versions, 0, 2), &BoundsValidator),
+        Received::Staged(versions[2].0)
+    );
+    follower.reject(versions[2].0, "the module would not have it");
     assert_eq!(follower.staged(), None);
-    assert_eq!(follower.acknowledge(2.0).unwrap().rejected.unwrap().version, line[2].0);
+    assert_eq!(follower.acknowledge(2.0).unwrap().rejected.unwrap().version, versions[2].0);
 }
 
 #[test]
-fn only_what_it_lived_under_for_a_while_becomes_its_last_good() {
-    let (mut follower, line) = (fresh(), line(9));
-    let go = |follower: &mut Follower, now: f64, from: usize, to: usize| {
-        follower.receive(&step(&line, from, to), &BoundsValidator);
-        assert!(follower.activated(now, line[to].0));
+fn saves_a_version_as_last_good_only_after_probation() {
+    let (mut follower, versions) = (new_follower(), versions(9));
+    let activate_version = |follower: &mut Follower, now: f64, from: usize, to: usize| {
+        follower.receive(&change_message(&versions, from, to), &BoundsValidator);
+        assert!(follower.activated(now, versions[to].0));
     };
     assert_eq!(follower.save(0.0), None, "the start file needs no saving");
-    go(&mut follower, 0.0, 0, 1);
+    activate_version(&mut follower, 0.0, 0, 1);
     assert_eq!(follower.save(PROBATION - 0.1), None);
     // Versions that follow fast keep none of them off the disk for good.
-    go(&mut follower, 0.5, 1, 2);
+    activate_version(&mut follower, 0.5, 1, 2);
     let disk = follower.save(PROBATION).unwrap();
     assert_eq!(follower.save(PROBATION + 9.0), None, "one write at a time");
     follower.save_finished(PROBATION, Ok(()));
-    assert_eq!(follower.stored(), Some(line[1].0));
-    let (again, started_with) =
-        Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &BoundsValidator);
-    assert_eq!((started_with, again.active().version), (StartedWith::LastGood(line[1].0), line[1].0));
+    assert_eq!(follower.stored(), Some(versions[1].0));
+    let (again, start_source) =
+        Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &BoundsValidator);
+    assert_eq!((start_source, again.active().version), (StartSource::LastGood(versions[1].0), versions[1].0));
     // A full disk is reported and tried again.
     assert!(follower.save(2.5).is_some());
     follower.save_finished(2.5, Err(io::Error::other("no space left")));
@@ -269,9 +286,12 @@
     assert_eq!(follower.save(2.6), None);
     assert!(follower.save(2.5 + PROBATION).is_some());
     follower.save_finished(4.0, Ok(()));
-    assert_eq!((follower.stored(), follower.acknowledge(4.0).unwrap().save_error), (Some(line[2].0), None));
+    assert_eq!(
+        (follower.stored(), follower.acknowledge(4.0).unwrap().save_error),
+        (Some(versions[2].0), None)
+    );
     // Nor what it is not well under.
-    go(&mut follower, 5.0, 2, 3);
+    activate_version(&mut follower, 5.0, 2, 3);
     follower.set_healthy(5.1, false);
     assert_eq!(follower.save(9.0), None);
     follower.set_healthy(9.0, true);
@@ -280,38 +300,40 @@
 }
 
 #[test]
-fn a_disk_that_is_torn_is_found_and_the_base_settings_hold() {
-    let (mut follower, line) = (fresh(), line(5));
-    follower.receive(&step(&line, 0, 5), &BoundsValidator);
-    follower.activated(0.0, line[5].0);
+fn starts_with_base_settings_when_the_last_good_file_is_corrupted() {
+    let (mut follower, versions) = (new_follower(), versions(5));
+    follower.receive(&change_message(&versions, 0, 5), &BoundsValidator);
+    follower.activated(0.0, versions[5].0);
     let disk = follower.save(PROBATION).unwrap();
-    let start =
-        |disk: &[u8]| Follower::start(HolderId::new("n1", 2), "east", seal(), Some(disk), &BoundsValidator);
+    let start = |disk: &[u8]| {
+        Follower::start(HolderId::new("n1", 2), "east", digester(), Some(disk), &BoundsValidator)
+    };
     for at in 0..disk.len() {
         let mut torn = disk.clone();
         torn[at] ^= 1;
         for torn in [&torn[..], &disk[..at]] {
-            let (again, started_with) = start(torn);
+            let (again, start_source) = start(torn);
             assert!(
-                matches!(started_with, StartedWith::BaseSettings(Some(_))),
-                "byte {at}: {started_with:?}"
+                matches!(start_source, StartSource::BaseSettings(Some(_))),
+                "byte {at}: {start_source:?}"
             );
-            assert_eq!(again.active().version, line[0].0);
+            assert_eq!(again.active().version, versions[0].0);
         }
     }
     let never = |_: &Content| Err(ValidationError::whole("no longer fit"));
-    let (again, started_with) = Follower::start(HolderId::new("n1", 2), "east", seal(), Some(&disk), &never);
+    let (again, start_source) =
+        Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &never);
     assert!(
-        matches!(started_with, StartedWith::BaseSettings(Some(error)) if error.to_string().contains("no longer fit"))
+        matches!(start_source, StartSource::BaseSettings(Some(error)) if error.to_string().contains("no longer fit"))
     );
     assert_eq!(again.active().version.number, 0);
 }
 
 #[test]
-fn it_knows_how_old_its_knowledge_is_also_where_a_line_lay_for_long() {
-    let (mut follower, line) = (fresh(), line(1));
+fn age_counts_from_the_acknowledgement_that_a_target_answers() {
+    let (mut follower, versions) = (new_follower(), versions(1));
     let target = |at: usize, age: f64, sequence: u64| {
-        DistributorMessage::target(&seal(), "n1", line[at].0, age, sequence)
+        DistributorMessage::target(&digester(), "n1", versions[at].0, age, sequence)
     };
     assert_eq!(follower.age(5.0), None);
     let first = follower.acknowledge(5.0).unwrap().sequence;
@@ -322,11 +344,11 @@
     let second = follower.acknowledge(9.0).unwrap().sequence;
     follower.receive(&target(0, 0.0, second + 1), &BoundsValidator);
     assert_eq!(follower.age(9.0), Some(4.5), "an answer to what was never said");
-    // Nor does a stranger, a faulty line or what was meant for another server make it younger.
+    // Nor does a stranger, a faulty versions or what was meant for another server make it younger.
     let strange = [
-        DistributorMessage::target(&Seal::keyed([9; 32]), "n1", line[0].0, 0.0, second),
-        DistributorMessage::target(&seal(), "n2", line[0].0, 0.0, second),
-        DistributorMessage::Target { target: line[0].0, age: 0.0, acknowledged: second, tag: 7 },
+        DistributorMessage::target(&Digester::keyed([9; 32]), "n1", versions[0].0, 0.0, second),
+        DistributorMessage::target(&digester(), "n2", versions[0].0, 0.0, second),
+        DistributorMessage::Target { target: versions[0].0, age: 0.0, acknowledged: second, tag: 7 },
     ];
     for message in strange {
         assert_eq!(
@@ -344,14 +366,14 @@
 }
 
 #[test]
-fn nonsense_is_not_answered_line_by_line() {
-    let (mut follower, line) = (fresh(), line(1));
-    follower.receive(&step(&line, 0, 1), &BoundsValidator);
-    follower.activated(0.0, line[1].0);
+fn limits_the_rate_of_acknowledgements() {
+    let (mut follower, versions) = (new_follower(), versions(1));
+    follower.receive(&change_message(&versions, 0, 1), &BoundsValidator);
+    follower.activated(0.0, versions[1].0);
     let mut acks = 0;
     for at in 0..1000 {
         let now = 5.0 + f64::from(at) / 1000.0;
-        follower.receive(&step(&line, 0, 1), &BoundsValidator);
+        follower.receive(&change_message(&versions, 0, 1), &BoundsValidator);
         acks += u32::from(follower.acknowledge(now).is_some());
     }
     assert!(acks <= 51, "{acks}");
--- a/crates/config-rollout/src/history.rs
+++ b/crates/config-rollout/src/history.rs
@@ -17,7 +17,7 @@
 
 use crate::change::Change;
 use crate::content::Content;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use puffinladder_leases::Epoch;
 use std::collections::VecDeque;
 
@@ -27,7 +27,7 @@
 /// A replica of the history: the versions behind a checkpoint, the content at its head, and the state of the rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
-    seal: Seal,
+    digester: Digester,
     limits: RetentionLimits,
     checkpoint: VersionId,
     checkpoint_content: Content,
@@ -43,22 +43,22 @@
 
 impl History {
     /// An empty history, whose only version is number 0: the base settings alone.
-    pub fn new(seal: Seal, limits: RetentionLimits) -> History {
+    pub fn new(digester: Digester, limits: RetentionLimits) -> History {
         let content = Content::default();
         let limits = RetentionLimits { versions: limits.versions.max(1), bytes: limits.bytes.max(1) };
-        let checkpoint = seal.version_id(0, &content);
-        History::at_checkpoint(seal, limits, checkpoint, content)
+        let checkpoint = digester.version_id(0, &content);
+        History::at_checkpoint(digester, limits, checkpoint, content)
     }
 
     /// A history that has nothing behind its checkpoint.
     fn at_checkpoint(
-        seal: Seal,
+        digester: Digester,
         limits: RetentionLimits,
         checkpoint: VersionId,
         content: Content,
     ) -> History {
         History {
-            seal,
+            digester,
             limits,
             checkpoint,
             checkpoint_content: content.clone(),
@@ -72,8 +72,8 @@
     }
 
     /// How digests are computed here.
-    pub fn seal(&self) -> &Seal {
-        &self.seal
+    pub fn digester(&self) -> &Digester {
+        &self.digester
     }
 
     /// The latest version, released or not.
@@ -142,7 +142,7 @@
             return Some(self.head_content.clone());
         }
         let change = self.combined_change(self.checkpoint.number, number)?;
-        self.checkpoint_content.after(&change).ok()
+        self.checkpoint_content.with_change(&change).ok()
     }
 
     /// The change that makes version `to` of version `from`, in either direction.
@@ -157,7 +157,7 @@
         self.version_id(to)?;
         let mut combined = Change::default();
         let within = self.versions.iter().filter(|version| version.number > from && version.number <= to);
-        within.for_each(|version| combined.then(&version.change));
+        within.for_each(|version| combined.append(&version.change));
         Some(combined)
     }
 
--- a/crates/config-rollout/src/history/apply.rs
+++ b/crates/config-rollout/src/history/apply.rs
@@ -42,7 +42,7 @@
         self.check_epoch(put.epoch)?;
         let content = self.content_after_put(put)?;
         validator.validate(&content).map_err(Rejection::Invalid)?;
-        Ok(self.seal.version_id(put.base.number + 1, &content))
+        Ok(self.digester.version_id(put.base.number + 1, &content))
     }
 
     /// Applies one entry of the log. A rejected entry counts as applied and changes nothing else, the epoch included.
@@ -77,7 +77,7 @@
     /// The content that a put makes of the head.
     fn content_after_put(&self, put: &PutRequest) -> Result<Content, Rejection> {
         if put.base != self.head() {
-            return Err(self.wrong_base(put.base));
+            return Err(self.base_rejection(put.base));
         }
         if !(1..=MAX_NAME_BYTES).contains(&put.author.len()) {
             return Err(invalid(format!("an author has 1 to {MAX_NAME_BYTES} bytes")));
@@ -97,11 +97,11 @@
         match &put.origin {
             Origin::Put => {
                 put.change.check().map_err(Rejection::Invalid)?;
-                self.head_content.after(&put.change).map_err(Rejection::Invalid)
+                self.head_content.with_change(&put.change).map_err(Rejection::Invalid)
             }
             // It may be larger than a change otherwise is, but has to be what it claims to be.
             Origin::Rollback { to } => {
-                let content = self.head_content.after(&put.change).map_err(Rejection::Invalid)?;
+                let content = self.head_content.with_change(&put.change).map_err(Rejection::Invalid)?;
                 if content != self.content_at(*to).ok_or(Rejection::Compacted(*to))? {
                     return Err(invalid(format!("not the content of version {to}")));
                 }
@@ -111,17 +111,17 @@
         }
     }
 
-    fn wrong_base(&self, base: VersionId) -> Rejection {
+    fn base_rejection(&self, base: VersionId) -> Rejection {
         // A base before the checkpoint was missed as well; one above the head, or of another content, is not of this history.
         let older = base.number < self.checkpoint.number || self.contains(base);
         if older {
-            self.missed_since(base)
+            self.missed_versions_rejection(base)
         } else {
             Rejection::UnknownVersion(base)
         }
     }
 
-    fn missed_since(&self, base: VersionId) -> Rejection {
+    fn missed_versions_rejection(&self, base: VersionId) -> Rejection {
         let newer = self.versions.iter().filter(|version| version.number > base.number);
         let summary = |version: &Version| MissedVersion {
             number: version.number,
@@ -134,7 +134,7 @@
     }
 
     fn put(&mut self, at: f64, put: &PutRequest) -> Result<Outcome, Rejection> {
-        if let Some(done) = self.version_made_by(put) {
+        if let Some(done) = self.find_applied_put(put) {
             return Ok(Outcome::AlreadyApplied(done));
         }
         let content = self.content_after_put(put)?;
@@ -144,7 +144,7 @@
     }
 
     /// The version that this very put made before, if it did.
-    fn version_made_by(&self, put: &PutRequest) -> Option<VersionId> {
+    fn find_applied_put(&self, put: &PutRequest) -> Option<VersionId> {
         if put.base == self.head() {
             return None;
         }
@@ -154,7 +154,7 @@
     }
 
     fn push(&mut self, version: NewVersion, content: Content) -> VersionId {
-        let id = self.seal.version_id(self.head().number + 1, &content);
+        let id = self.digester.version_id(self.head().number + 1, &content);
         let NewVersion { at, author, epoch, origin, change } = version;
         self.change_bytes += change.bytes();
         let VersionId { number, digest } = id;
@@ -247,7 +247,7 @@
         while self.exceeds_limits() && self.checkpoint.number < self.state.released {
             let Some(oldest) = self.versions.pop_front() else { return };
             self.change_bytes -= oldest.change.bytes();
-            if let Ok(content) = self.checkpoint_content.after(&oldest.change) {
+            if let Ok(content) = self.checkpoint_content.with_change(&oldest.change) {
                 self.checkpoint_content = content;
             }
             self.checkpoint = oldest.id();
--- a/crates/config-rollout/src/history/replication.rs
+++ b/crates/config-rollout/src/history/replication.rs
@@ -6,7 +6,7 @@
 use super::version::{RetentionLimits, Version};
 use super::History;
 use crate::content::Content;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use crate::setting::ValidationError;
 use puffinladder_leases::Epoch;
 use serde::{Deserialize, Serialize};
@@ -98,14 +98,14 @@
     }
 
     /// A history from a snapshot, after every digest of it was computed anew.
-    pub fn restore(seal: Seal, bytes: &[u8]) -> Result<History, ReplicationError> {
+    pub fn restore(digester: Digester, bytes: &[u8]) -> Result<History, ReplicationError> {
         let stored: StoredHistory = postcard::from_bytes(bytes).map_err(ReplicationError::Decode)?;
         stored.checkpoint_content.check().map_err(ReplicationError::Invalid)?;
-        if seal.version_id(stored.checkpoint.number, &stored.checkpoint_content) != stored.checkpoint {
+        if digester.version_id(stored.checkpoint.number, &stored.checkpoint_content) != stored.checkpoint {
             return Err(ReplicationError::CheckpointDigest);
         }
         let mut history =
-            History::at_checkpoint(seal, stored.limits, stored.checkpoint, stored.checkpoint_content);
+            History::at_checkpoint(digester, stored.limits, stored.checkpoint, stored.checkpoint_content);
         history.extend(stored.versions)?;
         history.set_state(stored.state)?;
         (history.epoch, history.applied) = (stored.epoch, stored.applied);
@@ -147,7 +147,7 @@
 
     /// The same as [`History::apply_update`], from a snapshot.
     pub fn apply_snapshot(&mut self, bytes: &[u8]) -> Result<bool, ReplicationError> {
-        let next = History::restore(self.seal.clone(), bytes)?;
+        let next = History::restore(self.digester.clone(), bytes)?;
         if !self.is_older_than(next.epoch, next.applied) {
             return Ok(false);
         }
@@ -164,9 +164,10 @@
 
     fn extend(&mut self, versions: impl IntoIterator<Item = Version>) -> Result<(), ReplicationError> {
         for version in versions {
-            let content = self.head_content.after(&version.change).map_err(ReplicationError::Invalid)?;
+            let content =
+                self.head_content.with_change(&version.change).map_err(ReplicationError::Invalid)?;
             let head = self.head();
-            if version.id() != self.seal.version_id(head.number + 1, &content) {
+            if version.id() != self.digester.version_id(head.number + 1, &content) {
                 return Err(ReplicationError::BrokenChain { version: version.id(), head });
             }
             self.change_bytes += version.change.bytes();
--- a/crates/config-rollout/src/history/tests.rs
+++ b/crates/config-rollout/src/history/tests.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 fn history() -> History {
-    History::new(Seal::default(), RetentionLimits::default())
+    History::new(Digester::default(), RetentionLimits::default())
 }
 
 fn put(history: &History, epoch: Epoch, name: &str, quota: f64) -> PutRequest {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn of_two_writers_at_once_one_learns_what_he_missed() {
+fn rejects_a_concurrent_put_with_the_missed_versions() {
     let mut history = history();
     let (ann, mut bob) = (put(&history, 1, "a", 1.0), put(&history, 1, "a", 2.0));
     bob.author = "bob".into();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_old_epoch_changes_nothing() {
+fn rejects_commands_of_a_stale_epoch() {
     let mut history = history();
     accept(&mut history, "a", 1.0);
     apply(&mut history, Command::Announce { epoch: 5 }).unwrap();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn checks_come_before_the_log_and_bounds_are_enforced_in_it() {
+fn check_put_runs_the_validator_and_apply_enforces_bounds() {
     let history = history();
     let reject = |_: &Content| Err(ValidationError::whole("the charter says no"));
     let fine = put(&history, 1, "a", 1.0);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_rollback_is_a_new_version_with_an_old_content() {
+fn rollback_makes_a_new_version_with_an_older_content() {
     let mut history = history();
     accept(&mut history, "a", 1.0);
     let old = accept(&mut history, "b", 2.0);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn any_two_retained_versions_differ_by_their_diff() {
+fn diff_converts_between_any_two_retained_versions() {
     let mut history = history();
     for at in 0..9u32 {
         accept(&mut history, ["a", "b", "c"][at as usize % 3], f64::from(at));
@@ -130,9 +130,9 @@
     for from in 0..=9 {
         for to in 0..=9 {
             let (a, b) = (history.content_at(from).unwrap(), history.content_at(to).unwrap());
-            assert_eq!(a.after(&history.diff(from, to).unwrap()).unwrap(), b);
+            assert_eq!(a.with_change(&history.diff(from, to).unwrap()).unwrap(), b);
             if from <= to {
-                assert_eq!(a.after(&history.combined_change(from, to).unwrap()).unwrap(), b);
+                assert_eq!(a.with_change(&history.combined_change(from, to).unwrap()).unwrap(), b);
             }
         }
     }
@@ -140,8 +140,8 @@
 }
 
 #[test]
-fn old_versions_go_into_the_checkpoint_and_what_is_not_released_never_does() {
-    let mut history = History::new(Seal::default(), RetentionLimits { versions: 3, bytes: 1 << 20 });
+fn compacts_released_versions_only() {
+    let mut history = History::new(Digester::default(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     for at in 0..3 {
         accept(&mut history, "a", f64::from(at));
     }
@@ -153,13 +153,13 @@
     assert_eq!(history.content_at(0), None);
     let Err(Rejection::MissedVersions { missed, .. }) = apply(
         &mut history,
-        Command::Put(put(&History::new(Seal::default(), RetentionLimits::default()), 1, "a", 5.0)),
+        Command::Put(put(&History::new(Digester::default(), RetentionLimits::default()), 1, "a", 5.0)),
     ) else {
         panic!("older than the checkpoint is missed as well")
     };
     assert_eq!(missed.len(), 3);
     // By bytes as well.
-    let mut history = History::new(Seal::default(), RetentionLimits { versions: 100, bytes: 40 });
+    let mut history = History::new(Digester::default(), RetentionLimits { versions: 100, bytes: 40 });
     for at in 0..4 {
         accept(&mut history, "a", f64::from(at));
         release(&mut history);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_canary_phase_is_of_one_version_and_is_released_or_reverted_once() {
+fn canary_phase_covers_one_version_and_ends_once() {
     let mut history = history();
     accept(&mut history, "a", 1.0);
     release(&mut history);
@@ -205,8 +205,8 @@
     );
 }
 
-fn busy() -> History {
-    let mut history = History::new(Seal::keyed([5; 32]), RetentionLimits { versions: 4, bytes: 1 << 20 });
+fn history_with_canary() -> History {
+    let mut history = History::new(Digester::keyed([5; 32]), RetentionLimits { versions: 4, bytes: 1 << 20 });
     for at in 0..7 {
         accept(&mut history, ["a", "b"][at % 2], at as f64);
         release(&mut history);
@@ -218,20 +218,20 @@
 }
 
 #[test]
-fn a_snapshot_is_the_history_and_any_change_of_a_byte_is_found_or_harmless() {
-    let history = busy();
+fn restore_detects_corrupted_snapshots() {
+    let history = history_with_canary();
     let snapshot = history.snapshot();
-    assert_eq!(History::restore(Seal::keyed([5; 32]), &snapshot).unwrap(), history);
-    assert!(History::restore(Seal::keyed([6; 32]), &snapshot).is_err(), "of another fleet");
+    assert_eq!(History::restore(Digester::keyed([5; 32]), &snapshot).unwrap(), history);
+    assert!(History::restore(Digester::keyed([6; 32]), &snapshot).is_err(), "of another fleet");
     for cut in 0..snapshot.len() {
-        assert!(History::restore(Seal::keyed([5; 32]), &snapshot[..cut]).is_err(), "cut at {cut}");
+        assert!(History::restore(Digester::keyed([5; 32]), &snapshot[..cut]).is_err(), "cut at {cut}");
     }
     for at in 0..snapshot.len() {
         for bit in [1, 0x80] {
             let mut torn = snapshot.clone();
             torn[at] ^= bit;
             // Authors, times and the state of the rollout are not under the digest; the content is.
-            if let Ok(read) = History::restore(Seal::keyed([5; 32]), &torn) {
+            if let Ok(read) = History::restore(Digester::keyed([5; 32]), &torn) {
                 assert_eq!((read.head(), read.content()), (history.head(), history.content()), "byte {at}");
             }
         }
@@ -239,9 +239,9 @@
 }
 
 #[test]
-fn a_replica_takes_updates_whole_and_in_order() {
-    let mut history = busy();
-    let mut replica = History::restore(Seal::keyed([5; 32]), &history.snapshot()).unwrap();
+fn applies_updates_atomically_and_in_order() {
+    let mut history = history_with_canary();
+    let mut replica = History::restore(Digester::keyed([5; 32]), &history.snapshot()).unwrap();
     let old = history.update_since(history.head()).unwrap();
     apply(&mut history, Command::Release { epoch: 1, number: 8 }).unwrap();
     accept(&mut history, "d", 4.0);
@@ -256,7 +256,7 @@
     assert_eq!(replica.apply_update(old), Ok(false), "older than what it has");
     assert_eq!(replica.apply_update(update), Ok(false));
     // Behind the checkpoint a snapshot is needed.
-    let fresh = History::new(Seal::keyed([5; 32]), RetentionLimits::default());
+    let fresh = History::new(Digester::keyed([5; 32]), RetentionLimits::default());
     assert_eq!(history.update_since(fresh.head()), None);
     let mut fresh = fresh;
     assert_eq!(fresh.apply_snapshot(&history.snapshot()), Ok(true));
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn routes_and_limits_are_versions_like_any_other() {
+fn accepts_route_and_limit_settings() {
     let mut history = history();
     let change = Change::default()
         .set(Key::route("r", Field::PriorityWeight), 2.0)
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use change::Change;
 pub use content::Content;
-pub use digest::{Digest, Seal, VersionId};
+pub use digest::{Digest, Digester, VersionId};
 pub use key::{Field, Key, Section};
 pub use setting::{ValidationError, Value};
 
--- a/crates/config-rollout/src/messages.rs
+++ b/crates/config-rollout/src/messages.rs
@@ -6,7 +6,7 @@
 use crate::base64_bytes;
 use crate::change::Change;
 use crate::content::Content;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use puffinladder_leases::HolderId;
 use serde::{Deserialize, Serialize};
 
@@ -63,7 +63,7 @@
         /// message that was delayed for long would look fresh.
         #[serde(rename = "serial")]
         acknowledged: u64,
-        /// From [`Seal::tag`], so that a corrupted or forged message can't make old knowledge look fresh.
+        /// From [`Digester::tag`], so that a corrupted or forged message can't make old knowledge look fresh.
         tag: u64,
     },
 }
@@ -138,13 +138,13 @@
 impl DistributorMessage {
     /// The message that tells `server` its target; see [`DistributorMessage::Target`].
     pub fn target(
-        seal: &Seal,
+        digester: &Digester,
         server: &str,
         target: VersionId,
         age: f64,
         acknowledged: u64,
     ) -> DistributorMessage {
-        let tag = seal.tag(server, target, age, acknowledged);
+        let tag = digester.tag(server, target, age, acknowledged);
         DistributorMessage::Target { target, age, acknowledged, tag }
     }
 
--- a/crates/config-rollout/src/messages/tests.rs
+++ b/crates/config-rollout/src/messages/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::digest::Digest;
-use crate::digest::Seal;
+use crate::digest::Digester;
 use crate::key::Key;
 
 #[test]
-fn messages_read_back_as_they_were_meant() {
-    let to = Seal::default().version_id(3, &Content::default());
+fn messages_round_trip_through_json_and_postcard() {
+    let to = Digester::default().version_id(3, &Content::default());
     let transfer = TransferId { base: Some(VersionId::default()), target: to, total_bytes: 7 };
     let messages = [
         DistributorMessage::Chunk(Chunk { transfer, offset: 2, bytes: vec![0, 255, 7] }),
-        DistributorMessage::target(&Seal::default(), "n1", to, 0.25, 9),
+        DistributorMessage::target(&Digester::default(), "n1", to, 0.25, 9),
     ];
     for message in messages {
         let line = serde_json::to_string(&message).unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_line_that_was_changed_on_its_way_never_panics() {
+fn decoding_a_corrupted_line_never_panics() {
     let message = DistributorMessage::Chunk(Chunk {
         transfer: TransferId { base: None, target: VersionId::default(), total_bytes: 3 },
         offset: 0,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_chunk_fits_into_the_least_burst() {
+fn longest_chunk_line_fits_the_line_limit() {
     // The longest of all: full, far into the largest body, numbers of 20 digits.
     let head = VersionId { number: u64::MAX, digest: Digest([255; 32]) };
     let transfer = TransferId { base: Some(head), target: head, total_bytes: u32::MAX };
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_small_change_is_a_small_body() {
+fn small_change_encodes_to_a_small_body() {
     let change = Change::default().set(Key::tenant("tenant-4711"), 120.0);
     assert!(encode_change(&change).len() < 40, "{}", encode_change(&change).len());
 }
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_patch_reads_into_a_change() {
+fn reads_a_patch_into_a_change() {
     let text = "; more for acme\n(tenant (name \"acme\") (quota 120))\n(route (name \"orders\") (promise 800ms) (give-up 2s))
 (limit (max-retry-after 5s))\n(without (tenant \"old\") (route \"orders\" late-share) (limit servers))";
     let patch = Patch::read("f.scm", text).unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_fault_is_named_with_its_place_in_one_reading() {
+fn reports_all_errors_with_their_location() {
     let text = "(tenant (quota 5))\n(tenant (name \"a\") (quota many) (promise 5s))\n(route (name \"r\") (promise 800))
 (class (name \"x\"))\n(tenant (name \"b\") (quota 1))\n  (tenant (name \"b\") (quota 2))\n(without (tenant acme))\n(tenant (name \"c\"))";
     let wanted = [
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_a_check_finds_wrong_later_has_its_place_too() {
+fn locates_validation_errors_in_the_file() {
     let patch =
         Patch::read("f.scm", "(tenant (name \"a\") (quota 1))\n\n  (route (name \"nowhere\") (promise 5s))")
             .unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_hostile_text_is_rejected() {
+fn rejects_malformed_and_oversized_texts() {
     for text in [
         "(",
         "(tenant",
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -84,7 +84,7 @@
             self.overflowed = true;
             return;
         }
-        self.servers.insert(server.into(), Server::unheard(now, zone));
+        self.servers.insert(server.into(), Server::expected(now, zone));
     }
 
     /// Removes a server that is known to be gone for good, not only silent.
@@ -134,8 +134,8 @@
     }
 
     /// Whether it has listened for long enough to know all servers.
-    fn has_learned(&self, now: f64) -> bool {
-        now - self.started >= self.settings.learning_time
+    fn discovery_complete(&self, now: f64) -> bool {
+        now - self.started >= self.settings.discovery_time
     }
 
     fn is_silent(&self, now: f64, server: &Server) -> bool {
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -9,9 +9,9 @@
 use thiserror::Error;
 
 /// Silence after which a server may have crashed, though it does not count as silent yet, s: one acknowledgement was lost.
-const QUIET_AFTER: f64 = 1.5 * ACK_INTERVAL;
+const QUIET_TIMEOUT: f64 = 1.5 * ACK_INTERVAL;
 /// Repeat intervals for which the same draw of canaries is proposed again, since the history may show it late.
-const DRAW_REPEATS: f64 = 4.0;
+const SELECTION_REPEATS: f64 = 4.0;
 
 /// The canary phase that is being watched.
 #[derive(Clone, Debug)]
@@ -19,14 +19,14 @@
     number: u64,
     started: f64,
     /// When canaries were last added.
-    last_draw: f64,
+    last_selection: f64,
     /// Each canary, and since when it has been one.
     canaries: BTreeMap<String, f64>,
 }
 
 impl CanaryWatch {
     fn new(now: f64, number: u64) -> CanaryWatch {
-        CanaryWatch { number, started: now, last_draw: now, canaries: BTreeMap::new() }
+        CanaryWatch { number, started: now, last_selection: now, canaries: BTreeMap::new() }
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Tally {
-    fn all(&self) -> usize {
+    fn total(&self) -> usize {
         self.passed + self.waiting + self.lost
     }
 }
@@ -92,12 +92,12 @@
     /// Draws canaries for the head if it is not released.
     fn start_canary(&mut self, now: f64, history: &History) -> Option<Command> {
         let number = history.head().number;
-        if number <= history.state().released || !self.has_learned(now) {
+        if number <= history.state().released || !self.discovery_complete(now) {
             return None;
         }
-        let canaries = match self.recent_draw(now, number) {
+        let canaries = match self.recent_selection(now, number) {
             Some(canaries) => canaries,
-            None => self.draw(now, &BTreeSet::new()),
+            None => self.select_canaries(now, &BTreeSet::new()),
         };
         // Without canaries nothing is released: servers that come later would be the first.
         (!canaries.is_empty()).then_some(Command::StartCanary { epoch: self.epoch, number, canaries })
@@ -119,13 +119,14 @@
             Ok(tally) => tally,
             Err(failure) => return Some(self.revert(number, &failure)),
         };
-        let overdue = now - watch.started > self.settings.patience;
+        let overdue = now - watch.started > self.settings.canary_timeout;
         if self.may_release(&tally, overdue) {
             return Some(Command::Release { epoch, number });
         }
-        let nobody_left = tally.passed + tally.waiting == 0;
-        let redraw_due = overdue && tally.quiet == 0 && now - watch.last_draw > self.settings.patience;
-        if self.has_learned(now) && (nobody_left || redraw_due) {
+        let none_left = tally.passed + tally.waiting == 0;
+        let reselection_due =
+            overdue && tally.quiet == 0 && now - watch.last_selection > self.settings.canary_timeout;
+        if self.discovery_complete(now) && (none_left || reselection_due) {
             return self.add_canaries(now, phase);
         }
         None
@@ -135,7 +136,7 @@
         if tally.passed == 0 {
             return false;
         }
-        let reachable = tally.all() - tally.lost;
+        let reachable = tally.total() - tally.lost;
         let half_passed = 2 * tally.passed >= self.settings.canaries.min(reachable);
         tally.waiting == 0 || (overdue && half_passed && tally.quiet == 0)
     }
@@ -144,14 +145,14 @@
     fn add_canaries(&mut self, now: f64, phase: &CanaryPhase) -> Option<Command> {
         let number = phase.number;
         let room = MAX_CANARIES.saturating_sub(phase.canaries.len());
-        let drawn = self.draw(now, &phase.canaries);
-        let canaries = match self.recent_draw(now, number) {
+        let selected = self.select_canaries(now, &phase.canaries);
+        let canaries = match self.recent_selection(now, number) {
             Some(canaries) => canaries,
-            None => drawn.into_iter().take(room).collect(),
+            None => selected.into_iter().take(room).collect(),
         };
         if !canaries.is_subset(&phase.canaries) {
             if let Some(watch) = &mut self.watch {
-                watch.last_draw = now;
+                watch.last_selection = now;
             }
             return Some(Command::StartCanary { epoch: self.epoch, number, canaries });
         }
@@ -164,10 +165,10 @@
     }
 
     /// The canaries that were proposed for a version a short while ago: another draw would be another command.
-    fn recent_draw(&self, now: f64, number: u64) -> Option<BTreeSet<String>> {
+    fn recent_selection(&self, now: f64, number: u64) -> Option<BTreeSet<String>> {
         let Proposal { command, at } = self.last_proposal.as_ref()?;
         let Command::StartCanary { number: proposed, canaries, .. } = command else { return None };
-        let recent = now - at < DRAW_REPEATS * self.settings.repeat_interval;
+        let recent = now - at < SELECTION_REPEATS * self.settings.repeat_interval;
         (*proposed == number && recent).then(|| canaries.clone())
     }
 
@@ -210,16 +211,16 @@
             }
             return Observation::Failed(CanaryFailure::Silent { server: name.into() });
         }
-        if has_version && server.is_proven(self.settings.observation_time) {
+        if has_version && server.passed_observation(self.settings.observation_time) {
             return Observation::Passed;
         }
-        Observation::Waiting { quiet: now - server.last_heard > QUIET_AFTER }
+        Observation::Waiting { quiet: now - server.last_heard > QUIET_TIMEOUT }
     }
 
     /// Whether a server's silence is that of a link: most others of its zone fell silent as well.
     fn is_zone_cut_off(&self, now: f64, name: &str, zone: &str) -> bool {
         // Servers that go with the same cut may have been heard last an acknowledgement later.
-        let silence_timeout = self.settings.silence_timeout - QUIET_AFTER;
+        let silence_timeout = self.settings.silence_timeout - QUIET_TIMEOUT;
         let others = self.servers.iter().filter(|(other, server)| *other != name && server.zone == zone);
         let (mut heard, mut silent) = (0, 0);
         for (_, server) in others.filter(|(_, server)| server.active.is_some()) {
@@ -230,28 +231,28 @@
     }
 
     /// Draws healthy servers that were heard lately, by seed: one of each zone as long as there are zones.
-    fn draw(&mut self, now: f64, excluded: &BTreeSet<String>) -> BTreeSet<String> {
+    fn select_canaries(&mut self, now: f64, excluded: &BTreeSet<String>) -> BTreeSet<String> {
         let count = self.settings.canaries;
         let mut zones = self.eligible_by_zone(now, excluded);
-        let mut drawn = BTreeSet::new();
+        let mut selected = BTreeSet::new();
         let mut open_zones: Vec<String> = zones.keys().cloned().collect();
-        while drawn.len() < count && !open_zones.is_empty() {
+        while selected.len() < count && !open_zones.is_empty() {
             let mut round = open_zones.clone();
-            while drawn.len() < count && !round.is_empty() {
+            while selected.len() < count && !round.is_empty() {
                 let zone = round.swap_remove(self.random.next_index(round.len()));
                 if let Some(names) = zones.get_mut(&zone).filter(|names| !names.is_empty()) {
-                    drawn.insert(names.swap_remove(self.random.next_index(names.len())));
+                    selected.insert(names.swap_remove(self.random.next_index(names.len())));
                 }
             }
             open_zones.retain(|zone| zones.get(zone).is_some_and(|names| !names.is_empty()));
         }
-        drawn
+        selected
     }
 
     /// The names of the servers that may become canaries, by zone.
     fn eligible_by_zone(&self, now: f64, excluded: &BTreeSet<String>) -> BTreeMap<String, Vec<String>> {
         // A server that was not heard lately may be cut off already.
-        let eligible = |server: &Server| server.healthy && now - server.last_heard <= QUIET_AFTER;
+        let eligible = |server: &Server| server.healthy && now - server.last_heard <= QUIET_TIMEOUT;
         let mut zones: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, server) in &self.servers {
             if eligible(server) && !excluded.contains(name) {
--- a/crates/config-rollout/src/rollout/server.rs
+++ b/crates/config-rollout/src/rollout/server.rs
@@ -29,7 +29,7 @@
 
 impl Server {
     /// A server that there should be.
-    pub(super) fn unheard(now: f64, zone: &str) -> Server {
+    pub(super) fn expected(now: f64, zone: &str) -> Server {
         Server {
             incarnation: 0,
             sequence: 0,
@@ -76,7 +76,7 @@
 
     /// Whether it reported to be healthy once the active version had been active for that time. An earlier report does not count: the
     /// server may have crashed after it.
-    pub(super) fn is_proven(&self, observation_time: f64) -> bool {
+    pub(super) fn passed_observation(&self, observation_time: f64) -> bool {
         self.last_healthy.is_some_and(|healthy| {
             healthy > self.active_since && healthy - self.active_since >= observation_time
         })
--- a/crates/config-rollout/src/rollout/settings.rs
+++ b/crates/config-rollout/src/rollout/settings.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// Canaries of one draw, at the most: later draws for the same version may add others.
-const MAX_CANARIES_PER_DRAW: usize = MAX_CANARIES / 4;
+const MAX_CANARIES_PER_SELECTION: usize = MAX_CANARIES / 4;
 /// Longest time that a setting may have, s: an hour.
 const MAX_TIME: f64 = 3600.0;
 /// Acknowledgement intervals without a report before a server may count as silent.
@@ -19,11 +19,11 @@
     /// Time for which a canary has to be healthy under the version, s.
     pub observation_time: f64,
     /// Time after which canaries that have not got it are passed over if half of them have, s.
-    pub patience: f64,
+    pub canary_timeout: f64,
     /// Time without an acknowledgement after which a server counts as silent, s.
     pub silence_timeout: f64,
     /// Time for which a new lease holder listens before it judges all servers, or draws canaries, s.
-    pub learning_time: f64,
+    pub discovery_time: f64,
     /// Time after which a command that shows no effect is proposed again, s.
     pub repeat_interval: f64,
     /// Servers at once.
@@ -35,9 +35,9 @@
         RolloutSettings {
             canaries: 3,
             observation_time: 0.5,
-            patience: 2.0,
+            canary_timeout: 2.0,
             silence_timeout: 2.5,
-            learning_time: 1.5,
+            discovery_time: 1.5,
             repeat_interval: 0.5,
             max_servers: 10_000,
         }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// There are no canaries or too many of them.
-    #[error("canaries: {0}, should be from 1 to {MAX_CANARIES_PER_DRAW}")]
+    #[error("canaries: {0}, should be from 1 to {MAX_CANARIES_PER_SELECTION}")]
     Canaries(usize),
     /// No server is allowed.
     #[error("max-servers: should be at least 1")]
@@ -69,7 +69,7 @@
 impl RolloutSettings {
     /// Whether a rollout can be run with these settings.
     pub fn check(&self) -> Result<(), SettingsError> {
-        if !(1..=MAX_CANARIES_PER_DRAW).contains(&self.canaries) {
+        if !(1..=MAX_CANARIES_PER_SELECTION).contains(&self.canaries) {
             return Err(SettingsError::Canaries(self.canaries));
         }
         if self.max_servers == 0 {
@@ -81,8 +81,8 @@
         }
         let times = [
             ("observation-time", self.observation_time),
-            ("patience", self.patience),
-            ("learning-time", self.learning_time),
+            ("canary-timeout", self.canary_timeout),
+            ("discovery-time", self.discovery_time),
             ("repeat-interval", self.repeat_interval),
         ];
         for (name, value) in times {
--- a/crates/config-rollout/src/rollout/status.rs
+++ b/crates/config-rollout/src/rollout/status.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Servers that a status names, in each of its lists.
-const MAX_NAMED: usize = 64;
+const MAX_LISTED_SERVERS: usize = 64;
 
 /// Why a server lacks the released version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -107,7 +107,7 @@
         let is_up_to_date = |server: &&Server| server.has(history, released.number);
         let up_to_date = self.servers.values().filter(is_up_to_date).count();
         let servers = self.servers.len();
-        let all_known = !self.overflowed && self.has_learned(now);
+        let all_known = !self.overflowed && self.discovery_complete(now);
         let state = history.state();
         let running = state.canary.as_ref().map(|phase| RunningCanary {
             number: phase.number,
@@ -142,7 +142,7 @@
         };
         let mut entries: Vec<LaggingServer> = lagging.map(entry).collect();
         entries.sort_by(|a, b| b.lag.total_cmp(&a.lag).then_with(|| a.server.cmp(&b.server)));
-        entries.truncate(MAX_NAMED);
+        entries.truncate(MAX_LISTED_SERVERS);
         entries
     }
 
@@ -163,7 +163,7 @@
             let error = server.save_error.clone()?;
             Some(UnsavedServer { server: name.clone(), error })
         });
-        unsaved.take(MAX_NAMED).collect()
+        unsaved.take(MAX_LISTED_SERVERS).collect()
     }
 }
 
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::change::Change;
-use crate::digest::{Seal, VersionId};
+use crate::digest::{Digester, VersionId};
 use crate::history::{LogEntry, Origin, PutRequest, RetentionLimits};
 use crate::key::Key;
 use crate::messages::RejectedVersion;
@@ -22,7 +22,7 @@
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
-        let history = History::new(Seal::default(), RetentionLimits::default());
+        let history = History::new(Digester::default(), RetentionLimits::default());
         let settings = RolloutSettings::default();
         settings.check().unwrap();
         let ack = |at: usize| {
@@ -58,7 +58,7 @@
     }
 
     /// Time goes by; each server that is_heard has what it should have, as `takes` allows.
-    fn go(&mut self, span: f64, takes: impl Fn(&str, u64) -> bool) {
+    fn advance(&mut self, span: f64, takes: impl Fn(&str, u64) -> bool) {
         let end = self.now + span;
         while self.now < end {
             self.now += 0.05;
@@ -81,11 +81,11 @@
     }
 
     fn canaries(&self) -> Vec<String> {
-        let trials = self.proposed.iter().filter_map(|proposed| match proposed {
+        let canary_commands = self.proposed.iter().filter_map(|proposed| match proposed {
             Command::StartCanary { canaries, .. } => Some(canaries),
             _ => None,
         });
-        trials.flatten().cloned().collect()
+        canary_commands.flatten().cloned().collect()
     }
     fn status(&self) -> RolloutStatus {
         self.rollout.status(self.now, &self.history)
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn a_few_servers_of_different_zones_first_and_then_all_within_six_seconds() {
+fn canaries_span_zones_and_the_release_reaches_all_servers() {
     let mut fleet = Fleet::new(12);
-    fleet.go(3.0, |_, _| true);
+    fleet.advance(3.0, |_, _| true);
     assert!(fleet.status().everywhere);
     let number = fleet.put(1.0);
-    fleet.go(0.2, |_, _| true);
+    fleet.advance(0.2, |_, _| true);
     let canaries = fleet.canaries();
     let zones: BTreeSet<&str> = canaries.iter().map(|name| fleet.servers[name].0.zone.as_str()).collect();
     assert_eq!((canaries.len(), zones.len()), (3, 3));
@@ -106,7 +106,7 @@
     assert_eq!(status.canary.as_ref().map(|canary| canary.number), Some(number));
     let with = fleet.servers.values().filter(|(ack, _)| ack.active.number == number).count();
     assert_eq!(with, 3);
-    fleet.go(1.5, |_, _| true);
+    fleet.advance(1.5, |_, _| true);
     let status = fleet.status();
     assert_eq!(
         (status.released.number, status.up_to_date, status.servers, status.everywhere),
@@ -116,46 +116,46 @@
 }
 
 #[test]
-fn a_rejection_a_restart_ill_health_or_silence_of_a_canary_reverts_the_version() {
-    for kind in 0..4 {
+fn reverts_a_version_when_a_canary_fails() {
+    for failure in 0..4 {
         let mut fleet = Fleet::new(12);
-        fleet.go(2.0, |_, _| true);
+        fleet.advance(2.0, |_, _| true);
         let number = fleet.put(1.0);
-        fleet.go(0.1, |_, _| true);
+        fleet.advance(0.1, |_, _| true);
         let canary = fleet.canaries()[1].clone();
         let head = fleet.history.head();
         let (ack, is_heard) = fleet.servers.get_mut(&canary).unwrap();
-        match kind {
+        match failure {
             0 => ack.rejected = Some(RejectedVersion { version: head, cause: "no such route".into() }),
             1 => (ack.server.incarnation, ack.sequence) = (2, 0),
             2 => ack.healthy = false,
             _ => *is_heard = false,
         }
-        fleet.go(4.0, |_, _| true);
+        fleet.advance(4.0, |_, _| true);
         let status = fleet.status();
         let FailedCanary { number: failed, cause } = status.last_failed.unwrap();
-        assert!(failed == number && cause.contains(&canary), "{kind}: {cause}");
+        assert!(failed == number && cause.contains(&canary), "{failure}: {cause}");
         assert_eq!(status.released.number, number + 1);
         assert_eq!(fleet.history.content().get(&Key::tenant("a")), None);
         let releases =
             fleet.proposed.iter().filter(|proposed| matches!(proposed, Command::Release { .. })).count();
-        assert_eq!(releases, 0, "{kind}");
-        assert_eq!(fleet.canaries().len(), 3, "{kind}: no others were asked");
+        assert_eq!(releases, 0, "{failure}");
+        assert_eq!(fleet.canaries().len(), 3, "{failure}: no others were asked");
     }
 }
 
 #[test]
-fn a_zone_that_is_cut_off_is_no_failure_and_others_become_canaries() {
+fn selects_other_canaries_when_a_zone_is_cut_off() {
     let mut fleet = Fleet::new(12);
-    fleet.go(2.0, |_, _| true);
+    fleet.advance(2.0, |_, _| true);
     let number = fleet.put(1.0);
-    fleet.go(0.1, |_, _| true);
+    fleet.advance(0.1, |_, _| true);
     // All canaries but one are in zones that fall silent as a whole.
     let stays = fleet.servers[&fleet.canaries()[0]].0.zone.clone();
     for (ack, is_heard) in fleet.servers.values_mut() {
         *is_heard = ack.zone == stays;
     }
-    fleet.go(6.0, |_, _| true);
+    fleet.advance(6.0, |_, _| true);
     let status = fleet.status();
     assert_eq!((status.released.number, &status.last_failed), (number, &None));
     assert!(!status.everywhere);
@@ -169,18 +169,18 @@
 }
 
 #[test]
-fn a_status_says_who_lags_since_when_and_why() {
+fn status_lists_lagging_servers_with_reason_and_duration() {
     let mut fleet = Fleet::new(6);
     fleet.rollout.expect_server(0.0, "never", "z9");
-    fleet.go(2.0, |_, _| true);
+    fleet.advance(2.0, |_, _| true);
     let number = fleet.put(1.0);
     let slow = |name: &str, number: u64| name != "n05" || number == 0;
-    fleet.go(0.1, slow);
-    fleet.go(6.0, slow);
+    fleet.advance(0.1, slow);
+    fleet.advance(6.0, slow);
     fleet.servers.get_mut("n04").unwrap().0.save_error = Some("no space left".into());
     let head = fleet.history.head();
     fleet.servers.get_mut("n03").unwrap().0.active = VersionId { digest: crate::Digest([1; 32]), ..head };
-    fleet.go(0.5, slow);
+    fleet.advance(0.5, slow);
     let status = fleet.status();
     assert_eq!((status.released.number, status.up_to_date, status.servers), (number, 4, 7));
     let why: BTreeMap<&str, &LagReason> =
@@ -195,23 +195,23 @@
 }
 
 #[test]
-fn a_new_lease_holder_listens_first_and_carries_on_with_the_canary_phase_it_finds() {
+fn new_lease_holder_continues_the_current_canary_phase() {
     let mut fleet = Fleet::new(9);
-    fleet.go(2.0, |_, _| true);
+    fleet.advance(2.0, |_, _| true);
     let number = fleet.put(1.0);
-    fleet.go(0.1, |_, _| true);
+    fleet.advance(0.1, |_, _| true);
     let began = fleet.now;
     let old = std::mem::replace(
         &mut fleet.rollout,
         RolloutController::new(RolloutSettings::default(), "new", 2, 7, began),
     );
     assert!(!fleet.status().everywhere);
-    fleet.go(2.5, |_, _| true);
+    fleet.advance(2.5, |_, _| true);
     assert_eq!(fleet.status().released.number, number);
     assert!(fleet.status().everywhere);
-    let trials =
+    let canary_commands =
         fleet.proposed.iter().filter(|proposed| matches!(proposed, Command::StartCanary { .. })).count();
-    assert_eq!(trials, 1, "the trial goes on, it does not begin anew");
+    assert_eq!(canary_commands, 1, "the trial goes on, it does not begin anew");
     // The old one finds out and says no more.
     let mut old = old;
     assert_eq!(old.next_command(fleet.now, &fleet.history), None);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_lease_holder_without_room_for_all_servers_says_nothing_of_all() {
+fn never_reports_everywhere_above_the_server_limit() {
     let mut fleet = Fleet::new(4);
     fleet.rollout = RolloutController::new(
         RolloutSettings { max_servers: 3, ..RolloutSettings::default() },
@@ -228,24 +228,24 @@
         42,
         0.0,
     );
-    fleet.go(3.0, |_, _| true);
+    fleet.advance(3.0, |_, _| true);
     let status = fleet.status();
     assert_eq!((status.up_to_date, status.servers, status.everywhere), (3, 3, false));
 }
 
 #[test]
-fn without_canaries_nothing_is_released() {
+fn releases_nothing_without_canaries() {
     let mut fleet = Fleet::new(0);
     fleet.put(1.0);
-    fleet.go(9.0, |_, _| true);
+    fleet.advance(9.0, |_, _| true);
     assert_eq!(fleet.status().released.number, 0);
     assert!(!fleet.status().everywhere);
 }
 
 #[test]
-fn a_command_that_was_lost_is_proposed_again_and_no_other_in_its_place() {
+fn repeats_a_lost_command_unchanged() {
     let mut fleet = Fleet::new(9);
-    fleet.go(2.0, |_, _| true);
+    fleet.advance(2.0, |_, _| true);
     fleet.put(1.0);
     let mut proposed = Vec::new();
     for _ in 0..40 {
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn settings_that_could_not_be_kept_are_rejected() {
+fn rejects_invalid_settings() {
     let invalid = [
         RolloutSettings { canaries: 0, ..RolloutSettings::default() },
         RolloutSettings { canaries: 60, ..RolloutSettings::default() },
--- a/crates/config-rollout/src/validation/tests.rs
+++ b/crates/config-rollout/src/validation/tests.rs
@@ -2,23 +2,23 @@
 use crate::change::Change;
 use crate::key::FLEET;
 
-const START: &str = r#"{"Servers": 4, "OverShareWorth": 0.2,
+const BASE_SETTINGS: &str = r#"{"Servers": 4, "OverShareWorth": 0.2,
   "FamilyInfo": {"Cpus": 2, "RamKb": 1000, "RunFactor": 2},
   "Contract": {"FallMultiple": 4},
   "Limits": {"RetryAfter": true, "MaxRetryAfter": 1000},
   "Lanes": [{"Name": "orders", "Promise": 200, "GiveUp": 900, "Importance": 3, "Effect": "safe"}],
   "Tenants": [{"Name": "acme", "QuotaRps": 10}]}"#;
 
-fn start() -> BaseSettings {
-    BaseSettings::new(START.as_bytes()).unwrap()
+fn base_settings() -> BaseSettings {
+    BaseSettings::new(BASE_SETTINGS.as_bytes()).unwrap()
 }
 
 fn content_of(change: Change) -> Content {
-    Content::default().after(&change).unwrap()
+    Content::default().with_change(&change).unwrap()
 }
 
 #[test]
-fn a_content_overlays_the_base_settings_and_is_parsed() {
+fn content_overlays_the_base_settings() {
     let change = Change::default()
         .set(Key::tenant("acme"), 25.0)
         .set(Key::tenant("new"), 7.0)
@@ -26,8 +26,8 @@
         .set(Key::limit(Field::Servers), 9.0)
         .set(Key::new(Section::Limit, FLEET, Field::MaxRetryAfter), 5000.0);
     let content = content_of(change);
-    start().validate(&content).unwrap();
-    let config = parse_policy_config(&start().overlay(&content).unwrap()).unwrap();
+    base_settings().validate(&content).unwrap();
+    let config = parse_policy_config(&base_settings().overlay(&content).unwrap()).unwrap();
     assert_eq!(config.tenant_names, ["acme", "new"]);
     assert_eq!((config.settings.tenants[0].quota, config.settings.tenants[1].quota), (25.0, 7.0));
     assert_eq!(
@@ -36,12 +36,12 @@
     );
     assert_eq!((config.settings.servers, config.settings.max_retry_after), (9.0, 5.0));
     // The empty content is the start text.
-    let config = parse_policy_config(&start().overlay(&Content::default()).unwrap()).unwrap();
-    assert_eq!(config, parse_policy_config(START.as_bytes()).unwrap());
+    let config = parse_policy_config(&base_settings().overlay(&Content::default()).unwrap()).unwrap();
+    assert_eq!(config, parse_policy_config(BASE_SETTINGS.as_bytes()).unwrap());
 }
 
 #[test]
-fn every_field_is_one_that_the_policy_settings_have() {
+fn every_field_maps_to_a_policy_setting() {
     for field in Field::ALL {
         let key = match field.section() {
             Section::Tenant => Key::new(Section::Tenant, "acme", field),
@@ -51,19 +51,19 @@
         let range = field.range();
         let read = |value: f64| {
             let content = content_of(Change::default().set(key.clone(), value));
-            start().validate(&content).unwrap();
-            parse_policy_config(&start().overlay(&content).unwrap()).unwrap()
+            base_settings().validate(&content).unwrap();
+            parse_policy_config(&base_settings().overlay(&content).unwrap()).unwrap()
         };
         assert_ne!(read(*range.start()), read(*range.end()), "{key} changes nothing");
     }
 }
 
 #[test]
-fn what_the_policy_settings_reject_names_the_key_and_the_cause() {
+fn validation_error_names_the_key_and_the_cause() {
     let content = content_of(Change::default().set(Key::route("nowhere", Field::LatencyObjective), 5.0));
-    let error = start().validate(&content).unwrap_err();
+    let error = base_settings().validate(&content).unwrap_err();
     assert_eq!(error.to_string(), "route \"nowhere\" promise: the start text has no route of that name");
     // A start text that is another at this server: what it lacks is named here.
-    let broken = START.replace("\"Cpus\": 2,", "");
+    let broken = BASE_SETTINGS.replace("\"Cpus\": 2,", "");
     assert!(BaseSettings::new(broken.as_bytes()).is_err());
 }
--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Stored and wire forms as they were first released. The literals and the files under `tests/golden/` stay as they are, whatever the
 //! types are called: a node of one release reads what a node of another release wrote.
 
-use puffinladder_config_rollout::follower::{Follower, StartedWith, PROBATION};
+use puffinladder_config_rollout::follower::{Follower, StartSource, PROBATION};
 use puffinladder_config_rollout::history::{
     CanaryPhase, Command, History, HistoryUpdate, LogEntry, MissedVersion, Origin, Outcome, PutRequest,
     Rejection, RetentionLimits, RevertedCanary, RolloutState, Version,
@@ -15,7 +15,7 @@
 };
 use puffinladder_config_rollout::validation::BoundsValidator;
 use puffinladder_config_rollout::{
-    Change, Content, Digest, Field, Key, Seal, Section, ValidationError, Value, VersionId,
+    Change, Content, Digest, Digester, Field, Key, Section, ValidationError, Value, VersionId,
 };
 use puffinladder_leases::HolderId;
 use serde::de::DeserializeOwned;
@@ -23,8 +23,8 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-fn seal() -> Seal {
-    Seal::keyed([5; 32])
+fn digester() -> Digester {
+    Digester::keyed([5; 32])
 }
 
 fn head(number: u64) -> VersionId {
@@ -46,7 +46,7 @@
 }
 
 fn content() -> Content {
-    Content::default().after(&change()).expect("every value is in range")
+    Content::default().with_change(&change()).expect("every value is in range")
 }
 
 fn canaries() -> BTreeSet<String> {
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn digests_and_tags() {
-    let (plain, keyed) = (Seal::default(), seal());
+fn digests_and_tags_keep_their_values() {
+    let (plain, keyed) = (Digester::default(), digester());
     assert_eq!(
         hex(&plain.digest(0, &Content::default()).0),
         "6ee3a9ddd8d67a0272bf94c11ed704c627bc100a4e1d0d53d5f4a39f31556a77"
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn keys_and_values_as_json() {
+fn keys_and_values_keep_their_json_form() {
     json(head(4), r#"{"number":4,"digest":"BAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQ"}"#);
     json(Key::tenant("acme"), r#"{"section":"Tenant","name":"acme","field":"Quota"}"#);
     for (field, literal) in Field::ALL.into_iter().zip([
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn bodies() {
+fn bodies_keep_their_encoding() {
     assert_eq!(hex(&encode_change(&change())), "0c000461636d6500010000000000205e400004626574610001000000000000f03f00036f6c64000001066f72646572730101000000000000e03f01066f72646572730201555555555555d53f01066f72646572730301000000000000d03f01066f726465727304019a9999999999c93f01066f72646572730501555555555555c53f01066f72646572730601922449922449c23f0205666c6565740701000000000000f03f0205666c6565740801000000000000f03f0205666c6565740901000000000000f03f");
     assert_eq!(hex(&encode_content(&content())), "0b000461636d65000000000000205e4000046265746100000000000000f03f01066f726465727301000000000000e03f01066f726465727302555555555555d53f01066f726465727303000000000000d03f01066f7264657273049a9999999999c93f01066f726465727305555555555555c53f01066f726465727306922449922449c23f0205666c65657407000000000000f03f0205666c65657408000000000000f03f0205666c65657409000000000000f03f");
     postcard(change(), "0c000461636d6500010000000000205e400004626574610001000000000000f03f00036f6c64000001066f72646572730101000000000000e03f01066f72646572730201555555555555d53f01066f72646572730301000000000000d03f01066f726465727304019a9999999999c93f01066f72646572730501555555555555c53f01066f72646572730601922449922449c23f0205666c6565740701000000000000f03f0205666c6565740801000000000000f03f0205666c6565740901000000000000f03f");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn messages_to_a_server() {
+fn distributor_messages_keep_their_encoding() {
     let change = TransferId { base: Some(head(2)), target: head(3), total_bytes: 7 };
     let whole = TransferId { base: None, ..change };
     json(
@@ -154,15 +154,15 @@
         r#"{"piece":{"way":{"from":null,"to":{"number":3,"digest":"AwMDAwMDAwMDAwMDAwMDAwMDAwMDAwMDAwMDAwMDAwM"},"total":7},"at":0,"bytes":"AQ"}}"#,
     );
     json(
-        DistributorMessage::target(&seal(), "n1", head(4), 0.25, 9),
+        DistributorMessage::target(&digester(), "n1", head(4), 0.25, 9),
         r#"{"target":{"head":{"number":4,"digest":"BAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQ"},"age":0.25,"serial":9,"tag":3560123668011513994}}"#,
     );
     postcard(DistributorMessage::Chunk(Chunk { transfer: change, offset: 2, bytes: vec![0, 255, 7] }), "0001022002020202020202020202020202020202020202020202020202020202020202020320030303030303030303030303030303030303030303030303030303030303030307020300ff07");
-    postcard(DistributorMessage::target(&seal(), "n1", head(4), 0.25, 9), "0104200404040404040404040404040404040404040404040404040404040404040404000000000000d03f098af1a5e2d1b386b431");
+    postcard(DistributorMessage::target(&digester(), "n1", head(4), 0.25, 9), "0104200404040404040404040404040404040404040404040404040404040404040404000000000000d03f098af1a5e2d1b386b431");
 }
 
 #[test]
-fn messages_from_a_server() {
+fn acknowledgements_keep_their_encoding() {
     let full = Acknowledgement {
         server: HolderId::new("n1", 3),
         zone: "east".into(),
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn entries_of_the_log() {
+fn log_entries_keep_their_encoding() {
     let entry = |command| LogEntry { at: 1.5, command };
     let announce = Command::Announce { epoch: 7 };
     let start_canary = Command::StartCanary { epoch: 7, number: 4, canaries: canaries() };
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn answers_of_the_log() {
+fn log_outcomes_keep_their_encoding() {
     let missed = MissedVersion { number: 3, author: "ann".into(), at: 1.5, keys: 2 };
     let all = [
         (Ok(Outcome::Announced), r#"{"Ok":"Announced"}"#, "0000"),
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn update_of_a_replica() {
+fn history_updates_keep_their_encoding() {
     json(
         state(),
         r#"{"released":4,"trial":{"number":5,"canaries":["n1","n2"],"since":2.5},"taken_back":[{"number":2,"last":3,"cause":"n1 fell","at":1.5}]}"#,
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn status_of_a_rollout() {
+fn rollout_status_keeps_its_encoding() {
     let lagging = |reason| LaggingServer {
         server: "n3".into(),
         zone: "east".into(),
@@ -354,7 +354,7 @@
 
 /// A history with a checkpoint, every kind of version, a canary phase under way and one that was reverted.
 fn history() -> History {
-    let mut history = History::new(seal(), RetentionLimits { versions: 3, bytes: 1 << 20 });
+    let mut history = History::new(digester(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     let canaries = canaries();
     for at in 1..=5u32 {
         let (base, origin) = (history.head(), Origin::Put);
@@ -383,21 +383,22 @@
 }
 
 #[test]
-fn a_stored_history() {
+fn stored_history_keeps_its_encoding() {
     let (history, stored) = (history(), file("history.snapshot"));
     assert_eq!(history.snapshot(), stored);
-    assert_eq!(History::restore(seal(), &stored).expect("readable"), history);
+    assert_eq!(History::restore(digester(), &stored).expect("readable"), history);
     assert_eq!(history.state().reverted.len(), 1);
     assert_eq!((history.checkpoint().number, history.head().number), (4, 7));
 }
 
 #[test]
-fn a_stored_last_good_version() {
-    let start =
-        |disk: Option<&[u8]>| Follower::start(HolderId::new("n1", 1), "east", seal(), disk, &BoundsValidator);
+fn last_good_file_keeps_its_encoding() {
+    let start = |disk: Option<&[u8]>| {
+        Follower::start(HolderId::new("n1", 1), "east", digester(), disk, &BoundsValidator)
+    };
     let (mut follower, _) = start(None);
     let body = encode_content(&content());
-    let head = seal().version_id(9, &content());
+    let head = digester().version_id(9, &content());
     let transfer = TransferId { base: None, target: head, total_bytes: body.len() as u32 };
     follower
         .receive(&DistributorMessage::Chunk(Chunk { transfer, offset: 0, bytes: body }), &BoundsValidator);
@@ -405,6 +406,6 @@
     let stored = file("last-good");
     assert_eq!(follower.save(PROBATION).expect("proved"), stored);
     let (again, began) = start(Some(&stored));
-    assert_eq!(began, StartedWith::LastGood(head));
+    assert_eq!(began, StartSource::LastGood(head));
     assert_eq!(again.active().content.as_ref(), &content());
 }
--- a/crates/config-rollout/tests/schedules/control.rs
+++ b/crates/config-rollout/tests/schedules/control.rs
@@ -1,7 +1,7 @@
 //! The lease holders of the rollout, the current one and those that were replaced; and the distributors.
 
 use crate::network::{Message, Proposer};
-use crate::world::{Bug, Checked, SentLine, SimulatedHolder, World, STEP};
+use crate::world::{Bug, InvariantResult, SentLine, SimulatedHolder, World, STEP};
 use puffinladder_config_rollout::distributor::OutgoingMessage;
 use puffinladder_config_rollout::history::{Command, LogEntry};
 use puffinladder_config_rollout::rollout::{RolloutController, RolloutSettings};
@@ -11,16 +11,16 @@
 const BYTE_BUDGET: f64 = 12_000.0;
 
 impl World {
-    pub fn run_lease_holders(&mut self) -> Checked {
-        if self.now >= self.calm_from {
+    pub fn run_lease_holders(&mut self) -> InvariantResult {
+        if self.now >= self.faults_end {
             // Somebody gets the lease, and the lease store has a leader.
             self.next_lease_at = self.next_lease_at.map(|at| at.min(self.now));
             self.leaderless_until = self.leaderless_until.min(self.now);
         }
-        if self.next_lease_at.is_none() && self.holders.iter().all(|holder| holder.works_until <= self.now) {
+        if self.next_lease_at.is_none() && self.holders.iter().all(|holder| holder.active_until <= self.now) {
             self.next_lease_at = Some(self.now + 0.2);
         }
-        self.holders.retain(|holder| holder.works_until > self.now);
+        self.holders.retain(|holder| holder.active_until > self.now);
         if self.next_lease_at.is_some_and(|at| self.now >= at) && self.reaches_leader(0) {
             self.grant_lease();
         }
@@ -35,7 +35,8 @@
         self.next_lease_at = None;
         self.last_epoch += 1;
         let epoch = self.last_epoch;
-        let region = if self.now < self.cut_until { 0 } else { usize::from(self.rng.random_bool(0.3)) };
+        let region =
+            if self.now < self.partitioned_until { 0 } else { usize::from(self.rng.random_bool(0.3)) };
         let (author, seed) = (format!("holder-{epoch}"), self.rng.random());
         let mut controller =
             RolloutController::new(RolloutSettings::default(), &author, epoch, seed, self.now);
@@ -43,26 +44,29 @@
             controller.expect_server(self.now, &server.name, &server.zone);
         }
         let replica = self.committed.clone();
-        self.holders.push(SimulatedHolder { region, controller, replica, works_until: f64::MAX });
+        self.holders.push(SimulatedHolder { region, controller, replica, active_until: f64::MAX });
     }
 
     /// A holder that the lease store can't hear loses its lease, and works on in the belief that it has it.
     fn expire_unreachable_lease(&mut self) {
-        if self.next_lease_at.is_some() || self.now >= self.cut_until || self.now - self.cut_since <= 2.5 {
+        if self.next_lease_at.is_some()
+            || self.now >= self.partitioned_until
+            || self.now - self.partitioned_since <= 2.5
+        {
             return;
         }
-        let current = |holder: &&mut SimulatedHolder| holder.works_until == f64::MAX;
+        let current = |holder: &&mut SimulatedHolder| holder.active_until == f64::MAX;
         for holder in self.holders.iter_mut().filter(|holder| holder.region != 0).filter(current) {
-            holder.works_until = self.now + 9.0;
+            holder.active_until = self.now + 9.0;
             self.next_lease_at = Some(self.now);
         }
     }
 
-    fn run_lease_holder(&mut self, at: usize) -> Checked {
+    fn run_lease_holder(&mut self, at: usize) -> InvariantResult {
         let reaches_leader = self.reaches_leader(self.holders[at].region);
         let holder = &mut self.holders[at];
         let is_behind = holder.replica.applied() != self.committed.applied();
-        if reaches_leader && is_behind && holder.works_until == f64::MAX {
+        if reaches_leader && is_behind && holder.active_until == f64::MAX {
             holder.replica = self.committed.clone();
         }
         let command = holder.controller.next_command(self.now, &holder.replica);
@@ -79,7 +83,7 @@
         }
         for command in commands {
             let entry = LogEntry { at: self.now, command };
-            let replaced = self.holders[at].works_until < f64::MAX;
+            let replaced = self.holders[at].active_until < f64::MAX;
             let delay = if replaced { self.delay() * 10.0 } else { self.delay() };
             self.post(delay, Message::Proposal { entry, proposer: Proposer::LeaseHolder });
         }
@@ -87,7 +91,7 @@
     }
 
     /// Whether what a lease holder says of all servers is true.
-    fn check_status(&mut self, at: usize) -> Checked {
+    fn check_status(&mut self, at: usize) -> InvariantResult {
         let holder = &self.holders[at];
         let status = holder.controller.status(self.now, &holder.replica);
         if status.everywhere {
@@ -110,7 +114,7 @@
         Ok(())
     }
 
-    pub fn run_distributors(&mut self) -> Checked {
+    pub fn run_distributors(&mut self) -> InvariantResult {
         for at in 0..self.distributors.len() {
             if self.now >= self.distributors[at].down_until {
                 self.run_distributor(at)?;
@@ -119,7 +123,7 @@
         Ok(())
     }
 
-    fn run_distributor(&mut self, at: usize) -> Checked {
+    fn run_distributor(&mut self, at: usize) -> InvariantResult {
         let region = self.distributors[at].region;
         // A replica of its own region; on the side without a majority that one has no updates.
         let replica = if region == 0 { self.rng.random_range(0..2) } else { 2 };
@@ -141,7 +145,9 @@
         let messages = distributor.distributor.poll(self.now, &distributor.replica, age);
         for OutgoingMessage { server: name, message } in messages {
             let Some(to) = self.servers.iter().position(|server| server.name == name) else { continue };
-            if self.servers[to].connected_to != Some(at) || self.is_cut(region, self.servers[to].region) {
+            if self.servers[to].connected_to != Some(at)
+                || self.is_partitioned(region, self.servers[to].region)
+            {
                 continue;
             }
             self.check_budget(to, message.line_bytes() as f64)?;
@@ -151,7 +157,7 @@
     }
 
     /// No server is sent more than its budget in any second.
-    fn check_budget(&mut self, to: usize, bytes: f64) -> Checked {
+    fn check_budget(&mut self, to: usize, bytes: f64) -> InvariantResult {
         let (now, server) = (self.now, &mut self.servers[to]);
         server.sent_lines.push_back(SentLine { at: now, bytes });
         while server.sent_lines.front().is_some_and(|line| line.at <= now - 1.0) {
--- a/crates/config-rollout/tests/schedules/counts.rs
+++ b/crates/config-rollout/tests/schedules/counts.rs
@@ -32,24 +32,24 @@
 }
 
 impl Counts {
-    pub fn and(mut self, one: &Counts) -> Counts {
-        self.versions += one.versions;
-        self.missed += one.missed;
-        self.stale_epochs += one.stale_epochs;
-        self.no_quorum += one.no_quorum;
-        self.reverted += one.reverted;
-        self.activated += one.activated;
-        self.whole_contents += one.whole_contents;
-        self.wrong_digests += one.wrong_digests;
-        self.undecodable += one.undecodable;
-        self.conflicts += one.conflicts;
-        self.last_good += one.last_good;
-        self.base_settings += one.base_settings;
-        self.everywhere += one.everywhere;
-        self.kills += one.kills;
-        self.wide_steps += one.wide_steps;
-        self.convergence = self.convergence.max(one.convergence);
-        self.oldest = self.oldest.max(one.oldest);
+    pub fn merge(mut self, other: &Counts) -> Counts {
+        self.versions += other.versions;
+        self.missed += other.missed;
+        self.stale_epochs += other.stale_epochs;
+        self.no_quorum += other.no_quorum;
+        self.reverted += other.reverted;
+        self.activated += other.activated;
+        self.whole_contents += other.whole_contents;
+        self.wrong_digests += other.wrong_digests;
+        self.undecodable += other.undecodable;
+        self.conflicts += other.conflicts;
+        self.last_good += other.last_good;
+        self.base_settings += other.base_settings;
+        self.everywhere += other.everywhere;
+        self.kills += other.kills;
+        self.wide_steps += other.wide_steps;
+        self.convergence = self.convergence.max(other.convergence);
+        self.oldest = self.oldest.max(other.oldest);
         self
     }
 }
--- a/crates/config-rollout/tests/schedules/faults.rs
+++ b/crates/config-rollout/tests/schedules/faults.rs
@@ -2,16 +2,16 @@
 //! lost, and messages of a stranger.
 
 use crate::network::Message;
-use crate::world::{local_check, Checked, World, DEADLY, STEP};
-use puffinladder_config_rollout::follower::{Follower, StartedWith};
+use crate::world::{local_check, InvariantResult, World, CRASHING_QUOTA, STEP};
+use puffinladder_config_rollout::follower::{Follower, StartSource};
 use puffinladder_config_rollout::messages::{encode_content, Chunk, DistributorMessage, TransferId};
-use puffinladder_config_rollout::{Change, Content, Digest, Key, Seal, VersionId};
+use puffinladder_config_rollout::{Change, Content, Digest, Digester, Key, VersionId};
 use puffinladder_leases::HolderId;
 use rand::Rng;
 
 impl World {
     /// One fault in a third of a second or so.
-    pub fn inject_fault(&mut self) -> Checked {
+    pub fn inject_random_fault(&mut self) -> InvariantResult {
         if !self.rng.random_bool(STEP * 3.0) {
             return Ok(());
         }
@@ -22,16 +22,17 @@
         match self.rng.random_range(0..15) {
             0 => self.kill(at),
             1 => server.paused_until = now + 2.0 * span,
-            2 => server.mute_until = now + span,
-            3 => server.deaf_until = now + span,
-            4 => (server.mute_until, server.deaf_until) = (now + span, now + span),
+            2 => server.outbound_lost_until = now + span,
+            3 => server.inbound_lost_until = now + span,
+            4 => (server.outbound_lost_until, server.inbound_lost_until) = (now + span, now + span),
             5 => server.disk_full_until = now + span,
             6 => self.replace_distributor(span),
             7 | 8 => self.lose_leader(span)?,
             9 | 10 => self.replace_lease_holder(span),
-            11 if now >= self.cut_until => {
-                let cut_until = now + span / 8.0 * self.longest_cut;
-                (self.cut_until, self.cut_since) = (cut_until.min(self.calm_from), now);
+            11 if now >= self.partitioned_until => {
+                let partitioned_until = now + span / 8.0 * self.max_partition_time;
+                (self.partitioned_until, self.partitioned_since) =
+                    (partitioned_until.min(self.faults_end), now);
             }
             12 => self.send_hostile_message(at),
             13 => self.restart_zone_of(at),
@@ -58,7 +59,7 @@
     }
 
     /// The leader is lost: what no majority had from it survives or does not, and nobody is answered.
-    fn lose_leader(&mut self, span: f64) -> Checked {
+    fn lose_leader(&mut self, span: f64) -> InvariantResult {
         self.leaderless_until = self.now + span / 8.0;
         let pending = std::mem::take(&mut self.pending);
         for pending in pending {
@@ -75,7 +76,7 @@
             return;
         }
         for holder in &mut self.holders {
-            holder.works_until = holder.works_until.min(self.now + span);
+            holder.active_until = holder.active_until.min(self.now + span);
         }
         if self.rng.random_bool(0.5) {
             self.holders.clear();
@@ -88,7 +89,7 @@
         let restart_time = self.rng.random_range(0.1..1.5);
         let torn = self.rng.random_bool(0.05);
         let place = self.rng.random_range(0..400);
-        let seal = self.seal.clone();
+        let digester = self.digester.clone();
         let server = &mut self.servers[at];
         if let Some(disk) = server.disk.as_mut().filter(|_| torn) {
             tear(disk, place);
@@ -99,22 +100,22 @@
         server.second_half = None;
         let id = HolderId::new(&server.name, server.incarnation);
         let disk = server.disk.as_deref();
-        let (follower, started_with) = Follower::start(id, &server.zone, seal, disk, &local_check);
+        let (follower, start_source) = Follower::start(id, &server.zone, digester, disk, &local_check);
         server.follower = follower;
         server.active = server.follower.active().clone();
         server.previous.clear();
-        match started_with {
-            StartedWith::LastGood(version) => {
+        match start_source {
+            StartSource::LastGood(version) => {
                 // What was stored as good is never older than what was stored before.
                 assert!(version.number == server.stored, "{version}, {}", server.stored);
                 self.counts.last_good += 1;
             }
-            StartedWith::BaseSettings(_) => (server.stored, server.disk) = (0, None),
+            StartSource::BaseSettings(_) => (server.stored, server.disk) = (0, None),
         }
-        if matches!(started_with, StartedWith::BaseSettings(Some(_))) {
+        if matches!(start_source, StartSource::BaseSettings(Some(_))) {
             self.counts.base_settings += 1;
         }
-        if server.has_deadly(DEADLY) {
+        if server.has_crashing_quota(CRASHING_QUOTA) {
             server.crashes_at = Some(server.down_until + 0.2);
         }
         if let Some(distributor) = server.connected_to.take() {
@@ -144,7 +145,7 @@
                 acknowledged: self.rng.random_range(0..60),
                 tag: self.rng.random(),
             },
-            1 => self.strange_content(VersionId { number, digest }),
+            1 => self.forged_content(VersionId { number, digest }),
             _ => {
                 let transfer = TransferId { base, target, total_bytes };
                 DistributorMessage::Chunk(Chunk { transfer, offset, bytes })
@@ -156,13 +157,16 @@
     }
 
     /// A content of a stranger, well formed, under a number that stands or comes.
-    fn strange_content(&mut self, version: VersionId) -> DistributorMessage {
+    fn forged_content(&mut self, version: VersionId) -> DistributorMessage {
         let VersionId { number, digest } = version;
         let change = Change::default().set(Key::tenant("mine"), 1e6);
-        let content = Content::default().after(&change).expect("valid");
+        let content = Content::default().with_change(&change).expect("valid");
         let body = encode_content(&content);
-        let digest =
-            if self.rng.random_bool(0.5) { Seal::keyed([8; 32]).digest(number, &content) } else { digest };
+        let digest = if self.rng.random_bool(0.5) {
+            Digester::keyed([8; 32]).digest(number, &content)
+        } else {
+            digest
+        };
         let target = VersionId { number, digest };
         let transfer = TransferId { base: None, target, total_bytes: body.len() as u32 };
         DistributorMessage::Chunk(Chunk { transfer, offset: 0, bytes: body })
--- a/crates/config-rollout/tests/schedules/lease_store.rs
+++ b/crates/config-rollout/tests/schedules/lease_store.rs
@@ -1,7 +1,7 @@
 //! The writers, and the lease store: one replicated line of entries with leaders that come and go.
 
 use crate::network::{Message, Proposer};
-use crate::world::{Bug, Checked, KnownVersion, World, DEADLY, POISON, STEP};
+use crate::world::{Bug, InvariantResult, KnownVersion, World, CRASHING_QUOTA, REJECTED_QUOTA, STEP};
 use puffinladder_config_rollout::history::{
     Command, History, LogEntry, Origin, Outcome, PutRequest, Rejection,
 };
@@ -11,7 +11,7 @@
 
 impl World {
     /// Writers, each with a view that may be old, and some under a lease that has ended.
-    pub fn put_changes(&mut self) -> Checked {
+    pub fn put_changes(&mut self) -> InvariantResult {
         if self.now < self.next_put || self.last_epoch == 0 {
             return Ok(());
         }
@@ -67,14 +67,14 @@
             };
         }
         match self.rng.random_range(0..25) {
-            0 => change.set(Key::tenant("poison"), POISON),
-            1 => change.set(Key::tenant("deadly"), DEADLY),
+            0 => change.set(Key::tenant("poison"), REJECTED_QUOTA),
+            1 => change.set(Key::tenant("deadly"), CRASHING_QUOTA),
             _ => change,
         }
     }
 
     /// The leader commits what a majority has; the replicas apply what was committed.
-    pub fn run_lease_store(&mut self) -> Checked {
+    pub fn run_lease_store(&mut self) -> InvariantResult {
         if self.now >= self.leaderless_until {
             let due: Vec<_> = self.pending.extract_if(.., |pending| pending.due <= self.now).collect();
             for pending in due {
@@ -84,7 +84,7 @@
         }
         for at in 0..self.replicas.len() {
             // The last replica is in the other region.
-            if at == 2 && self.now < self.cut_until {
+            if at == 2 && self.now < self.partitioned_until {
                 continue;
             }
             while let Some(entry) = self.log.get(self.replicas[at].applied() as usize) {
@@ -100,9 +100,10 @@
     }
 
     /// A replica restarts from its snapshot.
-    fn restore_replica(&mut self, at: usize) -> Checked {
+    fn restore_replica(&mut self, at: usize) -> InvariantResult {
         let snapshot = self.replicas[at].snapshot();
-        let restored = History::restore(self.seal.clone(), &snapshot).map_err(|error| error.to_string())?;
+        let restored =
+            History::restore(self.digester.clone(), &snapshot).map_err(|error| error.to_string())?;
         if restored != self.replicas[at] {
             return Err("a history differs after its snapshot".into());
         }
@@ -153,7 +154,7 @@
         Ok(outcome)
     }
 
-    fn check_outcome(&mut self, epoch: Epoch, outcome: &Outcome) -> Checked {
+    fn check_outcome(&mut self, epoch: Epoch, outcome: &Outcome) -> InvariantResult {
         if epoch < self.highest_epoch {
             return Err(format!("{outcome:?} was done under epoch {epoch} after {}", self.highest_epoch));
         }
--- a/crates/config-rollout/tests/schedules/main.rs
+++ b/crates/config-rollout/tests/schedules/main.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn whatever_fails_one_content_under_each_number_and_all_have_it_in_the_end() {
+fn servers_converge_on_one_content_per_version_after_faults() {
     // One of them again: SEED=27 cargo test ...
     let one = std::env::var("SEED").ok().and_then(|seed| seed.parse::<u64>().ok());
     if let Some(seed) = one {
@@ -58,7 +58,7 @@
     });
     let failed: Vec<&String> = all.iter().filter_map(|(failed, _)| failed.as_ref()).collect();
     assert!(failed.is_empty(), "{} of {SCHEDULES}: {failed:#?}", failed.len());
-    let all = all.iter().fold(Counts::default(), |sum, (_, one)| sum.and(one));
+    let all = all.iter().fold(Counts::default(), |sum, (_, counts)| sum.merge(counts));
     println!("{SCHEDULES} schedules: {all:#?}");
     // Runs in which these never came up prove nothing.
     let least = [
@@ -76,23 +76,23 @@
 }
 
 #[test]
-fn regions_that_are_cut_for_minutes_keep_what_they_have_and_come_together() {
-    const LONG: u64 = 60;
-    let all = in_parallel(LONG, |seed| {
+fn servers_converge_after_long_partitions_between_regions() {
+    const LONG_SCHEDULES: u64 = 60;
+    let all = in_parallel(LONG_SCHEDULES, |seed| {
         let mut world = World::new(10_000 + seed, Bug::None);
-        (world.calm_from, world.longest_cut) = (240.0, 200.0);
+        (world.faults_end, world.max_partition_time) = (240.0, 200.0);
         world.put_interval *= 4.0;
         world.run().map(|()| world.counts).map_err(|what| format!("seed {}: {what}", 10_000 + seed))
     });
     let failed: Vec<&String> = all.iter().filter_map(|one| one.as_ref().err()).collect();
-    assert!(failed.is_empty(), "{} of {LONG}: {failed:#?}", failed.len());
-    let all = all.iter().flatten().fold(Counts::default(), Counts::and);
-    println!("{LONG} schedules of 240 s: {all:#?}");
+    assert!(failed.is_empty(), "{} of {LONG_SCHEDULES}: {failed:#?}", failed.len());
+    let all = all.iter().flatten().fold(Counts::default(), Counts::merge);
+    println!("{LONG_SCHEDULES} schedules of 240 s: {all:#?}");
     assert!(all.oldest > 120.0 && all.no_quorum > 0 && all.wide_steps > 0, "{all:?}");
 }
 
 #[test]
-fn each_planted_bug_is_caught() {
+fn schedules_detect_each_planted_bug() {
     let bugs = [
         Bug::Unchecked,
         Bug::Downgrade,
--- a/crates/config-rollout/tests/schedules/network.rs
+++ b/crates/config-rollout/tests/schedules/network.rs
@@ -1,6 +1,6 @@
 //! Messages between the parts, which may be lost, doubled, late, out of order or corrupted; and regions that are cut from each other.
 
-use crate::world::{Bug, Checked, PendingEntry, World};
+use crate::world::{Bug, InvariantResult, PendingEntry, World};
 use puffinladder_config_rollout::history::LogEntry;
 use puffinladder_config_rollout::messages::{Acknowledgement, DistributorMessage};
 use rand::Rng;
@@ -46,7 +46,7 @@
     }
 
     pub fn delay(&mut self) -> f64 {
-        if self.now >= self.calm_from {
+        if self.now >= self.faults_end {
             return self.rng.random_range(0.001..0.02);
         }
         match self.rng.random_range(0..100) {
@@ -56,24 +56,24 @@
         }
     }
 
-    pub fn is_cut(&self, a: usize, b: usize) -> bool {
-        a != b && self.now < self.cut_until
+    pub fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && self.now < self.partitioned_until
     }
 
     /// Whether somebody in that region reaches the leader of the lease store.
     pub fn reaches_leader(&self, region: usize) -> bool {
-        self.now >= self.leaderless_until && !self.is_cut(region, 0)
+        self.now >= self.leaderless_until && !self.is_partitioned(region, 0)
     }
 
     /// Sends a message of a distributor to a server, and may lose, double or corrupt it.
     pub fn send(&mut self, distributor: usize, server: usize, message: DistributorMessage) {
-        if self.now < self.servers[server].deaf_until {
+        if self.now < self.servers[server].inbound_lost_until {
             return;
         }
         let incarnation = self.servers[server].incarnation;
         let to_server = |message| Message::ToServer { server, incarnation, distributor, message };
         let delay = self.delay();
-        let chance = if self.now < self.calm_from { self.rng.random_range(0..100) } else { 99 };
+        let chance = if self.now < self.faults_end { self.rng.random_range(0..100) } else { 99 };
         let message = match chance {
             0..3 => return, // lost
             3..6 => {
@@ -115,7 +115,7 @@
     }
 
     /// Delivers what has arrived by now, in the order of arrival.
-    pub fn deliver(&mut self) -> Checked {
+    pub fn deliver(&mut self) -> InvariantResult {
         let now = self.now;
         let mut due: Vec<_> =
             self.in_transit.extract_if(.., |in_transit| in_transit.arrives_at <= now).collect();
@@ -150,14 +150,14 @@
     fn deliver_ack(&mut self, distributor: usize, server: usize, ack: Acknowledgement) {
         let region = self.distributors[distributor].region;
         let is_up = self.now >= self.distributors[distributor].down_until;
-        if !is_up || self.is_cut(region, self.servers[server].region) {
+        if !is_up || self.is_partitioned(region, self.servers[server].region) {
             return;
         }
         if self.servers[server].connected_to == Some(distributor) {
             self.distributors[distributor].distributor.receive(self.now, &ack);
         }
         let delay = self.delay();
-        if self.holders.iter().any(|holder| !self.is_cut(holder.region, region)) {
+        if self.holders.iter().any(|holder| !self.is_partitioned(holder.region, region)) {
             self.post(delay, Message::Forwarded(ack));
         }
     }
--- a/crates/config-rollout/tests/schedules/server.rs
+++ b/crates/config-rollout/tests/schedules/server.rs
@@ -1,7 +1,9 @@
 //! A server's rounds: it receives, activates, stores and acknowledges versions, and each step is checked.
 
 use crate::network::Message;
-use crate::world::{local_check, Bug, Checked, SimulatedDistributor, SimulatedServer, World, DEADLY, STEP};
+use crate::world::{
+    local_check, Bug, InvariantResult, SimulatedDistributor, SimulatedServer, World, CRASHING_QUOTA, STEP,
+};
 use puffinladder_config_rollout::follower::{Received, VersionedContent};
 use puffinladder_config_rollout::messages::{Chunk, DistributorMessage};
 use puffinladder_config_rollout::{Change, Key};
@@ -17,15 +19,15 @@
 }
 
 impl SimulatedServer {
-    pub fn has_deadly(&self, quota: f64) -> bool {
+    pub fn has_crashing_quota(&self, quota: f64) -> bool {
         self.active.content.get(&Key::tenant("deadly")) == Some(quota)
     }
 }
 
 impl World {
-    pub fn receive(&mut self, at: usize, message: &DistributorMessage) -> Checked {
+    pub fn receive(&mut self, at: usize, message: &DistributorMessage) -> InvariantResult {
         self.servers[at].last_heard = self.now;
-        if let Some(content) = self.taken_by_bug(at, message) {
+        if let Some(content) = self.content_from_bug(at, message) {
             return self.activate(at, content);
         }
         let whole = matches!(message, DistributorMessage::Chunk(chunk) if chunk.transfer.base.is_none());
@@ -50,7 +52,7 @@
     }
 
     /// What a planted bug activates without asking the follower.
-    fn taken_by_bug(&self, at: usize, message: &DistributorMessage) -> Option<VersionedContent> {
+    fn content_from_bug(&self, at: usize, message: &DistributorMessage) -> Option<VersionedContent> {
         let server = &self.servers[at];
         match (self.bug, message) {
             (Bug::Unchecked, DistributorMessage::Chunk(chunk)) => apply_unchecked(&server.active, chunk),
@@ -62,7 +64,7 @@
     }
 
     /// The host works by that content from this round on.
-    fn activate(&mut self, at: usize, content: VersionedContent) -> Checked {
+    fn activate(&mut self, at: usize, content: VersionedContent) -> InvariantResult {
         let (now, server) = (self.now, &mut self.servers[at]);
         let (name, version) = (server.name.clone(), content.version);
         let previous = server.active.version;
@@ -75,7 +77,7 @@
         self.counts.wide_steps += u64::from(version.number >= previous.number + 10);
         self.check_active(at)?;
         let server = &mut self.servers[at];
-        if server.has_deadly(DEADLY) {
+        if server.has_crashing_quota(CRASHING_QUOTA) {
             server.crashes_at = Some(now + 0.2);
         }
         let released = self.committed.state().released;
@@ -83,7 +85,7 @@
         if version.number > released && !is_canary {
             return Err(format!("{now:.2}: {name} has {version} active, released is {released}"));
         }
-        let bad = server.has_deadly(DEADLY) || local_check(&server.active.content).is_err();
+        let bad = server.has_crashing_quota(CRASHING_QUOTA) || local_check(&server.active.content).is_err();
         if bad && !is_canary {
             return Err(format!("{now:.2}: {name}, no canary, has a bad {version} active"));
         }
@@ -91,7 +93,7 @@
     }
 
     /// What is active is, as a whole, what the line has under its number.
-    fn check_active(&self, at: usize) -> Checked {
+    fn check_active(&self, at: usize) -> InvariantResult {
         let SimulatedServer { name, active: VersionedContent { version, content }, .. } = &self.servers[at];
         let Some(known) = self.versions.get(&version.number) else {
             return Err(format!("{name} has {version} active, which never was"));
@@ -104,12 +106,12 @@
     }
 
     /// A server's round.
-    pub fn run_server(&mut self, at: usize) -> Checked {
-        let (now, calm) = (self.now, self.now >= self.calm_from);
+    pub fn run_server(&mut self, at: usize) -> InvariantResult {
+        let (now, healed) = (self.now, self.now >= self.faults_end);
         let server = &mut self.servers[at];
-        if calm {
+        if healed {
             (server.paused_until, server.disk_full_until) = (0.0, 0.0);
-            (server.mute_until, server.deaf_until) = (0.0, 0.0);
+            (server.outbound_lost_until, server.inbound_lost_until) = (0.0, 0.0);
         }
         if now < server.down_until || now < server.paused_until {
             return Ok(());
@@ -126,18 +128,18 @@
         }
         self.check_active(at)?;
         self.connect(at);
-        if self.activate_staged(at, calm)? == Round::Ended || self.save(at, calm)? == Round::Ended {
+        if self.activate_staged(at, healed)? == Round::Ended || self.save(at, healed)? == Round::Ended {
             return Ok(());
         }
-        self.acknowledge(at, calm)
+        self.acknowledge(at, healed)
     }
 
     /// On the side without a majority no server takes what it has for newer than the cut.
-    fn check_age(&mut self, at: usize) -> Checked {
+    fn check_age(&mut self, at: usize) -> InvariantResult {
         let (now, server) = (self.now, &self.servers[at]);
-        let is_cut_off = now < self.cut_until && server.region != 0;
-        let Some(age) = server.follower.age(now).filter(|_| is_cut_off) else { return Ok(()) };
-        let least = now - self.cut_since - STEP;
+        let is_partitioned = now < self.partitioned_until && server.region != 0;
+        let Some(age) = server.follower.age(now).filter(|_| is_partitioned) else { return Ok(()) };
+        let least = now - self.partitioned_since - STEP;
         if age < least {
             return Err(format!(
                 "{now:.2}: {} takes what it has for {age:.2} s old, {least:.2} at least",
@@ -152,14 +154,14 @@
     }
 
     /// The host activates what is staged, and may be killed before or after.
-    fn activate_staged(&mut self, at: usize, calm: bool) -> Result<Round, String> {
+    fn activate_staged(&mut self, at: usize, healed: bool) -> Result<Round, String> {
         // Rounds of the host are not those of its connections.
         let is_round = self.rng.random_bool(0.6);
         let server = &mut self.servers[at];
         let Some(staged) = server.follower.staged().filter(|_| is_round).cloned() else {
             return Ok(Round::Continues);
         };
-        let chance = if calm { 9 } else { self.rng.random_range(0..120) };
+        let chance = if healed { 9 } else { self.rng.random_range(0..120) };
         if chance == 0 {
             self.kill(at); // before the round
             return Ok(Round::Ended);
@@ -186,17 +188,17 @@
         let server = &mut self.servers[at];
         let whole = server.active.content.diff(&staged.content);
         let half: Change = whole.iter().map(|(key, value)| (key.clone(), value)).take(1).collect();
-        let half = server.active.content.after(&half).expect("valid");
+        let half = server.active.content.with_change(&half).expect("valid");
         server.active = VersionedContent { version: staged.version, content: Arc::new(half) };
         server.follower.activated(self.now, staged.version);
         server.second_half = Some(staged);
     }
 
     /// The host writes the last good version to its disk, and may be killed before.
-    fn save(&mut self, at: usize, calm: bool) -> Result<Round, String> {
+    fn save(&mut self, at: usize, healed: bool) -> Result<Round, String> {
         let now = self.now;
         let Some(bytes) = self.servers[at].follower.save(now) else { return Ok(Round::Continues) };
-        if !calm && self.rng.random_range(0..40) == 0 {
+        if !healed && self.rng.random_range(0..40) == 0 {
             self.kill(at); // before it is on the disk
             return Ok(Round::Ended);
         }
@@ -216,7 +218,7 @@
         Ok(Round::Continues)
     }
 
-    fn acknowledge(&mut self, at: usize, calm: bool) -> Checked {
+    fn acknowledge(&mut self, at: usize, healed: bool) -> InvariantResult {
         let (now, server) = (self.now, &mut self.servers[at]);
         let Some(mut ack) = server.follower.acknowledge(now) else { return Ok(()) };
         let active = server.active.version;
@@ -229,9 +231,9 @@
         if ack.active != active {
             return Err(format!("{now:.2}: {} acknowledges {}, has {active}", server.name, ack.active));
         }
-        if let Some(distributor) = server.connected_to.filter(|_| now >= server.mute_until) {
+        if let Some(distributor) = server.connected_to.filter(|_| now >= server.outbound_lost_until) {
             let delay = self.delay();
-            if calm || self.rng.random_range(0..100) > 2 {
+            if healed || self.rng.random_range(0..100) > 2 {
                 self.post(delay, Message::ToDistributor { distributor, server: at, ack });
             }
         }
@@ -244,7 +246,7 @@
         let SimulatedServer { name, region, connected_to, last_heard, .. } = &self.servers[at];
         let (name, region) = (name.clone(), *region);
         let is_reached = |distributor: &SimulatedDistributor| {
-            now >= distributor.down_until && !self.is_cut(distributor.region, region)
+            now >= distributor.down_until && !self.is_partitioned(distributor.region, region)
         };
         let is_broken = connected_to.is_some_and(|current| !is_reached(&self.distributors[current]));
         let is_silent = now - last_heard > 2.5;
@@ -275,6 +277,6 @@
     if !is_newer || !is_complete || transfer.base != Some(active.version) {
         return None;
     }
-    let content = active.content.after(&change).ok()?;
+    let content = active.content.with_change(&change).ok()?;
     Some(VersionedContent { version: transfer.target, content: Arc::new(content) })
 }
--- a/crates/config-rollout/tests/schedules/world.rs
+++ b/crates/config-rollout/tests/schedules/world.rs
@@ -6,7 +6,7 @@
 use puffinladder_config_rollout::follower::{Follower, VersionedContent};
 use puffinladder_config_rollout::history::{History, LogEntry, RetentionLimits};
 use puffinladder_config_rollout::rollout::RolloutController;
-use puffinladder_config_rollout::{Content, Digest, Key, Seal, ValidationError, VersionId};
+use puffinladder_config_rollout::{Content, Digest, Digester, Key, ValidationError, VersionId};
 use puffinladder_leases::{Epoch, HolderId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,14 +15,14 @@
 /// Time between two steps of the simulation, s.
 pub const STEP: f64 = 0.04;
 /// No new fault and no change from here on, s; within so many s more all servers have to have the last version.
-const CALM_FROM: f64 = 26.0;
+const FAULTS_END: f64 = 26.0;
 const CONVERGENCE_LIMIT: f64 = 6.0;
 /// A quota that no server accepts, and one under which each crashes.
-pub const POISON: f64 = 666.0;
-pub const DEADLY: f64 = 13.0;
+pub const REJECTED_QUOTA: f64 = 666.0;
+pub const CRASHING_QUOTA: f64 = 13.0;
 
 /// Fine, or which invariant does not hold.
-pub type Checked = Result<(), String>;
+pub type InvariantResult = Result<(), String>;
 
 /// A fault of a host that the schedules have to catch.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -68,9 +68,9 @@
     pub down_until: f64,
     pub paused_until: f64,
     /// Its messages are lost until then.
-    pub mute_until: f64,
+    pub outbound_lost_until: f64,
     /// Messages to it are lost until then.
-    pub deaf_until: f64,
+    pub inbound_lost_until: f64,
     /// Which distributor.
     pub connected_to: Option<usize>,
     pub last_heard: f64,
@@ -104,7 +104,7 @@
     pub controller: RolloutController,
     pub replica: History,
     /// It was replaced and works on without knowing, until then.
-    pub works_until: f64,
+    pub active_until: f64,
 }
 
 /// An entry that the leader has and no majority yet.
@@ -125,10 +125,10 @@
     pub bug: Bug,
     /// s from the start.
     pub now: f64,
-    pub calm_from: f64,
+    pub faults_end: f64,
     /// Longest time for which regions are cut, s.
-    pub longest_cut: f64,
-    pub seal: Seal,
+    pub max_partition_time: f64,
+    pub digester: Digester,
     pub limits: RetentionLimits,
     pub servers: Vec<SimulatedServer>,
     pub distributors: Vec<SimulatedDistributor>,
@@ -141,8 +141,8 @@
     pub pending: Vec<PendingEntry>,
     pub leaderless_until: f64,
     /// Two regions don't hear each other until then; the majority is in region 0.
-    pub cut_until: f64,
-    pub cut_since: f64,
+    pub partitioned_until: f64,
+    pub partitioned_since: f64,
     pub last_epoch: Epoch,
     pub next_lease_at: Option<f64>,
     pub in_transit: Vec<InTransit>,
@@ -166,7 +166,7 @@
 pub fn local_check(content: &Content) -> Result<(), ValidationError> {
     let key = Key::tenant("poison");
     match content.get(&key) {
-        Some(POISON) => Err(ValidationError::at(&key, "poison")),
+        Some(REJECTED_QUOTA) => Err(ValidationError::at(&key, "poison")),
         _ => Ok(()),
     }
 }
@@ -174,18 +174,18 @@
 impl World {
     pub fn new(seed: u64, bug: Bug) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let seal = if seed.is_multiple_of(4) { Seal::default() } else { Seal::keyed([7; 32]) };
+        let digester = if seed.is_multiple_of(4) { Digester::default() } else { Digester::keyed([7; 32]) };
         let versions = if seed.is_multiple_of(3) { 6 } else { 4096 };
         let limits = RetentionLimits { versions, bytes: 1 << 20 };
-        let committed = History::new(seal.clone(), limits);
+        let committed = History::new(digester.clone(), limits);
         let server_count = rng.random_range(5..=40);
         let distributor_count = rng.random_range(1..=3);
         let start = KnownVersion { digest: committed.head().digest, content: Content::default() };
         let mut world = World {
             bug,
             now: 0.0,
-            calm_from: CALM_FROM,
-            longest_cut: 16.0,
+            faults_end: FAULTS_END,
+            max_partition_time: 16.0,
             servers: Vec::new(),
             distributors: Vec::new(),
             holders: Vec::new(),
@@ -193,8 +193,8 @@
             replicas: vec![committed.clone(); 3],
             pending: Vec::new(),
             leaderless_until: 0.0,
-            cut_until: 0.0,
-            cut_since: 0.0,
+            partitioned_until: 0.0,
+            partitioned_since: 0.0,
             last_epoch: 0,
             next_lease_at: Some(0.0),
             in_transit: Vec::new(),
@@ -208,7 +208,7 @@
             max_keys: if rng.random_bool(0.3) { rng.random_range(40..100) } else { 3 },
             counts: Counts::default(),
             converged_after: 0.0,
-            seal,
+            digester,
             limits,
             committed,
             rng,
@@ -229,7 +229,7 @@
         let (region, zone) = (at % 2, format!("z{}", at % 6));
         let name = format!("n{at:02}");
         let (follower, _) =
-            Follower::start(HolderId::new(&name, 1), &zone, self.seal.clone(), None, &local_check);
+            Follower::start(HolderId::new(&name, 1), &zone, self.digester.clone(), None, &local_check);
         SimulatedServer {
             name,
             zone,
@@ -244,8 +244,8 @@
             disk_full_until: 0.0,
             down_until: 0.0,
             paused_until: 0.0,
-            mute_until: 0.0,
-            deaf_until: 0.0,
+            outbound_lost_until: 0.0,
+            inbound_lost_until: 0.0,
             connected_to: None,
             last_heard: 0.0,
             crashes_at: None,
@@ -265,7 +265,7 @@
         SimulatedDistributor {
             region,
             distributor: Distributor::new(settings, self.rng.random(), self.now),
-            replica: History::new(self.seal.clone(), self.limits),
+            replica: History::new(self.digester.clone(), self.limits),
             fresh_at: f64::MIN,
             down_until: 0.0,
             next_update: 0.0,
@@ -273,11 +273,11 @@
     }
 
     /// Plays the schedule to its end, or until an invariant does not hold.
-    pub fn run(&mut self) -> Checked {
-        while self.now < self.calm_from + CONVERGENCE_LIMIT {
+    pub fn run(&mut self) -> InvariantResult {
+        while self.now < self.faults_end + CONVERGENCE_LIMIT {
             self.now += STEP;
-            if self.now < self.calm_from {
-                self.inject_fault()?;
+            if self.now < self.faults_end {
+                self.inject_random_fault()?;
                 self.put_changes()?;
             }
             self.deliver()?;
@@ -287,8 +287,11 @@
             for at in 0..self.servers.len() {
                 self.run_server(at)?;
             }
-            if self.now >= self.calm_from && self.converged_after == 0.0 && self.difference().is_none() {
-                self.converged_after = self.now - self.calm_from;
+            if self.now >= self.faults_end
+                && self.converged_after == 0.0
+                && self.convergence_error().is_none()
+            {
+                self.converged_after = self.now - self.faults_end;
             }
         }
         self.check_end()?;
@@ -297,8 +300,8 @@
         Ok(())
     }
 
-    fn check_end(&self) -> Checked {
-        if let Some(difference) = self.difference() {
+    fn check_end(&self) -> InvariantResult {
+        if let Some(difference) = self.convergence_error() {
             return Err(format!("{CONVERGENCE_LIMIT} s after healing: {difference}"));
         }
         for version in &self.accepted {
@@ -315,7 +318,7 @@
     }
 
     /// What keeps the fleet from having the last version everywhere.
-    fn difference(&self) -> Option<String> {
+    fn convergence_error(&self) -> Option<String> {
         let head = self.committed.head();
         let state = self.committed.state();
         if state.released != head.number {
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -6,15 +6,15 @@
 use puffinladder_config_rollout::messages::{
     encode_change, encode_content, Acknowledgement, Chunk, DistributorMessage, TransferId,
 };
-use puffinladder_config_rollout::{Change, Content, Field, Key, Seal, VersionId};
+use puffinladder_config_rollout::{Change, Content, Digester, Field, Key, VersionId};
 use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
 const TENANTS: u32 = 15_000;
 const ROUTES: u32 = 2_300;
-const A_DAY: u32 = 1_900;
+const CHANGES_PER_DAY: u32 = 1_900;
 
-fn plan() -> Content {
+fn full_content() -> Content {
     let mut content = Content::default();
     let mut change = Change::default();
     for at in 0..TENANTS {
@@ -28,7 +28,7 @@
             change = change.set(Key::route(&name, field), 0.5);
         }
     }
-    content = content.after(&change).expect("fit");
+    content = content.with_change(&change).expect("fit");
     content
 }
 
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn a_change_is_small_wherever_it_goes_and_a_whole_content_is_not() {
-    let seal = Seal::default();
-    let content = plan();
-    let head = seal.version_id(1_234_567, &content);
+fn messages_and_bodies_stay_within_size_limits() {
+    let digester = Digester::default();
+    let content = full_content();
+    let head = digester.version_id(1_234_567, &content);
     let one = Change::default().set(Key::tenant("tenant-00042"), 120.0);
     let small = line(Some(head), VersionId { number: head.number + 1, ..head }, encode_change(&one));
-    let target = DistributorMessage::target(&seal, "server-0042", head, 0.125, 123_456).line_bytes();
+    let target = DistributorMessage::target(&digester, "server-0042", head, 0.125, 123_456).line_bytes();
     let ack = Acknowledgement {
         server: HolderId::new("server-0042", 17),
         zone: "zone-3".into(),
@@ -65,8 +65,8 @@
     );
 
     // A day of changes, each of one tenant's quota, as one body for a server that was away.
-    let mut history = History::new(seal, RetentionLimits::default());
-    for at in 0..A_DAY {
+    let mut history = History::new(digester, RetentionLimits::default());
+    for at in 0..CHANGES_PER_DAY {
         let change =
             Change::default().set(Key::tenant(&format!("tenant-{:05}", at * 7 % TENANTS)), f64::from(at));
         let put =
@@ -83,7 +83,7 @@
                 .expect("released");
         }
     }
-    let day = encode_change(&history.combined_change(0, u64::from(A_DAY)).expect("kept")).len();
+    let day = encode_change(&history.combined_change(0, u64::from(CHANGES_PER_DAY)).expect("kept")).len();
     let rate = DistributorSettings::default().rate;
     let takes = |body: usize| body as f64 * 4.0 / 3.0 * 1.1 / rate;
     println!(
@@ -95,7 +95,7 @@
     assert!(small < 400 && target < 170 && ack < 400, "{small} {target} {ack}");
     assert!(whole < 800_000 && day < 60_000, "{whole} {day}");
     // What it costs a server that has everything: well under its 12,000 B a second, changes included.
-    let steady = ack + target + A_DAY as usize * (small + 4 * ack) / 86_400;
+    let steady = ack + target + CHANGES_PER_DAY as usize * (small + 4 * ack) / 86_400;
     println!("a server in calm: {steady} B a second");
     assert!(steady < 600, "{steady}");
 }
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -9,7 +9,7 @@
     encode_change, encode_content, Chunk, DistributorMessage, TransferId,
 };
 use puffinladder_config_rollout::validation::BoundsValidator;
-use puffinladder_config_rollout::{Change, Content, Key, Seal, VersionId};
+use puffinladder_config_rollout::{Change, Content, Digester, Key, VersionId};
 use puffinladder_leases::HolderId;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -76,22 +76,22 @@
     Restart,
 }
 
-struct Small(Bug);
+struct RolloutModel(Bug);
 
 fn start(incarnation: u64, disk: Option<&[u8]>) -> Follower {
-    Follower::start(HolderId::new("n", incarnation), "", Seal::default(), disk, &BoundsValidator).0
+    Follower::start(HolderId::new("n", incarnation), "", Digester::default(), disk, &BoundsValidator).0
 }
 
 fn apply(state: &mut State, command: Command) -> Result<Outcome, Rejection> {
     state.history.apply(&LogEntry { at: 0.0, command })
 }
 
-impl Model for Small {
+impl Model for RolloutModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let history = History::new(Seal::default(), RetentionLimits::default());
+        let history = History::new(Digester::default(), RetentionLimits::default());
         let (follower, head) = (start(1, None), history.head());
         vec![State {
             history,
@@ -202,8 +202,8 @@
                 let message = state.in_transit[at].clone();
                 state.follower.receive(&message, &BoundsValidator);
                 if self.0 == Bug::Downgrade {
-                    if let DistributorMessage::Chunk(piece) = &message {
-                        state.active = piece.transfer.target;
+                    if let DistributorMessage::Chunk(chunk) = &message {
+                        state.active = chunk.transfer.target;
                         state.out_of_order |= state.active.number < state.highest;
                     }
                 }
@@ -266,17 +266,18 @@
 }
 
 #[test]
-fn in_every_order_versions_go_forward_and_nothing_accepted_is_lost() {
-    let checker = Small(Bug::None).checker().target_max_depth(11).spawn_bfs().join();
+fn versions_stay_ordered_and_durable_in_every_interleaving() {
+    let checker = RolloutModel(Bug::None).checker().target_max_depth(11).spawn_bfs().join();
     println!("{} states, {} deep", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
-fn planted_bugs_have_a_shortest_way_to_harm() {
+fn model_checker_detects_each_planted_bug() {
     for bug in [Bug::NoCompare, Bug::Downgrade, Bug::EarlyAck] {
-        let harmed = HasDiscoveries::AnyFailures;
-        let checker = Small(bug).checker().target_max_depth(11).finish_when(harmed).spawn_bfs().join();
+        let until_failure = HasDiscoveries::AnyFailures;
+        let checker =
+            RolloutModel(bug).checker().target_max_depth(11).finish_when(until_failure).spawn_bfs().join();
         let harm = ["in order", "active is what the history has", "accepted stays"];
         let path = harm.iter().find_map(|harm| checker.discovery(harm));
         let path = path.unwrap_or_else(|| panic!("{bug:?} does no harm"));
