--- a/crates/config-rollout/src/base64_bytes.rs
+++ b/crates/config-rollout/src/base64_bytes.rs
@@ -1,4 +1,4 @@
-//! Serde form of byte strings: base64 in formats that people read, plain bytes in others.
+//! Serde encoding of byte strings: base64 in human-readable formats, raw bytes in binary formats.
 
 use base64::prelude::{Engine, BASE64_STANDARD_NO_PAD};
 use serde::de::Error;
--- a/crates/config-rollout/src/change.rs
+++ b/crates/config-rollout/src/change.rs
@@ -1,16 +1,16 @@
-//! What a version changes: keys that get new values, and keys that are removed.
+//! The settings that a version sets or removes.
 
 use crate::key::Key;
 use crate::setting::{check_setting, counted_bytes, ValidationError, Value};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Keys of one change, at the most.
+/// Maximum number of keys in one change.
 pub const MAX_CHANGE_KEYS: usize = 4096;
-/// Bytes of one change, at the most, as [`Change::bytes`] counts them.
+/// Maximum size of one change in bytes, as counted by [`Change::bytes`].
 pub const MAX_CHANGE_BYTES: usize = 256 << 10;
 
-/// Keys with their new values; none removes the key, so that the base settings hold again. Being a map, it has no key twice.
+/// A map from keys to their new values. A `None` value removes the key, which restores the value of the base settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Change {
@@ -18,62 +18,62 @@
 }
 
 impl Change {
-    /// This change, with a value for a key as well.
+    /// Returns the change with `key` set to `value`, in the unit of its field.
     pub fn set(mut self, key: Key, value: f64) -> Change {
         self.settings.insert(key, Some(Value(value)));
         self
     }
 
-    /// This change, with the removal of a key as well.
+    /// Returns the change with `key` removed.
     pub fn remove(mut self, key: Key) -> Change {
         self.settings.insert(key, None);
         self
     }
 
-    /// Sets a key, or removes it where the value is none. Returns whether the change had the key already.
+    /// Sets a key, or removes it if `value` is `None`. Returns whether the change already contained the key.
     pub fn insert(&mut self, key: Key, value: Option<Value>) -> bool {
         self.settings.insert(key, value).is_some()
     }
 
-    /// Whether the change has the key, set or removed.
+    /// Returns whether the change sets or removes the key.
     pub fn contains(&self, key: &Key) -> bool {
         self.settings.contains_key(key)
     }
 
-    /// The keys in their order, each with its new value; none where it is removed.
+    /// Iterates over the keys in order, each with its new value, or `None` if the change removes it.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, Option<Value>)> {
         self.settings.iter().map(|(key, value)| (key, *value))
     }
 
-    /// Whether it has no key at all.
+    /// Returns whether the change sets and removes no key.
     pub fn is_empty(&self) -> bool {
         self.settings.is_empty()
     }
 
-    /// Keys that it sets or removes.
+    /// Returns the number of keys that are set or removed.
     pub fn len(&self) -> usize {
         self.settings.len()
     }
 
-    /// Bytes that it counts for in the bounds; it takes fewer when it is sent.
+    /// Returns the size that counts towards the limits, in bytes. The encoded size is smaller.
     pub fn bytes(&self) -> usize {
-        /// A set or a removed key.
         const TAG_BYTES: usize = 1;
         self.settings.keys().map(|key| counted_bytes(key) + TAG_BYTES).sum()
     }
 
-    /// Adds a later change, so that this one does what both do one after the other.
+    /// Merges a later change into this one, so that applying the result equals applying both in sequence.
     pub fn append(&mut self, later: &Change) {
         for (key, value) in &later.settings {
             self.settings.insert(key.clone(), *value);
         }
     }
 
-    /// Whether it is valid by itself, whatever content it is applied to.
+    /// Checks the size, keys and values, independently of the content to which the change is applied.
     pub fn check(&self) -> Result<(), ValidationError> {
         if self.len() > MAX_CHANGE_KEYS || self.bytes() > MAX_CHANGE_BYTES {
             return Err(ValidationError::whole(format!(
-                "a change has {MAX_CHANGE_KEYS} keys and {MAX_CHANGE_BYTES} bytes at the most, this one {} and {}",
+                "change too large: got {} keys and {} bytes, expected at most {MAX_CHANGE_KEYS} keys and \
+                 {MAX_CHANGE_BYTES} bytes",
                 self.len(),
                 self.bytes()
             )));
@@ -81,7 +81,7 @@
         self.check_settings()
     }
 
-    /// Whether each key and each value is valid, whatever the size.
+    /// Checks each key and value, but not the size.
     pub(crate) fn check_settings(&self) -> Result<(), ValidationError> {
         self.settings.iter().try_for_each(|(key, value)| check_setting(key, *value))
     }
--- a/crates/config-rollout/src/content.rs
+++ b/crates/config-rollout/src/content.rs
@@ -1,5 +1,5 @@
-//! The configuration of one version: a bounded, sorted map of settings that overlays the base settings of each server. What it does not
-//! name stays as the base settings have it, and the empty content is the base settings alone.
+//! The configuration of one version: a bounded, sorted map of settings that overlays the base settings of each server. Settings that are
+//! absent keep their base value, so the empty content is equivalent to the unmodified base settings.
 
 use crate::change::Change;
 use crate::key::Key;
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Keys of a content, at the most.
+/// Maximum number of keys in a content.
 pub const MAX_KEYS: usize = 100_000;
-/// Bytes of a content, at the most, as [`Content::bytes`] counts them. 15,000 tenants and 2,300 routes of four fields take 1 MB.
+/// Maximum size of a content in bytes, as counted by [`Content::bytes`].
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// The settings of one version, as a whole.
+/// All settings of one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Content {
     #[serde(rename = "map")]
@@ -20,32 +20,36 @@
 }
 
 impl Content {
-    /// The value of a setting, in the unit of its field.
+    /// Returns the value of a setting in the unit of its field, or `None` if the content does not set it.
     pub fn get(&self, key: &Key) -> Option<f64> {
         self.settings.get(key).map(|value| value.0)
     }
 
-    /// All settings in the order of their keys.
+    /// Iterates over all settings in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, f64)> {
         self.settings.iter().map(|(key, value)| (key, value.0))
     }
 
-    /// The number of settings.
+    /// Returns the number of settings.
     pub fn len(&self) -> usize {
         self.settings.len()
     }
 
-    /// Whether this is the content of the base settings alone.
+    /// Returns whether the content overrides no base setting.
     pub fn is_empty(&self) -> bool {
         self.settings.is_empty()
     }
 
-    /// Bytes that it counts for in the bounds; it takes fewer when it is sent.
+    /// Returns the size that counts towards the limits, in bytes. The encoded size is smaller.
     pub fn bytes(&self) -> usize {
         self.settings.keys().map(counted_bytes).sum()
     }
 
-    /// The content with a change applied. An error where the result would be too large or a setting of the change is not valid.
+    /// Returns the content with a change applied.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the result is too large or a setting of the change is invalid.
     pub fn with_change(&self, change: &Change) -> Result<Content, ValidationError> {
         let mut content = self.clone();
         for (key, value) in change.iter() {
@@ -63,19 +67,20 @@
         let (keys, bytes) = (self.len(), self.bytes());
         if keys > MAX_KEYS || bytes > MAX_BYTES {
             return Err(ValidationError::whole(format!(
-                "a content has {MAX_KEYS} keys and {MAX_BYTES} bytes at the most, this one {keys} and {bytes}"
+                "content too large: got {keys} keys and {bytes} bytes, expected at most {MAX_KEYS} keys and \
+                 {MAX_BYTES} bytes"
             )));
         }
         Ok(())
     }
 
-    /// Whether its size and all its settings are valid; for contents from outside.
+    /// Checks the size and all settings of a content that was received or read from a file.
     pub fn check(&self) -> Result<(), ValidationError> {
         self.check_size()?;
         self.settings.iter().try_for_each(|(key, value)| check_setting(key, Some(*value)))
     }
 
-    /// The change that makes `other` of this content.
+    /// Returns the change that turns this content into `other`.
     pub fn diff(&self, other: &Content) -> Change {
         let mut change = Change::default();
         for (key, value) in &other.settings {
@@ -89,8 +94,8 @@
         change
     }
 
-    /// Appends the form over which digests are computed: the settings in the order of their keys, each length written out. It must
-    /// never change, or no stored digest would hold any more.
+    /// Appends the canonical encoding over which digests are computed: the settings in key order, with explicit lengths. Changing this
+    /// encoding would invalidate every stored digest.
     pub fn canonical(&self, out: &mut Vec<u8>) {
         out.extend((self.settings.len() as u64).to_le_bytes());
         for (key, value) in &self.settings {
--- a/crates/config-rollout/src/content/tests.rs
+++ b/crates/config-rollout/src/content/tests.rs
@@ -19,19 +19,28 @@
 fn rejects_invalid_settings_with_their_key() {
     let long = "x".repeat(MAX_NAME_BYTES + 1);
     let cases = [
-        (change_of(Key::tenant(""), 1.0), "a name should have"),
-        (change_of(Key::tenant(&long), 1.0), "a name should have"),
-        (change_of(Key::tenant("a\nb"), 1.0), "a name should have"),
-        (change_of(Key::new(Section::Tenant, "a", Field::LatencyObjective), 1.0), "a tenant has no promise"),
-        (change_of(Key::new(Section::Limit, "mine", Field::Servers), 1.0), "limits stand under"),
-        (change_of(Key::tenant("a"), -1.0), "should be from 0 to"),
-        (change_of(Key::tenant("a"), -0.0), "should be from 0 to"),
-        (change_of(Key::tenant("a"), f64::INFINITY), "should be from 0 to"),
-        (change_of(Key::route("a", Field::LatencyObjective), 0.0), "should be from 0.001 to"),
+        (change_of(Key::tenant(""), 1.0), "name: got 0 bytes, expected 1 to 128"),
+        (change_of(Key::tenant(&long), 1.0), "name: got 129 bytes, expected 1 to 128"),
+        (change_of(Key::tenant("a\nb"), 1.0), "name: got control character '\\n', expected none"),
+        (
+            change_of(Key::new(Section::Tenant, "a", Field::LatencyObjective), 1.0),
+            "field promise belongs to section route, got section tenant",
+        ),
+        (
+            change_of(Key::new(Section::Limit, "mine", Field::Servers), 1.0),
+            "name of a limit: got \"mine\", expected \"fleet\"",
+        ),
+        (change_of(Key::tenant("a"), -1.0), "got -1, expected a value from 0 to 1000000000"),
+        (change_of(Key::tenant("a"), -0.0), "got -0, expected a value from 0 to 1000000000"),
+        (change_of(Key::tenant("a"), f64::INFINITY), "got inf, expected a value from 0 to 1000000000"),
+        (
+            change_of(Key::route("a", Field::LatencyObjective), 0.0),
+            "got 0, expected a value from 0.001 to 3600000",
+        ),
     ];
-    for (change, what) in cases {
+    for (change, expected) in cases {
         let error = change.check().unwrap_err();
-        assert!(error.reason.starts_with(what) && error.key.is_some(), "{error}");
+        assert!(error.reason.starts_with(expected) && error.key.is_some(), "{error}");
         assert!(Content::default().with_change(&change).is_err(), "{error}");
     }
 }
@@ -63,10 +72,10 @@
 #[test]
 fn appended_changes_equal_their_sequential_application() {
     let (first, second) = (change_of(Key::tenant("a"), 1.0), Change::default().remove(Key::tenant("a")));
-    let (third, mut all) = (change_of(Key::tenant("b"), 2.0), first.clone());
-    all.append(&second);
-    all.append(&third);
+    let (third, mut combined) = (change_of(Key::tenant("b"), 2.0), first.clone());
+    combined.append(&second);
+    combined.append(&third);
     let base = Content::default();
     let step = base.with_change(&first).unwrap().with_change(&second).unwrap().with_change(&third).unwrap();
-    assert_eq!(base.with_change(&all).unwrap(), step);
+    assert_eq!(base.with_change(&combined).unwrap(), step);
 }
--- a/crates/config-rollout/src/digest.rs
+++ b/crates/config-rollout/src/digest.rs
@@ -1,42 +1,42 @@
-//! Digests over whole contents, and tags over messages to a server.
+//! Digests of contents, and authentication tags of target messages.
 //!
-//! A digest covers the number under which the content stands, so that an old content can't be passed off under a new number. With a
-//! secret key of the fleet digests are message authentication codes as well: whoever lacks the key can't make up a version.
+//! A digest covers the version number and the whole content, so an old content cannot be replayed under a new number. With a secret key
+//! of the fleet, digests and tags are message authentication codes: without the key nobody can forge a version.
 
 use crate::base64_bytes;
 use crate::content::Content;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Prefix of what is hashed for a digest, so that it equals no hash made for another purpose.
+/// Domain separation prefix of content digests.
 const DIGEST_DOMAIN: &[u8] = b"puffinladder config 1\0";
-/// The same for the tag of a target message.
+/// Domain separation prefix of target message tags.
 const TAG_DOMAIN: &[u8] = b"puffinladder config target 1\0";
-/// Bytes of a digest that its text shows.
+/// Leading bytes of a digest that are displayed.
 const DISPLAYED_BYTES: usize = 6;
 const DIGEST_BYTES: usize = 32;
 
-/// A BLAKE3 hash, keyed or not. Written as base64 in JSON.
+/// A plain or keyed BLAKE3 hash. Encoded as base64 in JSON.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest(pub [u8; DIGEST_BYTES]);
 
-/// Identifies a version: its number and the digest of the whole content after it.
+/// Identifier of a version: its number and the digest of its content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VersionId {
-    /// Rises by one with each version; 0 is the empty content, that is the base settings alone.
+    /// Sequence number. Version 0 has the empty content, which leaves the base settings unmodified.
     pub number: u64,
-    /// Over the number and the whole content.
+    /// Digest of the number and the whole content.
     pub digest: Digest,
 }
 
-/// Computes digests and tags; the same at lease-store replicas, distributors and servers.
+/// Computes digests and tags. Lease-store replicas, distributors and servers must all use the same key.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Digester {
     key: Option<[u8; 32]>,
 }
 
 impl Digester {
-    /// Digests under a secret of the fleet. The default has no key: it finds faults, but does not keep anybody out.
+    /// Creates a digester with a secret key of the fleet. The default digester has no key: it detects corruption, but not forgery.
     pub fn keyed(key: [u8; 32]) -> Digester {
         Digester { key: Some(key) }
     }
@@ -45,7 +45,7 @@
         self.key.as_ref().map_or_else(blake3::Hasher::new, blake3::Hasher::new_keyed)
     }
 
-    /// The digest of a content under a version's number.
+    /// Returns the digest of a version's number and content.
     pub fn digest(&self, number: u64, content: &Content) -> Digest {
         let mut canonical = Vec::new();
         content.canonical(&mut canonical);
@@ -56,8 +56,8 @@
         Digest(*hasher.finalize().as_bytes())
     }
 
-    /// The tag of a distributor's message that tells one server its target version and how old, in s, this knowledge is.
-    /// `acknowledged` is the sequence number of the acknowledgement that the message answers.
+    /// Returns the tag of a target message to one server. `age` is the age of the distributor's replica of the history in seconds,
+    /// `acknowledged` the sequence number of the acknowledgement that the message answers.
     pub fn tag(&self, server: &str, target: VersionId, age: f64, acknowledged: u64) -> u64 {
         let mut hasher = self.hasher();
         hasher.update(TAG_DOMAIN);
@@ -71,14 +71,14 @@
         u64::from_le_bytes([b0, b1, b2, b3, b4, b5, b6, b7])
     }
 
-    /// The id of a version with that number and content.
+    /// Returns the identifier of a version with that number and content.
     pub fn version_id(&self, number: u64, content: &Content) -> VersionId {
         VersionId { number, digest: self.digest(number, content) }
     }
 }
 
 impl fmt::Debug for Digester {
-    /// Without the key, which must not appear in logs.
+    /// Omits the key, which must not appear in logs.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(if self.key.is_some() { "Digester(keyed)" } else { "Digester(plain)" })
     }
@@ -111,7 +111,8 @@
 impl<'de> Deserialize<'de> for Digest {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Digest, D::Error> {
         let bytes = base64_bytes::deserialize(deserializer)?;
-        let length_error = |bytes: Vec<u8>| serde::de::Error::invalid_length(bytes.len(), &"32 bytes");
+        let length_error =
+            |bytes: Vec<u8>| serde::de::Error::invalid_length(bytes.len(), &"a digest of 32 bytes");
         bytes.try_into().map(Digest).map_err(length_error)
     }
 }
--- a/crates/config-rollout/src/digest/tests.rs
+++ b/crates/config-rollout/src/digest/tests.rs
@@ -8,11 +8,19 @@
 
 #[test]
 fn digest_depends_on_the_number_and_the_secret_key() {
-    let (plain, ours, theirs) = (Digester::default(), Digester::keyed([1; 32]), Digester::keyed([2; 32]));
+    let (plain, keyed, other_key) = (Digester::default(), Digester::keyed([1; 32]), Digester::keyed([2; 32]));
     assert_eq!(plain.digest(4, &content()), plain.digest(4, &content()));
-    assert_ne!(plain.digest(4, &content()), plain.digest(5, &content()), "an old content as a new version");
-    assert_ne!(ours.digest(4, &content()), theirs.digest(4, &content()), "a version that somebody made up");
-    assert_ne!(ours.digest(4, &content()), plain.digest(4, &content()));
+    assert_ne!(
+        plain.digest(4, &content()),
+        plain.digest(5, &content()),
+        "old content replayed as a new version"
+    );
+    assert_ne!(
+        keyed.digest(4, &content()),
+        other_key.digest(4, &content()),
+        "version forged with another key"
+    );
+    assert_ne!(keyed.digest(4, &content()), plain.digest(4, &content()));
 }
 
 #[test]
--- a/crates/config-rollout/src/distributor.rs
+++ b/crates/config-rollout/src/distributor.rs
@@ -1,12 +1,12 @@
-//! A distributor brings servers what they lack. It decides nothing: what a server should have stands in the replicated history, so that any
-//! number of distributors may work at once, each on a replica of its own.
+//! Distributor of versions to servers. It makes no decisions: the replicated history determines the target of each server, so any number
+//! of distributors can run concurrently, each with its own replica.
 //!
-//! A server gets a change to what it has, or the whole content if that is shorter. Its bytes come out of its own token bucket, which
-//! begins empty, so that a server that reconnects to another distributor gains nothing. A body of more than one chunk needs one of a
-//! limited number of slots. Servers get slots in an order drawn by seed, then first come first served, so that a mass restart is spread
-//! out and none starves.
+//! A server is sent a change to its version, or the whole content if that is shorter. Each server has a token bucket, which starts empty
+//! so that reconnecting to another distributor does not raise the server's byte rate. A body of more than one chunk requires one of a
+//! limited number of catch-up slots. Slots are assigned first come, first served, with simultaneous arrivals in a seeded random order,
+//! which spreads out a mass restart without starvation.
 //!
-//! Times are s by the distributor's own monotonic clock.
+//! Times are seconds of the distributor's monotonic clock.
 
 mod body_cache;
 mod server;
@@ -24,25 +24,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use token_bucket::TokenBucket;
 
-/// Retry timeouts without progress after which a slot goes to the next in line.
+/// Number of retry timeouts without progress after which a transfer loses its slot.
 const STALL_RETRIES: f64 = 8.0;
 
-/// Events counted since the start, for metrics.
+/// Event counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DistributorCounters {
     /// Bytes sent.
     pub bytes: u64,
     /// Lines sent.
     pub lines: u64,
-    /// Transfers of a change that began.
+    /// Started transfers of a change.
     pub changes: u64,
-    /// Transfers of a whole content that began.
+    /// Started transfers of a whole content.
     pub whole_contents: u64,
-    /// Transfers that went back to where the server was, after a chunk was lost.
+    /// Rewinds of a transfer to the acknowledged offset after a lost chunk.
     pub retries: u64,
-    /// Acknowledgements of servers for which there was no room.
+    /// Acknowledgements rejected because of the server limit.
     pub servers_rejected: u64,
-    /// Rounds in which the replica of the history was behind an earlier one.
+    /// Polls with a replica of the history older than one that was used before.
     pub stale_replicas: u64,
 }
 
@@ -53,51 +53,52 @@
     }
 }
 
-/// A message and the server it is for.
+/// A message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The name of the server.
+    /// The name of the receiving server.
     pub server: String,
-    /// To be sent as a line.
+    /// The message, to be sent as one line.
     pub message: DistributorMessage,
 }
 
-/// One round over all servers, by one replica of the history.
+/// The state of one round over all servers.
 struct Round<'a> {
     now: f64,
     history: &'a History,
-    /// How old the replica is, s.
+    /// Age of the replica, s.
     age: f64,
-    /// To be sent in this round.
+    /// Messages to send in this round.
     messages: Vec<OutgoingMessage>,
 }
 
-/// How far a replica of the history has come.
+/// Position of a replica of the history in the log.
 #[derive(Clone, Copy, Default)]
 struct ReplicaPosition {
     epoch: Epoch,
     applied: u64,
 }
 
-/// What one distributor knows of its servers, and what it is sending them.
+/// The state of a distributor: its servers and the transfers to them.
 pub struct Distributor {
     settings: DistributorSettings,
     servers: BTreeMap<String, Server>,
-    /// Servers that wait for a transfer to begin, first come first served.
+    /// Servers waiting for a transfer, in order of arrival.
     queue: VecDeque<String>,
     used_slots: usize,
     bodies: BodyCache,
     bucket: TokenBucket,
-    /// The first server for which the last round had no bytes left: the next one begins there.
+    /// The first server for which the total bucket ran out in the last round; the next round starts with it.
     next_server: String,
-    /// The latest position of the history that it worked by.
+    /// The latest position of a replica that was used.
     seen: ReplicaPosition,
     seed: u64,
     counters: DistributorCounters,
 }
 
 impl Distributor {
-    /// A distributor without servers. The settings should have passed [`DistributorSettings::check`].
+    /// Creates a distributor without servers. The settings must have passed [`DistributorSettings::check`]; `seed` determines the order
+    /// of simultaneous arrivals in the queue.
     pub fn new(settings: DistributorSettings, seed: u64, now: f64) -> Distributor {
         Distributor {
             bucket: TokenBucket::new(settings.total_burst, now),
@@ -113,32 +114,32 @@
         }
     }
 
-    /// Events since the start.
+    /// Returns the event counters since the start.
     pub fn counters(&self) -> &DistributorCounters {
         &self.counters
     }
 
-    /// Servers that it knows.
+    /// Returns the number of known servers.
     pub fn servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Servers to which a body of more than one chunk is being sent.
+    /// Returns the number of catch-up slots in use.
     pub fn catching_up(&self) -> usize {
         self.used_slots
     }
 
-    /// Bytes of the bodies that it caches.
+    /// Returns the size of the cached bodies in bytes.
     pub fn cached_bytes(&self) -> usize {
         self.bodies.bytes()
     }
 
-    /// Whether a transfer to a server is under way.
+    /// Returns whether a transfer to the server is in progress.
     pub fn is_sending_to(&self, server: &str) -> bool {
         self.servers.get(server).is_some_and(|server| server.transfer.is_some())
     }
 
-    /// Takes an acknowledgement of a server in. False where there is no room for one more server.
+    /// Processes an acknowledgement. Returns `false` if the server is new and the server limit is reached.
     pub fn receive(&mut self, now: f64, ack: &Acknowledgement) -> bool {
         let name = &ack.server.instance;
         if !self.servers.contains_key(name) && self.servers.len() >= self.settings.max_servers {
@@ -156,7 +157,7 @@
         true
     }
 
-    /// The connection to a server has ended: what was being sent there is dropped.
+    /// Ends the transfer to a server whose connection was closed, and removes the server.
     pub fn disconnected(&mut self, server: &str) {
         self.end_transfer(server);
         self.servers.remove(server);
@@ -170,8 +171,8 @@
         }
     }
 
-    /// The messages to send now. `age` is how old this replica of the history is, in s. Nothing is sent by a replica that is behind one
-    /// that was used before.
+    /// Returns the messages to send at `now`. `age` is the age of the replica `history`, in seconds. Returns no messages if the replica is
+    /// older than one that was used before.
     pub fn poll(&mut self, now: f64, history: &History, age: f64) -> Vec<OutgoingMessage> {
         let position = ReplicaPosition { epoch: history.epoch(), applied: history.applied() };
         if position.epoch < self.seen.epoch || position.applied < self.seen.applied {
@@ -189,14 +190,14 @@
         round.messages
     }
 
-    /// All servers, from the one on that the last round had no bytes left for.
+    /// Returns all servers in cyclic order, starting with the one for which the last round had no bytes left.
     fn round_order(&mut self) -> Vec<String> {
         let first = std::mem::take(&mut self.next_server);
         let from_first = self.servers.range(first.clone()..);
         from_first.chain(self.servers.range(..first)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Ends the transfers to servers that are silent or make no progress, and forgets servers that were silent for long.
+    /// Ends the transfers to silent and stalled servers, and removes servers after the forget timeout.
     fn expire(&mut self, now: f64) {
         let settings = self.settings.clone();
         for name in self.names_of(|server| now - server.last_heard > settings.silence_timeout) {
@@ -221,14 +222,14 @@
         self.servers.iter().filter(|(_, server)| matches(server)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// The version that a server should be brought to, if it lacks it.
+    /// Returns the target version of a server if the server lacks it and has not rejected it.
     fn missing_target(&self, history: &History, name: &str, server: &Server) -> Option<VersionId> {
         let target = history.version_id(history.state().target(name))?;
         let lacks = server.staged.number < target.number && server.rejected != Some(target);
         lacks.then_some(target)
     }
 
-    /// Queues the servers that lack something; those that come together in an order drawn by seed.
+    /// Queues the servers that lack their target, in a seeded random order.
     fn enqueue_lagging(&mut self, history: &History) {
         let lagging = |(name, server): (&String, &Server)| {
             let idle = server.transfer.is_none() && !server.queued;
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Begins a transfer to a queued server. One of a single chunk needs no slot.
+    /// Starts a transfer to a queued server. A body of a single chunk needs no slot.
     fn begin_transfer(&mut self, now: f64, history: &History, name: &str) {
         let Some(server) = self.servers.get(name).filter(|server| server.queued) else { return };
         if now - server.last_heard > self.settings.silence_timeout {
@@ -276,14 +277,14 @@
         self.counters.whole_contents += u64::from(id.base.is_none());
     }
 
-    /// Whether the free slots reach to this server in the queue.
+    /// Returns whether the number of free slots exceeds the queue position of the server.
     fn is_next_for_slot(&self, name: &str) -> bool {
         let free = self.settings.catch_up_slots.saturating_sub(self.used_slots);
         let is_queued = |name: &&String| self.servers.get(*name).is_some_and(|server| server.queued);
         self.queue.iter().filter(is_queued).take(free).any(|queued| queued == name)
     }
 
-    /// One server's turn in a round: chunks of its transfer, or its target where there is none.
+    /// Serves one server in a round: sends chunks of its transfer, or a target message if there is none.
     fn serve(&mut self, round: &mut Round, name: &str) {
         let (now, history) = (round.now, round.history);
         let DistributorSettings { rate, burst, silence_timeout, .. } = self.settings;
@@ -295,7 +296,7 @@
         let is_obsolete =
             server.transfer.as_ref().is_some_and(|transfer| transfer.is_obsolete(history, name));
         if is_obsolete {
-            self.end_transfer(name); // and is queued again from the next round on
+            self.end_transfer(name); // The next round queues the server again.
         }
         let Some(server) = self.servers.get(name) else { return };
         if server.queued && server.transfer.is_none() {
--- a/crates/config-rollout/src/distributor/body_cache.rs
+++ b/crates/config-rollout/src/distributor/body_cache.rs
@@ -1,4 +1,4 @@
-//! Encoded bodies. Many servers need the same one at once, so it is worked out once.
+//! Cache of encoded bodies, since many servers need the same body at the same time.
 
 use crate::digest::VersionId;
 use crate::history::History;
@@ -6,12 +6,12 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Bodies that are cached, the latest.
+/// Maximum number of cached bodies.
 const MAX_BODIES: usize = 64;
-/// Bytes of them; a single body may have more.
+/// Maximum size of the cached bodies in bytes. A single larger body is still cached.
 const MAX_BYTES: usize = 16 << 20;
 
-/// A body and the transfer that it belongs to.
+/// An encoded body with its transfer.
 #[derive(Clone)]
 pub(super) struct Body {
     pub(super) id: TransferId,
@@ -28,8 +28,8 @@
         self.bodies.iter().map(|body| body.bytes.len()).sum()
     }
 
-    /// What brings a server from `from` to `to`: the change, or the whole content where that is shorter. None where the history does not
-    /// retain what is needed.
+    /// Returns the shorter of the change from `from` to `to` and the whole content of `to`, or `None` if the history does not retain the
+    /// required versions.
     pub(super) fn shortest(&mut self, history: &History, from: VersionId, to: VersionId) -> Option<Body> {
         let change = if history.contains(from) { Some(self.change(history, from, to)?) } else { None };
         if let Some(change) = change.as_ref().filter(|change| change.bytes.len() <= MAX_CHUNK_BYTES) {
--- a/crates/config-rollout/src/distributor/server.rs
+++ b/crates/config-rollout/src/distributor/server.rs
@@ -1,4 +1,4 @@
-//! What a distributor knows of one server, and the transfer to it.
+//! A distributor's state of one server and of the transfer to it.
 
 use super::token_bucket::TokenBucket;
 use crate::digest::VersionId;
@@ -6,29 +6,28 @@
 use crate::messages::{Acknowledgement, Chunk, TransferId, TransferProgress, MAX_CHUNK_BYTES};
 use std::sync::Arc;
 
-/// One server, as it last acknowledged.
+/// The state of one server according to its latest acknowledgement.
 pub(super) struct Server {
     pub(super) incarnation: u64,
-    /// Of the last acknowledgement.
+    /// Sequence number of the latest acknowledgement.
     pub(super) sequence: u64,
     pub(super) staged: VersionId,
     active: VersionId,
-    /// The version that it does not want.
     pub(super) rejected: Option<VersionId>,
     pub(super) progress: Option<TransferProgress>,
     pub(super) last_heard: f64,
     pub(super) bucket: TokenBucket,
     pub(super) transfer: Option<Transfer>,
-    /// Waits for a transfer to begin.
+    /// Whether the server is waiting for a transfer.
     pub(super) queued: bool,
-    /// Its transfer takes one of the catch-up slots.
+    /// Whether the transfer uses a catch-up slot.
     pub(super) has_slot: bool,
-    /// When it was last sent its target.
+    /// Time of the latest target message.
     pub(super) last_target: f64,
 }
 
 impl Server {
-    /// A server that was not known before; its first acknowledgement is still to be taken in.
+    /// Creates the state of a new server, before its first acknowledgement is processed by [`Server::update`].
     pub(super) fn new(now: f64, ack: &Acknowledgement) -> Server {
         Server {
             incarnation: 0,
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Takes a newer acknowledgement in. Returns whether the transfer is of no more use.
+    /// Processes a newer acknowledgement. Returns whether the transfer has finished or become useless.
     pub(super) fn update(&mut self, now: f64, ack: &Acknowledgement) -> bool {
         let restarted = ack.server.incarnation > self.incarnation;
         (self.incarnation, self.sequence) = (ack.server.incarnation, ack.sequence);
@@ -66,22 +65,22 @@
     }
 }
 
-/// A body that is being sent to one server.
+/// A transfer in progress.
 pub(super) struct Transfer {
     pub(super) id: TransferId,
     body: Arc<Vec<u8>>,
-    /// Sent up to here.
+    /// Offset up to which the body was sent.
     sent: usize,
-    /// At the server up to here, as it acknowledged.
+    /// Offset up to which the server acknowledged the body.
     acknowledged: usize,
-    /// When something was last sent or acknowledged.
+    /// Time of the latest sent chunk or acknowledged progress.
     last_activity: f64,
-    /// When the server last had more than before.
+    /// Time of the latest acknowledged progress.
     pub(super) last_progress: f64,
 }
 
 impl Transfer {
-    /// A transfer that begins, or resumes, at an offset.
+    /// Creates a transfer that starts or resumes at an offset.
     pub(super) fn new(now: f64, id: TransferId, body: Arc<Vec<u8>>, offset: usize) -> Transfer {
         Transfer { id, body, sent: offset, acknowledged: offset, last_activity: now, last_progress: now }
     }
@@ -92,18 +91,19 @@
         if received > self.acknowledged {
             (self.last_activity, self.last_progress) = (now, now);
         }
-        // It is less than before where a body was complete and had a wrong digest.
+        // The offset decreases if the server discarded a complete body with a wrong digest.
         self.acknowledged = received;
     }
 
-    /// Whether it leads to a reverted version, or is short, has not begun and leads to another version than the target.
+    /// Returns whether the transfer should be ended: its version is not the server's target, and either was reverted or the transfer is a
+    /// single chunk that was not sent yet.
     pub(super) fn is_obsolete(&self, history: &History, server: &str) -> bool {
         let number = self.id.target.number;
         let not_begun = self.sent == 0 && self.body.len() <= MAX_CHUNK_BYTES;
         number != history.state().target(server) && (history.state().was_reverted(number) || not_begun)
     }
 
-    /// Goes back to where the server is if nothing came of what was sent. Returns whether it did.
+    /// Rewinds to the acknowledged offset if there was no activity within `timeout` seconds. Returns whether it did.
     pub(super) fn retry_if_lost(&mut self, now: f64, timeout: f64) -> bool {
         if now - self.last_activity <= timeout || self.sent <= self.acknowledged {
             return false;
@@ -112,7 +112,7 @@
         true
     }
 
-    /// The chunk to send next; none at the end of the body.
+    /// Returns the next chunk to send, or `None` at the end of the body.
     pub(super) fn next_chunk(&self) -> Option<Chunk> {
         if self.sent >= self.body.len() {
             return None;
--- a/crates/config-rollout/src/distributor/settings.rs
+++ b/crates/config-rollout/src/distributor/settings.rs
@@ -6,30 +6,30 @@
 /// Limits and intervals of a distributor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DistributorSettings {
-    /// Bytes per second to one server, in the long run.
+    /// Sustained rate to one server, bytes per second.
     pub rate: f64,
-    /// Bytes to one server at once. With `rate` this is the most in any one second.
+    /// Burst to one server, bytes. At most `rate + burst` bytes are sent to a server in any one second.
     pub burst: f64,
-    /// Bytes per second to all servers together, in the long run.
+    /// Sustained rate to all servers, bytes per second.
     pub total_rate: f64,
-    /// Bytes to all servers together at once.
+    /// Burst to all servers, bytes.
     pub total_burst: f64,
-    /// Servers that may be sent bodies of more than one chunk at once.
+    /// Maximum number of concurrent transfers of more than one chunk.
     pub catch_up_slots: usize,
-    /// Time without progress after which a body is sent again from where the server is, s. A slot is lost after some of these.
+    /// Time without activity after which a transfer restarts from the acknowledged offset, s.
     pub retry_timeout: f64,
-    /// Silence after which nothing more is sent to a server, s.
+    /// Time without acknowledgements after which nothing is sent to a server, s.
     pub silence_timeout: f64,
-    /// Silence after which a server is forgotten, s.
+    /// Time without acknowledgements after which a server is removed, s.
     pub forget_timeout: f64,
-    /// Time between two target messages to a server that has what it should have, s.
+    /// Interval between target messages to a server without a transfer, s.
     pub target_interval: f64,
-    /// Servers at once.
+    /// Maximum number of servers.
     pub max_servers: usize,
 }
 
 impl Default for DistributorSettings {
-    /// 12 KB to a server in any second; a machine sends no more than 2 MB a second.
+    /// At most 12 KB in any second to one server, and a sustained 2 MB per second in total.
     fn default() -> DistributorSettings {
         DistributorSettings {
             rate: 8000.0,
@@ -46,36 +46,47 @@
     }
 }
 
-/// Which setting of a distributor is not valid.
+/// An invalid setting of a distributor.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// A burst is too small for one chunk.
-    #[error("burst: {burst} B is less than the line of one chunk takes, {least}")]
+    /// A burst is too small for the line of one chunk.
+    #[error("{name}: got {burst} B, expected at least {minimum} B for the line of one chunk")]
     BurstTooSmall {
-        /// Of one server, B.
+        /// The name of the setting.
+        name: &'static str,
+        /// The configured burst, B.
         burst: f64,
-        /// The longest line, B.
-        least: f64,
+        /// The length of the longest line with one chunk, B.
+        minimum: f64,
     },
     /// A rate or time is not a positive number.
-    #[error("{name}: {value} is out of range, should be more than 0")]
+    #[error("{name}: got {value}, expected a finite number greater than 0")]
     NotPositive {
-        /// The setting.
+        /// The name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The configured value.
         value: f64,
     },
-    /// There is no slot or no server allowed.
-    #[error("catch-up-slots, max-servers: should be at least 1")]
-    NoCapacity,
+    /// No slot or no server is allowed.
+    #[error("{name}: got 0, expected at least 1")]
+    NoCapacity {
+        /// The name of the setting.
+        name: &'static str,
+    },
 }
 
 impl DistributorSettings {
-    /// Whether a distributor can work with these settings.
+    /// Checks the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let least = MAX_CHUNK_LINE_BYTES as f64;
-        if !(self.burst >= least && self.total_burst >= least) {
-            return Err(SettingsError::BurstTooSmall { burst: self.burst, least });
+        let minimum = MAX_CHUNK_LINE_BYTES as f64;
+        for (name, burst) in [("burst", self.burst), ("total-burst", self.total_burst)] {
+            if burst.is_nan() || burst < minimum {
+                return Err(SettingsError::BurstTooSmall { name, burst, minimum });
+            }
         }
         let positive = [
             ("rate", self.rate),
@@ -90,8 +101,10 @@
                 return Err(SettingsError::NotPositive { name, value });
             }
         }
-        if self.catch_up_slots == 0 || self.max_servers == 0 {
-            return Err(SettingsError::NoCapacity);
+        for (name, value) in [("catch-up-slots", self.catch_up_slots), ("max-servers", self.max_servers)] {
+            if value == 0 {
+                return Err(SettingsError::NoCapacity { name });
+            }
         }
         Ok(())
     }
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// A history of one large version and a few small ones.
+/// Returns a history of one large and several small versions, and the head after each.
 fn history() -> (History, Vec<VersionId>) {
     let mut history = History::new(Digester::default(), RetentionLimits::default());
     let mut heads = vec![history.head()];
@@ -61,7 +61,7 @@
     }
 }
 
-/// The chunks among some messages.
+/// Returns the chunks among the messages.
 fn chunks(outgoing: &[OutgoingMessage]) -> Vec<&Chunk> {
     outgoing.iter().filter_map(chunk_of).collect()
 }
@@ -74,28 +74,31 @@
 fn sends_the_shorter_of_change_and_whole_content() {
     let (mut history, heads) = history();
     let mut distributor = Distributor::new(DistributorSettings::default(), 1, 0.0);
-    distributor.receive(0.0, &ack("near", 1, heads[1]));
+    distributor.receive(0.0, &ack("recent", 1, heads[1]));
     let messages = distributor.poll(1.0, &history, 0.0);
     assert_eq!(chunks(&messages)[0].transfer.base, Some(heads[1]));
     assert!(chunks(&messages)[0].transfer.total_bytes < 100);
-    // One whose version nobody knows gets all of it.
-    distributor.receive(1.0, &ack("odd", 1, VersionId { number: 2, ..heads[3] }));
+    // A server with an unknown version gets the whole content.
+    distributor.receive(1.0, &ack("unknown", 1, VersionId { number: 2, ..heads[3] }));
     let messages: Vec<_> = distributor
         .poll(2.0, &history, 0.0)
         .into_iter()
-        .filter(|outgoing| outgoing.server == "odd")
+        .filter(|outgoing| outgoing.server == "unknown")
         .collect();
     assert_eq!(chunks(&messages)[0].transfer.base, None);
-    // Everything is taken away again: the whole is shorter than what led there.
+    // After most keys are removed, the whole content is shorter than the change.
     let gone =
         (0..399).fold(Change::default(), |change, at| change.remove(Key::tenant(&format!("tenant-{at}"))));
     put(&mut history, gone);
     release(&mut history);
-    distributor.receive(2.0, &ack("far", 1, heads[2]));
+    distributor.receive(2.0, &ack("old", 1, heads[2]));
     let messages = distributor.poll(3.0, &history, 0.0);
-    let far: Vec<_> = messages.into_iter().filter(|outgoing| outgoing.server == "far").collect();
-    assert_eq!((chunks(&far)[0].transfer.base, chunks(&far)[0].transfer.target), (None, history.head()));
-    assert!(chunks(&far)[0].transfer.total_bytes < 100);
+    let to_old: Vec<_> = messages.into_iter().filter(|outgoing| outgoing.server == "old").collect();
+    assert_eq!(
+        (chunks(&to_old)[0].transfer.base, chunks(&to_old)[0].transfer.target),
+        (None, history.head())
+    );
+    assert!(chunks(&to_old)[0].transfer.total_bytes < 100);
 }
 
 #[test]
@@ -106,7 +109,7 @@
     let mut sequence = 0;
     for step in 0..2000 {
         let now = f64::from(step) * 0.01;
-        // It never gets anything whole, and looks for another distributor now and then.
+        // The server never acknowledges progress and reconnects to a new distributor regularly.
         if step % 137 == 0 {
             distributor = Distributor::new(DistributorSettings::default(), 1, now);
         }
@@ -119,7 +122,11 @@
     }
     assert!(sent.len() > 20);
     for (at, _) in &sent {
-        let sum: f64 = sent.iter().filter(|(t, _)| t >= at && *t < at + 1.0).map(|(_, bytes)| bytes).sum();
+        let sum: f64 = sent
+            .iter()
+            .filter(|(sent_at, _)| sent_at >= at && *sent_at < at + 1.0)
+            .map(|(_, bytes)| bytes)
+            .sum();
         assert!(sum <= 12_000.0, "{sum} B in the second after {at}");
     }
 }
@@ -132,7 +139,7 @@
     let first = distributor.poll(0.5, &history, 0.0);
     let first = chunks(&first)[0].clone();
     assert_eq!(first.offset, 0);
-    // The second chunk is lost: the server has the first.
+    // The second chunk is lost.
     let second = distributor.poll(1.0, &history, 0.0);
     assert_eq!(chunks(&second)[0].offset as usize, MAX_CHUNK_BYTES);
     let ack_of_first = Acknowledgement {
@@ -141,8 +148,8 @@
     };
     distributor.receive(1.1, &ack_of_first);
     let rest = distributor.poll(2.0, &history, 0.0);
-    assert_eq!(chunks(&rest)[0].offset as usize, MAX_CHUNK_BYTES, "it goes back to the second");
-    // Another distributor goes on from there as well.
+    assert_eq!(chunks(&rest)[0].offset as usize, MAX_CHUNK_BYTES, "the second chunk is sent again");
+    // Another distributor resumes at the same offset.
     let mut other = Distributor::new(DistributorSettings::default(), 9, 2.0);
     other.receive(2.0, &ack_of_first);
     let rest = other.poll(3.0, &history, 0.0);
@@ -150,7 +157,7 @@
         (chunks(&rest)[0].offset as usize, chunks(&rest)[0].transfer),
         (MAX_CHUNK_BYTES, first.transfer)
     );
-    // The body was poisoned and dropped there: from the beginning.
+    // The server discarded the body, so the transfer restarts at offset 0.
     distributor.receive(2.1, &ack("n1", 3, heads[0]));
     let rest = distributor.poll(4.0, &history, 0.0);
     assert_eq!(chunks(&rest)[0].offset, 0);
@@ -172,12 +179,12 @@
         for name in &names {
             let have = received.get(name).copied().unwrap_or(0);
             let staged = if have >= total { history.head() } else { heads[0] };
-            // One of them takes nothing in, and must not keep its place from the others.
-            let dead = name == "n07";
+            // One server makes no progress and must not hold its slot.
+            let is_stalled = name == "n07";
             let transfer = TransferId { base: None, target: history.head(), total_bytes: total as u32 };
-            let incomplete = have > 0 && have < total && !dead;
+            let incomplete = have > 0 && have < total && !is_stalled;
             let progress = incomplete.then_some(TransferProgress { transfer, received_bytes: have as u32 });
-            let ack = ack(name, sequence, if dead { heads[0] } else { staged });
+            let ack = ack(name, sequence, if is_stalled { heads[0] } else { staged });
             distributor.receive(now, &Acknowledgement { progress, ..ack });
         }
         let messages = distributor.poll(now, &history, 0.0);
@@ -198,7 +205,7 @@
         }
     }
     assert_eq!(order.len(), names.len(), "{order:?}");
-    assert_ne!(order, names, "not by name: drawn");
+    assert_ne!(order, names, "the order is random");
 }
 
 #[test]
@@ -209,12 +216,12 @@
     for at in 0..5 {
         assert!(distributor.receive(0.0, &ack(&format!("n{at}"), 1, heads[0])));
     }
-    assert!(!distributor.receive(0.0, &ack("one too many", 1, heads[0])));
+    assert!(!distributor.receive(0.0, &ack("over the limit", 1, heads[0])));
     distributor.poll(1.0, &history, 0.0);
     assert!(distributor.is_sending_to("n1") && distributor.catching_up() == 5);
     assert_eq!(distributor.poll(9.0, &history, 0.0), []);
     assert!(!distributor.is_sending_to("n1") && distributor.catching_up() == 0);
-    // The change and the whole content, once for all of them.
+    // The change and the whole content are cached once for all servers.
     let change = encode_change(&history.combined_change(0, history.head().number).unwrap());
     let whole = encode_content(history.content());
     assert_eq!(distributor.cached_bytes(), change.len() + whole.len());
@@ -236,8 +243,11 @@
     let to: Vec<_> =
         messages.iter().filter(|outgoing| is_chunk(outgoing)).map(|outgoing| &outgoing.server).collect();
     assert_eq!(to, ["n1"]);
-    apply(&mut history, Command::Revert { epoch, author: "o".into(), number, cause: "it fell".into() });
-    // n1 has not acknowledged it: the reverted version is not sent again.
+    apply(
+        &mut history,
+        Command::Revert { epoch, author: "o".into(), number, cause: "canary unhealthy".into() },
+    );
+    // The reverted version is not sent again, even to the canary that has not acknowledged it.
     assert!(names.iter().all(|name| distributor.receive(1.5, &ack(name, 2, last))));
     let messages = distributor.poll(2.0, &history, 0.0);
     let next_messages = distributor.poll(2.1, &history, 0.0);
@@ -247,7 +257,7 @@
         .map(|chunk| chunk.transfer.target.number)
         .collect();
     assert_eq!(heads, [number + 1, number + 1]);
-    // Nor is a server sent again what it rejected.
+    // A rejected version is not sent again to the server that rejected it.
     let rejected = Some(RejectedVersion { version: history.head(), cause: "no".into() });
     distributor.receive(2.2, &Acknowledgement { rejected, ..ack("n2", 3, last) });
     assert!(!distributor.is_sending_to("n2"));
--- a/crates/config-rollout/src/distributor/token_bucket.rs
+++ b/crates/config-rollout/src/distributor/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket that limits the bytes which may be sent.
+//! Token bucket that limits the byte rate.
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
-    /// Bytes that may be sent now.
+    /// Available bytes.
     tokens: f64,
     refilled_at: f64,
 }
@@ -12,7 +12,7 @@
         TokenBucket { tokens, refilled_at: now }
     }
 
-    /// Adds what has come in since the last time, up to `burst`.
+    /// Adds the bytes that accrued since the last refill at `rate` bytes per second, up to `burst`.
     pub(super) fn refill(&mut self, now: f64, rate: f64, burst: f64) {
         let elapsed = (now - self.refilled_at).max(0.0);
         self.tokens = (self.tokens + elapsed * rate).min(burst);
@@ -23,7 +23,7 @@
         bytes <= self.tokens
     }
 
-    /// Takes bytes from two buckets if both have them; otherwise from neither.
+    /// Takes bytes from both buckets if both have enough, otherwise from neither. Returns whether they were taken.
     pub(super) fn take_from_both(first: &mut TokenBucket, second: &mut TokenBucket, bytes: f64) -> bool {
         if !first.has(bytes) || !second.has(bytes) {
             return false;
--- a/crates/config-rollout/src/key.rs
+++ b/crates/config-rollout/src/key.rs
@@ -1,40 +1,40 @@
-//! The settings that can be rolled out, each under a typed key: which section of a server's base settings it belongs to, the name of
-//! the tenant or route there, and the field.
+//! Typed keys of the settings that can be rolled out. A key has a section of the base settings, the name of a tenant or route in that
+//! section, and a field.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Longest name of a tenant, a route or an author, in bytes.
+/// Maximum length of the name of a tenant, route or author, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The one name that keys of [`Section::Limit`] have: a limit holds for a whole server.
+/// The name in every key of [`Section::Limit`], since limits apply to a whole server.
 pub const FLEET: &str = "fleet";
 
-/// Longest time that a field may hold, in ms: an hour.
+/// Maximum value of a time, in ms (one hour).
 const MAX_TIME_MS: f64 = 3_600_000.0;
-/// Longest deduplication window, in ms: a day.
+/// Maximum deduplication window, in ms (one day).
 const MAX_WINDOW_MS: f64 = 86_400_000.0;
-/// Shortest positive time, in ms.
+/// Minimum value of a time that must be positive, in ms.
 const MIN_TIME_MS: f64 = 0.001;
 
-/// The part of the base settings in which a key stands. The order of the variants is part of stored data and of digests.
+/// A section of the base settings. The order of the variants is part of stored data and of digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Section {
-    /// An entry of the list `Tenants`.
+    /// A tenant: an entry of the list `Tenants`.
     Tenant,
-    /// An entry of the list `Lanes`: the routes of the serving process.
+    /// A route of the serving process: an entry of the list `Lanes`.
     Route,
-    /// A limit of the whole server, under the name [`FLEET`].
+    /// A limit of the whole server, with the name [`FLEET`].
     Limit,
 }
 
 impl Section {
-    /// All sections, in the order of their declaration.
+    /// All sections, in declaration order.
     pub const ALL: [Section; 3] = [Section::Tenant, Section::Route, Section::Limit];
 
-    /// The section as operators write it in a patch.
+    /// Returns the name of the section in patches.
     pub fn name(self) -> &'static str {
         match self {
             Section::Tenant => "tenant",
@@ -43,17 +43,17 @@
         }
     }
 
-    /// The section of that name, as operators write it.
+    /// Returns the section with that name in patches.
     pub fn from_name(name: &str) -> Option<Section> {
         Section::ALL.into_iter().find(|section| section.name() == name)
     }
 
-    /// The fields that a key of this section may have.
+    /// Iterates over the fields of this section.
     pub fn fields(self) -> impl Iterator<Item = Field> {
         Field::ALL.into_iter().filter(move |field| field.section() == self)
     }
 
-    /// The field of that name in this section, as operators write it.
+    /// Returns the field of this section with that name in patches.
     pub fn field(self, name: &str) -> Option<Field> {
         self.fields().find(|field| field.name() == name)
     }
@@ -63,41 +63,41 @@
 /// are in ms, as in the base settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Field {
-    /// Requests per second that a tenant may send, over the whole fleet.
+    /// Request rate allowed to a tenant over the whole fleet, requests per second.
     Quota,
     /// Latency objective of a route, ms.
     #[serde(rename = "Promise")]
     LatencyObjective,
-    /// Factor by which the latency objective of a route may be stretched.
+    /// Maximum factor by which the latency objective of a route may be stretched.
     #[serde(rename = "PromiseStretch")]
     ObjectiveStretch,
-    /// Time after which the caller of a route has given up, ms.
+    /// Timeout of the callers of a route, ms.
     #[serde(rename = "GiveUp")]
     Timeout,
     /// Priority weight of a route.
     #[serde(rename = "Importance")]
     PriorityWeight,
-    /// Fraction of its priority weight that a response still has between the latency objective and the timeout.
+    /// Fraction of its priority weight that a response keeps between the latency objective and the timeout.
     #[serde(rename = "LateShare")]
     LateWeightFraction,
-    /// Time for which a route's idempotency keys are remembered, ms.
+    /// Time for which the idempotency keys of a route are stored, ms.
     #[serde(rename = "Window")]
     DedupWindow,
-    /// Servers in the fleet.
+    /// Number of servers in the fleet.
     Servers,
-    /// Fraction of their priority weight that requests above their tenant's quota have.
+    /// Fraction of their priority weight that requests keep above the quota of their tenant.
     #[serde(rename = "OverShareWorth")]
     OverQuotaFraction,
-    /// Longest `Retry-After` that a server may announce, ms.
+    /// Maximum `Retry-After` that a server sends, ms.
     MaxRetryAfter,
 }
 
-/// What is fixed about a field.
+/// Static properties of a field.
 struct FieldSpec {
     section: Section,
-    /// As operators write it in a patch.
+    /// Name in patches.
     name: &'static str,
-    /// As the base settings name it.
+    /// Key in the base settings.
     settings_key: &'static str,
     range: RangeInclusive<f64>,
 }
@@ -114,7 +114,7 @@
 }
 
 impl Field {
-    /// All fields, in the order of their declaration.
+    /// All fields, in declaration order.
     pub const ALL: [Field; 10] = [
         Field::Quota,
         Field::LatencyObjective,
@@ -148,94 +148,109 @@
         }
     }
 
-    /// The section whose keys have this field.
+    /// Returns the section to which the field belongs.
     pub fn section(self) -> Section {
         self.spec().section
     }
 
-    /// The field as operators write it in a patch.
+    /// Returns the name of the field in patches.
     pub fn name(self) -> &'static str {
         self.spec().name
     }
 
-    /// The field as the base settings name it.
+    /// Returns the key of the field in the base settings.
     pub fn settings_key(self) -> &'static str {
         self.spec().settings_key
     }
 
-    /// The values that the field may have.
+    /// Returns the range of valid values.
     pub fn range(self) -> RangeInclusive<f64> {
         self.spec().range
     }
 
-    /// Whether the field is a time, which operators write with a unit.
+    /// Returns whether the field is a time, which has a unit in patches.
     pub fn is_time(self) -> bool {
         matches!(self, Field::LatencyObjective | Field::Timeout | Field::DedupWindow | Field::MaxRetryAfter)
     }
 }
 
-/// The full name of one setting, such as `tenant "acme" quota`.
+/// The key of one setting, displayed for example as `tenant "acme" quota`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// The part of the base settings.
+    /// The section of the base settings.
     pub section: Section,
-    /// The tenant or the route; [`FLEET`] for a limit.
+    /// The name of the tenant or route, or [`FLEET`] for a limit.
     pub name: String,
-    /// The setting.
+    /// The field of the tenant, route or limit.
     pub field: Field,
 }
 
-/// Why a key is not valid.
+/// An invalid key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// The section has no such field.
-    #[error("a {} has no {}", section.name(), field.name())]
+    /// The field belongs to another section.
+    #[error("field {} belongs to section {}, got section {}", field.name(), field.section().name(), section.name())]
     FieldOfOtherSection {
         /// The section of the key.
         section: Section,
         /// The field of the key.
         field: Field,
     },
-    /// The name is empty, too long or has control characters.
-    #[error("a name should have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
-    InvalidName,
-    /// A limit has another name than [`FLEET`].
-    #[error("limits stand under the name {FLEET:?}")]
-    LimitName,
+    /// The name is empty or too long.
+    #[error("name: got {length} bytes, expected 1 to {MAX_NAME_BYTES}")]
+    NameLength {
+        /// Length of the name in bytes.
+        length: usize,
+    },
+    /// The name has a control character.
+    #[error("name: got control character {character:?}, expected none")]
+    ControlCharacter {
+        /// The first control character of the name.
+        character: char,
+    },
+    /// The name of a limit is not [`FLEET`].
+    #[error("name of a limit: got {name:?}, expected {FLEET:?}")]
+    LimitName {
+        /// The name in the key.
+        name: String,
+    },
 }
 
 impl Key {
-    /// A key of its parts, which are not checked: see [`Key::check`].
+    /// Creates a key without checking it; see [`Key::check`].
     pub fn new(section: Section, name: &str, field: Field) -> Key {
         Key { section, name: name.into(), field }
     }
 
-    /// The quota of a tenant.
+    /// Returns the key of a tenant's quota.
     pub fn tenant(name: &str) -> Key {
         Key::new(Section::Tenant, name, Field::Quota)
     }
 
-    /// A field of a route.
+    /// Returns the key of a route's field.
     pub fn route(name: &str, field: Field) -> Key {
         Key::new(Section::Route, name, field)
     }
 
-    /// A limit of the whole server.
+    /// Returns the key of a limit.
     pub fn limit(field: Field) -> Key {
         Key::new(Section::Limit, FLEET, field)
     }
 
-    /// Whether the parts of the key fit each other and the name is valid.
+    /// Checks that the field belongs to the section and that the name is valid.
     pub fn check(&self) -> Result<(), KeyError> {
         if self.field.section() != self.section {
             return Err(KeyError::FieldOfOtherSection { section: self.section, field: self.field });
         }
-        let length_fits = (1..=MAX_NAME_BYTES).contains(&self.name.len());
-        if !length_fits || self.name.chars().any(char::is_control) {
-            return Err(KeyError::InvalidName);
+        let length = self.name.len();
+        if !(1..=MAX_NAME_BYTES).contains(&length) {
+            return Err(KeyError::NameLength { length });
+        }
+        if let Some(character) = self.name.chars().find(|character| character.is_control()) {
+            return Err(KeyError::ControlCharacter { character });
         }
         if self.section == Section::Limit && self.name != FLEET {
-            return Err(KeyError::LimitName);
+            return Err(KeyError::LimitName { name: self.name.clone() });
         }
         Ok(())
     }
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,12 +1,13 @@
 //! Rollout of configuration to every server of the fleet (`docs/config.md`).
 //!
-//! - [`history`]: the sequence of versions that the lease-store replicas apply from their log;
-//! - [`distributor`]: sends each server what it lacks, as a change or as whole content;
-//! - [`follower`]: a server's side, which activates a version as a whole or not at all;
-//! - [`rollout`]: run by the lease holder of [`TASK`], which has a few canaries go first and knows which server has what active.
+//! - [`history`]: the replicated sequence of versions that the lease-store replicas build from their log;
+//! - [`distributor`]: sends servers the versions they lack, as a change or as the whole content;
+//! - [`follower`]: the server's side, which receives, validates and atomically activates versions;
+//! - [`rollout`]: the controller run by the lease holder of [`TASK`], which activates a version on canaries, then releases or reverts
+//!   it, and tracks the active version of each server.
 //!
-//! Nothing here does I/O or reads a clock, so that the same code runs in tests under simulated time. Times come in as seconds; each
-//! function says by whose clock.
+//! The crate does no I/O and reads no clock, so the same code runs in tests under simulated time. Callers pass times in seconds; each
+//! module documents the clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -30,5 +31,5 @@
 pub use key::{Field, Key, Section};
 pub use setting::{ValidationError, Value};
 
-/// The leased task whose holder accepts, tries and releases versions.
+/// Name of the leased task whose holder accepts, canaries, releases and reverts versions.
 pub const TASK: &str = "config";
--- a/crates/config-rollout/src/messages.rs
+++ b/crates/config-rollout/src/messages.rs
@@ -1,7 +1,7 @@
-//! Messages between distributors and servers, a line of JSON each.
+//! Messages between distributors and servers, encoded as JSON lines.
 //!
-//! The body of a transfer is an encoded change or an encoded whole content. It is sent in chunks, so that no line takes more than a
-//! server's byte budget and a transfer that broke off can resume.
+//! The body of a transfer is an encoded change or an encoded whole content. It is sent in chunks, so that each line fits the byte budget
+//! of a server and an interrupted transfer can resume.
 
 use crate::base64_bytes;
 use crate::change::Change;
@@ -10,37 +10,37 @@
 use puffinladder_leases::HolderId;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a body in one chunk, at the most.
+/// Maximum number of body bytes in one chunk.
 pub const MAX_CHUNK_BYTES: usize = 2048;
-/// Bytes of a whole body, at the most: more than any valid content needs.
+/// Maximum length of a body in bytes. Any valid content fits.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
-/// Bytes of a line that carries one chunk, at the most: the chunk as base64, its version ids and numbers.
+/// Maximum length of a line with one chunk in bytes: the base64 chunk, the version identifiers and numbers.
 pub const MAX_CHUNK_LINE_BYTES: usize = MAX_CHUNK_BYTES * 4 / 3 + 512;
 
-/// Identifies a transfer: the same versions and length mean the same body, whichever distributor sends it.
+/// Identifier of a transfer. Equal versions and lengths imply the same body, regardless of the distributor that sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TransferId {
-    /// The version to which the body is a change; none where the body is a whole content.
+    /// The version to which the change in the body applies, or `None` if the body is a whole content.
     #[serde(rename = "from")]
     pub base: Option<VersionId>,
-    /// The version after it.
+    /// The version that results from the transfer.
     #[serde(rename = "to")]
     pub target: VersionId,
-    /// Length of the body.
+    /// Length of the body in bytes.
     #[serde(rename = "total")]
     pub total_bytes: u32,
 }
 
-/// A part of a transfer's body.
+/// Consecutive bytes of a transfer's body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The transfer to which it belongs.
+    /// The transfer to which the bytes belong.
     #[serde(rename = "way")]
     pub transfer: TransferId,
-    /// Where in the body the bytes begin.
+    /// Offset of the first byte in the body.
     #[serde(rename = "at")]
     pub offset: u32,
-    /// Base64 in JSON.
+    /// The bytes, encoded as base64 in JSON.
     #[serde(with = "base64_bytes")]
     pub bytes: Vec<u8>,
 }
@@ -49,26 +49,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DistributorMessage {
-    /// Part of what the server lacks.
+    /// A chunk of the transfer to the server.
     #[serde(rename = "piece")]
     Chunk(Chunk),
-    /// The version that the server should have.
+    /// The target version of the server.
     Target {
-        /// That version.
+        /// The version that the server should activate.
         #[serde(rename = "head")]
         target: VersionId,
-        /// How old this knowledge is: s since a majority of the lease store was heard.
+        /// Age of the distributor's replica: time since it last reached a majority of the lease store, s.
         age: f64,
-        /// The last of the server's acknowledgements that was received. The server counts the age from when it sent that one, or a
-        /// message that was delayed for long would look fresh.
+        /// Sequence number of the latest acknowledgement received from the server. The server adds `age` to the time since it sent that
+        /// acknowledgement, so that a delayed message does not appear fresh.
         #[serde(rename = "serial")]
         acknowledged: u64,
-        /// From [`Digester::tag`], so that a corrupted or forged message can't make old knowledge look fresh.
+        /// Authentication tag from [`Digester::tag`], which detects corrupted and forged messages.
         tag: u64,
     },
 }
 
-/// What a server reports to its distributor, regularly and after each event.
+/// The state that a server reports to its distributor, periodically and after each event.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Acknowledgement {
     /// The server and its incarnation.
@@ -77,39 +77,39 @@
     /// The failure domain in which the server runs.
     #[serde(default)]
     pub zone: String,
-    /// Rises with every acknowledgement of this incarnation.
+    /// Sequence number, increasing within an incarnation.
     #[serde(rename = "serial")]
     pub sequence: u64,
-    /// The version by which the server works.
+    /// The active version.
     #[serde(rename = "in_force")]
     pub active: VersionId,
-    /// The version that is complete, checked and becomes active in the next round; otherwise the active one.
+    /// The complete and validated version that is activated in the next round, or the active version if there is none.
     #[serde(rename = "holds")]
     pub staged: VersionId,
-    /// How far the latest incomplete transfer has come.
+    /// Progress of the latest incomplete transfer.
     #[serde(default, rename = "got")]
     pub progress: Option<TransferProgress>,
     /// The last version that the server rejected.
     #[serde(default, rename = "refused")]
     pub rejected: Option<RejectedVersion>,
-    /// How often it was sent another content under a number it knew.
+    /// Number of received messages whose digest conflicted with the known digest of the same version number.
     #[serde(default)]
     pub conflicts: u64,
-    /// Whether the server finds itself healthy.
+    /// Whether the server considers itself healthy.
     #[serde(default)]
     pub healthy: bool,
-    /// Why the last good version could not be written to the server's disk, if so.
+    /// Error of the latest attempt to write the last good version to disk, if it failed.
     #[serde(default, rename = "unsaved")]
     pub save_error: Option<String>,
 }
 
-/// How far a transfer has come at a server. Written as the pair of both.
+/// Progress of a transfer at a server. Serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(TransferId, u32)", into = "(TransferId, u32)")]
 pub struct TransferProgress {
     /// The transfer.
     pub transfer: TransferId,
-    /// Bytes of the body that the server has, without a gap from the beginning.
+    /// Number of contiguous bytes received from the start of the body.
     pub received_bytes: u32,
 }
 
@@ -131,12 +131,12 @@
     /// The version.
     #[serde(rename = "head")]
     pub version: VersionId,
-    /// Why, for people.
+    /// Human-readable cause.
     pub cause: String,
 }
 
 impl DistributorMessage {
-    /// The message that tells `server` its target; see [`DistributorMessage::Target`].
+    /// Creates an authenticated target message to `server`; see [`DistributorMessage::Target`] for the fields.
     pub fn target(
         digester: &Digester,
         server: &str,
@@ -148,20 +148,20 @@
         DistributorMessage::Target { target, age, acknowledged, tag }
     }
 
-    /// Bytes that it takes as a line, its end included.
+    /// Returns the length of the encoded line in bytes, including the newline.
     pub fn line_bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(0, |line| line.len() + 1)
     }
 }
 
-/// A whole content as the body of a transfer.
+/// Encodes a whole content as the body of a transfer.
 pub fn encode_content(content: &Content) -> Vec<u8> {
-    postcard::to_allocvec(content).expect("plain data is written to memory without an error")
+    postcard::to_allocvec(content).expect("plain data serializes to memory")
 }
 
-/// A change as the body of a transfer.
+/// Encodes a change as the body of a transfer.
 pub fn encode_change(change: &Change) -> Vec<u8> {
-    postcard::to_allocvec(change).expect("plain data is written to memory without an error")
+    postcard::to_allocvec(change).expect("plain data serializes to memory")
 }
 
 #[cfg(test)]
--- a/crates/config-rollout/src/messages/tests.rs
+++ b/crates/config-rollout/src/messages/tests.rs
@@ -15,8 +15,8 @@
         let line = serde_json::to_string(&message).unwrap();
         assert_eq!(serde_json::from_str::<DistributorMessage>(&line).unwrap(), message, "{line}");
         assert_eq!(message.line_bytes(), line.len() + 1);
-        let kept = postcard::to_allocvec(&message).unwrap();
-        assert_eq!(postcard::from_bytes::<DistributorMessage>(&kept).unwrap(), message);
+        let encoded = postcard::to_allocvec(&message).unwrap();
+        assert_eq!(postcard::from_bytes::<DistributorMessage>(&encoded).unwrap(), message);
     }
     let ack = Acknowledgement {
         progress: Some(TransferProgress { transfer, received_bytes: 4 }),
@@ -47,7 +47,7 @@
 
 #[test]
 fn longest_chunk_line_fits_the_line_limit() {
-    // The longest of all: full, far into the largest body, numbers of 20 digits.
+    // The longest possible line: a full chunk with maximum numbers.
     let head = VersionId { number: u64::MAX, digest: Digest([255; 32]) };
     let transfer = TransferId { base: Some(head), target: head, total_bytes: u32::MAX };
     let message =
--- a/crates/config-rollout/src/patch.rs
+++ b/crates/config-rollout/src/patch.rs
@@ -1,10 +1,10 @@
-//! A change as an operator writes it.
+//! Patches: the text format in which operators write changes.
 //!
 //! ```text
 //! (tenant (name "acme") (quota 120))
 //! (route (name "orders") (promise 800ms) (importance 4))
 //! (limit (max-retry-after 5s))
-//! (without (tenant "old") (route "orders" late-share))   ; back to the start file's value
+//! (without (tenant "old") (route "orders" late-share))   ; restores the values of the base settings
 //! ```
 
 use crate::change::{Change, MAX_CHANGE_BYTES};
@@ -13,52 +13,56 @@
 use puffinladder_settings::sexpr::{Diagnostic, Form, Node, Problem, Reader};
 use std::collections::BTreeMap;
 
-/// Bytes of a patch's text, at the most: white space and comments come on top of what a change may hold.
+/// Maximum length of a patch in bytes. White space and comments make the text longer than the change.
 const MAX_TEXT_BYTES: usize = 4 * MAX_CHANGE_BYTES;
 
-/// What a form at the top of a patch may begin with.
+/// First words of the forms at the top level of a patch.
 const TOP_LEVEL_KEYS: [&str; 4] = ["tenant", "route", "limit", "without"];
 
-/// Milliseconds of the units in which times are written.
 const SECOND_MS: f64 = 1e3;
 const MINUTE_MS: f64 = 6e4;
 
-/// A change, and where in the file each of its keys stands, for errors that are found later.
+/// A change with the location of each key in the file, for errors that are found after parsing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Patch {
-    /// The name of the file, for messages.
+    /// File name for error messages.
     pub file: String,
-    /// What the file says.
+    /// The change in the file.
     pub change: Change,
-    places: BTreeMap<Key, Place>,
+    locations: BTreeMap<Key, Location>,
 }
 
-/// A place in a text, counted from 1.
+/// A location in a text; lines and columns count from 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Place {
+struct Location {
     line: usize,
     column: usize,
 }
 
-impl Place {
-    /// Where a change as a whole is said to stand.
-    const START: Place = Place { line: 1, column: 1 };
+impl Location {
+    /// Location of errors that concern the change as a whole.
+    const START: Location = Location { line: 1, column: 1 };
 
-    fn of_offset(text: &str, offset: usize) -> Place {
+    fn of_offset(text: &str, offset: usize) -> Location {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
         let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
-        Place { line, column }
+        Location { line, column }
     }
 }
 
 impl Patch {
-    /// Reads a patch. Errors come all at once, each with file, line, column and key.
+    /// Parses a patch.
+    ///
+    /// # Errors
+    ///
+    /// Returns all errors of the text, each with file, line, column and key.
     pub fn read(file: &str, text: &str) -> Result<Patch, Vec<Diagnostic>> {
         let mut parser = Parser { reader: Reader::new(file, text), text, patch: Patch::default() };
         parser.patch.file = file.into();
         if text.len() > MAX_TEXT_BYTES {
-            let reason = format!("{} bytes; a change has {MAX_TEXT_BYTES} at the most", text.len());
+            let reason =
+                format!("patch too long: got {} bytes, expected at most {MAX_TEXT_BYTES}", text.len());
             parser.report(0, "", reason);
             return Err(parser.reader.into_diagnostics());
         }
@@ -73,23 +77,23 @@
         Ok(patch)
     }
 
-    /// An error with its place in the file: that of its key, or the start where the change as a whole is wrong.
+    /// Adds the location in the file to an error: that of its key, or the start of the file if the change is invalid as a whole.
     pub fn locate(&self, error: &ValidationError) -> Diagnostic {
-        let place = error.key.as_ref().and_then(|key| self.places.get(key));
-        let Place { line, column } = *place.unwrap_or(&Place::START);
+        let location = error.key.as_ref().and_then(|key| self.locations.get(key));
+        let Location { line, column } = *location.unwrap_or(&Location::START);
         let key = error.key.as_ref().map_or(String::new(), Key::to_string);
         Diagnostic { file: self.file.clone(), line, column, key, problem: error.reason.clone().into() }
     }
 }
 
-/// A field with its value, as it stands in a block.
+/// An assignment of a value to a field in a block.
 struct Assignment {
     field: Field,
     value: f64,
     offset: usize,
 }
 
-/// What `without` removes: one or more fields under one name.
+/// Fields of one name that an item of `without` removes.
 struct Removal {
     section: Section,
     name: String,
@@ -107,7 +111,7 @@
         self.reader.report(offset, path, problem);
     }
 
-    /// One form at the top of the file.
+    /// Parses one form at the top level.
     fn form(&mut self, form: &Node) {
         let offset = form.span.start;
         let Some((head, items)) = list(form) else {
@@ -124,7 +128,7 @@
         }
     }
 
-    /// `(tenant (name "acme") (quota 120))` and its like.
+    /// Parses a block such as `(tenant (name "acme") (quota 120))`.
     fn block(&mut self, section: Section, form: &Node, items: &[Node]) {
         let mut name = (section == Section::Limit).then(|| FLEET.to_owned());
         let mut assignments = Vec::new();
@@ -137,7 +141,7 @@
                         self.report(
                             item.span.start,
                             &path,
-                            Problem::Expected("one text in quotes, once".into()),
+                            Problem::Expected("a single string in quotes, given once".into()),
                         );
                     }
                 },
@@ -150,14 +154,17 @@
             return self.report(form.span.start, &path, Problem::Missing);
         };
         if assignments.is_empty() {
-            return self.report(form.span.start, section.name(), "changes nothing");
+            let fields: Vec<&str> = section.fields().map(Field::name).collect();
+            let reason =
+                format!("sets no valid field for {name:?}, expected at least one of {}", fields.join(", "));
+            return self.report(form.span.start, section.name(), reason);
         }
         for Assignment { field, value, offset } in assignments {
             self.insert(Key::new(section, &name, field), Some(Value(value)), offset);
         }
     }
 
-    /// `(quota 120)` in a block; none, after a report, where it is not valid.
+    /// Parses an assignment such as `(quota 120)`. Reports an error and returns `None` if it is invalid.
     fn assignment(&self, section: Section, item: &Node, key: &str, values: &[Node]) -> Option<Assignment> {
         let offset = item.span.start;
         let path = format!("{}.{key}", section.name());
@@ -176,7 +183,7 @@
         Some(Assignment { field, value: number?, offset })
     }
 
-    /// An item of `without`: `(tenant "acme")` removes all fields of it, `(route "orders" late-share)` one.
+    /// Parses an item of `without`: `(tenant "acme")` removes all fields, `(route "orders" late-share)` a single one.
     fn without(&mut self, item: &Node) {
         let offset = item.span.start;
         let Some(Removal { section, name, fields }) = removal(item) else {
@@ -191,9 +198,9 @@
     fn insert(&mut self, key: Key, value: Option<Value>, offset: usize) {
         if self.patch.change.contains(&key) {
             let path = format!("{}.{}", key.section.name(), key.field.name());
-            self.report(offset, &path, format!("stands here a second time for {:?}", key.name));
+            self.report(offset, &path, format!("set or removed more than once for {:?}", key.name));
         }
-        self.patch.places.insert(key.clone(), Place::of_offset(self.text, offset));
+        self.patch.locations.insert(key.clone(), Location::of_offset(self.text, offset));
         self.patch.change.insert(key, value);
     }
 }
@@ -217,7 +224,7 @@
     Some(Removal { section, name: name.to_owned(), fields })
 }
 
-/// The head of a list and what follows it.
+/// Splits a list into its first word and the remaining items.
 fn list(node: &Node) -> Option<(&str, &[Node])> {
     let Form::List(parts) = &node.form else { return None };
     match parts.split_first()? {
@@ -226,13 +233,13 @@
     }
 }
 
-/// What a field takes, for messages.
+/// Describes the valid values of a field.
 fn expected(field: Field) -> Problem {
     let (range, unit) = (field.range(), if field.is_time() { "ms" } else { "" });
     Problem::Expected(format!("from {}{unit} to {}{unit}", range.start(), range.end()))
 }
 
-/// The number that a word stands for, times in ms. Times need a unit, or it would be open which one was meant.
+/// Parses a number in the range of a field, times in ms. Times require a unit.
 fn number(field: Field, form: &Form) -> Option<f64> {
     let Form::Atom(word) = form else { return None };
     let (number, unit) = word.split_at(word.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(word.len()));
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -6,10 +6,10 @@
 
 #[test]
 fn reads_a_patch_into_a_change() {
-    let text = "; more for acme\n(tenant (name \"acme\") (quota 120))\n(route (name \"orders\") (promise 800ms) (give-up 2s))
+    let text = "; raises the quota of acme\n(tenant (name \"acme\") (quota 120))\n(route (name \"orders\") (promise 800ms) (give-up 2s))
 (limit (max-retry-after 5s))\n(without (tenant \"old\") (route \"orders\" late-share) (limit servers))";
     let patch = Patch::read("f.scm", text).unwrap();
-    let wanted = Change::default()
+    let expected_change = Change::default()
         .set(Key::tenant("acme"), 120.0)
         .set(Key::route("orders", Field::LatencyObjective), 800.0)
         .set(Key::route("orders", Field::Timeout), 2000.0)
@@ -17,26 +17,26 @@
         .remove(Key::tenant("old"))
         .remove(Key::route("orders", Field::LateWeightFraction))
         .remove(Key::limit(Field::Servers));
-    assert_eq!(patch.change, wanted);
+    assert_eq!(patch.change, expected_change);
 }
 
 #[test]
 fn reports_all_errors_with_their_location() {
     let text = "(tenant (quota 5))\n(tenant (name \"a\") (quota many) (promise 5s))\n(route (name \"r\") (promise 800))
 (class (name \"x\"))\n(tenant (name \"b\") (quota 1))\n  (tenant (name \"b\") (quota 2))\n(without (tenant acme))\n(tenant (name \"c\"))";
-    let wanted = [
+    let expected_messages = [
         "f.scm:1:1: tenant.name: should be given",
         "f.scm:2:27: tenant.quota: should be from 0 to 1000000000",
         "f.scm:2:33: tenant.promise: is not known; there are quota",
         "f.scm:3:28: route.promise: should be from 0.001ms to 3600000ms",
         "f.scm:4:1: class: is not known; there are tenant, route, limit, without",
-        "f.scm:6:22: tenant.quota: stands here a second time for \"b\"",
+        "f.scm:6:22: tenant.quota: set or removed more than once for \"b\"",
         "f.scm:7:10: without: should be such as (tenant \"acme\"), (route \"orders\" late-share) or (limit servers)",
-        "f.scm:8:1: tenant: changes nothing",
+        "f.scm:8:1: tenant: sets no valid field for \"c\", expected at least one of quota",
     ];
     let messages = messages(text);
-    for one in wanted {
-        assert!(messages.iter().any(|message| message == one), "{one}\n{messages:#?}");
+    for expected in expected_messages {
+        assert!(messages.iter().any(|message| message == expected), "{expected}\n{messages:#?}");
     }
 }
 
@@ -64,9 +64,9 @@
     }
     assert!(Patch::read("f", &" ".repeat(MAX_TEXT_BYTES + 1)).is_err());
     assert!(Patch::read("f", &"(".repeat(100_000)).is_err());
-    let many: String =
-        (0..CHANGE_KEYS_AND_ONE).map(|at| format!("(tenant (name \"{at}\") (quota 1))")).collect();
-    assert!(messages(&many)[0].contains("a change has"));
+    let oversized: String =
+        (0..TOO_MANY_KEYS).map(|at| format!("(tenant (name \"{at}\") (quota 1))")).collect();
+    assert!(messages(&oversized)[0].contains("change too large: got 4097 keys"));
 }
 
-const CHANGE_KEYS_AND_ONE: usize = crate::change::MAX_CHANGE_KEYS + 1;
+const TOO_MANY_KEYS: usize = crate::change::MAX_CHANGE_KEYS + 1;
--- a/crates/config-rollout/src/setting.rs
+++ b/crates/config-rollout/src/setting.rs
@@ -1,31 +1,31 @@
-//! The value of one setting, and what can be wrong with it.
+//! Setting values and their validation errors.
 
 use crate::key::Key;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
 
-/// The value of a setting, in the unit of its field. All settings that can be rolled out are numbers.
+/// The value of a setting, in the unit of its field. All settings of a rollout are numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Value(pub f64);
 
-/// Why a content or a change is not valid. Servers send it on as part of a rejection, so the reason is text.
+/// An invalid content or change. Servers report the error in their acknowledgements, so the reason is text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub struct ValidationError {
-    /// The setting that is wrong; none where the content or the change is wrong as a whole.
+    /// The invalid setting, or `None` if the content or change is invalid as a whole.
     pub key: Option<Key>,
-    /// What is wrong, for people.
+    /// Human-readable description of the error.
     #[serde(rename = "what")]
     pub reason: String,
 }
 
 impl ValidationError {
-    /// An error of the content or change as a whole.
+    /// Creates an error that concerns the content or change as a whole.
     pub fn whole(reason: impl Into<String>) -> ValidationError {
         ValidationError { key: None, reason: reason.into() }
     }
 
-    /// An error of one setting.
+    /// Creates an error that concerns one setting.
     pub fn at(key: &Key, reason: impl Into<String>) -> ValidationError {
         ValidationError { key: Some(key.clone()), reason: reason.into() }
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether a key is valid, and its value, if it has one, is in the range of its field.
+/// Checks that a key is valid and that its value, if any, is in the range of its field.
 pub(crate) fn check_setting(key: &Key, value: Option<Value>) -> Result<(), ValidationError> {
     key.check().map_err(|error| ValidationError::at(key, error.to_string()))?;
     value.map_or(Ok(()), |value| check_range(key, value))
@@ -48,17 +48,17 @@
 
 fn check_range(key: &Key, Value(value): Value) -> Result<(), ValidationError> {
     let range = key.field.range();
-    // A negative zero has bits of its own, and two contents that are equal must have one digest.
+    // Negative zero equals zero but has another encoding, which would give equal contents different digests.
     if range.contains(&value) && value.is_sign_positive() {
         return Ok(());
     }
-    let reason = format!("should be from {} to {}, is {value}", range.start(), range.end());
+    let reason = format!("got {value}, expected a value from {} to {}", range.start(), range.end());
     Err(ValidationError::at(key, reason))
 }
 
-/// Bytes that a setting counts for in the bounds of changes and contents; it takes fewer when it is sent.
+/// Returns the size of a setting that counts towards the limits of changes and contents, in bytes.
 pub(crate) fn counted_bytes(key: &Key) -> usize {
-    /// Section, field, value and the lengths between them.
+    /// Upper bound on the encoded size of section, field, value and lengths.
     const OVERHEAD_BYTES: usize = 14;
     key.name.len() + OVERHEAD_BYTES
 }
--- a/crates/config-rollout/src/validation.rs
+++ b/crates/config-rollout/src/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a content can be activated. Whoever accepts a change asks first; each server asks again, since its base settings may differ.
+//! Validation of contents. A content is validated when a change is put and again on each server, whose base settings may differ.
 
 use crate::content::Content;
 use crate::key::{Field, Key, Section};
@@ -6,9 +6,13 @@
 use puffinladder_settings::{parse_policy_config, ConfigError};
 use serde_json::{Map, Value as Json};
 
-/// Judges a whole content.
+/// Validates whole contents before they are accepted or activated.
 pub trait ContentValidator {
-    /// An error with the key and the reason where the content must not be activated.
+    /// Checks whether the content may be activated.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason, and the key where one setting is invalid.
     fn validate(&self, content: &Content) -> Result<(), ValidationError>;
 }
 
@@ -18,7 +22,7 @@
     }
 }
 
-/// Checks sizes, keys and ranges only, without base settings.
+/// A validator that checks sizes, keys and ranges, but no base settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BoundsValidator;
 
@@ -28,14 +32,19 @@
     }
 }
 
-/// The settings with which a server starts and which contents overlay; `puffinladder-settings` parses both.
+/// The base settings with which a server starts. Contents overlay them.
 #[derive(Clone, Debug)]
 pub struct BaseSettings {
     settings: Map<String, Json>,
 }
 
 impl BaseSettings {
-    /// `text` is JSON as [`parse_policy_config`] takes it: the `settings` of a server's start text, or all of an adapter's.
+    /// Parses base settings. `text` is JSON in the format of [`parse_policy_config`]: the `settings` object of a server's configuration,
+    /// or the whole configuration of an adapter.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the text is no JSON object or the policy settings are invalid.
     pub fn new(text: &[u8]) -> Result<BaseSettings, ConfigError> {
         parse_policy_config(text)?;
         match serde_json::from_slice(text) {
@@ -44,8 +53,11 @@
         }
     }
 
-    /// The settings with a content overlaid, as JSON that [`parse_policy_config`] takes. An error where the base settings lack the route that a
-    /// key names, or have something else in its place.
+    /// Returns the base settings with a content overlaid, as JSON in the format of [`parse_policy_config`].
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the base settings lack the route of a key, or if a value in them has the wrong type.
     pub fn overlay(&self, content: &Content) -> Result<Vec<u8>, ValidationError> {
         let mut settings = self.settings.clone();
         for (key, value) in content.iter() {
@@ -59,7 +71,7 @@
     }
 }
 
-/// The object in which a limit stands.
+/// Returns the object that contains a limit.
 fn limits_of<'a>(
     settings: &'a mut Map<String, Json>,
     key: &Key,
@@ -68,20 +80,23 @@
         return Ok(settings);
     }
     let limits = settings.entry("Limits").or_insert_with(|| Json::Object(Map::new()));
-    limits.as_object_mut().ok_or_else(|| ValidationError::at(key, "the start text's Limits is no object"))
+    limits
+        .as_object_mut()
+        .ok_or_else(|| ValidationError::at(key, "base settings: Limits is not a JSON object"))
 }
 
-/// The object of the tenant or route that a key names. A tenant that the base settings lack is added; a route is not, since it has
-/// an effect and calls, which only the base settings name.
+/// Returns the object of the tenant or route of a key. A missing tenant is added. A missing route is an error, because a route has further
+/// required settings that only the base settings define.
 fn entry_of<'a>(
     settings: &'a mut Map<String, Json>,
     key: &Key,
 ) -> Result<&'a mut Map<String, Json>, ValidationError> {
-    let error = |reason: &str| ValidationError::at(key, reason);
+    let error = |reason: String| ValidationError::at(key, reason);
     let is_tenant = key.section == Section::Tenant;
     let list_key = if is_tenant { "Tenants" } else { "Lanes" };
     let list = settings.entry(list_key).or_insert_with(|| Json::Array(Vec::new()));
-    let entries = list.as_array_mut().ok_or_else(|| error("the start text has no list of these"))?;
+    let entries =
+        list.as_array_mut().ok_or_else(|| error(format!("base settings: {list_key} is not a JSON array")))?;
     let has_name = |entry: &Json| entry.get("Name").and_then(Json::as_str) == Some(&key.name);
     let position = match entries.iter().position(has_name) {
         Some(position) => position,
@@ -89,16 +104,17 @@
             entries.push(serde_json::json!({ "Name": key.name }));
             entries.len() - 1
         }
-        None => return Err(error("the start text has no route of that name")),
+        None => return Err(error(format!("base settings: no entry with Name {:?} in {list_key}", key.name))),
     };
-    entries[position].as_object_mut().ok_or_else(|| error("the start text's entry is no object"))
+    let not_an_object = || error(format!("base settings: {list_key}[{position}] is not a JSON object"));
+    entries[position].as_object_mut().ok_or_else(not_an_object)
 }
 
 impl ContentValidator for BaseSettings {
     fn validate(&self, content: &Content) -> Result<(), ValidationError> {
         content.check()?;
         let settings = self.overlay(content)?;
-        // The check above covers keys and ranges; an error here concerns the settings as a whole and names its place itself.
+        // Keys and ranges were checked above. This error concerns the settings as a whole and names its own location.
         parse_policy_config(&settings).map_err(|error| ValidationError::whole(error.to_string()))?;
         Ok(())
     }
--- a/crates/config-rollout/src/validation/tests.rs
+++ b/crates/config-rollout/src/validation/tests.rs
@@ -35,7 +35,7 @@
         (0.3, 0.9)
     );
     assert_eq!((config.settings.servers, config.settings.max_retry_after), (9.0, 5.0));
-    // The empty content is the start text.
+    // The empty content leaves the base settings unmodified.
     let config = parse_policy_config(&base_settings().overlay(&Content::default()).unwrap()).unwrap();
     assert_eq!(config, parse_policy_config(BASE_SETTINGS.as_bytes()).unwrap());
 }
@@ -62,8 +62,11 @@
 fn validation_error_names_the_key_and_the_cause() {
     let content = content_of(Change::default().set(Key::route("nowhere", Field::LatencyObjective), 5.0));
     let error = base_settings().validate(&content).unwrap_err();
-    assert_eq!(error.to_string(), "route \"nowhere\" promise: the start text has no route of that name");
-    // A start text that is another at this server: what it lacks is named here.
+    assert_eq!(
+        error.to_string(),
+        "route \"nowhere\" promise: base settings: no entry with Name \"nowhere\" in Lanes"
+    );
+    // Base settings that lack a required key are rejected.
     let broken = BASE_SETTINGS.replace("\"Cpus\": 2,", "");
     assert!(BaseSettings::new(broken.as_bytes()).is_err());
 }
