--- a/crates/config-rollout/src/history.rs
+++ b/crates/config-rollout/src/history.rs
@@ -1,8 +1,8 @@
-//! The one sequence of versions that the lease-store replicas agree on. Each replica applies the same log entries in the same order and comes
-//! to the same history; an entry takes effect completely or not at all.
+//! Replicated history of versions: a deterministic state machine over the log of the lease store. Each replica applies the same entries in
+//! the same order; an entry takes effect completely or not at all.
 //!
-//! A put names the version that its author saw, so that what was checked is what comes to be. An accepted version is not yet released:
-//! it is first active on a few *canary* servers, and is then released to all or reverted by a new version.
+//! A put is a compare-and-set: it names the head that its author saw. An accepted version is first active on a few *canary* servers, and is
+//! then released to all servers or reverted by a new version.
 
 mod apply;
 mod command;
@@ -21,10 +21,10 @@
 use puffinladder_leases::Epoch;
 use std::collections::VecDeque;
 
-/// Servers on which one version is canaried, over all draws.
+/// Maximum number of canaries of one version.
 pub const MAX_CANARIES: usize = 64;
 
-/// A replica of the history: the versions behind a checkpoint, the content at its head, and the state of the rollout.
+/// A replica of the history: a checkpoint, the versions after it, the content of the head, and the state of the rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
     digester: Digester,
@@ -32,9 +32,9 @@
     checkpoint: VersionId,
     checkpoint_content: Content,
     head_content: Content,
-    /// Behind the checkpoint, without gaps.
+    /// The versions after the checkpoint, without gaps.
     versions: VecDeque<Version>,
-    /// Of the changes of these versions.
+    /// Total size of the changes of `versions`.
     change_bytes: usize,
     epoch: Epoch,
     state: RolloutState,
@@ -42,7 +42,7 @@
 }
 
 impl History {
-    /// An empty history, whose only version is number 0: the base settings alone.
+    /// Creates a history whose only version is number 0, with an empty content.
     pub fn new(digester: Digester, limits: RetentionLimits) -> History {
         let content = Content::default();
         let limits = RetentionLimits { versions: limits.versions.max(1), bytes: limits.bytes.max(1) };
@@ -50,7 +50,7 @@
         History::at_checkpoint(digester, limits, checkpoint, content)
     }
 
-    /// A history that has nothing behind its checkpoint.
+    /// Creates a history without versions after its checkpoint.
     fn at_checkpoint(
         digester: Digester,
         limits: RetentionLimits,
@@ -71,53 +71,53 @@
         }
     }
 
-    /// How digests are computed here.
+    /// Returns the digester of this history.
     pub fn digester(&self) -> &Digester {
         &self.digester
     }
 
-    /// The latest version, released or not.
+    /// Returns the latest version, released or not.
     pub fn head(&self) -> VersionId {
         self.versions.back().map_or(self.checkpoint, Version::id)
     }
 
-    /// The oldest version that is known; older ones are compacted into it.
+    /// Returns the checkpoint: the oldest retained version, into which older ones were compacted.
     pub fn checkpoint(&self) -> VersionId {
         self.checkpoint
     }
 
-    /// The content at the head.
+    /// Returns the content of the head.
     pub fn content(&self) -> &Content {
         &self.head_content
     }
 
-    /// The versions behind the checkpoint, oldest first.
+    /// Iterates over the versions after the checkpoint, oldest first.
     pub fn versions(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// The highest epoch under which an entry took effect: entries of lower epochs are rejected.
+    /// Returns the highest epoch of any accepted entry. Entries of lower epochs are rejected.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// What is released and what is on canaries.
+    /// Returns the state of the rollout.
     pub fn state(&self) -> &RolloutState {
         &self.state
     }
 
-    /// Log entries that were applied, rejected ones included.
+    /// Returns the number of applied log entries, including rejected ones.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// A version behind the checkpoint, by its number.
+    /// Returns the version with that number, if it is retained after the checkpoint.
     pub fn version(&self, number: u64) -> Option<&Version> {
         let index = number.checked_sub(self.checkpoint.number.checked_add(1)?)?;
         self.versions.get(usize::try_from(index).ok()?)
     }
 
-    /// The id of a version that is retained, the checkpoint included.
+    /// Returns the identifier of a retained version or of the checkpoint.
     pub fn version_id(&self, number: u64) -> Option<VersionId> {
         if number == self.checkpoint.number {
             return Some(self.checkpoint);
@@ -125,18 +125,18 @@
         self.version(number).map(Version::id)
     }
 
-    /// Whether a version is retained here under the same digest.
+    /// Returns whether the version is retained with the same digest.
     pub fn contains(&self, version: VersionId) -> bool {
         self.version_id(version.number) == Some(version)
     }
 
-    /// The last released version.
+    /// Returns the latest released version.
     pub fn released(&self) -> VersionId {
-        // A released version is never compacted away, see `compact`.
+        // `compact` never removes the released version.
         self.version_id(self.state.released).unwrap_or(self.checkpoint)
     }
 
-    /// The whole content after a version that is retained.
+    /// Returns the whole content of a retained version.
     pub fn content_at(&self, number: u64) -> Option<Content> {
         if number == self.head().number {
             return Some(self.head_content.clone());
@@ -145,13 +145,18 @@
         self.checkpoint_content.with_change(&change).ok()
     }
 
-    /// The change that makes version `to` of version `from`, in either direction.
+    /// Returns the change from the content of version `from` to that of version `to`, in either direction.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Rejection::Compacted`] if one of the versions is not retained.
     pub fn diff(&self, from: u64, to: u64) -> Result<Change, Rejection> {
         let content_at = |number| self.content_at(number).ok_or(Rejection::Compacted(number));
         Ok(content_at(from)?.diff(&content_at(to)?))
     }
 
-    /// All changes after `from` up to and including `to`, as one; the same on every replica. None where one of them is not retained.
+    /// Merges all changes after `from` up to and including `to`. Returns `None` if one of the two versions is not retained. The result is
+    /// the same on every replica.
     pub fn combined_change(&self, from: u64, to: u64) -> Option<Change> {
         self.version_id(from)?;
         self.version_id(to)?;
@@ -161,7 +166,11 @@
         Some(combined)
     }
 
-    /// The put that would bring the content of an older version back.
+    /// Creates a put that restores the content of an older version.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Rejection::Compacted`] if that version is not retained.
     pub fn rollback(&self, to: u64, author: &str, epoch: Epoch) -> Result<PutRequest, Rejection> {
         let change = self.diff(self.head().number, to)?;
         let origin = Origin::Rollback { to };
--- a/crates/config-rollout/src/history/apply.rs
+++ b/crates/config-rollout/src/history/apply.rs
@@ -1,4 +1,4 @@
-//! Checks a put, and applies the entries of the replicated log to the history.
+//! Validation of puts, and application of log entries to the history.
 
 use super::command::{Command, LogEntry, MissedVersion, Outcome, PutRequest, Rejection};
 use super::state::{CanaryPhase, RevertedCanary};
@@ -13,16 +13,16 @@
 use puffinladder_leases::Epoch;
 use std::collections::BTreeSet;
 
-/// Missed versions that a rejection names.
+/// Maximum number of missed versions listed in a rejection.
 const MAX_MISSED: usize = 64;
-/// Characters of a cause that are kept: at four bytes each no more than 512 bytes.
+/// Maximum number of characters of a stored cause.
 const MAX_CAUSE_CHARS: usize = 128;
-/// Characters of the author of a revert that are kept, so that they fit into a name.
+/// Maximum number of characters of the stored author of a revert. At four bytes each they fit into a name.
 const MAX_AUTHOR_CHARS: usize = MAX_NAME_BYTES / 4;
-/// Failed canary phases that stay known.
+/// Maximum number of stored failed canary phases.
 pub(super) const MAX_REVERTED: usize = 16;
 
-/// What is known of a version before it has its number.
+/// A version without its number and digest.
 struct NewVersion {
     at: f64,
     author: String,
@@ -32,8 +32,12 @@
 }
 
 impl History {
-    /// What would come of a put here and now, before it is proposed: the version that it would make. Replicas go by the base and by the
-    /// bounds alone, not by `validator`, which may differ between releases of the program.
+    /// Checks a put before it is proposed and returns the version that it would create. [`History::apply`] does not run `validator`, because
+    /// validators may differ between releases of the program.
+    ///
+    /// # Errors
+    ///
+    /// Returns the rejection that applying the put would give now, or [`Rejection::Invalid`] from the validator.
     pub fn check_put(
         &self,
         put: &PutRequest,
@@ -45,7 +49,11 @@
         Ok(self.digester.version_id(put.base.number + 1, &content))
     }
 
-    /// Applies one entry of the log. A rejected entry counts as applied and changes nothing else, the epoch included.
+    /// Applies one entry of the log.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the entry is rejected. A rejected entry increments [`History::applied`] and has no other effect.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<Outcome, Rejection> {
         self.applied += 1;
         let epoch = entry.command.epoch();
@@ -66,7 +74,7 @@
         Ok(outcome)
     }
 
-    /// Epoch 0 is of no lease at all.
+    /// Rejects epochs that are lower than the highest one seen, and epoch 0, which no lease has.
     fn check_epoch(&self, epoch: Epoch) -> Result<(), Rejection> {
         if epoch == 0 || epoch < self.epoch {
             return Err(Rejection::StaleEpoch { seen: self.epoch });
@@ -74,13 +82,16 @@
         Ok(())
     }
 
-    /// The content that a put makes of the head.
+    /// Returns the content that a put would create.
     fn content_after_put(&self, put: &PutRequest) -> Result<Content, Rejection> {
         if put.base != self.head() {
             return Err(self.base_rejection(put.base));
         }
         if !(1..=MAX_NAME_BYTES).contains(&put.author.len()) {
-            return Err(invalid(format!("an author has 1 to {MAX_NAME_BYTES} bytes")));
+            return Err(invalid(format!(
+                "author: got {} bytes, expected 1 to {MAX_NAME_BYTES}",
+                put.author.len()
+            )));
         }
         let content = self.content_by_origin(put)?;
         if content == self.head_content {
@@ -99,20 +110,24 @@
                 put.change.check().map_err(Rejection::Invalid)?;
                 self.head_content.with_change(&put.change).map_err(Rejection::Invalid)
             }
-            // It may be larger than a change otherwise is, but has to be what it claims to be.
+            // The change of a rollback may exceed the size limit, but must restore exactly the content of version `to`.
             Origin::Rollback { to } => {
                 let content = self.head_content.with_change(&put.change).map_err(Rejection::Invalid)?;
                 if content != self.content_at(*to).ok_or(Rejection::Compacted(*to))? {
-                    return Err(invalid(format!("not the content of version {to}")));
+                    return Err(invalid(format!(
+                        "rollback: the change does not restore the content of version {to}, expected the change \
+                         from {} to version {to}",
+                        self.head()
+                    )));
                 }
                 Ok(content)
             }
-            Origin::Reverted { .. } => Err(invalid("a revert can't be put by an author")),
+            Origin::Reverted { .. } => Err(invalid("origin: got a revert, expected a put or a rollback")),
         }
     }
 
     fn base_rejection(&self, base: VersionId) -> Rejection {
-        // A base before the checkpoint was missed as well; one above the head, or of another content, is not of this history.
+        // A base before the checkpoint counts as older. A base above the head or with another digest is unknown.
         let older = base.number < self.checkpoint.number || self.contains(base);
         if older {
             self.missed_versions_rejection(base)
@@ -134,8 +149,8 @@
     }
 
     fn put(&mut self, at: f64, put: &PutRequest) -> Result<Outcome, Rejection> {
-        if let Some(done) = self.find_applied_put(put) {
-            return Ok(Outcome::AlreadyApplied(done));
+        if let Some(version) = self.find_applied_put(put) {
+            return Ok(Outcome::AlreadyApplied(version));
         }
         let content = self.content_after_put(put)?;
         let PutRequest { author, epoch, origin, change, .. } = put.clone();
@@ -143,7 +158,7 @@
         Ok(Outcome::Accepted(self.push(version, content)))
     }
 
-    /// The version that this very put made before, if it did.
+    /// Returns the version that the same put created earlier, if it was applied before.
     fn find_applied_put(&self, put: &PutRequest) -> Option<VersionId> {
         if put.base == self.head() {
             return None;
@@ -223,7 +238,7 @@
         let author: String = author.chars().take(MAX_AUTHOR_CHARS).collect();
         let origin = Origin::Reverted { to, cause: cause.clone() };
         let id = self.push(NewVersion { at, author, epoch, origin, change }, content);
-        // All but the canaries have this very content, so it needs no canaries of its own.
+        // All servers except the canaries already have this content, so it is released without canaries.
         (self.state.released, self.state.canary) = (id.number, None);
         self.state.reverted.push_back(RevertedCanary { number, last, cause, at });
         if self.state.reverted.len() > MAX_REVERTED {
@@ -232,7 +247,7 @@
         Ok(Outcome::Reverted(id))
     }
 
-    /// Whether no further version may be retained.
+    /// Returns whether the retention limits leave no room for another version.
     fn is_full(&self) -> bool {
         self.versions.len() >= self.limits.versions || self.change_bytes >= self.limits.bytes
     }
@@ -241,8 +256,8 @@
         self.versions.len() > self.limits.versions || self.change_bytes > self.limits.bytes
     }
 
-    /// Moves the checkpoint over the versions that exceed the limits, up to the released one: what is not released may have to be
-    /// reverted.
+    /// Compacts the oldest versions into the checkpoint while the retention limits are exceeded. Keeps the released version and later ones,
+    /// since a revert needs them.
     pub(super) fn compact(&mut self) {
         while self.exceeds_limits() && self.checkpoint.number < self.state.released {
             let Some(oldest) = self.versions.pop_front() else { return };
--- a/crates/config-rollout/src/history/command.rs
+++ b/crates/config-rollout/src/history/command.rs
@@ -1,72 +1,74 @@
-//! What can be asked of the history through the replicated log, and what comes of it.
+//! Commands to the history in the replicated log, and their outcomes.
 
 use super::version::Origin;
+use super::MAX_CANARIES;
 use crate::change::Change;
 use crate::digest::VersionId;
+use crate::key::MAX_NAME_BYTES;
 use crate::setting::ValidationError;
 use puffinladder_leases::Epoch;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A change that somebody asks for, on the version that he saw.
+/// A request to create a version by changing the head that its author saw.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PutRequest {
-    /// The head that the author saw; the put is rejected on any other.
+    /// The expected head. The put is rejected if the head is another version.
     pub base: VersionId,
-    /// Who asks.
+    /// The author of the change.
     pub author: String,
-    /// Of the lease under which it is written.
+    /// Epoch of the lease under which the put is proposed.
     pub epoch: Epoch,
-    /// A put or a rollback.
+    /// The origin of the version: a put or a rollback.
     pub origin: Origin,
     /// The change to `base`.
     pub change: Change,
 }
 
-/// What the replicas agree on, next to the commands of the lease table. The order of the variants is part of the log's form.
+/// A command to the history. The order of the variants is part of the encoding of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A new lease holder shows its epoch, which fences off all commands of the holder before.
+    /// Announces the epoch of a new lease holder, which fences off the commands of earlier holders.
     Announce {
-        /// Of its lease.
+        /// Epoch of the lease.
         epoch: Epoch,
     },
-    /// A new version.
+    /// Creates a version.
     Put(PutRequest),
-    /// The canaries get a version before all others. Repeated for the same version it adds canaries.
+    /// Activates a version on canaries. Repeating the command for the same version adds canaries.
     #[serde(rename = "Trial")]
     StartCanary {
-        /// Of the lease.
+        /// Epoch of the lease.
         epoch: Epoch,
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// The names of the servers.
+        /// The names of the canary servers.
         canaries: BTreeSet<String>,
     },
-    /// The version that is on canaries goes to all.
+    /// Releases the version on canaries to all servers.
     Release {
-        /// Of the lease.
+        /// Epoch of the lease.
         epoch: Epoch,
-        /// The version.
+        /// The number of the version.
         number: u64,
     },
-    /// The version that is on canaries, and all that was put on top of it, gives way to the content of the last released one.
+    /// Reverts the version on canaries and all later versions to the content of the latest released version.
     #[serde(rename = "TakeBack")]
     Revert {
-        /// Of the lease.
+        /// Epoch of the lease.
         epoch: Epoch,
-        /// Who decided it.
+        /// The author of the decision.
         author: String,
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// How the canaries failed.
+        /// Human-readable cause of the failure.
         cause: String,
     },
 }
 
 impl Command {
-    /// The epoch of the lease under which it was written.
+    /// Returns the epoch of the lease under which the command was proposed.
     pub fn epoch(&self) -> Epoch {
         match self {
             Command::Put(put) => put.epoch,
@@ -81,97 +83,103 @@
 /// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// When it was proposed, in s by the lease table's clock.
+    /// Time of the proposal, s by the clock of the lease table.
     pub at: f64,
-    /// What it asks for.
+    /// The command.
     pub command: Command,
 }
 
-/// A version that an author did not know of, without its change.
+/// Summary of a version that was created after the base of a put.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MissedVersion {
-    /// Its number.
+    /// The number of the version.
     pub number: u64,
-    /// Who made it.
+    /// The author of the version.
     pub author: String,
-    /// When, in s by the lease table's clock.
+    /// Time of creation, s by the clock of the lease table.
     pub at: f64,
-    /// How many keys it changed.
+    /// Number of changed keys.
     pub keys: usize,
 }
 
-/// What came of an entry that took effect.
+/// Outcome of an accepted entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The epoch is known from here on.
+    /// The epoch was recorded.
     Announced,
-    /// The version was made.
+    /// The version was created.
     Accepted(VersionId),
-    /// It took effect before and the answer was lost; the version that it made or released.
+    /// The entry had already taken effect, for example because the answer was lost and the entry proposed again. Contains the version that
+    /// it created or released.
     #[serde(rename = "Repeat")]
     AlreadyApplied(VersionId),
-    /// The canaries are in the history.
+    /// The canaries were recorded.
     #[serde(rename = "Tried")]
     CanaryStarted,
-    /// The version may go to all servers.
+    /// The version was released to all servers.
     Released(VersionId),
-    /// The canary phase failed; the new version, which has the last released content.
+    /// The canary phase was reverted. Contains the new version, which has the content of the latest released one.
     #[serde(rename = "TakenBack")]
     Reverted(VersionId),
 }
 
-/// Why an entry took no effect.
+/// Reason for which an entry was rejected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Error)]
 pub enum Rejection {
-    /// The entry was written under a lease that has ended.
-    #[error("the lease has ended: epoch {seen} has been seen")]
+    /// The entry was proposed under a lease that has ended.
+    #[error("epoch of the command is 0 or stale: expected epoch {seen} or later")]
     #[serde(rename = "Late")]
     StaleEpoch {
-        /// The highest epoch so far.
+        /// The highest epoch of any accepted entry.
         seen: Epoch,
     },
-    /// Other versions came first.
-    #[error("the head is {head}; {} versions were missed, the first of them {:?}", missed.len(), missed.first())]
+    /// Versions were created after the base of the put.
+    #[error("base of the put is outdated: expected head {head}; {} versions follow the base, the first is {:?}", missed.len(), missed.first())]
     #[serde(rename = "Missed")]
     MissedVersions {
-        /// The head on which to put the change again.
+        /// The current head, to be used as the base of a new put.
         head: VersionId,
-        /// The versions after the author's base, oldest first; the first ones where there are many.
+        /// The versions after the base, oldest first, up to a limit.
         missed: Vec<MissedVersion>,
     },
-    /// The base of a put is not a version of this history.
-    #[error("{0} is no version of this history")]
+    /// The base of the put is not a version of this history.
+    #[error("base of the put: got version {0}, which is not in this history")]
     #[serde(rename = "Unknown")]
     UnknownVersion(VersionId),
-    /// The version is older than the checkpoint, or there is none of that number yet.
-    #[error("version {0} is not retained")]
+    /// The version is older than the checkpoint or does not exist yet.
+    #[error("version {0} is not retained: it was compacted or does not exist yet")]
     #[serde(rename = "Forgotten")]
     Compacted(u64),
-    /// The change, or the content after it, is not valid.
+    /// The change or the resulting content is invalid.
     #[error("{0}")]
     #[serde(rename = "Unfit")]
     Invalid(ValidationError),
-    /// The content would stay as it is.
-    #[error("it changes nothing")]
+    /// The change does not modify the content.
+    #[error(
+        "the change is empty or sets every key to its current value: expected at least one different value"
+    )]
     #[serde(rename = "Empty")]
     NoChange,
-    /// Versions wait for their release and fill what may be retained; or a version would have too many canaries.
-    #[error("too many versions wait for their release, or too many canaries")]
+    /// Unreleased versions fill the retention limits, or a version would have too many canaries or a canary with too long a name.
+    #[error(
+        "unreleased versions reach the retention limits, or the canaries exceed {MAX_CANARIES} servers or names of \
+         {MAX_NAME_BYTES} bytes"
+    )]
     Full,
-    /// The version can't start on canaries, be released or reverted now.
+    /// The version cannot be started on canaries, released or reverted in the current state.
     #[error(
-        "version {asked} can't start on canaries, be released or reverted now; on canaries is {current:?}"
+        "version {asked} cannot be started on canaries, released or reverted: the version on canaries is {current:?}"
     )]
     #[serde(rename = "NotOnTrial")]
     NotOnCanaries {
-        /// The version that was asked for.
+        /// The number of the requested version.
         asked: u64,
-        /// The version that is on canaries.
+        /// The number of the version on canaries, if any.
         #[serde(rename = "trial")]
         current: Option<u64>,
     },
-    /// From a host that reaches no majority of replicas: nothing is decided there, and what is active stays.
-    #[error("no majority of lease-store replicas can be reached: nothing can be changed, servers keep what they have")]
+    /// The host reaches no majority of lease-store replicas, so nothing can be committed. Servers keep their active version.
+    #[error("no majority of lease-store replicas can be reached: the command was not committed, servers keep their active version")]
     #[serde(rename = "NoMajority")]
     NoQuorum,
 }
--- a/crates/config-rollout/src/history/replication.rs
+++ b/crates/config-rollout/src/history/replication.rs
@@ -1,19 +1,19 @@
-//! How a history reaches other replicas and the disk: snapshots of all of it, and updates with what is new. Whatever comes from outside is
-//! checked, digest by digest, before any of it is taken over.
+//! Snapshots of a history for disks and other replicas, and incremental updates. All digests of a snapshot or update are verified before any
+//! of it is applied.
 
 use super::apply::MAX_REVERTED;
 use super::state::RolloutState;
 use super::version::{RetentionLimits, Version};
 use super::History;
 use crate::content::Content;
-use crate::digest::{Digester, VersionId};
+use crate::digest::{Digest, Digester, VersionId};
 use crate::setting::ValidationError;
 use puffinladder_leases::Epoch;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The stored form of a history, in postcard: the order of the fields must not change.
+/// Stored form of a history, encoded as postcard. The order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 struct StoredHistory {
     limits: RetentionLimits,
@@ -25,55 +25,76 @@
     applied: u64,
 }
 
-/// What a replica lacks that has everything up to a version.
+/// Incremental update for a replica that has all versions up to a base.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryUpdate {
-    /// The version that the replica has.
+    /// The expected head of the replica.
     pub after: VersionId,
-    /// The versions behind it.
+    /// The versions after that head.
     pub versions: Vec<Version>,
     /// See [`History::epoch`].
     pub epoch: Epoch,
-    /// What is released and what is on canaries.
+    /// The state of the rollout.
     #[serde(rename = "stage")]
     pub state: RolloutState,
     /// See [`History::applied`].
     pub applied: u64,
 }
 
-/// Why a snapshot or an update was not taken over.
+/// Error of applying a snapshot or an update.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReplicationError {
-    /// The snapshot is no stored history.
-    #[error("history: can't be decoded: {0}")]
+    /// The snapshot cannot be decoded.
+    #[error("history: cannot decode the snapshot: {0}")]
     Decode(postcard::Error),
-    /// The content at the checkpoint, or a change behind it, is not valid.
-    #[error("history: {0}")]
+    /// The content of the checkpoint or a later change is invalid.
+    #[error("history: invalid content or change: {0}")]
     Invalid(ValidationError),
-    /// The checkpoint's digest is not that of its content.
-    #[error("history: the checkpoint's digest is not that of its content")]
-    CheckpointDigest,
-    /// A version has another number or digest than it should have at its place.
-    #[error("history: version {version} is not what follows {head}")]
+    /// The digest of the checkpoint does not match its content.
+    #[error("history: checkpoint: got digest {}, expected {expected}", received.digest)]
+    CheckpointDigest {
+        /// The checkpoint in the snapshot.
+        received: VersionId,
+        /// The digest computed from the content.
+        expected: Digest,
+    },
+    /// The number or digest of a version does not follow from its predecessor and its change.
+    #[error("history: got version {received} after {head}, expected {expected}")]
     BrokenChain {
-        /// The version as it was received.
-        version: VersionId,
-        /// The version before it.
+        /// The received version.
+        received: VersionId,
+        /// The version that the change of the received version creates.
+        expected: VersionId,
+        /// The preceding version.
+        head: VersionId,
+    },
+    /// The version released or on canaries is not retained, their order is wrong, or too many reverts are listed.
+    #[error(
+        "history: rollout state: got version {released} released, {canary:?} on canaries and {reverted} reverts, expected \
+         versions from {checkpoint} to {head}, canaries after the released version and at most {MAX_REVERTED} reverts"
+    )]
+    InvalidState {
+        /// The number of the released version.
+        released: u64,
+        /// The number of the version on canaries, if any.
+        canary: Option<u64>,
+        /// The number of listed reverts.
+        reverted: usize,
+        /// The oldest retained version.
+        checkpoint: VersionId,
+        /// The latest version.
         head: VersionId,
     },
-    /// The released version or the one on canaries is not in the history, or they are in the wrong order.
-    #[error("history: what is released or on canaries is no version of it")]
-    InvalidState,
-    /// The update begins at another version than the head of this replica.
-    #[error("history: update after {after}, but the head here is {head}")]
+    /// The update does not start at the head of this replica.
+    #[error("history: got an update after {after}, expected one after the head {head}")]
     WrongBase {
-        /// Where the update begins.
+        /// The version after which the update starts.
         after: VersionId,
         /// The head of this replica.
         head: VersionId,
     },
-    /// The snapshot ends before the head of this replica.
-    #[error("history: a history up to {snapshot} in place of one up to {head}")]
+    /// The head of the snapshot is older than the head of this replica.
+    #[error("history: got a snapshot up to {snapshot}, expected one up to {head} or later")]
     ShorterSnapshot {
         /// The head of the snapshot.
         snapshot: VersionId,
@@ -83,7 +104,7 @@
 }
 
 impl History {
-    /// All of it, to be stored or sent.
+    /// Encodes the whole history.
     pub fn snapshot(&self) -> Vec<u8> {
         let stored = StoredHistory {
             limits: self.limits,
@@ -94,15 +115,20 @@
             state: self.state.clone(),
             applied: self.applied,
         };
-        postcard::to_allocvec(&stored).expect("plain data is written to memory without an error")
+        postcard::to_allocvec(&stored).expect("plain data serializes to memory")
     }
 
-    /// A history from a snapshot, after every digest of it was computed anew.
+    /// Decodes a history from a snapshot and verifies all digests.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the snapshot cannot be decoded or its content, versions or state are invalid.
     pub fn restore(digester: Digester, bytes: &[u8]) -> Result<History, ReplicationError> {
         let stored: StoredHistory = postcard::from_bytes(bytes).map_err(ReplicationError::Decode)?;
         stored.checkpoint_content.check().map_err(ReplicationError::Invalid)?;
-        if digester.version_id(stored.checkpoint.number, &stored.checkpoint_content) != stored.checkpoint {
-            return Err(ReplicationError::CheckpointDigest);
+        let expected = digester.digest(stored.checkpoint.number, &stored.checkpoint_content);
+        if stored.checkpoint.digest != expected {
+            return Err(ReplicationError::CheckpointDigest { received: stored.checkpoint, expected });
         }
         let mut history =
             History::at_checkpoint(digester, stored.limits, stored.checkpoint, stored.checkpoint_content);
@@ -112,7 +138,8 @@
         Ok(history)
     }
 
-    /// What a replica lacks that has everything up to `after`. None where that is not retained, so that it needs a snapshot.
+    /// Creates an update for a replica whose head is `after`. Returns `None` if that version is not retained, so that the replica needs a
+    /// snapshot.
     pub fn update_since(&self, after: VersionId) -> Option<HistoryUpdate> {
         if !self.contains(after) {
             return None;
@@ -127,8 +154,11 @@
         })
     }
 
-    /// Takes an update over, completely or not at all; returns whether it had anything new. An update that is older than this replica
-    /// changes nothing.
+    /// Applies an update atomically. Returns `false` without any effect if the update is not newer than this replica.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the update does not start at the head or is invalid. The replica is then unmodified.
     pub fn apply_update(&mut self, update: HistoryUpdate) -> Result<bool, ReplicationError> {
         if !self.is_older_than(update.epoch, update.applied) {
             return Ok(false);
@@ -145,7 +175,11 @@
         Ok(true)
     }
 
-    /// The same as [`History::apply_update`], from a snapshot.
+    /// Replaces the replica by a snapshot. Returns `false` without any effect if the snapshot is not newer than this replica.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the snapshot is invalid or its head is older. The replica is then unmodified.
     pub fn apply_snapshot(&mut self, bytes: &[u8]) -> Result<bool, ReplicationError> {
         let next = History::restore(self.digester.clone(), bytes)?;
         if !self.is_older_than(next.epoch, next.applied) {
@@ -158,6 +192,7 @@
         Ok(true)
     }
 
+    /// Returns whether this replica is older than a state with that epoch and number of applied entries.
     fn is_older_than(&self, epoch: Epoch, applied: u64) -> bool {
         applied > self.applied && epoch >= self.epoch
     }
@@ -167,8 +202,9 @@
             let content =
                 self.head_content.with_change(&version.change).map_err(ReplicationError::Invalid)?;
             let head = self.head();
-            if version.id() != self.digester.version_id(head.number + 1, &content) {
-                return Err(ReplicationError::BrokenChain { version: version.id(), head });
+            let (received, expected) = (version.id(), self.digester.version_id(head.number + 1, &content));
+            if received != expected {
+                return Err(ReplicationError::BrokenChain { received, expected, head });
             }
             self.change_bytes += version.change.bytes();
             self.versions.push_back(version);
@@ -182,7 +218,13 @@
         let canary_valid =
             state.canary_number().is_none_or(|number| retained(number) && number > state.released);
         if !retained(state.released) || !canary_valid || state.reverted.len() > MAX_REVERTED {
-            return Err(ReplicationError::InvalidState);
+            return Err(ReplicationError::InvalidState {
+                released: state.released,
+                canary: state.canary_number(),
+                reverted: state.reverted.len(),
+                checkpoint: self.checkpoint,
+                head: self.head(),
+            });
         }
         self.state = state;
         Ok(())
--- a/crates/config-rollout/src/history/state.rs
+++ b/crates/config-rollout/src/history/state.rs
@@ -1,48 +1,47 @@
-//! How far the rollout has come: what is released, and what is on canaries.
+//! State of the rollout: the released version, the version on canaries, and recent reverts.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Which version each server may have. It is part of the replicated history, so that a new lease holder carries on where the one before
-/// stopped.
+/// The replicated state of the rollout, which determines the target version of each server. A new lease holder continues from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
-    /// The version that all servers may have.
+    /// The number of the version released to all servers.
     pub released: u64,
-    /// The version that is on canaries, if any.
+    /// The current canary phase, if any.
     #[serde(rename = "trial")]
     pub canary: Option<CanaryPhase>,
-    /// The latest canary phases that failed, oldest first.
+    /// The latest failed canary phases, oldest first.
     #[serde(rename = "taken_back")]
     pub reverted: VecDeque<RevertedCanary>,
 }
 
-/// A version that is active on some servers before all others get it.
+/// A canary phase: a version that is sent to some servers before its release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CanaryPhase {
-    /// The version.
+    /// The number of the version.
     pub number: u64,
-    /// The names of the servers.
+    /// The names of the canary servers.
     pub canaries: BTreeSet<String>,
-    /// When the phase began, in s by the lease table's clock.
+    /// Start of the phase, s by the clock of the lease table.
     pub since: f64,
 }
 
-/// A canary phase that failed.
+/// A failed canary phase.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevertedCanary {
-    /// The version that was on canaries.
+    /// The number of the version that was on canaries.
     pub number: u64,
-    /// The last version that was made on top of it, which went with it.
+    /// The number of the latest version that was reverted with it.
     pub last: u64,
-    /// How the canaries failed.
+    /// Human-readable cause of the failure.
     pub cause: String,
-    /// When it was reverted, in s by the lease table's clock.
+    /// Time of the revert, s by the clock of the lease table.
     pub at: f64,
 }
 
 impl RolloutState {
-    /// The number of the version that a server should have.
+    /// Returns the number of the target version of a server.
     pub fn target(&self, server: &str) -> u64 {
         match &self.canary {
             Some(phase) if phase.canaries.contains(server) => phase.number,
@@ -50,12 +49,12 @@
         }
     }
 
-    /// The number of the version that is on canaries.
+    /// Returns the number of the version on canaries, if any.
     pub fn canary_number(&self) -> Option<u64> {
         self.canary.as_ref().map(|phase| phase.number)
     }
 
-    /// Whether a version was reverted lately.
+    /// Returns whether a version is part of a recent revert.
     pub fn was_reverted(&self, number: u64) -> bool {
         self.reverted.iter().any(|reverted| (reverted.number..=reverted.last).contains(&number))
     }
--- a/crates/config-rollout/src/history/tests.rs
+++ b/crates/config-rollout/src/history/tests.rs
@@ -41,11 +41,11 @@
     assert!(matches!(apply(&mut history, Command::Put(ann.clone())), Ok(Outcome::Accepted(_))));
     let Err(Rejection::MissedVersions { head, missed }) = apply(&mut history, Command::Put(bob.clone()))
     else {
-        panic!("taken over another's head")
+        panic!("the put replaced a concurrent version")
     };
     assert_eq!((head, missed.len(), missed[0].author.as_str()), (history.head(), 1, "ann"));
     assert_eq!(history.content().get(&Key::tenant("a")), Some(1.0));
-    // Asked twice, since the answer was lost.
+    // The same put again, for example after a lost answer.
     assert_eq!(apply(&mut history, Command::Put(ann)), Ok(Outcome::AlreadyApplied(history.head())));
     bob.base.digest = Digest([3; 32]);
     bob.base.number = 1;
@@ -71,7 +71,7 @@
         assert_eq!(apply(&mut history, command), Err(Rejection::StaleEpoch { seen: 5 }));
     }
     assert_eq!((history.head(), history.epoch(), history.state()), (before.head(), 5, before.state()));
-    // RejectedVersion for another cause, a later epoch moves the fence no more than anything else.
+    // A command of a later epoch that is rejected for another reason does not raise the epoch.
     assert!(apply(&mut history, Command::Release { epoch: 9, number: 1 }).is_err());
     assert_eq!(history.epoch(), 5);
 }
@@ -79,26 +79,26 @@
 #[test]
 fn check_put_runs_the_validator_and_apply_enforces_bounds() {
     let history = history();
-    let reject = |_: &Content| Err(ValidationError::whole("the charter says no"));
-    let fine = put(&history, 1, "a", 1.0);
-    assert!(matches!(history.check_put(&fine, &reject), Err(Rejection::Invalid(_))));
-    assert_eq!(history.check_put(&fine, &BoundsValidator).unwrap().number, 1);
+    let reject = |_: &Content| Err(ValidationError::whole("rejected by the validator"));
+    let valid = put(&history, 1, "a", 1.0);
+    assert!(matches!(history.check_put(&valid, &reject), Err(Rejection::Invalid(_))));
+    assert_eq!(history.check_put(&valid, &BoundsValidator).unwrap().number, 1);
     let mut other = history.clone();
     assert_eq!(
-        apply(&mut other, Command::Put(fine.clone())),
-        Ok(Outcome::Accepted(history.check_put(&fine, &BoundsValidator).unwrap()))
+        apply(&mut other, Command::Put(valid.clone())),
+        Ok(Outcome::Accepted(history.check_put(&valid, &BoundsValidator).unwrap()))
     );
     let mut history = history;
     for wrong in [f64::NAN, -1.0, 1e10] {
         let command = Command::Put(put(&history, 1, "a", wrong));
         assert!(matches!(apply(&mut history, command), Err(Rejection::Invalid(_))));
     }
-    let mut nameless = fine.clone();
+    let mut nameless = valid.clone();
     nameless.author = String::new();
     assert!(matches!(apply(&mut history, Command::Put(nameless)), Err(Rejection::Invalid(_))));
-    let empty = PutRequest { change: Change::default(), ..fine.clone() };
+    let empty = PutRequest { change: Change::default(), ..valid.clone() };
     assert_eq!(apply(&mut history, Command::Put(empty)), Err(Rejection::NoChange));
-    let forged = PutRequest { origin: Origin::Reverted { to: 0, cause: String::new() }, ..fine };
+    let forged = PutRequest { origin: Origin::Reverted { to: 0, cause: String::new() }, ..valid };
     assert!(matches!(apply(&mut history, Command::Put(forged)), Err(Rejection::Invalid(_))));
     assert_eq!(history.head().number, 0);
 }
@@ -112,9 +112,9 @@
     let put = history.rollback(old.number, "ann", 1).unwrap();
     let Ok(Outcome::Accepted(head)) = apply(&mut history, Command::Put(put.clone())) else { panic!() };
     assert_eq!(head.number, 4);
-    assert_ne!(head.digest, old.digest, "a number has its own digest");
+    assert_ne!(head.digest, old.digest, "the digest covers the number");
     assert_eq!(history.content_at(4), history.content_at(2));
-    // What says that it is a rollback, and is none.
+    // A put that claims to be a rollback but has another content.
     let origin = Origin::Rollback { to: 1 };
     let wrong = PutRequest { base: history.head(), origin, ..put };
     assert!(matches!(apply(&mut history, Command::Put(wrong)), Err(Rejection::Invalid(_))));
@@ -146,7 +146,11 @@
         accept(&mut history, "a", f64::from(at));
     }
     let command = Command::Put(put(&history, 1, "a", 9.0));
-    assert_eq!(apply(&mut history, command.clone()), Err(Rejection::Full), "it may have to be taken back");
+    assert_eq!(
+        apply(&mut history, command.clone()),
+        Err(Rejection::Full),
+        "unreleased versions are retained"
+    );
     release(&mut history);
     assert!(matches!(apply(&mut history, command), Ok(Outcome::Accepted(_))));
     assert_eq!((history.checkpoint().number, history.versions().count()), (1, 3));
@@ -155,10 +159,10 @@
         &mut history,
         Command::Put(put(&History::new(Digester::default(), RetentionLimits::default()), 1, "a", 5.0)),
     ) else {
-        panic!("older than the checkpoint is missed as well")
+        panic!("a base before the checkpoint counts as outdated")
     };
     assert_eq!(missed.len(), 3);
-    // By bytes as well.
+    // The byte limit.
     let mut history = History::new(Digester::default(), RetentionLimits { versions: 100, bytes: 40 });
     for at in 0..4 {
         accept(&mut history, "a", f64::from(at));
@@ -177,30 +181,30 @@
     accept(&mut history, "b", 3.0);
     let canaries = |name: &str| BTreeSet::from([name.to_string()]);
     let start_canary = |number, name| Command::StartCanary { epoch: 1, number, canaries: canaries(name) };
-    assert!(apply(&mut history, start_canary(1, "n1")).is_err(), "released already");
-    assert!(apply(&mut history, start_canary(4, "n1")).is_err(), "not there");
+    assert!(apply(&mut history, start_canary(1, "n1")).is_err(), "already released");
+    assert!(apply(&mut history, start_canary(4, "n1")).is_err(), "does not exist");
     apply(&mut history, start_canary(2, "n1")).unwrap();
     assert!(matches!(apply(&mut history, start_canary(3, "n1")), Err(Rejection::NotOnCanaries { .. })));
     apply(&mut history, start_canary(2, "n2")).unwrap();
     let target = |history: &History| ["n1", "n2", "n3"].map(|server| history.state().target(server));
     assert_eq!(target(&history), [2, 2, 1]);
     assert!(apply(&mut history, Command::Release { epoch: 1, number: 3 }).is_err());
-    let revert = Command::Revert { epoch: 1, author: "o".into(), number: 2, cause: "n1 fell".into() };
+    let revert = Command::Revert { epoch: 1, author: "o".into(), number: 2, cause: "n1 unhealthy".into() };
     let Ok(Outcome::Reverted(head)) = apply(&mut history, revert.clone()) else { panic!() };
     assert_eq!((head.number, target(&history)), (4, [4, 4, 4]));
-    assert_eq!(history.content_at(4), history.content_at(1), "what was put on it goes too");
+    assert_eq!(history.content_at(4), history.content_at(1), "later versions are reverted too");
     let RevertedCanary { number, last, cause, .. } = &history.state().reverted[0];
-    assert_eq!((*number, *last, cause.as_str()), (2, 3, "n1 fell"));
+    assert_eq!((*number, *last, cause.as_str()), (2, 3, "n1 unhealthy"));
     assert_eq!(apply(&mut history, revert), Ok(Outcome::AlreadyApplied(head)));
     assert_eq!(
         apply(&mut history, Command::Release { epoch: 1, number: 4 }),
         Ok(Outcome::AlreadyApplied(head))
     );
-    // As many as one version may be tried at.
+    // More canaries than allowed.
     accept(&mut history, "a", 5.0);
-    let many = (0..=MAX_CANARIES).map(|at| at.to_string()).collect();
+    let too_many = (0..=MAX_CANARIES).map(|at| at.to_string()).collect();
     assert_eq!(
-        apply(&mut history, Command::StartCanary { epoch: 1, number: 5, canaries: many }),
+        apply(&mut history, Command::StartCanary { epoch: 1, number: 5, canaries: too_many }),
         Err(Rejection::Full)
     );
 }
@@ -222,16 +226,16 @@
     let history = history_with_canary();
     let snapshot = history.snapshot();
     assert_eq!(History::restore(Digester::keyed([5; 32]), &snapshot).unwrap(), history);
-    assert!(History::restore(Digester::keyed([6; 32]), &snapshot).is_err(), "of another fleet");
+    assert!(History::restore(Digester::keyed([6; 32]), &snapshot).is_err(), "key of another fleet");
     for cut in 0..snapshot.len() {
         assert!(History::restore(Digester::keyed([5; 32]), &snapshot[..cut]).is_err(), "cut at {cut}");
     }
     for at in 0..snapshot.len() {
         for bit in [1, 0x80] {
-            let mut torn = snapshot.clone();
-            torn[at] ^= bit;
-            // Authors, times and the state of the rollout are not under the digest; the content is.
-            if let Ok(read) = History::restore(Digester::keyed([5; 32]), &torn) {
+            let mut corrupted = snapshot.clone();
+            corrupted[at] ^= bit;
+            // The digest covers the content, but not authors, times and the state of the rollout.
+            if let Ok(read) = History::restore(Digester::keyed([5; 32]), &corrupted) {
                 assert_eq!((read.head(), read.content()), (history.head(), history.content()), "byte {at}");
             }
         }
@@ -246,16 +250,16 @@
     apply(&mut history, Command::Release { epoch: 1, number: 8 }).unwrap();
     accept(&mut history, "d", 4.0);
     let update = history.update_since(replica.head()).unwrap();
-    let mut torn = update.clone();
-    torn.versions[0].digest = Digest([1; 32]);
+    let mut corrupted = update.clone();
+    corrupted.versions[0].digest = Digest([1; 32]);
     let before = replica.clone();
-    assert!(replica.apply_update(torn).is_err());
+    assert!(replica.apply_update(corrupted).is_err());
     assert_eq!(replica, before);
     assert_eq!(replica.apply_update(update.clone()), Ok(true));
     assert_eq!((replica.head(), replica.state()), (history.head(), history.state()));
-    assert_eq!(replica.apply_update(old), Ok(false), "older than what it has");
+    assert_eq!(replica.apply_update(old), Ok(false), "older than the replica");
     assert_eq!(replica.apply_update(update), Ok(false));
-    // Behind the checkpoint a snapshot is needed.
+    // A replica before the checkpoint needs a snapshot.
     let fresh = History::new(Digester::keyed([5; 32]), RetentionLimits::default());
     assert_eq!(history.update_since(fresh.head()), None);
     let mut fresh = fresh;
--- a/crates/config-rollout/src/history/version.rs
+++ b/crates/config-rollout/src/history/version.rs
@@ -1,67 +1,67 @@
-//! One version of the configuration, as the history retains it.
+//! Versions of the configuration as retained by the history.
 
 use crate::change::Change;
 use crate::digest::{Digest, VersionId};
 use puffinladder_leases::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// How much a history retains; older versions are compacted into its checkpoint.
+/// Limits on retained versions. Older versions are compacted into the checkpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionLimits {
-    /// Versions behind the checkpoint.
+    /// Maximum number of versions after the checkpoint.
     pub versions: usize,
-    /// Bytes of their changes.
+    /// Maximum total size of their changes, bytes.
     pub bytes: usize,
 }
 
 impl Default for RetentionLimits {
-    /// Two days at 1,900 versions a day.
+    /// Retains two days of history at 1,900 versions per day.
     fn default() -> RetentionLimits {
         RetentionLimits { versions: 4096, bytes: 8 << 20 }
     }
 }
 
-/// Why a version was made.
+/// Origin of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
-    /// Somebody put a change.
+    /// An author put a change.
     Put,
-    /// Somebody brought the content of an older version back.
+    /// An author restored the content of an older version.
     Rollback {
-        /// The older version.
+        /// The number of the older version.
         to: u64,
     },
-    /// Canaries failed, so the content of the last released version came back.
+    /// The canary phase failed, which restored the content of the latest released version.
     #[serde(rename = "TakenBack")]
     Reverted {
-        /// The last released version.
+        /// The number of the latest released version.
         to: u64,
-        /// How the canaries failed.
+        /// Human-readable cause of the failure.
         cause: String,
     },
 }
 
-/// One version: who made it when, and what it changed.
+/// One version with its change and provenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// One more than the version before.
+    /// Sequence number, one more than that of the preceding version.
     pub number: u64,
-    /// Over the number and the whole content after it.
+    /// Digest of the number and the whole content.
     pub digest: Digest,
-    /// Who made it.
+    /// The author.
     pub author: String,
-    /// Of the lease under which it was written.
+    /// Epoch of the lease under which it was created.
     pub epoch: Epoch,
-    /// When, in s by the lease table's clock.
+    /// Time of creation, s by the clock of the lease table.
     pub at: f64,
-    /// Why it was made.
+    /// The origin.
     pub origin: Origin,
-    /// What it changed.
+    /// The change from the preceding version.
     pub change: Change,
 }
 
 impl Version {
-    /// Its number and digest.
+    /// Returns the number and digest.
     pub fn id(&self) -> VersionId {
         VersionId { number: self.number, digest: self.digest }
     }
