--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -1,11 +1,11 @@
-//! A server's side of the rollout. Chunks go in, in any order and from any distributor; out comes a whole content that may be activated
-//! between two rounds of the host, and nothing else.
+//! A server's side of the rollout. It assembles chunks, which may arrive in any order and from any distributor, into whole contents that
+//! the host activates between two of its rounds.
 //!
-//! The host asks [`Follower::staged`], activates that version, and reports it by [`Follower::activated`]; only then is it acknowledged. A
-//! content is staged once it is complete, its digest is right under its number, and the server's own checks passed. Versions never go
-//! back, and of two contents under one number the first stays.
+//! The host polls [`Follower::staged`], activates that version, and reports it with [`Follower::activated`]; only then is the version
+//! acknowledged as active. A content is staged when it is complete, its digest matches, and it passes the server's validation. Version
+//! numbers never decrease within an incarnation, and of two contents with the same number the first is kept.
 //!
-//! Times are s by the server's own monotonic clock.
+//! Times are seconds of the server's monotonic clock.
 
 mod last_good;
 mod partial_bodies;
@@ -14,7 +14,7 @@
 mod versioned_content;
 
 pub use last_good::{LastGoodError, PROBATION};
-pub use receive::{InvalidField, MessageError, Received};
+pub use receive::{BodyError, InvalidField, MessageError, Received};
 pub use version_log::Conflict;
 pub use versioned_content::VersionedContent;
 
@@ -30,25 +30,25 @@
 use std::sync::Arc;
 use version_log::VersionLog;
 
-/// Time between two acknowledgements where nothing happens, s.
+/// Interval between acknowledgements without events, s.
 pub const ACK_INTERVAL: f64 = 1.0;
-/// The same for as long as a version is new, s, so that the lease holder soon knows how the server does under it.
+/// Interval between acknowledgements during the probation of a new version, s.
 pub const NEW_VERSION_ACK_INTERVAL: f64 = 0.25;
-/// Shortest time between two acknowledgements, s, so that a flood of invalid messages is not answered one by one.
+/// Minimum interval between acknowledgements, s. It limits the response to a flood of invalid messages.
 pub const MIN_ACK_INTERVAL: f64 = 0.02;
-/// Acknowledgements whose sending times stay known, for the messages that answer them.
+/// Maximum number of acknowledgements whose send times are stored.
 const MAX_UNANSWERED_ACKS: usize = 64;
 
-/// Events counted since the start, for metrics.
+/// Event counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
     /// Chunks received.
     pub chunks: u64,
     /// Versions activated.
     pub activated: u64,
-    /// Chunks of versions that were known or older.
+    /// Chunks of versions not newer than the staged or active one.
     pub outdated: u64,
-    /// Chunks before which something was missing.
+    /// Chunks whose preceding bytes or base version were missing.
     pub gaps: u64,
     /// Messages with an invalid field.
     pub invalid: u64,
@@ -56,18 +56,18 @@
     pub undecodable: u64,
     /// Bodies whose digest was wrong.
     pub wrong_digests: u64,
-    /// Contents under a number that was known with another digest.
+    /// Messages whose digest differed from the known digest of the same version number.
     pub conflicts: u64,
-    /// Versions rejected by the server's own checks or its host.
+    /// Versions rejected by the server's validation or its host.
     pub rejected: u64,
 }
 
-/// With which content a server started.
+/// The content with which a server started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartSource {
-    /// The last good version from its own disk.
+    /// The last good version from disk.
     LastGood(VersionId),
-    /// Its base settings alone; with the reason where something was on its disk.
+    /// The base settings, with the error if the file on disk could not be used.
     BaseSettings(Option<LastGoodError>),
 }
 
@@ -85,18 +85,18 @@
     version_log: VersionLog,
     counters: FollowerCounters,
     healthy: bool,
-    /// The version that it should have, as the last target message had it.
+    /// The target version in the latest target message.
     target: Option<VersionId>,
-    /// Until when the active version is known to be the right one.
+    /// Time up to which the active version is confirmed to be the target.
     fresh_until: Option<f64>,
     sent_acks: SentTimes,
     last_ack: Option<f64>,
-    /// Something happened that the next acknowledgement should not wait with.
+    /// Whether the next acknowledgement should be sent as soon as possible.
     ack_urgent: bool,
 }
 
 impl Follower {
-    /// Starts with what the disk holds, or with the base settings, without waiting for anybody.
+    /// Starts with the last good version in `disk`, or with the base settings if there is none or it is invalid.
     pub fn start(
         server: HolderId,
         zone: &str,
@@ -138,27 +138,27 @@
         (follower, start_source)
     }
 
-    /// The server and its incarnation.
+    /// Returns the server and its incarnation.
     pub fn server(&self) -> &HolderId {
         &self.server
     }
 
-    /// The version by which the server works.
+    /// Returns the active version.
     pub fn active(&self) -> &VersionedContent {
         &self.active
     }
 
-    /// Events since the start.
+    /// Returns the event counters since the start.
     pub fn counters(&self) -> &FollowerCounters {
         &self.counters
     }
 
-    /// The latest conflicts, each once, oldest first.
+    /// Iterates over the latest distinct conflicts, oldest first.
     pub fn conflicts(&self) -> impl Iterator<Item = &Conflict> {
         self.version_log.conflicts()
     }
 
-    /// What the host is to activate now, as a whole; it is newer than what is active.
+    /// Returns the version that the host should activate, if any. It is newer than the active version.
     pub fn staged(&self) -> Option<&VersionedContent> {
         self.staged.as_ref()
     }
@@ -167,7 +167,7 @@
         self.staged.as_ref().unwrap_or(&self.active)
     }
 
-    /// The host works by that version from now on. False where it is not the staged one.
+    /// Records that the host activated the staged version. Returns `false` if `version` is not the staged one.
     pub fn activated(&mut self, now: f64, version: VersionId) -> bool {
         let Some(staged) = self.staged.take_if(|staged| staged.version == version) else { return false };
         (self.active, self.active_since) = (staged, now);
@@ -177,15 +177,15 @@
         true
     }
 
-    /// The host could not activate the staged version: it stays with what it has, and the version is rejected.
+    /// Rejects the staged version, which the host could not activate. The active version stays.
     pub fn reject(&mut self, version: VersionId, cause: &str) {
         if self.staged.take_if(|staged| staged.version == version).is_some() {
             self.record_rejection(version, cause.into());
         }
     }
 
-    /// What the host is to write to its disk in place of what is there, as soon as a version has passed its probation; the host then
-    /// reports by [`Follower::save_finished`].
+    /// Returns the bytes that the host should atomically write to its disk, if a version has passed its probation. The host then calls
+    /// [`Follower::save_finished`].
     pub fn save(&mut self, now: f64) -> Option<Vec<u8>> {
         if !self.healthy {
             return None;
@@ -193,18 +193,18 @@
         self.last_good.next_write(now, &self.active)
     }
 
-    /// Whether that could be written. A server with a full disk works on, reports the error and tries again.
+    /// Records the outcome of a write. After a failure the error is reported and the write is repeated.
     pub fn save_finished(&mut self, now: f64, outcome: io::Result<()>) {
         let changed = self.last_good.write_finished(now, outcome, &self.active);
         self.ack_urgent |= changed;
     }
 
-    /// The version with which the server would start after a restart, as far as is known.
+    /// Returns the version on disk, if known.
     pub fn stored(&self) -> Option<VersionId> {
         self.last_good.stored()
     }
 
-    /// Whether the host finds itself healthy under the active version.
+    /// Records whether the host considers itself healthy with the active version.
     pub fn set_healthy(&mut self, now: f64, healthy: bool) {
         if healthy != self.healthy {
             self.ack_urgent = true;
@@ -213,22 +213,22 @@
         self.healthy = healthy;
     }
 
-    /// There is a new connection to a distributor, which is sent an acknowledgement at once.
+    /// Records a new connection to a distributor, which triggers an acknowledgement.
     pub fn connected(&mut self) {
         self.ack_urgent = true;
     }
 
-    /// Time for which the active version is not known to be the right one, s; none where no distributor ever confirmed it.
+    /// Returns the time since the active version was last confirmed to be the target, s, or `None` if it was never confirmed.
     pub fn age(&self, now: f64) -> Option<f64> {
         self.fresh_until.map(|fresh_until| (now - fresh_until).max(0.0))
     }
 
-    /// The version that the server should have, as the last target message had it.
+    /// Returns the target version in the latest target message.
     pub fn target(&self) -> Option<VersionId> {
         self.target
     }
 
-    /// When the next acknowledgement is due; soon after an event.
+    /// Returns the time at which the next acknowledgement is due.
     pub fn ack_due(&self) -> f64 {
         let Some(last_ack) = self.last_ack else { return f64::MIN };
         let interval = if self.ack_urgent {
@@ -241,7 +241,7 @@
         last_ack + interval
     }
 
-    /// The acknowledgement to send now, if one is due.
+    /// Returns the acknowledgement to send at `now`, if one is due.
     pub fn acknowledge(&mut self, now: f64) -> Option<Acknowledgement> {
         if now < self.ack_due() {
             return None;
--- a/crates/config-rollout/src/follower/last_good.rs
+++ b/crates/config-rollout/src/follower/last_good.rs
@@ -1,11 +1,11 @@
-//! The last good version on a server's own disk, with which it starts when nobody can be reached.
+//! The last good version on a server's disk, with which the server starts independently of distributors.
 //!
-//! A version becomes the last good one only after the server was healthy under it for a while. One under which the server crashes at once
-//! would otherwise make it crash at every start, faster than a newer version can reach it.
+//! A version is saved only after the server was healthy with it for the probation period. Otherwise a version that crashes the server would
+//! crash it again at every start, before a newer version can arrive.
 
 use super::versioned_content::VersionedContent;
 use crate::content::Content;
-use crate::digest::{Digester, VersionId};
+use crate::digest::{Digest, Digester, VersionId};
 use crate::setting::ValidationError;
 use crate::validation::ContentValidator;
 use serde::{Deserialize, Serialize};
@@ -13,12 +13,13 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Time for which a server has to be healthy under a version before that is its last good one, s.
+/// Time for which a server must be healthy with a version before the version is saved as the last good one, s.
 pub const PROBATION: f64 = 1.0;
 
+/// Format number of the file.
 const FORMAT: u32 = 1;
 
-/// The stored form, in postcard: the order of the fields must not change.
+/// Stored form, encoded as postcard. The order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 struct StoredLastGood {
     format: u32,
@@ -26,27 +27,32 @@
     content: Content,
 }
 
-/// Why the last good version on the disk can't be used.
+/// Error of reading the last good version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LastGoodError {
-    /// The bytes are no stored version.
-    #[error("the last good version can't be read: {0}")]
+    /// The file cannot be decoded.
+    #[error("last good version: cannot decode the file: {0}")]
     Decode(postcard::Error),
-    /// It was written by another release of the program.
-    #[error("the last good version has format {0}, not {FORMAT}")]
+    /// The file has another format.
+    #[error("last good version: got format {0}, expected {FORMAT}")]
     Format(u32),
-    /// Its digest is not that of its content.
-    #[error("the last good version has another digest than its content")]
-    WrongDigest,
-    /// A key or value is out of bounds.
-    #[error("{0}")]
+    /// The digest does not match the content.
+    #[error("last good version {}: got digest {}, expected {expected}", stored.number, stored.digest)]
+    WrongDigest {
+        /// The version in the file.
+        stored: VersionId,
+        /// The digest computed from the content.
+        expected: Digest,
+    },
+    /// A key, a value or the size is out of range.
+    #[error("last good version: invalid content: {0}")]
     OutOfBounds(ValidationError),
-    /// The server's own checks reject it.
-    #[error("the last good version is rejected: {0}")]
+    /// The server's validation rejected the content.
+    #[error("last good version: rejected by the server: {0}")]
     Rejected(ValidationError),
 }
 
-/// Reads what [`LastGoodWriter::next_write`] wrote.
+/// Decodes and validates the bytes from [`LastGoodWriter::next_write`].
 pub(super) fn read(
     digester: &Digester,
     bytes: &[u8],
@@ -56,8 +62,9 @@
     if stored.format != FORMAT {
         return Err(LastGoodError::Format(stored.format));
     }
-    if digester.version_id(stored.version.number, &stored.content) != stored.version {
-        return Err(LastGoodError::WrongDigest);
+    let expected = digester.digest(stored.version.number, &stored.content);
+    if stored.version.digest != expected {
+        return Err(LastGoodError::WrongDigest { stored: stored.version, expected });
     }
     stored.content.check().map_err(LastGoodError::OutOfBounds)?;
     validator.validate(&stored.content).map_err(LastGoodError::Rejected)?;
@@ -71,11 +78,11 @@
     since: f64,
 }
 
-/// Decides which version is written to the disk, and when.
+/// Determines the version to write to disk, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LastGoodWriter {
     candidate: Option<Candidate>,
-    /// On the disk, as far as is known.
+    /// The version on disk, if known.
     stored: Option<VersionId>,
     writing: Option<VersionId>,
     error: Option<String>,
@@ -90,23 +97,23 @@
         self.stored
     }
 
-    /// Why the last write failed, if it did.
+    /// Returns the error of the latest write, if it failed.
     pub(super) fn error(&self) -> Option<&str> {
         self.error.as_deref()
     }
 
     pub(super) fn activated(&mut self, now: f64, active: &VersionedContent) {
-        // A version before it may still pass: versions in quick succession must not keep all of them off the disk.
+        // An earlier candidate stays on probation, so that versions in quick succession do not prevent every save.
         self.candidate.get_or_insert_with(|| Candidate { content: active.clone(), since: now });
     }
 
-    /// Illness ends a probation; with health a new one begins.
+    /// Ends the probation when the server becomes unhealthy, and starts a new one when it becomes healthy.
     pub(super) fn health_changed(&mut self, now: f64, healthy: bool, active: &VersionedContent) {
         let stored = self.stored == Some(active.version);
         self.candidate = (healthy && !stored).then(|| Candidate { content: active.clone(), since: now });
     }
 
-    /// The bytes to write now, if a version has passed its probation and no write is under way.
+    /// Returns the bytes to write if a version has passed its probation and no write is in progress.
     pub(super) fn next_write(&mut self, now: f64, active: &VersionedContent) -> Option<Vec<u8>> {
         if self.writing.is_some() {
             return None;
@@ -118,10 +125,10 @@
         self.writing = Some(passed.version);
         let content = Content::clone(&passed.content);
         let stored = StoredLastGood { format: FORMAT, version: passed.version, content };
-        Some(postcard::to_allocvec(&stored).expect("plain data is written to memory without an error"))
+        Some(postcard::to_allocvec(&stored).expect("plain data serializes to memory"))
     }
 
-    /// Takes the outcome of a write in; returns whether the error to report has changed.
+    /// Records the outcome of a write. Returns whether the reported error changed.
     pub(super) fn write_finished(
         &mut self,
         now: f64,
--- a/crates/config-rollout/src/follower/partial_bodies.rs
+++ b/crates/config-rollout/src/follower/partial_bodies.rs
@@ -1,8 +1,8 @@
-//! Bodies that are being put together from chunks. A length that a message claims reserves no memory.
+//! Incomplete bodies that are assembled from chunks. Memory is allocated for received bytes only, never for a claimed length.
 
 use crate::messages::{Chunk, TransferId, TransferProgress};
 
-/// Bodies that may be incomplete at once, from whichever distributors.
+/// Maximum number of incomplete bodies.
 pub(super) const MAX_BODIES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -11,25 +11,24 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// The incomplete bodies; the one that grew last is the last.
+/// The incomplete bodies, ordered by their latest chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct PartialBodies {
     pub(super) bodies: Vec<PartialBody>,
 }
 
-/// What a chunk did to its body.
+/// Outcome of adding a chunk to its body.
 pub(super) enum ExtendOutcome {
     /// Bytes before the chunk are missing.
     Gap,
-    /// More is to come.
+    /// Further chunks are missing.
     Incomplete,
-    /// The whole body.
+    /// The body is complete.
     Complete(Vec<u8>),
 }
 
 impl PartialBodies {
-    /// Adds a chunk to its body; bytes that are there already are not written again. Where there are too many bodies, the one that has
-    /// not grown for longest is dropped.
+    /// Appends the new bytes of a chunk to its body. Evicts the least recently extended body if there are too many.
     pub(super) fn extend(&mut self, chunk: &Chunk) -> ExtendOutcome {
         let offset = chunk.offset as usize;
         let position = self.bodies.iter().position(|body| body.transfer == chunk.transfer);
@@ -57,12 +56,12 @@
         }
     }
 
-    /// Drops the bodies of versions up to that number: they are of no more use.
+    /// Drops the bodies of versions up to and including `number`.
     pub(super) fn drop_up_to(&mut self, number: u64) {
         self.bodies.retain(|body| body.transfer.target.number > number);
     }
 
-    /// Of the body that grew last.
+    /// Returns the progress of the most recently extended body.
     pub(super) fn latest_progress(&self) -> Option<TransferProgress> {
         let body = self.bodies.last()?;
         Some(TransferProgress { transfer: body.transfer, received_bytes: body.bytes.len() as u32 })
--- a/crates/config-rollout/src/follower/receive.rs
+++ b/crates/config-rollout/src/follower/receive.rs
@@ -1,4 +1,4 @@
-//! How a server takes messages from distributors in: bounds first, then the body, its digest, and the server's own checks.
+//! Processing of messages from distributors: checks the bounds, assembles the body, then verifies its digest and validates its content.
 
 use super::partial_bodies::ExtendOutcome;
 use super::version_log::Conflict;
@@ -6,74 +6,116 @@
 use super::Follower;
 use crate::change::Change;
 use crate::content::Content;
-use crate::digest::VersionId;
+use crate::digest::{Digest, VersionId};
 use crate::messages::{Chunk, DistributorMessage, TransferId, MAX_BODY_BYTES};
+use crate::setting::ValidationError;
 use crate::validation::ContentValidator;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What came of a message from a distributor.
+/// Outcome of a message from a distributor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
-    /// A version is complete and checked, and waits to be activated.
+    /// A version is complete, validated and ready to be activated.
     Staged(VersionId),
-    /// More of the body is to come.
+    /// Further chunks of the body are missing.
     Incomplete,
-    /// Known already, or older than what is staged or active.
+    /// The version is not newer than the staged or active one.
     Outdated,
-    /// Something before it is missing: bytes of the body, or the version to which it is a change.
+    /// Preceding bytes of the body or the base version are missing, or the active version is older than the target.
     Gap,
-    /// The message is not valid, or its version is rejected.
+    /// The message is invalid or its version was rejected.
     Invalid(MessageError),
 }
 
-/// The field of a message that can't be true.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+/// An invalid field of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum InvalidField {
     /// The body is empty or longer than any valid one.
-    #[error("a body's length")]
-    BodyLength,
-    /// The chunk is empty or reaches over the end of its body.
-    #[error("a place in its body")]
-    ChunkPosition,
-    /// The change leads to a version that is not newer than its base.
-    #[error("a change that leads back")]
-    BackwardChange,
-    /// The age is negative or no number.
-    #[error("an age")]
-    Age,
-    /// The tag is not that of the other fields.
-    #[error("its tag")]
-    Tag,
+    #[error("total: got a body of {total_bytes} bytes, expected 1 to {MAX_BODY_BYTES}")]
+    BodyLength {
+        /// The claimed length of the body.
+        total_bytes: usize,
+    },
+    /// The chunk is empty or exceeds the end of its body.
+    #[error(
+        "at: got {length} bytes at offset {offset}, expected 1 or more bytes within a body of {total_bytes}"
+    )]
+    ChunkPosition {
+        /// The offset of the chunk in the body.
+        offset: usize,
+        /// The length of the chunk.
+        length: usize,
+        /// The claimed length of the body.
+        total_bytes: usize,
+    },
+    /// The version is not newer than the base of the change.
+    #[error("to: got version {target}, expected one after the base {base}")]
+    BackwardChange {
+        /// The base of the change.
+        base: VersionId,
+        /// The version after the change.
+        target: VersionId,
+    },
+    /// The age is negative or not finite.
+    #[error("age: got {0} s, expected a finite time of at least 0 s")]
+    Age(f64),
+    /// The tag does not authenticate the other fields.
+    #[error("tag: got {0:016x}, expected the tag of the other fields for this server")]
+    Tag(u64),
 }
 
-/// What is wrong with a message from a distributor.
+/// An undecodable body.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum BodyError {
+    /// The bytes are not an encoded change or content.
+    #[error("{0}")]
+    Decode(postcard::Error),
+    /// The content or change is invalid.
+    #[error("{0}")]
+    Invalid(ValidationError),
+    /// The base of the change is neither the active nor the staged version.
+    #[error("the base {0} of the change is neither active nor staged")]
+    MissingBase(VersionId),
+}
+
+/// An invalid message from a distributor.
+#[derive(Clone, Debug, PartialEq, Error)]
 pub enum MessageError {
-    /// A number, length or tag in it is not valid.
-    #[error("invalid field: {0}")]
+    /// A field of the message is invalid.
+    #[error("invalid field {0}")]
     InvalidField(#[from] InvalidField),
-    /// The body of that version can't be decoded or applied.
-    #[error("the body of version {0} can't be read")]
-    Undecodable(u64),
-    /// The content of that version has another digest.
-    #[error("the digest of version {0} is not that of its content")]
-    WrongDigest(u64),
-    /// Another content is known under that number.
-    #[error("version {}: here with digest {}, sent with {}", .0.number, .0.known, .0.other)]
+    /// The body cannot be decoded or applied.
+    #[error("body of version {number}: {error}")]
+    Undecodable {
+        /// The number of the version.
+        number: u64,
+        /// The error.
+        error: BodyError,
+    },
+    /// The digest does not match the content.
+    #[error("version {}: got digest {}, expected {expected}", received.number, received.digest)]
+    WrongDigest {
+        /// The version in the message.
+        received: VersionId,
+        /// The digest computed from the content.
+        expected: Digest,
+    },
+    /// The version number is known with another digest.
+    #[error("version {}: got digest {}, expected the known digest {}", .0.number, .0.other, .0.known)]
     Conflict(Conflict),
-    /// The server's own checks, or its host, rejected the version.
+    /// The server's validation or its host rejected the version.
     #[error("version {number} rejected: {cause}")]
     Rejected {
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// Why, for people.
+        /// Human-readable cause.
         cause: String,
     },
 }
 
 impl Follower {
-    /// Takes a message from a distributor in.
+    /// Processes a message from a distributor. A complete body is checked by `validator`.
     pub fn receive(&mut self, message: &DistributorMessage, validator: &dyn ContentValidator) -> Received {
         match message {
             DistributorMessage::Chunk(chunk) => self.receive_chunk(chunk, validator),
@@ -85,20 +127,20 @@
 
     fn receive_target(&mut self, target: VersionId, age: f64, acknowledged: u64, tag: u64) -> Received {
         if !(age >= 0.0 && age.is_finite()) {
-            return self.invalid_field(InvalidField::Age);
+            return self.invalid_field(InvalidField::Age(age));
         }
         if tag != self.digester.tag(&self.server.instance, target, age, acknowledged) {
-            return self.invalid_field(InvalidField::Tag);
+            return self.invalid_field(InvalidField::Tag(tag));
         }
         if let Some(conflict) = self.find_conflict(target) {
             return Received::Invalid(MessageError::Conflict(conflict));
         }
         self.target = Some(target);
-        // A canary may be ahead of the target that it is sent.
+        // A canary may be ahead of the target in the message.
         if self.active.version.number < target.number {
             return Received::Gap;
         }
-        // A message that answers no known acknowledgement says nothing of its age.
+        // Only a message that answers a stored acknowledgement confirms the active version.
         if let Some(sent) = self.sent_acks.sent_at(acknowledged) {
             self.fresh_until = Some(self.fresh_until.unwrap_or(f64::MIN).max(sent - age));
         }
@@ -116,7 +158,7 @@
         }
         if target.number <= self.newest().version.number {
             self.counters.outdated += 1;
-            // The sender does not know where this server stands.
+            // The sender has an outdated state of this server.
             self.ack_urgent = true;
             return Received::Outdated;
         }
@@ -145,7 +187,7 @@
         Received::Gap
     }
 
-    /// Records and returns the conflict where another content is known under this number.
+    /// Records and returns a conflict if the version number is known with another digest.
     fn find_conflict(&mut self, version: VersionId) -> Option<Conflict> {
         let conflict = self.version_log.record_conflict(version)?;
         self.counters.conflicts += 1;
@@ -160,25 +202,29 @@
         Received::Invalid(MessageError::Rejected { number: version.number, cause })
     }
 
-    /// The content to which a change may be applied: the active or the staged one.
+    /// Returns the content of a base version if that is active or staged.
     fn base_content(&self, base: VersionId) -> Option<&Content> {
         let candidates = [Some(&self.active), self.staged.as_ref()];
         candidates.into_iter().flatten().find(|held| held.version == base).map(|held| &*held.content)
     }
 
-    /// Decodes and checks a complete body, and stages its content.
+    /// Decodes and validates a complete body, and stages its content.
     fn stage(&mut self, transfer: TransferId, body: &[u8], validator: &dyn ContentValidator) -> Received {
         let version = transfer.target;
         self.ack_urgent = true;
-        let Some(content) = self.decode(transfer.base, body) else {
-            self.counters.undecodable += 1;
-            return Received::Invalid(MessageError::Undecodable(version.number));
+        let content = match self.decode(transfer.base, body) {
+            Ok(content) => content,
+            Err(error) => {
+                self.counters.undecodable += 1;
+                return Received::Invalid(MessageError::Undecodable { number: version.number, error });
+            }
         };
-        if self.digester.digest(version.number, &content) != version.digest {
+        let expected = self.digester.digest(version.number, &content);
+        if version.digest != expected {
             self.counters.wrong_digests += 1;
-            return Received::Invalid(MessageError::WrongDigest(version.number));
+            return Received::Invalid(MessageError::WrongDigest { received: version, expected });
         }
-        // Its digest is right, so another content under this number is a conflict from here on, even if this one is rejected.
+        // The digest is authentic, so another digest with this number is a conflict even if this content is rejected.
         self.version_log.record_digest(version);
         if let Err(error) = validator.validate(&content) {
             return self.record_rejection(version, error.to_string());
@@ -188,29 +234,31 @@
         Received::Staged(version)
     }
 
-    fn decode(&self, base: Option<VersionId>, body: &[u8]) -> Option<Content> {
-        match base {
-            None => postcard::from_bytes::<Content>(body).ok().filter(|content| content.check().is_ok()),
-            Some(base) => {
-                let change = postcard::from_bytes::<Change>(body).ok()?;
-                self.base_content(base)?.with_change(&change).ok()
-            }
-        }
+    fn decode(&self, base: Option<VersionId>, body: &[u8]) -> Result<Content, BodyError> {
+        let Some(base) = base else {
+            let content: Content = postcard::from_bytes(body).map_err(BodyError::Decode)?;
+            content.check().map_err(BodyError::Invalid)?;
+            return Ok(content);
+        };
+        let change: Change = postcard::from_bytes(body).map_err(BodyError::Decode)?;
+        let base_content = self.base_content(base).ok_or(BodyError::MissingBase(base))?;
+        base_content.with_change(&change).map_err(BodyError::Invalid)
     }
 }
 
-/// Whether the lengths and numbers of a chunk can be true.
+/// Checks the lengths, offset and version numbers of a chunk.
 fn check_bounds(chunk: &Chunk) -> Result<(), InvalidField> {
-    let (total, offset) = (chunk.transfer.total_bytes as usize, chunk.offset as usize);
-    if total == 0 || total > MAX_BODY_BYTES {
-        return Err(InvalidField::BodyLength);
+    let TransferId { base, target, total_bytes } = chunk.transfer;
+    let (total_bytes, offset, length) = (total_bytes as usize, chunk.offset as usize, chunk.bytes.len());
+    if total_bytes == 0 || total_bytes > MAX_BODY_BYTES {
+        return Err(InvalidField::BodyLength { total_bytes });
     }
-    let end = offset.checked_add(chunk.bytes.len());
-    if chunk.bytes.is_empty() || end.is_none_or(|end| end > total) {
-        return Err(InvalidField::ChunkPosition);
+    let end = offset.checked_add(length);
+    if length == 0 || end.is_none_or(|end| end > total_bytes) {
+        return Err(InvalidField::ChunkPosition { offset, length, total_bytes });
     }
-    if chunk.transfer.base.is_some_and(|base| base.number >= chunk.transfer.target.number) {
-        return Err(InvalidField::BackwardChange);
+    match base {
+        Some(base) if base.number >= target.number => Err(InvalidField::BackwardChange { base, target }),
+        _ => Ok(()),
     }
-    Ok(())
 }
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -21,7 +21,7 @@
     Follower::start(HolderId::new("n1", 1), "east", digester(), None, &BoundsValidator).0
 }
 
-/// A versions of versions, each of one change.
+/// Returns `count` versions after version 0, each with its content and its change.
 fn versions(count: u32) -> Vec<(VersionId, Content, Change)> {
     let mut content = Content::default();
     let mut versions = vec![(digester().version_id(0, &content), content.clone(), Change::default())];
@@ -70,12 +70,12 @@
     assert_eq!((ack.active, ack.staged), (versions[0].0, versions[1].0));
     let next = follower.staged().unwrap().clone();
     assert_eq!((next.version, &*next.content), (versions[1].0, &versions[1].1));
-    assert!(!follower.activated(1.2, versions[2].0), "another than was given out");
+    assert!(!follower.activated(1.2, versions[2].0), "not the staged version");
     assert!(follower.activated(1.2, next.version));
-    assert!(!follower.activated(1.2, next.version), "twice");
+    assert!(!follower.activated(1.2, next.version), "already activated");
     assert_eq!(follower.acknowledge(1.3).unwrap().active, versions[1].0);
     assert_eq!(follower.staged(), None);
-    // The next one may come before the last is active, and takes its place.
+    // A newer version replaces the staged one.
     follower.receive(&change_message(&versions, 1, 2), &BoundsValidator);
     assert_eq!(follower.staged().unwrap().version, versions[2].0);
 }
@@ -103,7 +103,7 @@
     assert_eq!(
         follower.receive(&change_message(&versions, 11, 12), &BoundsValidator),
         Received::Gap,
-        "its base is missing"
+        "the base version is missing"
     );
     assert_eq!(follower.active().version, versions[10].0);
     assert_eq!(follower.staged(), None);
@@ -127,7 +127,7 @@
         follower.receive(&target, &BoundsValidator),
         Received::Invalid(MessageError::Conflict(_))
     ));
-    assert_eq!(follower.conflicts().count(), 1, "the same one is kept once");
+    assert_eq!(follower.conflicts().count(), 1, "equal conflicts are stored once");
     assert_eq!(follower.acknowledge(1.0).unwrap().conflicts, 21);
     assert_eq!(follower.active().version, versions[1].0);
 }
@@ -146,12 +146,15 @@
             assert!(
                 matches!(
                     received,
-                    Received::Invalid(MessageError::Undecodable(6) | MessageError::WrongDigest(6))
+                    Received::Invalid(
+                        MessageError::Undecodable { number: 6, .. }
+                            | MessageError::WrongDigest { received: VersionId { number: 6, .. }, .. }
+                    )
                 ),
                 "byte {at}: {received:?}"
             );
             assert_eq!(follower.staged(), None);
-            // And the right one is taken after it.
+            // The valid body is accepted afterwards.
             assert_eq!(
                 follower.receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator),
                 Received::Staged(versions[6].0)
@@ -167,10 +170,14 @@
             Received::Staged(_)
         ));
     }
-    // A content under a number that is not its own, though both are right by themselves.
+    // A valid content with the number of another version.
     let transfer = TransferId { target: VersionId { number: 9, digest: versions[6].0.digest }, ..transfer };
     let received = new_follower().receive(&chunks(transfer, &body, MAX_CHUNK_BYTES)[0], &BoundsValidator);
-    assert_eq!(received, Received::Invalid(MessageError::WrongDigest(9)));
+    let expected = digester().digest(9, &versions[6].1);
+    assert_eq!(
+        received,
+        Received::Invalid(MessageError::WrongDigest { received: transfer.target, expected })
+    );
 }
 
 #[test]
@@ -202,7 +209,7 @@
             follower.receive(&DistributorMessage::target(&digester(), "n1", to, age, 1), &BoundsValidator);
         assert!(matches!(received, Received::Invalid(MessageError::InvalidField(_))), "{received:?}");
     }
-    // Bodies that never end: only so many are kept.
+    // The number of incomplete bodies is limited.
     for number in 1..200 {
         let transfer =
             TransferId { base: None, target: VersionId { number, ..to }, total_bytes: MAX_BODY_BYTES as u32 };
@@ -220,9 +227,9 @@
     let (mut follower, versions) = (new_follower(), versions(9));
     let chunks = content_messages(&versions, 9, 7);
     assert!(chunks.len() > 4);
-    assert_eq!(follower.receive(&chunks[1], &BoundsValidator), Received::Gap, "its beginning is missing");
+    assert_eq!(follower.receive(&chunks[1], &BoundsValidator), Received::Gap, "the first chunk is missing");
     assert_eq!(follower.receive(&chunks[0], &BoundsValidator), Received::Incomplete);
-    assert_eq!(follower.receive(&chunks[0], &BoundsValidator), Received::Incomplete, "a double");
+    assert_eq!(follower.receive(&chunks[0], &BoundsValidator), Received::Incomplete, "a duplicate");
     assert_eq!(follower.receive(&chunks[3], &BoundsValidator), Received::Gap);
     follower.connected();
     let TransferProgress { transfer, received_bytes } = follower.acknowledge(0.0).unwrap().progress.unwrap();
@@ -237,16 +244,16 @@
 #[test]
 fn reports_the_cause_of_a_rejection_and_keeps_the_active_version() {
     let (mut follower, versions) = (new_follower(), versions(2));
-    let never = |content: &Content| match content.get(&Key::tenant("b")) {
+    let validator = |content: &Content| match content.get(&Key::tenant("b")) {
         Some(1.0) => Err(ValidationError::at(&Key::tenant("b"), "not here")),
         _ => Ok(()),
     };
-    let received = follower.receive(&change_message(&versions, 0, 1), &never);
+    let received = follower.receive(&change_message(&versions, 0, 1), &validator);
     assert!(matches!(received, Received::Invalid(MessageError::Rejected { number: 1, .. })), "{received:?}");
     let rejected = follower.acknowledge(1.0).unwrap().rejected.unwrap();
     assert_eq!((rejected.version, rejected.cause.as_str()), (versions[1].0, "tenant \"b\" quota: not here"));
     assert_eq!((follower.active().version, follower.staged()), (versions[0].0, None));
-    // The same again costs no second look; what comes after it may be taken.
+    // The rejected version is not validated again; later versions are accepted.
     assert!(matches!(
         follower.receive(&change_message(&versions, 0, 1), &BoundsValidator),
         Received::Invalid(MessageError::Rejected { .. })
@@ -255,7 +262,7 @@
         follower.receive(&change_message(&versions, 0, 2), &BoundsValidator),
         Received::Staged(versions[2].0)
     );
-    follower.reject(versions[2].0, "the module would not have it");
+    follower.reject(versions[2].0, "module rejected the settings");
     assert_eq!(follower.staged(), None);
     assert_eq!(follower.acknowledge(2.0).unwrap().rejected.unwrap().version, versions[2].0);
 }
@@ -267,19 +274,19 @@
         follower.receive(&change_message(&versions, from, to), &BoundsValidator);
         assert!(follower.activated(now, versions[to].0));
     };
-    assert_eq!(follower.save(0.0), None, "the start file needs no saving");
+    assert_eq!(follower.save(0.0), None, "the base settings are not saved");
     activate_version(&mut follower, 0.0, 0, 1);
     assert_eq!(follower.save(PROBATION - 0.1), None);
-    // Versions that follow fast keep none of them off the disk for good.
+    // Versions in quick succession do not prevent the save of an earlier one.
     activate_version(&mut follower, 0.5, 1, 2);
     let disk = follower.save(PROBATION).unwrap();
-    assert_eq!(follower.save(PROBATION + 9.0), None, "one write at a time");
+    assert_eq!(follower.save(PROBATION + 9.0), None, "a write is in progress");
     follower.save_finished(PROBATION, Ok(()));
     assert_eq!(follower.stored(), Some(versions[1].0));
     let (again, start_source) =
         Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &BoundsValidator);
     assert_eq!((start_source, again.active().version), (StartSource::LastGood(versions[1].0), versions[1].0));
-    // A full disk is reported and tried again.
+    // A failed write is reported and repeated.
     assert!(follower.save(2.5).is_some());
     follower.save_finished(2.5, Err(io::Error::other("no space left")));
     assert_eq!(follower.acknowledge(2.6).unwrap().save_error.as_deref(), Some("no space left"));
@@ -290,7 +297,7 @@
         (follower.stored(), follower.acknowledge(4.0).unwrap().save_error),
         (Some(versions[2].0), None)
     );
-    // Nor what it is not well under.
+    // A version is not saved while the server is unhealthy.
     activate_version(&mut follower, 5.0, 2, 3);
     follower.set_healthy(5.1, false);
     assert_eq!(follower.save(9.0), None);
@@ -309,10 +316,10 @@
         Follower::start(HolderId::new("n1", 2), "east", digester(), Some(disk), &BoundsValidator)
     };
     for at in 0..disk.len() {
-        let mut torn = disk.clone();
-        torn[at] ^= 1;
-        for torn in [&torn[..], &disk[..at]] {
-            let (again, start_source) = start(torn);
+        let mut corrupted = disk.clone();
+        corrupted[at] ^= 1;
+        for corrupted in [&corrupted[..], &disk[..at]] {
+            let (again, start_source) = start(corrupted);
             assert!(
                 matches!(start_source, StartSource::BaseSettings(Some(_))),
                 "byte {at}: {start_source:?}"
@@ -320,11 +327,11 @@
             assert_eq!(again.active().version, versions[0].0);
         }
     }
-    let never = |_: &Content| Err(ValidationError::whole("no longer fit"));
+    let validator = |_: &Content| Err(ValidationError::whole("unsupported content"));
     let (again, start_source) =
-        Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &never);
+        Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &validator);
     assert!(
-        matches!(start_source, StartSource::BaseSettings(Some(error)) if error.to_string().contains("no longer fit"))
+        matches!(start_source, StartSource::BaseSettings(Some(error)) if error.to_string() == "last good version: rejected by the server: unsupported content")
     );
     assert_eq!(again.active().version.number, 0);
 }
@@ -337,30 +344,31 @@
     };
     assert_eq!(follower.age(5.0), None);
     let first = follower.acknowledge(5.0).unwrap().sequence;
-    // Whenever it is read, it answers what was acknowledged at 5.
+    // The age counts from the acknowledgement at 5 s, regardless of the time of arrival.
     follower.receive(&target(0, 0.5, first), &BoundsValidator);
     assert_eq!(follower.age(5.0), Some(0.5));
     assert_eq!(follower.age(9.0), Some(4.5));
     let second = follower.acknowledge(9.0).unwrap().sequence;
     follower.receive(&target(0, 0.0, second + 1), &BoundsValidator);
-    assert_eq!(follower.age(9.0), Some(4.5), "an answer to what was never said");
-    // Nor does a stranger, a faulty versions or what was meant for another server make it younger.
-    let strange = [
+    assert_eq!(follower.age(9.0), Some(4.5), "answers an unknown acknowledgement");
+    // Messages with another key, to another server or with a wrong tag do not reduce the age.
+    let invalid = [
         DistributorMessage::target(&Digester::keyed([9; 32]), "n1", versions[0].0, 0.0, second),
         DistributorMessage::target(&digester(), "n2", versions[0].0, 0.0, second),
         DistributorMessage::Target { target: versions[0].0, age: 0.0, acknowledged: second, tag: 7 },
     ];
-    for message in strange {
+    for message in invalid {
+        let DistributorMessage::Target { tag, .. } = message else { panic!("{message:?}") };
         assert_eq!(
             follower.receive(&message, &BoundsValidator),
-            Received::Invalid(MessageError::InvalidField(InvalidField::Tag))
+            Received::Invalid(MessageError::InvalidField(InvalidField::Tag(tag)))
         );
         assert_eq!(follower.age(9.0), Some(4.5));
     }
-    // A distributor that is cut off makes nothing younger.
+    // A distributor with an outdated replica does not reduce the age.
     follower.receive(&target(0, 7.0, second), &BoundsValidator);
     assert_eq!(follower.age(9.0), Some(4.5));
-    // A target newer than what is active makes it no younger either.
+    // A target newer than the active version does not reduce the age.
     assert_eq!(follower.receive(&target(1, 0.0, second), &BoundsValidator), Received::Gap);
     assert_eq!(follower.age(9.0), Some(4.5));
 }
--- a/crates/config-rollout/src/follower/version_log.rs
+++ b/crates/config-rollout/src/follower/version_log.rs
@@ -1,32 +1,32 @@
-//! What a server remembers of the versions it has seen: their digests, those it rejected, and conflicts. All of it is bounded.
+//! Bounded log of the versions that a server has seen: verified digests, rejections and conflicts.
 
 use crate::digest::{Digest, VersionId};
 use crate::messages::RejectedVersion;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Versions whose digests stay known, the highest numbers.
+/// Maximum number of stored digests. Those of the highest version numbers are kept.
 const MAX_DIGESTS: usize = 256;
-/// Rejected versions that stay known, the latest.
+/// Maximum number of stored rejections. The latest are kept.
 const MAX_REJECTED: usize = 16;
-/// Conflicts that stay known, the latest.
+/// Maximum number of stored conflicts. The latest are kept.
 const MAX_CONFLICTS: usize = 8;
-/// Bytes of a cause that are kept.
+/// Maximum length of a stored cause in bytes.
 const MAX_CAUSE_BYTES: usize = 256;
 
-/// Two contents under one number.
+/// Two digests for one version number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// The number.
+    /// The version number.
     pub number: u64,
-    /// The digest that was known first and stays.
+    /// The digest that was verified first.
     pub known: Digest,
-    /// The digest that came later.
+    /// The digest of the later message.
     pub other: Digest,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct VersionLog {
-    /// By version number; only digests that were found right here.
+    /// Digests that this server verified, by version number.
     digests: BTreeMap<u64, Digest>,
     rejected: VecDeque<RejectedVersion>,
     conflicts: VecDeque<Conflict>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The conflict where another digest is known under this number; the same one is kept once.
+    /// Records and returns a conflict if the version number is known with another digest. Equal conflicts are stored once.
     pub(super) fn record_conflict(&mut self, version: VersionId) -> Option<Conflict> {
         let known = *self.digests.get(&version.number).filter(|known| **known != version.digest)?;
         let conflict = Conflict { number: version.number, known, other: version.digest };
@@ -74,7 +74,7 @@
         Some(conflict)
     }
 
-    /// Keeps a rejection as the latest one; returns its cause as it is kept.
+    /// Records a rejection as the latest one. Returns its truncated cause.
     pub(super) fn record_rejection(&mut self, version: VersionId, cause: String) -> String {
         let cause = truncate_cause(cause);
         self.rejected.retain(|rejected| rejected.version != version);
@@ -86,7 +86,7 @@
     }
 }
 
-/// The beginning of a cause, as much as is kept.
+/// Truncates a cause to its maximum length, at a character boundary.
 pub(super) fn truncate_cause(mut cause: String) -> String {
     let mut end = MAX_CAUSE_BYTES.min(cause.len());
     while !cause.is_char_boundary(end) {
--- a/crates/config-rollout/src/follower/versioned_content.rs
+++ b/crates/config-rollout/src/follower/versioned_content.rs
@@ -1,14 +1,14 @@
-//! A content together with the version that it belongs to.
+//! Content of a known version.
 
 use crate::content::Content;
 use crate::digest::VersionId;
 use std::sync::Arc;
 
-/// A content and the version it belongs to.
+/// A content with its version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedContent {
     /// The version.
     pub version: VersionId,
-    /// The whole content after it.
+    /// The whole content of the version.
     pub content: Arc<Content>,
 }
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -1,9 +1,10 @@
-//! The lease holder's side of a rollout: a few canaries first, then all servers; and which server has what active.
+//! Rollout controller of the lease holder: activates a version on canaries, then releases or reverts it, and tracks the active version of
+//! each server.
 //!
-//! The controller runs under the lease of [`crate::TASK`], whose epoch stands in each of its commands; the history rejects those of a
-//! holder that was replaced. All that is decided stands in the history, so that a new holder carries on where the one before stopped.
+//! The controller runs under the lease of [`crate::TASK`]. Each command carries the epoch of the lease, so that the history rejects the
+//! commands of a replaced holder. All decisions are stored in the history, from which a new holder continues.
 //!
-//! Times are s by the holder's own monotonic clock.
+//! Times are seconds of the holder's monotonic clock.
 
 mod canary;
 mod server;
@@ -20,13 +21,13 @@
 use server::Server;
 use std::collections::BTreeMap;
 
-/// A command that was proposed, and when.
+/// A proposed command and the time of the proposal.
 struct Proposal {
     command: Command,
     at: f64,
 }
 
-/// Decides which version goes where, under one lease.
+/// Controller of the rollout under one lease.
 pub struct RolloutController {
     epoch: Epoch,
     author: String,
@@ -37,13 +38,13 @@
     watch: Option<CanaryWatch>,
     last_proposal: Option<Proposal>,
     superseded: bool,
-    /// There was no room for a server, so nothing is known of all of them.
+    /// Whether a server was ignored because of the server limit, so that the list of servers is incomplete.
     overflowed: bool,
 }
 
 impl RolloutController {
-    /// The controller of a new lease holder, from `now` on. The settings should have passed [`RolloutSettings::check`]; `seed` is for the
-    /// draw of canaries.
+    /// Creates the controller of a new lease holder. The settings must have passed [`RolloutSettings::check`]; `seed` determines the random
+    /// selection of canaries.
     pub fn new(
         settings: RolloutSettings,
         author: &str,
@@ -65,17 +66,17 @@
         }
     }
 
-    /// The epoch of the lease.
+    /// Returns the epoch of the lease.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Whether a later lease holder has shown itself: this one proposes nothing more.
+    /// Returns whether the history has a later epoch. A superseded controller proposes no commands.
     pub fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Adds a server that there should be, whether it was heard or not; from whoever knows the fleet.
+    /// Adds a server of the fleet, even if it has not sent an acknowledgement yet.
     pub fn expect_server(&mut self, now: f64, server: &str, zone: &str) {
         if self.servers.contains_key(server) {
             return;
@@ -87,12 +88,12 @@
         self.servers.insert(server.into(), Server::expected(now, zone));
     }
 
-    /// Removes a server that is known to be gone for good, not only silent.
+    /// Removes a server that was decommissioned, as opposed to one that is silent.
     pub fn remove_server(&mut self, server: &str) {
         self.servers.remove(server);
     }
 
-    /// Takes an acknowledgement in, through whichever distributor, however late or often.
+    /// Processes an acknowledgement from any distributor. Duplicate and delayed acknowledgements are ignored.
     pub fn receive(&mut self, now: f64, ack: &Acknowledgement) {
         self.expect_server(now, &ack.server.instance, &ack.zone);
         if let Some(server) = self.servers.get_mut(&ack.server.instance) {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// The command to propose now, if there is one. It is proposed again as long as the history does not show it.
+    /// Returns the command to propose at `now`, if any. A command that has no effect on the history yet is returned again after the repeat
+    /// interval.
     pub fn next_command(&mut self, now: f64, history: &History) -> Option<Command> {
         self.mark_lagging(now, history);
         if history.epoch() > self.epoch {
@@ -110,18 +112,18 @@
             return None;
         }
         let command = self.decide(now, history)?;
-        let proposed_lately = self
+        let proposed_recently = self
             .last_proposal
             .as_ref()
             .is_some_and(|last| last.command == command && now - last.at < self.settings.repeat_interval);
-        if proposed_lately {
+        if proposed_recently {
             return None;
         }
         self.last_proposal = Some(Proposal { command: command.clone(), at: now });
         Some(command)
     }
 
-    /// Notes since when each server has lacked the released version.
+    /// Records since when each server has lacked the released version.
     fn mark_lagging(&mut self, now: f64, history: &History) {
         let released = history.released();
         for server in self.servers.values_mut() {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whether it has listened for long enough to know all servers.
+    /// Returns whether the controller has run for long enough to have received acknowledgements of all reachable servers.
     fn discovery_complete(&self, now: f64) -> bool {
         now - self.started >= self.settings.discovery_time
     }
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -1,4 +1,4 @@
-//! Which servers are canaries, and when a version that is on canaries is released or reverted.
+//! Selection of canaries, and the decision to release or revert the version on canaries.
 
 use super::server::Server;
 use super::{Proposal, RolloutController};
@@ -8,19 +8,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Silence after which a server may have crashed, though it does not count as silent yet, s: one acknowledgement was lost.
+/// Time since the last acknowledgement after which a server may have crashed, s. It counts as silent only after the silence timeout.
 const QUIET_TIMEOUT: f64 = 1.5 * ACK_INTERVAL;
-/// Repeat intervals for which the same draw of canaries is proposed again, since the history may show it late.
+/// Number of repeat intervals during which the same selection of canaries is proposed again.
 const SELECTION_REPEATS: f64 = 4.0;
 
-/// The canary phase that is being watched.
+/// The observed canary phase.
 #[derive(Clone, Debug)]
 pub(super) struct CanaryWatch {
     number: u64,
     started: f64,
-    /// When canaries were last added.
+    /// Time of the latest selection of canaries.
     last_selection: f64,
-    /// Each canary, and since when it has been one.
+    /// Each canary with the time since which it has been one.
     canaries: BTreeMap<String, f64>,
 }
 
@@ -30,39 +30,39 @@
     }
 }
 
-/// Why a version is reverted; the history keeps the text.
+/// Cause of a revert. Its text is stored in the history.
 #[derive(Debug, Error)]
 enum CanaryFailure {
-    #[error("{server} rejected it: {cause}")]
+    #[error("canary {server} rejected the version: {cause}")]
     Rejected { server: String, cause: String },
-    #[error("{server} restarted while it was a canary")]
+    #[error("canary {server} restarted")]
     Restarted { server: String },
-    #[error("{server} is unhealthy under it")]
+    #[error("canary {server} is unhealthy with the version active")]
     Unhealthy { server: String },
-    #[error("{server} fell silent while it was a canary")]
+    #[error("canary {server} stopped sending acknowledgements")]
     Silent { server: String },
-    #[error("no server could be found that would be a canary")]
+    #[error("no server is eligible as a further canary: the version already has the maximum of {MAX_CANARIES} canaries")]
     NoCanaries,
 }
 
-/// What is seen of one canary.
+/// Observed state of one canary.
 enum Observation {
-    /// Healthy under the version for long enough.
+    /// The canary was healthy with the version active for the observation time.
     Passed,
-    /// Not yet. A quiet one may have crashed: whether it did is known once it counts as silent.
+    /// The observation is not finished. A quiet canary has missed an acknowledgement and may have crashed.
     Waiting { quiet: bool },
-    /// Gone, never heard here, or cut off with its zone: it shows nothing of the version.
+    /// The canary was removed, never acknowledged to this holder, or is cut off with its zone, so it gives no evidence on the version.
     Lost,
-    /// It failed.
+    /// The canary failed.
     Failed(CanaryFailure),
 }
 
-/// How many canaries were seen to do what.
+/// Numbers of canaries by observation.
 #[derive(Clone, Copy, Default)]
 struct Tally {
     passed: usize,
     waiting: usize,
-    /// Of those that are waited for.
+    /// Subset of `waiting`.
     quiet: usize,
     lost: usize,
 }
@@ -74,7 +74,7 @@
 }
 
 impl RolloutController {
-    /// The command that the state of the history calls for.
+    /// Returns the next command for the state of the history.
     pub(super) fn decide(&mut self, now: f64, history: &History) -> Option<Command> {
         let epoch = self.epoch;
         if history.epoch() < epoch {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Draws canaries for the head if it is not released.
+    /// Starts a canary phase for the head if it is not released.
     fn start_canary(&mut self, now: f64, history: &History) -> Option<Command> {
         let number = history.head().number;
         if number <= history.state().released || !self.discovery_complete(now) {
@@ -99,11 +99,11 @@
             Some(canaries) => canaries,
             None => self.select_canaries(now, &BTreeSet::new()),
         };
-        // Without canaries nothing is released: servers that come later would be the first.
+        // A version is never released without canaries, or servers that join later would activate it untested.
         (!canaries.is_empty()).then_some(Command::StartCanary { epoch: self.epoch, number, canaries })
     }
 
-    /// Releases or reverts the version that is on canaries, or adds canaries where too few have it.
+    /// Releases or reverts the version on canaries, or adds canaries if too few have activated it.
     fn watch_canaries(&mut self, now: f64, history: &History, phase: &CanaryPhase) -> Option<Command> {
         let (epoch, number) = (self.epoch, phase.number);
         if self.watch.as_ref().is_none_or(|watch| watch.number != number) {
@@ -141,7 +141,7 @@
         tally.waiting == 0 || (overdue && half_passed && tally.quiet == 0)
     }
 
-    /// Adds canaries; reverts the version where there may be no more of them.
+    /// Adds canaries, or reverts the version if it already has the maximum number of canaries.
     fn add_canaries(&mut self, now: f64, phase: &CanaryPhase) -> Option<Command> {
         let number = phase.number;
         let room = MAX_CANARIES.saturating_sub(phase.canaries.len());
@@ -164,7 +164,7 @@
         Command::Revert { epoch: self.epoch, author: self.author.clone(), number, cause }
     }
 
-    /// The canaries that were proposed for a version a short while ago: another draw would be another command.
+    /// Returns the canaries that were recently proposed for a version, so that repeated proposals are equal.
     fn recent_selection(&self, now: f64, number: u64) -> Option<BTreeSet<String>> {
         let Proposal { command, at } = self.last_proposal.as_ref()?;
         let Command::StartCanary { number: proposed, canaries, .. } = command else { return None };
@@ -172,7 +172,7 @@
         (*proposed == number && recent).then(|| canaries.clone())
     }
 
-    /// Counts what the canaries do; an error where one of them failed.
+    /// Counts the canaries by observation, or returns the first failure.
     fn tally(&self, now: f64, version: VersionId, watch: &CanaryWatch) -> Result<Tally, CanaryFailure> {
         let mut tally = Tally::default();
         for (name, since) in &watch.canaries {
@@ -189,7 +189,7 @@
         Ok(tally)
     }
 
-    /// What is seen of a canary that has been one since `since`.
+    /// Observes a server that has been a canary since `since`.
     fn observe(&self, now: f64, version: VersionId, name: &str, since: f64) -> Observation {
         let Some(server) = self.servers.get(name) else { return Observation::Lost };
         if let Some(rejected) = server.rejected.as_ref().filter(|rejected| rejected.version == version) {
@@ -217,20 +217,20 @@
         Observation::Waiting { quiet: now - server.last_heard > QUIET_TIMEOUT }
     }
 
-    /// Whether a server's silence is that of a link: most others of its zone fell silent as well.
+    /// Returns whether most other servers of the zone are silent too, which indicates a network failure rather than a crash.
     fn is_zone_cut_off(&self, now: f64, name: &str, zone: &str) -> bool {
-        // Servers that go with the same cut may have been heard last an acknowledgement later.
+        // The last acknowledgements before a partition arrive up to one acknowledgement interval apart.
         let silence_timeout = self.settings.silence_timeout - QUIET_TIMEOUT;
         let others = self.servers.iter().filter(|(other, server)| *other != name && server.zone == zone);
-        let (mut heard, mut silent) = (0, 0);
+        let (mut known, mut silent) = (0, 0);
         for (_, server) in others.filter(|(_, server)| server.active.is_some()) {
-            heard += 1;
+            known += 1;
             silent += usize::from(now - server.last_heard > silence_timeout);
         }
-        heard > 0 && 2 * silent > heard
+        known > 0 && 2 * silent > known
     }
 
-    /// Draws healthy servers that were heard lately, by seed: one of each zone as long as there are zones.
+    /// Selects random healthy servers with a recent acknowledgement, spread evenly over the zones.
     fn select_canaries(&mut self, now: f64, excluded: &BTreeSet<String>) -> BTreeSet<String> {
         let count = self.settings.canaries;
         let mut zones = self.eligible_by_zone(now, excluded);
@@ -249,9 +249,9 @@
         selected
     }
 
-    /// The names of the servers that may become canaries, by zone.
+    /// Returns the names of the servers that may become canaries, by zone.
     fn eligible_by_zone(&self, now: f64, excluded: &BTreeSet<String>) -> BTreeMap<String, Vec<String>> {
-        // A server that was not heard lately may be cut off already.
+        // A server without a recent acknowledgement may already be unreachable.
         let eligible = |server: &Server| server.healthy && now - server.last_heard <= QUIET_TIMEOUT;
         let mut zones: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, server) in &self.servers {
--- a/crates/config-rollout/src/rollout/server.rs
+++ b/crates/config-rollout/src/rollout/server.rs
@@ -1,34 +1,34 @@
-//! What the lease holder knows of one server.
+//! The lease holder's state of one server.
 
 use crate::digest::VersionId;
 use crate::history::History;
 use crate::messages::{Acknowledgement, RejectedVersion};
 
-/// One server, as it last acknowledged.
+/// The state of one server according to its latest acknowledgement.
 #[derive(Clone, Debug)]
 pub(super) struct Server {
     incarnation: u64,
-    /// Of the last acknowledgement.
+    /// Sequence number of the latest acknowledgement.
     sequence: u64,
     pub(super) zone: String,
-    /// None until it was heard.
+    /// The active version, or `None` before the first acknowledgement.
     pub(super) active: Option<VersionId>,
-    /// Since when, as heard here.
+    /// Time at which the active version was first acknowledged.
     active_since: f64,
     pub(super) last_heard: f64,
-    /// When it last reported to be healthy; none if it has reported otherwise since.
+    /// Time of the latest acknowledgement if it reported the server healthy, otherwise `None`.
     last_healthy: Option<f64>,
     pub(super) healthy: bool,
     pub(super) rejected: Option<RejectedVersion>,
     pub(super) save_error: Option<String>,
-    /// When a new incarnation was heard, where there was one before.
+    /// Time at which a further incarnation first sent an acknowledgement.
     pub(super) restarted_at: Option<f64>,
-    /// Since when it has lacked the released version.
+    /// Time since which the server has lacked the released version.
     pub(super) lagging_since: Option<f64>,
 }
 
 impl Server {
-    /// A server that there should be.
+    /// Creates the state of a server that has not sent an acknowledgement yet.
     pub(super) fn expected(now: f64, zone: &str) -> Server {
         Server {
             incarnation: 0,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes an acknowledgement in, unless it is older than the last one.
+    /// Processes an acknowledgement, unless it is not newer than the latest one.
     pub(super) fn update(&mut self, now: f64, ack: &Acknowledgement) {
         if (ack.server.incarnation, ack.sequence) <= (self.incarnation, self.sequence) {
             return;
@@ -65,17 +65,17 @@
         self.save_error.clone_from(&ack.save_error);
     }
 
-    /// Whether it has that version or a later one active, under the digest that the history has for it.
+    /// Returns whether that version or a later one is active, with a digest that does not contradict the history.
     pub(super) fn has(&self, history: &History, number: u64) -> bool {
         self.active.is_some_and(|active| {
-            // A version above the head is of a later history than this replica's.
+            // A version above the head is newer than this replica of the history.
             let same = history.version_id(active.number).is_none_or(|known| known == active);
             active.number >= number && same
         })
     }
 
-    /// Whether it reported to be healthy once the active version had been active for that time. An earlier report does not count: the
-    /// server may have crashed after it.
+    /// Returns whether the server reported itself healthy after the active version had been active for `observation_time` seconds. Earlier
+    /// reports do not count, because the server may have crashed after them.
     pub(super) fn passed_observation(&self, observation_time: f64) -> bool {
         self.last_healthy.is_some_and(|healthy| {
             healthy > self.active_since && healthy - self.active_since >= observation_time
--- a/crates/config-rollout/src/rollout/settings.rs
+++ b/crates/config-rollout/src/rollout/settings.rs
@@ -1,32 +1,32 @@
-//! The times and bounds of a rollout.
+//! Settings of the rollout controller.
 
 use crate::follower::ACK_INTERVAL;
 use crate::history::MAX_CANARIES;
 use thiserror::Error;
 
-/// Canaries of one draw, at the most: later draws for the same version may add others.
+/// Maximum number of canaries in one selection. Later selections for the same version may add others.
 const MAX_CANARIES_PER_SELECTION: usize = MAX_CANARIES / 4;
-/// Longest time that a setting may have, s: an hour.
+/// Maximum value of a time, s.
 const MAX_TIME: f64 = 3600.0;
-/// Acknowledgement intervals without a report before a server may count as silent.
-const MIN_SILENT_INTERVALS: f64 = 2.0;
+/// Minimum silence timeout, s.
+const MIN_SILENCE_TIMEOUT: f64 = 2.0 * ACK_INTERVAL;
 
-/// Times and bounds of a rollout.
+/// Settings of the rollout controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Servers that get a version before the others.
+    /// Number of canaries in one selection.
     pub canaries: usize,
-    /// Time for which a canary has to be healthy under the version, s.
+    /// Time for which a canary must be healthy with the version active, s.
     pub observation_time: f64,
-    /// Time after which canaries that have not got it are passed over if half of them have, s.
+    /// Time after which a version is released without the canaries that have not activated it, if at least half have passed, s.
     pub canary_timeout: f64,
     /// Time without an acknowledgement after which a server counts as silent, s.
     pub silence_timeout: f64,
-    /// Time for which a new lease holder listens before it judges all servers, or draws canaries, s.
+    /// Time for which a new lease holder collects acknowledgements before it selects canaries or reports on all servers, s.
     pub discovery_time: f64,
-    /// Time after which a command that shows no effect is proposed again, s.
+    /// Time after which a command without effect is proposed again, s.
     pub repeat_interval: f64,
-    /// Servers at once.
+    /// Maximum number of servers.
     pub max_servers: usize,
 }
 
@@ -44,30 +44,34 @@
     }
 }
 
-/// Which setting of a rollout is not valid.
+/// An invalid setting of the rollout controller.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There are no canaries or too many of them.
-    #[error("canaries: {0}, should be from 1 to {MAX_CANARIES_PER_SELECTION}")]
+    /// The number of canaries is 0 or too large.
+    #[error("canaries: got {0}, expected 1 to {MAX_CANARIES_PER_SELECTION}")]
     Canaries(usize),
-    /// No server is allowed.
-    #[error("max-servers: should be at least 1")]
+    /// The server limit is 0.
+    #[error("max-servers: got 0, expected at least 1")]
     NoServers,
-    /// A healthy server would count as silent.
-    #[error("silence-timeout: {0} s is less than two acknowledgement intervals of a server")]
+    /// The silence timeout is so short that healthy servers would count as silent.
+    #[error("silence-timeout: got {0} s, expected a finite time of at least {MIN_SILENCE_TIMEOUT} s")]
     SilenceTimeout(f64),
-    /// A time is negative, too long or no number.
-    #[error("{name}: {value} s is out of range, should be from 0 to an hour")]
+    /// A time is negative, too long or not a number.
+    #[error("{name}: got {value} s, expected 0 to {MAX_TIME} s")]
     TimeOutOfRange {
-        /// The setting.
+        /// The name of the setting.
         name: &'static str,
-        /// Its value, s.
+        /// The configured value, s.
         value: f64,
     },
 }
 
 impl RolloutSettings {
-    /// Whether a rollout can be run with these settings.
+    /// Checks the settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if !(1..=MAX_CANARIES_PER_SELECTION).contains(&self.canaries) {
             return Err(SettingsError::Canaries(self.canaries));
@@ -75,8 +79,7 @@
         if self.max_servers == 0 {
             return Err(SettingsError::NoServers);
         }
-        let least_silence = MIN_SILENT_INTERVALS * ACK_INTERVAL;
-        if !(self.silence_timeout >= least_silence && self.silence_timeout.is_finite()) {
+        if !(self.silence_timeout >= MIN_SILENCE_TIMEOUT && self.silence_timeout.is_finite()) {
             return Err(SettingsError::SilenceTimeout(self.silence_timeout));
         }
         let times = [
--- a/crates/config-rollout/src/rollout/status.rs
+++ b/crates/config-rollout/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! What the lease holder reports of the rollout.
+//! Status of a rollout as reported by the lease holder.
 
 use super::server::Server;
 use super::RolloutController;
@@ -6,70 +6,70 @@
 use crate::history::History;
 use serde::{Deserialize, Serialize};
 
-/// Servers that a status names, in each of its lists.
+/// Maximum number of servers in each list of a status.
 const MAX_LISTED_SERVERS: usize = 64;
 
-/// Why a server lacks the released version.
+/// Reason for which a server lacks the released version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LagReason {
-    /// This lease holder never heard it.
+    /// The server has not sent an acknowledgement to this lease holder.
     Unheard,
-    /// It has been silent for so many s.
+    /// The server has sent no acknowledgement for that time, s.
     Silent(f64),
-    /// It rejected the version, for this cause.
+    /// The server rejected the version, with a human-readable cause.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// It has another content under that number.
+    /// The server has another content active under the same or a later number.
     Conflict,
-    /// It is heard, and the version is on its way.
+    /// The server sends acknowledgements but has not activated the version yet.
     Behind,
 }
 
 /// A server that lacks the released version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LaggingServer {
-    /// Its name.
+    /// The name of the server.
     pub server: String,
-    /// The failure domain in which it runs.
+    /// The failure domain in which the server runs.
     pub zone: String,
-    /// The version by which it works; none where it was never heard.
+    /// The active version, or `None` before the first acknowledgement.
     #[serde(rename = "in_force")]
     pub active: Option<VersionId>,
-    /// For how long it has lacked the released version, s.
+    /// Time for which the server has lacked the released version, s.
     #[serde(rename = "since")]
     pub lag: f64,
-    /// Why.
+    /// The reason.
     #[serde(rename = "why")]
     pub reason: LagReason,
 }
 
-/// The version that is on canaries. Written as a pair.
+/// The version on canaries. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, Vec<String>)", into = "(u64, Vec<String>)")]
 pub struct RunningCanary {
-    /// The version.
+    /// The number of the version.
     pub number: u64,
-    /// The names of the servers.
+    /// The names of the canary servers.
     pub canaries: Vec<String>,
 }
 
-/// A server that could not write its last good version. Written as a pair.
+/// A server that could not write its last good version to disk. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct UnsavedServer {
-    /// Its name.
+    /// The name of the server.
     pub server: String,
-    /// Why it could not.
+    /// The error of the latest write.
     pub error: String,
 }
 
-/// A canary phase that failed. Written as a pair.
+/// A failed canary phase. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, String)", into = "(u64, String)")]
 pub struct FailedCanary {
-    /// The version.
+    /// The number of the version.
     pub number: u64,
-    /// How it failed.
+    /// Human-readable cause of the failure.
     pub cause: String,
 }
 
@@ -78,30 +78,30 @@
 pub struct RolloutStatus {
     /// The latest version.
     pub head: VersionId,
-    /// The version that all servers should have.
+    /// The latest released version.
     pub released: VersionId,
-    /// The version that is on canaries, if any.
+    /// The version on canaries, if any.
     #[serde(rename = "trial")]
     pub canary: Option<RunningCanary>,
-    /// Servers that have the released version, or a later one, active.
+    /// Number of servers with the released version or a later one active.
     #[serde(rename = "have")]
     pub up_to_date: usize,
-    /// All servers that are not known to be gone.
+    /// Number of known servers.
     #[serde(rename = "of")]
     pub servers: usize,
-    /// All of them are up to date, and the lease holder has listened for long enough to know all.
+    /// Whether all servers are up to date. `false` as long as the lease holder may not know all servers.
     pub everywhere: bool,
-    /// The servers that lag, longest first; the first ones where there are many.
+    /// The lagging servers, longest lag first, up to a limit.
     pub lagging: Vec<LaggingServer>,
-    /// Servers that could not write their last good version; the first ones where there are many.
+    /// Servers that could not write their last good version to disk, up to a limit.
     pub unsaved: Vec<UnsavedServer>,
-    /// The last canary phase that failed.
+    /// The latest failed canary phase.
     #[serde(rename = "taken_back")]
     pub last_failed: Option<FailedCanary>,
 }
 
 impl RolloutController {
-    /// The state of the rollout, as far as it is known here.
+    /// Returns the status of the rollout at `now`.
     pub fn status(&self, now: f64, history: &History) -> RolloutStatus {
         let released = history.released();
         let is_up_to_date = |server: &&Server| server.has(history, released.number);
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -7,7 +7,7 @@
 use puffinladder_leases::HolderId;
 use std::collections::BTreeSet;
 
-/// A lease holder, its history, and servers that acknowledge in each step.
+/// A simulated lease holder with its history, and servers that acknowledge in each step.
 struct Fleet {
     now: f64,
     history: History,
@@ -57,14 +57,14 @@
         self.history.head().number
     }
 
-    /// Time goes by; each server that is_heard has what it should have, as `takes` allows.
-    fn advance(&mut self, span: f64, takes: impl Fn(&str, u64) -> bool) {
+    /// Advances the time. Each server activates its target if `activates` allows it, and acknowledges if `is_heard`.
+    fn advance(&mut self, span: f64, activates: impl Fn(&str, u64) -> bool) {
         let end = self.now + span;
         while self.now < end {
             self.now += 0.05;
             for (name, (ack, is_heard)) in &mut self.servers {
                 let target = self.history.state().target(name);
-                if target > ack.active.number && takes(name, target) {
+                if target > ack.active.number && activates(name, target) {
                     ack.active = self.history.version_id(target).unwrap();
                     ack.staged = ack.active;
                 }
@@ -87,6 +87,7 @@
         });
         canary_commands.flatten().cloned().collect()
     }
+
     fn status(&self) -> RolloutStatus {
         self.rollout.status(self.now, &self.history)
     }
@@ -112,7 +113,12 @@
         (status.released.number, status.up_to_date, status.servers, status.everywhere),
         (number, 12, 12, true)
     );
-    assert_eq!(fleet.proposed.len(), 3, "announced, tried, released: {:?}", fleet.proposed);
+    assert_eq!(
+        fleet.proposed.len(),
+        3,
+        "expected an announcement, a canary start and a release: {:?}",
+        fleet.proposed
+    );
 }
 
 #[test]
@@ -140,7 +146,7 @@
         let releases =
             fleet.proposed.iter().filter(|proposed| matches!(proposed, Command::Release { .. })).count();
         assert_eq!(releases, 0, "{failure}");
-        assert_eq!(fleet.canaries().len(), 3, "{failure}: no others were asked");
+        assert_eq!(fleet.canaries().len(), 3, "{failure}: no further canaries");
     }
 }
 
@@ -150,21 +156,21 @@
     fleet.advance(2.0, |_, _| true);
     let number = fleet.put(1.0);
     fleet.advance(0.1, |_, _| true);
-    // All canaries but one are in zones that fall silent as a whole.
-    let stays = fleet.servers[&fleet.canaries()[0]].0.zone.clone();
+    // The zones of all canaries but one are cut off.
+    let connected_zone = fleet.servers[&fleet.canaries()[0]].0.zone.clone();
     for (ack, is_heard) in fleet.servers.values_mut() {
-        *is_heard = ack.zone == stays;
+        *is_heard = ack.zone == connected_zone;
     }
     fleet.advance(6.0, |_, _| true);
     let status = fleet.status();
     assert_eq!((status.released.number, &status.last_failed), (number, &None));
     assert!(!status.everywhere);
-    // Two canaries had proposed that they have it before they fell silent.
+    // Two canaries acknowledged the version before their zones were cut off.
     assert_eq!((status.up_to_date, status.servers, status.lagging.len()), (6, 12, 6));
     assert!(status.lagging.iter().all(|lag| matches!(lag.reason, LagReason::Silent(_))), "{status:?}");
-    // Known to be gone they count no more.
-    let gone: Vec<String> = status.lagging.iter().map(|lag| lag.server.clone()).collect();
-    gone.iter().for_each(|server| fleet.rollout.remove_server(server));
+    // Removed servers do not count.
+    let removed: Vec<String> = status.lagging.iter().map(|lag| lag.server.clone()).collect();
+    removed.iter().for_each(|server| fleet.rollout.remove_server(server));
     assert!(fleet.status().everywhere);
 }
 
@@ -183,10 +189,10 @@
     fleet.advance(0.5, slow);
     let status = fleet.status();
     assert_eq!((status.released.number, status.up_to_date, status.servers), (number, 4, 7));
-    let why: BTreeMap<&str, &LagReason> =
+    let reasons: BTreeMap<&str, &LagReason> =
         status.lagging.iter().map(|lag| (lag.server.as_str(), &lag.reason)).collect();
     assert_eq!(
-        (why["never"], why["n05"], why["n03"]),
+        (reasons["never"], reasons["n05"], reasons["n03"]),
         (&LagReason::Unheard, &LagReason::Behind, &LagReason::Conflict)
     );
     assert_eq!(status.unsaved, [UnsavedServer { server: "n04".into(), error: "no space left".into() }]);
@@ -211,8 +217,8 @@
     assert!(fleet.status().everywhere);
     let canary_commands =
         fleet.proposed.iter().filter(|proposed| matches!(proposed, Command::StartCanary { .. })).count();
-    assert_eq!(canary_commands, 1, "the trial goes on, it does not begin anew");
-    // The old one finds out and says no more.
+    assert_eq!(canary_commands, 1, "the canary phase continues");
+    // The replaced controller detects the later epoch and proposes nothing.
     let mut old = old;
     assert_eq!(old.next_command(fleet.now, &fleet.history), None);
     assert!(old.superseded());
@@ -257,7 +263,7 @@
         proposed.extend(fleet.rollout.next_command(fleet.now, &fleet.history));
     }
     assert!(proposed.len() >= 3 && proposed.len() <= 5, "{}", proposed.len());
-    assert!(proposed.windows(2).all(|two| two[0] == two[1]), "{proposed:?}");
+    assert!(proposed.windows(2).all(|pair| pair[0] == pair[1]), "{proposed:?}");
 }
 
 #[test]
