--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Stored and wire forms as they were first released. The literals and the files under `tests/golden/` stay as they are, whatever the
-//! types are called: a node of one release reads what a node of another release wrote.
+//! Stored and wire encodings. The literals and the files under `tests/golden/` must not change, so that different releases of the program
+//! can read each other's data.
 
 use puffinladder_config_rollout::follower::{Follower, StartSource, PROBATION};
 use puffinladder_config_rollout::history::{
@@ -31,7 +31,7 @@
     VersionId { number, digest: Digest([number as u8; 32]) }
 }
 
-/// One key of each field, all of them fit.
+/// Returns a change with a valid value for each field.
 fn change() -> Change {
     let mut change = Change::default().set(Key::tenant("acme"), 120.5);
     for (at, field) in Field::ALL.into_iter().enumerate() {
@@ -66,15 +66,15 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// A value is written as the literal says, and the literal is read as that value.
+/// Checks that a value encodes to the literal and that the literal decodes to the value.
 fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, literal: &str) {
-    assert_eq!(serde_json::to_string(&value).expect("a line of JSON"), literal);
-    assert_eq!(serde_json::from_str::<T>(literal).expect("readable"), value);
+    assert_eq!(serde_json::to_string(&value).expect("valid JSON"), literal);
+    assert_eq!(serde_json::from_str::<T>(literal).expect("decodable"), value);
 }
 
 fn postcard<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, literal: &str) {
     assert_eq!(hex(&::postcard::to_allocvec(&value).expect("plain data")), literal);
-    assert_eq!(::postcard::from_bytes::<T>(&bytes_of_hex(literal)).expect("readable"), value);
+    assert_eq!(::postcard::from_bytes::<T>(&bytes_of_hex(literal)).expect("decodable"), value);
 }
 
 #[test]
@@ -187,9 +187,9 @@
         r#"{"owner":{"instance":"","incarnation":0},"zone":"","serial":0,"in_force":{"number":0,"digest":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"},"holds":{"number":0,"digest":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"},"got":null,"refused":null,"conflicts":0,"healthy":false,"unsaved":null}"#,
     );
     postcard(full, "026e310304656173740c02200202020202020202020202020202020202020202020202020202020202020202032003030303030303030303030303030303030303030303030303030303030303030100042004040404040404040404040404040404040404040404040404040404040404045a2901052005050505050505050505050505050505050505050505050505050505050505050d6e6f207375636820726f7574650201010d6e6f207370616365206c656674");
-    // What an older server leaves out.
+    // Fields that older servers omit.
     let short = r#"{"owner":{"instance":"n1","incarnation":1},"serial":1,"in_force":{"number":0,"digest":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"},"holds":{"number":0,"digest":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"}}"#;
-    let read: Acknowledgement = serde_json::from_str(short).expect("readable");
+    let read: Acknowledgement = serde_json::from_str(short).expect("decodable");
     assert_eq!(
         read,
         Acknowledgement { server: HolderId::new("n1", 1), sequence: 1, ..Acknowledgement::default() }
@@ -233,7 +233,7 @@
 #[test]
 fn log_outcomes_keep_their_encoding() {
     let missed = MissedVersion { number: 3, author: "ann".into(), at: 1.5, keys: 2 };
-    let all = [
+    let outcomes = [
         (Ok(Outcome::Announced), r#"{"Ok":"Announced"}"#, "0000"),
         (Ok(Outcome::Accepted(head(4))), r#"{"Ok":{"Accepted":{"number":4,"digest":"BAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQ"}}}"#, "000104200404040404040404040404040404040404040404040404040404040404040404"),
         (Ok(Outcome::AlreadyApplied(head(4))), r#"{"Ok":{"Repeat":{"number":4,"digest":"BAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQ"}}}"#, "000204200404040404040404040404040404040404040404040404040404040404040404"),
@@ -250,7 +250,7 @@
         (Err(Rejection::NotOnCanaries { asked: 3, current: Some(4) }), r#"{"Err":{"NotOnTrial":{"asked":3,"trial":4}}}"#, "0107030104"),
         (Err(Rejection::NoQuorum), r#"{"Err":"NoMajority"}"#, "0108"),
     ];
-    for (answer, as_json, as_postcard) in all {
+    for (answer, as_json, as_postcard) in outcomes {
         json::<Result<Outcome, Rejection>>(answer.clone(), as_json);
         postcard::<Result<Outcome, Rejection>>(answer, as_postcard);
     }
@@ -352,7 +352,7 @@
     history.apply(&LogEntry { at: 1.5, command }).expect("accepted");
 }
 
-/// A history with a checkpoint, every kind of version, a canary phase under way and one that was reverted.
+/// Returns a history with a checkpoint, versions of each origin, a running canary phase and a reverted one.
 fn history() -> History {
     let mut history = History::new(digester(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     let canaries = canaries();
@@ -372,21 +372,21 @@
             apply(&mut history, Command::Release { epoch: 7, number });
         }
     }
-    let back = history.rollback(5, "bob", 8).expect("known");
-    apply(&mut history, Command::Put(back));
+    let rollback = history.rollback(5, "bob", 8).expect("retained");
+    apply(&mut history, Command::Put(rollback));
     history
 }
 
 fn file(name: &str) -> Vec<u8> {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
-    std::fs::read(path).expect("a file of the repository")
+    std::fs::read(path).expect("golden file")
 }
 
 #[test]
 fn stored_history_keeps_its_encoding() {
     let (history, stored) = (history(), file("history.snapshot"));
     assert_eq!(history.snapshot(), stored);
-    assert_eq!(History::restore(digester(), &stored).expect("readable"), history);
+    assert_eq!(History::restore(digester(), &stored).expect("decodable"), history);
     assert_eq!(history.state().reverted.len(), 1);
     assert_eq!((history.checkpoint().number, history.head().number), (4, 7));
 }
@@ -404,8 +404,8 @@
         .receive(&DistributorMessage::Chunk(Chunk { transfer, offset: 0, bytes: body }), &BoundsValidator);
     assert!(follower.activated(0.0, head));
     let stored = file("last-good");
-    assert_eq!(follower.save(PROBATION).expect("proved"), stored);
-    let (again, began) = start(Some(&stored));
-    assert_eq!(began, StartSource::LastGood(head));
-    assert_eq!(again.active().content.as_ref(), &content());
+    assert_eq!(follower.save(PROBATION).expect("the probation has passed"), stored);
+    let (restarted, start_source) = start(Some(&stored));
+    assert_eq!(start_source, StartSource::LastGood(head));
+    assert_eq!(restarted.active().content.as_ref(), &content());
 }
--- a/crates/config-rollout/tests/schedules/control.rs
+++ b/crates/config-rollout/tests/schedules/control.rs
@@ -1,4 +1,4 @@
-//! The lease holders of the rollout, the current one and those that were replaced; and the distributors.
+//! Current and replaced lease holders of the rollout, and the distributors.
 
 use crate::network::{Message, Proposer};
 use crate::world::{Bug, InvariantResult, SentLine, SimulatedHolder, World, STEP};
@@ -7,13 +7,13 @@
 use puffinladder_config_rollout::rollout::{RolloutController, RolloutSettings};
 use rand::Rng;
 
-/// Bytes to one server in any one second.
+/// Maximum number of bytes sent to one server in any second.
 const BYTE_BUDGET: f64 = 12_000.0;
 
 impl World {
     pub fn run_lease_holders(&mut self) -> InvariantResult {
         if self.now >= self.faults_end {
-            // Somebody gets the lease, and the lease store has a leader.
+            // The lease is granted, and the lease store has a leader.
             self.next_lease_at = self.next_lease_at.map(|at| at.min(self.now));
             self.leaderless_until = self.leaderless_until.min(self.now);
         }
@@ -47,7 +47,7 @@
         self.holders.push(SimulatedHolder { region, controller, replica, active_until: f64::MAX });
     }
 
-    /// A holder that the lease store can't hear loses its lease, and works on in the belief that it has it.
+    /// Expires the lease of a holder partitioned from the lease store. The holder continues to work for a while.
     fn expire_unreachable_lease(&mut self) {
         if self.next_lease_at.is_some()
             || self.now >= self.partitioned_until
@@ -70,7 +70,7 @@
             holder.replica = self.committed.clone();
         }
         let command = holder.controller.next_command(self.now, &holder.replica);
-        // Now and then only, since it looks at every server.
+        // Checked in every fourth step, because the status covers all servers.
         if ((self.now / STEP).round() as u64).is_multiple_of(4) {
             self.check_status(at)?;
         }
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Whether what a lease holder says of all servers is true.
+    /// Checks the status of a lease holder against the servers.
     fn check_status(&mut self, at: usize) -> InvariantResult {
         let holder = &self.holders[at];
         let status = holder.controller.status(self.now, &holder.replica);
@@ -99,13 +99,13 @@
             let lacks = self.servers.iter().find(|server| server.highest < status.released.number);
             if let Some(server) = lacks {
                 return Err(format!(
-                    "{} is said to be everywhere, {} never had it",
+                    "status reports {} on all servers, but {} never had it active",
                     status.released, server.name
                 ));
             }
         } else if status.up_to_date + status.lagging.len() != status.servers {
             return Err(format!(
-                "of {} servers {} have it and {} lag",
+                "status: of {} servers {} are up to date and {} lag, expected their sum to be the number of servers",
                 status.servers,
                 status.up_to_date,
                 status.lagging.len()
@@ -125,7 +125,7 @@
 
     fn run_distributor(&mut self, at: usize) -> InvariantResult {
         let region = self.distributors[at].region;
-        // A replica of its own region; on the side without a majority that one has no updates.
+        // A lease-store replica of the same region. The one outside region 0 gets no updates during a partition.
         let replica = if region == 0 { self.rng.random_range(0..2) } else { 2 };
         let fresh = self.reaches_leader(region);
         let distributor = &mut self.distributors[at];
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// No server is sent more than its budget in any second.
+    /// Checks the byte budget of a server over the last second.
     fn check_budget(&mut self, to: usize, bytes: f64) -> InvariantResult {
         let (now, server) = (self.now, &mut self.servers[to]);
         server.sent_lines.push_back(SentLine { at: now, bytes });
@@ -165,7 +165,10 @@
         }
         let sum: f64 = server.sent_lines.iter().map(|line| line.bytes).sum();
         if sum > BYTE_BUDGET {
-            return Err(format!("{now:.2}: {} was sent {sum} B in one second", server.name));
+            return Err(format!(
+                "{now:.2}: {} was sent {sum} B in one second, expected at most {BYTE_BUDGET} B",
+                server.name
+            ));
         }
         Ok(())
     }
--- a/crates/config-rollout/tests/schedules/counts.rs
+++ b/crates/config-rollout/tests/schedules/counts.rs
@@ -1,13 +1,13 @@
-//! What came up in a schedule: runs in which some of it never did would prove nothing.
+//! Event counts of schedules, which show that each case was exercised.
 
 #[derive(Debug, Default)]
 pub struct Counts {
     pub versions: u64,
-    /// Puts on a head that was no longer the latest.
+    /// Puts rejected because of an outdated base.
     pub missed: u64,
-    /// Commands of lease holders that were replaced.
+    /// Commands rejected because of a stale epoch.
     pub stale_epochs: u64,
-    /// Puts where no majority could be reached.
+    /// Puts without a reachable majority.
     pub no_quorum: u64,
     pub reverted: u64,
     pub activated: u64,
@@ -15,19 +15,19 @@
     pub wrong_digests: u64,
     pub undecodable: u64,
     pub conflicts: u64,
-    /// Starts from a last good version.
+    /// Server starts from the last good version.
     pub last_good: u64,
-    /// Starts from the base settings, since the disk was torn.
+    /// Server starts from the base settings because the disk was corrupted.
     pub base_settings: u64,
-    /// Statuses that said that a version is everywhere.
+    /// Statuses that reported all servers up to date.
     pub everywhere: u64,
-    /// Distributors that were killed.
+    /// Killed distributors.
     pub kills: u64,
-    /// Steps of ten versions or more.
+    /// Activations that skipped at least nine versions.
     pub wide_steps: u64,
-    /// Longest time from the end of all faults until all servers had the last version, s.
+    /// Maximum time from the last fault until all servers had the latest version, s.
     pub convergence: f64,
-    /// The oldest that a server on the side without a majority knew its content to be, s.
+    /// Maximum age that a partitioned server computed for its content, s.
     pub oldest: f64,
 }
 
--- a/crates/config-rollout/tests/schedules/faults.rs
+++ b/crates/config-rollout/tests/schedules/faults.rs
@@ -1,5 +1,5 @@
-//! What goes wrong: crashes, pauses, torn and full disks, one-way cuts, regions cut from each other, leaders and lease holders that are
-//! lost, and messages of a stranger.
+//! Injected faults: crashes, pauses, corrupted and full disks, one-way link failures, partitions, loss of leaders and lease holders, and
+//! forged messages.
 
 use crate::network::Message;
 use crate::world::{local_check, InvariantResult, World, CRASHING_QUOTA, STEP};
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl World {
-    /// One fault in a third of a second or so.
+    /// Injects a random fault, about three per second.
     pub fn inject_random_fault(&mut self) -> InvariantResult {
         if !self.rng.random_bool(STEP * 3.0) {
             return Ok(());
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The leader is lost: what no majority had from it survives or does not, and nobody is answered.
+    /// Loses the leader. Each pending entry is committed or lost at random, and no proposer gets an answer.
     fn lose_leader(&mut self, span: f64) -> InvariantResult {
         self.leaderless_until = self.now + span / 8.0;
         let pending = std::mem::take(&mut self.pending);
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// The lease holder is killed, or works on for a while without knowing that it was replaced.
+    /// Kills the lease holder, or replaces it while it continues to work for a while.
     fn replace_lease_holder(&mut self, span: f64) {
         if self.next_lease_at.is_some() {
             return;
@@ -84,15 +84,15 @@
         self.next_lease_at = Some(self.now + self.rng.random_range(0.1..1.5));
     }
 
-    /// A server is killed and starts again from its disk, which may be torn.
+    /// Kills a server and restarts it from its disk, which may be corrupted.
     pub fn kill(&mut self, at: usize) {
         let restart_time = self.rng.random_range(0.1..1.5);
-        let torn = self.rng.random_bool(0.05);
+        let is_corrupted = self.rng.random_bool(0.05);
         let place = self.rng.random_range(0..400);
         let digester = self.digester.clone();
         let server = &mut self.servers[at];
-        if let Some(disk) = server.disk.as_mut().filter(|_| torn) {
-            tear(disk, place);
+        if let Some(disk) = server.disk.as_mut().filter(|_| is_corrupted) {
+            corrupt(disk, place);
         }
         server.incarnation += 1;
         server.down_until = self.now + restart_time;
@@ -106,7 +106,7 @@
         server.previous.clear();
         match start_source {
             StartSource::LastGood(version) => {
-                // What was stored as good is never older than what was stored before.
+                // The last good version is the latest stored one.
                 assert!(version.number == server.stored, "{version}, {}", server.stored);
                 self.counts.last_good += 1;
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A stranger sends a server what he likes; without the fleet's key he can't make up a digest.
+    /// Sends a random forged message to a server, without knowledge of the fleet's key.
     fn send_hostile_message(&mut self, at: usize) {
         let (number, total) = (self.rng.random_range(0..40), self.rng.random_range(0..4000));
         let digest = match self.versions.get(&number) {
@@ -156,7 +156,7 @@
         self.post(0.01, Message::ToServer { server: at, incarnation, distributor, message });
     }
 
-    /// A content of a stranger, well formed, under a number that stands or comes.
+    /// Creates a well-formed content with a forged or known digest.
     fn forged_content(&mut self, version: VersionId) -> DistributorMessage {
         let VersionId { number, digest } = version;
         let change = Change::default().set(Key::tenant("mine"), 1e6);
@@ -173,8 +173,8 @@
     }
 }
 
-/// Cuts the end of a file off, or turns a bit of it.
-fn tear(disk: &mut Vec<u8>, place: usize) {
+/// Truncates a file or flips one of its bits.
+fn corrupt(disk: &mut Vec<u8>, place: usize) {
     let at = place % disk.len().max(1);
     if place.is_multiple_of(2) {
         disk.truncate(at);
--- a/crates/config-rollout/tests/schedules/lease_store.rs
+++ b/crates/config-rollout/tests/schedules/lease_store.rs
@@ -1,4 +1,4 @@
-//! The writers, and the lease store: one replicated line of entries with leaders that come and go.
+//! Simulated writers and lease store, whose replicated log survives changes of the leader.
 
 use crate::network::{Message, Proposer};
 use crate::world::{Bug, InvariantResult, KnownVersion, World, CRASHING_QUOTA, REJECTED_QUOTA, STEP};
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl World {
-    /// Writers, each with a view that may be old, and some under a lease that has ended.
+    /// Proposes random changes, some of them under an expired lease.
     pub fn put_changes(&mut self) -> InvariantResult {
         if self.now < self.next_put || self.last_epoch == 0 {
             return Ok(());
@@ -18,7 +18,7 @@
         self.next_put = self.now + self.put_interval * self.rng.random_range(0.1..2.0);
         let region = usize::from(self.rng.random_bool(0.3));
         if !self.reaches_leader(region) {
-            // There a host answers `Rejection::NoQuorum` and asks nobody.
+            // The host answers `Rejection::NoQuorum` without proposing anything.
             self.counts.no_quorum += 1;
             return Ok(());
         }
@@ -26,14 +26,14 @@
             0 => self.last_epoch.saturating_sub(1),
             _ => self.last_epoch,
         };
-        // Two at once, on the same head.
+        // Two concurrent puts with the same base.
         let both = self.rng.random_bool(0.2);
         for author in ["ann", "bob"].iter().take(1 + usize::from(both)) {
             let Some(put) = self.random_put(author, epoch) else { continue };
             let entry = LogEntry { at: self.now, command: Command::Put(put) };
             let delay = self.delay();
             if self.rng.random_bool(0.1) {
-                // Asked twice.
+                // A duplicate proposal.
                 let proposal = Message::Proposal { entry: entry.clone(), proposer: Proposer::Writer };
                 self.post(2.0 * delay, proposal);
             }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The leader commits what a majority has; the replicas apply what was committed.
+    /// Commits the due entries, and applies committed entries on the reachable replicas.
     pub fn run_lease_store(&mut self) -> InvariantResult {
         if self.now >= self.leaderless_until {
             let due: Vec<_> = self.pending.extract_if(.., |pending| pending.due <= self.now).collect();
@@ -99,13 +99,13 @@
         Ok(())
     }
 
-    /// A replica restarts from its snapshot.
+    /// Restarts a replica from its snapshot.
     fn restore_replica(&mut self, at: usize) -> InvariantResult {
         let snapshot = self.replicas[at].snapshot();
         let restored =
             History::restore(self.digester.clone(), &snapshot).map_err(|error| error.to_string())?;
         if restored != self.replicas[at] {
-            return Err("a history differs after its snapshot".into());
+            return Err("a history restored from its snapshot differs from the original".into());
         }
         self.replicas[at] = restored;
         Ok(())
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A majority has the entry: it is in the line for good.
+    /// Commits an entry and checks the outcome.
     pub fn commit(&mut self, mut entry: LogEntry) -> Result<Result<Outcome, Rejection>, String> {
         let epoch = entry.command.epoch();
         if self.bug == Bug::StaleEpoch {
@@ -133,19 +133,19 @@
         }
         let head = self.committed.head();
         let outcome = self.committed.apply(&entry);
-        // With SEED=27 TRACE=1 this shows how it came about.
+        // `SEED=27 TRACE=1` prints the committed commands of a schedule.
         if std::env::var_os("TRACE").is_some() {
             println!("{:.2}: {:?} -> {outcome:?}", self.now, entry.command);
         }
         match &outcome {
             Ok(outcome) => self.check_outcome(epoch, outcome)?,
-            Err(_) if self.committed.head() != head => return Err("a rejected entry moved the head".into()),
+            Err(_) if self.committed.head() != head => return Err("a rejected entry changed the head".into()),
             Err(_) => {}
         }
         let new_head = self.committed.head();
         if new_head != head {
             if new_head.number != head.number + 1 {
-                return Err(format!("{new_head} came after {head}"));
+                return Err(format!("got head {new_head} after {head}, expected the next number"));
             }
             let known = KnownVersion { digest: new_head.digest, content: self.committed.content().clone() };
             self.versions.insert(new_head.number, known);
@@ -156,7 +156,10 @@
 
     fn check_outcome(&mut self, epoch: Epoch, outcome: &Outcome) -> InvariantResult {
         if epoch < self.highest_epoch {
-            return Err(format!("{outcome:?} was done under epoch {epoch} after {}", self.highest_epoch));
+            return Err(format!(
+                "{outcome:?} was accepted under epoch {epoch}, expected epoch {} or later",
+                self.highest_epoch
+            ));
         }
         self.highest_epoch = epoch;
         if let (Outcome::CanaryStarted, Some(phase)) = (outcome, &self.committed.state().canary) {
--- a/crates/config-rollout/tests/schedules/network.rs
+++ b/crates/config-rollout/tests/schedules/network.rs
@@ -1,11 +1,11 @@
-//! Messages between the parts, which may be lost, doubled, late, out of order or corrupted; and regions that are cut from each other.
+//! Simulated network: messages may be lost, duplicated, delayed, reordered or corrupted, and regions may be partitioned.
 
 use crate::world::{Bug, InvariantResult, PendingEntry, World};
 use puffinladder_config_rollout::history::LogEntry;
 use puffinladder_config_rollout::messages::{Acknowledgement, DistributorMessage};
 use rand::Rng;
 
-/// A message on its way; servers and distributors by their place in the world.
+/// A message in transit. Servers and distributors are identified by their index.
 pub enum Message {
     ToServer {
         server: usize,
@@ -18,7 +18,7 @@
         server: usize,
         ack: Acknowledgement,
     },
-    /// From a distributor to the lease holders.
+    /// An acknowledgement that a distributor forwards to the lease holders.
     Forwarded(Acknowledgement),
     Proposal {
         entry: LogEntry,
@@ -34,7 +34,7 @@
 
 pub struct InTransit {
     arrives_at: f64,
-    /// In the order in which they were posted.
+    /// Sequence number of the message, which breaks ties of the arrival time.
     number: u64,
     message: Message,
 }
@@ -60,12 +60,12 @@
         a != b && self.now < self.partitioned_until
     }
 
-    /// Whether somebody in that region reaches the leader of the lease store.
+    /// Returns whether the leader of the lease store is reachable from the region.
     pub fn reaches_leader(&self, region: usize) -> bool {
         self.now >= self.leaderless_until && !self.is_partitioned(region, 0)
     }
 
-    /// Sends a message of a distributor to a server, and may lose, double or corrupt it.
+    /// Sends a message from a distributor to a server, with random loss, duplication and corruption.
     pub fn send(&mut self, distributor: usize, server: usize, message: DistributorMessage) {
         if self.now < self.servers[server].inbound_lost_until {
             return;
@@ -77,21 +77,21 @@
         let message = match chance {
             0..3 => return, // lost
             3..6 => {
-                let again = delay + self.rng.random_range(0.0..2.0);
-                self.post(again, to_server(message.clone()));
+                let duplicate_delay = delay + self.rng.random_range(0.0..2.0);
+                self.post(duplicate_delay, to_server(message.clone()));
                 message
             }
             6..9 => match self.corrupt_line(&message) {
                 Some(corrupted) => corrupted,
                 None => return,
             },
-            9 => self.tear_chunk(message),
+            9 => self.truncate_chunk(message),
             _ => message,
         };
         self.post(delay, to_server(message));
     }
 
-    /// Changes a byte of the line, or cuts its end off; mostly it is no line any more.
+    /// Changes a byte of the line or truncates it. Returns `None` if the result cannot be decoded, which is the usual case.
     fn corrupt_line(&mut self, message: &DistributorMessage) -> Option<DistributorMessage> {
         let mut line = serde_json::to_vec(message).expect("a line");
         let place = self.rng.random_range(0..line.len());
@@ -103,18 +103,18 @@
         serde_json::from_slice(&line).ok()
     }
 
-    /// Cuts the end of a chunk off so that the message still reads.
-    fn tear_chunk(&mut self, message: DistributorMessage) -> DistributorMessage {
+    /// Truncates a chunk within a message that can still be decoded.
+    fn truncate_chunk(&mut self, message: DistributorMessage) -> DistributorMessage {
         let DistributorMessage::Chunk(mut chunk) = message else { return message };
-        let left = self.rng.random_range(0..=chunk.bytes.len());
-        chunk.bytes.truncate(left);
+        let length = self.rng.random_range(0..=chunk.bytes.len());
+        chunk.bytes.truncate(length);
         if self.rng.random_bool(0.5) {
             chunk.transfer.total_bytes = (chunk.offset as usize + chunk.bytes.len()) as u32;
         }
         DistributorMessage::Chunk(chunk)
     }
 
-    /// Delivers what has arrived by now, in the order of arrival.
+    /// Delivers the messages that have arrived, in order of arrival.
     pub fn deliver(&mut self) -> InvariantResult {
         let now = self.now;
         let mut due: Vec<_> =
@@ -162,13 +162,13 @@
         }
     }
 
-    /// The leader takes an entry, if there is a leader; a majority has it a little later.
+    /// Passes an entry to the leader, if there is one, which commits it after a delay.
     fn propose(&mut self, entry: LogEntry, proposer: Proposer) {
         if self.now < self.leaderless_until {
             return;
         }
         if self.bug == Bug::EarlyAnswer {
-            // By what the leader has alone.
+            // The outcome according to the leader alone.
             let outcome = self.committed.clone().apply(&entry);
             self.answer(outcome, proposer);
         }
--- a/crates/config-rollout/tests/schedules/server.rs
+++ b/crates/config-rollout/tests/schedules/server.rs
@@ -1,4 +1,4 @@
-//! A server's rounds: it receives, activates, stores and acknowledges versions, and each step is checked.
+//! Rounds of a simulated server: receives, activates, stores and acknowledges versions, and checks the invariants at each step.
 
 use crate::network::Message;
 use crate::world::{
@@ -11,7 +11,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// Whether a server's round goes on.
+/// Whether the round of a server continues.
 #[derive(PartialEq)]
 enum Round {
     Continues,
@@ -45,13 +45,13 @@
             let name = &server.name;
             let is_canary = self.canaries.values().any(|names| names.contains(name));
             if !is_canary {
-                return Err(format!("{name}, no canary, rejected what it was sent, target {number}"));
+                return Err(format!("{name} is no canary but rejected a version; target {number}"));
             }
         }
         Ok(())
     }
 
-    /// What a planted bug activates without asking the follower.
+    /// Returns the content that a planted bug activates, bypassing the follower.
     fn content_from_bug(&self, at: usize, message: &DistributorMessage) -> Option<VersionedContent> {
         let server = &self.servers[at];
         match (self.bug, message) {
@@ -63,13 +63,15 @@
         }
     }
 
-    /// The host works by that content from this round on.
+    /// Activates a content and checks that the version is newer, matches the committed one and may be active on this server.
     fn activate(&mut self, at: usize, content: VersionedContent) -> InvariantResult {
         let (now, server) = (self.now, &mut self.servers[at]);
         let (name, version) = (server.name.clone(), content.version);
         let previous = server.active.version;
         if version.number <= previous.number {
-            return Err(format!("{now:.2}: {name} went from {previous} to {version}"));
+            return Err(format!(
+                "{now:.2}: {name} activated {version} after {previous}, expected a newer version"
+            ));
         }
         server.previous.push(std::mem::replace(&mut server.active, content));
         server.highest = server.highest.max(version.number);
@@ -83,29 +85,33 @@
         let released = self.committed.state().released;
         let is_canary = self.canaries.get(&version.number).is_some_and(|names| names.contains(&name));
         if version.number > released && !is_canary {
-            return Err(format!("{now:.2}: {name} has {version} active, released is {released}"));
+            return Err(format!(
+                "{now:.2}: {name} is no canary but has {version} active; released is {released}"
+            ));
         }
         let bad = server.has_crashing_quota(CRASHING_QUOTA) || local_check(&server.active.content).is_err();
         if bad && !is_canary {
-            return Err(format!("{now:.2}: {name}, no canary, has a bad {version} active"));
+            return Err(format!("{now:.2}: {name} is no canary but has the bad version {version} active"));
         }
         Ok(())
     }
 
-    /// What is active is, as a whole, what the line has under its number.
+    /// Checks that the active content equals the committed content of its version.
     fn check_active(&self, at: usize) -> InvariantResult {
         let SimulatedServer { name, active: VersionedContent { version, content }, .. } = &self.servers[at];
         let Some(known) = self.versions.get(&version.number) else {
-            return Err(format!("{name} has {version} active, which never was"));
+            return Err(format!("{name} has {version} active, which was never committed"));
         };
         if known.digest != version.digest || known.content != **content {
             let keys = known.content.diff(content).len();
-            return Err(format!("{name} has {version} active, {keys} keys off"));
+            return Err(format!(
+                "{name} has {version} active; {keys} keys differ from the committed content"
+            ));
         }
         Ok(())
     }
 
-    /// A server's round.
+    /// Runs one round of a server.
     pub fn run_server(&mut self, at: usize) -> InvariantResult {
         let (now, healed) = (self.now, self.now >= self.faults_end);
         let server = &mut self.servers[at];
@@ -134,7 +140,7 @@
         self.acknowledge(at, healed)
     }
 
-    /// On the side without a majority no server takes what it has for newer than the cut.
+    /// Checks that a server partitioned from the majority computes an age of at least the duration of the partition.
     fn check_age(&mut self, at: usize) -> InvariantResult {
         let (now, server) = (self.now, &self.servers[at]);
         let is_partitioned = now < self.partitioned_until && server.region != 0;
@@ -142,20 +148,20 @@
         let least = now - self.partitioned_since - STEP;
         if age < least {
             return Err(format!(
-                "{now:.2}: {} takes what it has for {age:.2} s old, {least:.2} at least",
+                "{now:.2}: {} computes age {age:.2} s, expected at least {least:.2} s",
                 server.name
             ));
         }
-        // A distributor that started within the cut knows nothing at all, and says so.
+        // A distributor that started during the partition has no replica and reports a very large age.
         if age < 1e5 {
             self.counts.oldest = self.counts.oldest.max(age);
         }
         Ok(())
     }
 
-    /// The host activates what is staged, and may be killed before or after.
+    /// Activates the staged version. The server may be killed before or after.
     fn activate_staged(&mut self, at: usize, healed: bool) -> Result<Round, String> {
-        // Rounds of the host are not those of its connections.
+        // Rounds of the host are independent of its connections.
         let is_round = self.rng.random_bool(0.6);
         let server = &mut self.servers[at];
         let Some(staged) = server.follower.staged().filter(|_| is_round).cloned() else {
@@ -163,7 +169,7 @@
         };
         let chance = if healed { 9 } else { self.rng.random_range(0..120) };
         if chance == 0 {
-            self.kill(at); // before the round
+            self.kill(at); // before the activation
             return Ok(Round::Ended);
         }
         let version = staged.version;
@@ -175,11 +181,11 @@
             self.activate(at, staged)?;
         }
         if chance == 1 {
-            self.kill(at); // the host had it, nobody knows
+            self.kill(at); // after the activation, before the follower is informed
             return Ok(Round::Ended);
         }
         if !self.servers[at].follower.activated(self.now, version) {
-            return Err("what was activated is not known".into());
+            return Err(format!("{version} was activated but is not staged in the follower"));
         }
         Ok(Round::Continues)
     }
@@ -194,12 +200,12 @@
         server.second_half = Some(staged);
     }
 
-    /// The host writes the last good version to its disk, and may be killed before.
+    /// Writes the last good version to disk. The server may be killed before.
     fn save(&mut self, at: usize, healed: bool) -> Result<Round, String> {
         let now = self.now;
         let Some(bytes) = self.servers[at].follower.save(now) else { return Ok(Round::Continues) };
         if !healed && self.rng.random_range(0..40) == 0 {
-            self.kill(at); // before it is on the disk
+            self.kill(at); // before the write
             return Ok(Round::Ended);
         }
         let server = &mut self.servers[at];
@@ -207,12 +213,15 @@
             server.follower.save_finished(now, Err(io::Error::other("no space left")));
             return Ok(Round::Continues);
         }
-        // Written beside the old one and put in its place, so that a kill leaves one of them.
+        // Atomic replacement: a crash leaves either the old or the new file.
         server.disk = Some(bytes);
         server.follower.save_finished(now, Ok(()));
         let stored = server.follower.stored().map_or(0, |version| version.number);
         if stored < server.stored {
-            return Err(format!("{} wrote version {stored} over {}", server.name, server.stored));
+            return Err(format!(
+                "{} stored version {stored} over the newer version {}",
+                server.name, server.stored
+            ));
         }
         server.stored = stored;
         Ok(Round::Continues)
@@ -224,12 +233,15 @@
         let active = server.active.version;
         match self.bug {
             Bug::EarlyAck => ack.active = ack.staged,
-            // It tells the truth about what it should not have done.
+            // Reports the wrongly activated version, so that another check detects the bug.
             Bug::Unchecked => ack.active = active,
             _ => {}
         }
         if ack.active != active {
-            return Err(format!("{now:.2}: {} acknowledges {}, has {active}", server.name, ack.active));
+            return Err(format!(
+                "{now:.2}: {} acknowledged {}, but has {active} active",
+                server.name, ack.active
+            ));
         }
         if let Some(distributor) = server.connected_to.filter(|_| now >= server.outbound_lost_until) {
             let delay = self.delay();
@@ -240,7 +252,7 @@
         Ok(())
     }
 
-    /// A server is connected to one distributor, of its own region if there is one, and goes to another when it hears nothing.
+    /// Connects a server to a distributor, preferably of its region, or reconnects it after silence.
     fn connect(&mut self, at: usize) {
         let now = self.now;
         let SimulatedServer { name, region, connected_to, last_heard, .. } = &self.servers[at];
@@ -254,13 +266,14 @@
             return;
         }
         let reached = |at: &usize| is_reached(&self.distributors[*at]);
-        let all: Vec<usize> = (0..self.distributors.len()).filter(reached).collect();
+        let reachable: Vec<usize> = (0..self.distributors.len()).filter(reached).collect();
         let in_region = |at: &usize| self.distributors[*at].region == region;
-        let near: Vec<usize> = all.iter().copied().filter(in_region).collect();
+        let in_same_region: Vec<usize> = reachable.iter().copied().filter(in_region).collect();
         if let Some(current) = *connected_to {
             self.distributors[current].distributor.disconnected(&name);
         }
-        let candidates = if near.is_empty() || self.rng.random_bool(0.2) { all } else { near };
+        let candidates =
+            if in_same_region.is_empty() || self.rng.random_bool(0.2) { reachable } else { in_same_region };
         let next = (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())]);
         let server = &mut self.servers[at];
         (server.connected_to, server.last_heard) = (next, now);
@@ -268,7 +281,7 @@
     }
 }
 
-/// The content after a change of one chunk, whatever its digest.
+/// Applies the change of a single chunk without verifying its digest.
 fn apply_unchecked(active: &VersionedContent, chunk: &Chunk) -> Option<VersionedContent> {
     let transfer = chunk.transfer;
     let change = postcard::from_bytes::<Change>(&chunk.bytes).ok()?;
--- a/crates/config-rollout/tests/schedules/world.rs
+++ b/crates/config-rollout/tests/schedules/world.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: its servers, distributors, lease holders and lease-store replicas, and the loop that moves time on.
+//! Simulated fleet: servers, distributors, lease holders and lease-store replicas, and the main loop of the simulation.
 
 use crate::counts::Counts;
 use crate::network::{InTransit, Proposer};
@@ -12,77 +12,79 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time between two steps of the simulation, s.
+/// Time step of the simulation, s.
 pub const STEP: f64 = 0.04;
-/// No new fault and no change from here on, s; within so many s more all servers have to have the last version.
+/// Time of the last possible fault or change, s.
 const FAULTS_END: f64 = 26.0;
+/// Time after the last fault within which all servers must have the latest version, s.
 const CONVERGENCE_LIMIT: f64 = 6.0;
-/// A quota that no server accepts, and one under which each crashes.
+/// Quota of tenant `poison` that every server rejects.
 pub const REJECTED_QUOTA: f64 = 666.0;
+/// Quota of tenant `deadly` with which every server crashes.
 pub const CRASHING_QUOTA: f64 = 13.0;
 
-/// Fine, or which invariant does not hold.
+/// The description of a violated invariant, if any.
 pub type InvariantResult = Result<(), String>;
 
-/// A fault of a host that the schedules have to catch.
+/// A planted bug that the schedules must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Bug {
     None,
-    /// A server applies what it was sent before it looks at the digest.
+    /// A server applies changes without verifying the digest.
     Unchecked,
-    /// A server goes back to an older version that is named to it.
+    /// A server activates an older version when a target message names it.
     Downgrade,
-    /// The staged version is acknowledged as if it were active.
+    /// A server acknowledges the staged version as active.
     EarlyAck,
-    /// A change is activated over two rounds.
+    /// A server activates a change partially, over two rounds.
     HalfChange,
-    /// The lease store accepts commands of an old lease holder.
+    /// The lease store accepts commands with a stale epoch.
     StaleEpoch,
-    /// A distributor counts no bytes.
+    /// A distributor enforces no byte budget.
     NoByteBudget,
-    /// A version is released as soon as it is on canaries.
+    /// A version is released without observing the canaries.
     NoCanary,
-    /// A leader answers before a majority has the entry.
+    /// A leader answers before a majority has stored the entry.
     EarlyAnswer,
-    /// A distributor that is cut off says that what it knows is fresh.
+    /// A partitioned distributor reports age 0.
     NoAge,
 }
 
-/// A server: its host process, its follower, its disk.
+/// A server with its host process, follower and disk.
 pub struct SimulatedServer {
     pub name: String,
     pub zone: String,
     pub region: usize,
     pub incarnation: u64,
     pub follower: Follower,
-    /// By what the host works, in this incarnation.
+    /// The content that the host uses.
     pub active: VersionedContent,
-    /// What was active before, for a bug that goes back.
+    /// Earlier active contents, for [`Bug::Downgrade`].
     pub previous: Vec<VersionedContent>,
     /// The highest version that was ever active.
     pub highest: u64,
     pub disk: Option<Vec<u8>>,
-    /// The version on the disk.
+    /// The number of the version on disk.
     pub stored: u64,
     pub disk_full_until: f64,
     pub down_until: f64,
     pub paused_until: f64,
-    /// Its messages are lost until then.
+    /// Time until which messages from the server are lost.
     pub outbound_lost_until: f64,
-    /// Messages to it are lost until then.
+    /// Time until which messages to the server are lost.
     pub inbound_lost_until: f64,
-    /// Which distributor.
+    /// Index of the distributor.
     pub connected_to: Option<usize>,
     pub last_heard: f64,
-    /// When it crashes by the version that is active.
+    /// Time at which the active version crashes the server.
     pub crashes_at: Option<f64>,
-    /// Within the last second.
+    /// Lines sent to the server within the last second.
     pub sent_lines: VecDeque<SentLine>,
-    /// The second half of a change, for the bug that applies it late.
+    /// The content to activate in the next round, for [`Bug::HalfChange`].
     pub second_half: Option<VersionedContent>,
 }
 
-/// A line that was sent to a server.
+/// A line sent to a server.
 pub struct SentLine {
     pub at: f64,
     pub bytes: f64,
@@ -92,10 +94,10 @@
     pub region: usize,
     pub distributor: Distributor,
     pub replica: History,
-    /// When a majority was last heard.
+    /// Time at which a majority was last reached.
     pub fresh_at: f64,
     pub down_until: f64,
-    /// When it next asks the lease store for an update.
+    /// Time of the next update from the lease store.
     pub next_update: f64,
 }
 
@@ -103,18 +105,18 @@
     pub region: usize,
     pub controller: RolloutController,
     pub replica: History,
-    /// It was replaced and works on without knowing, until then.
+    /// Time until which a replaced holder continues to work; `f64::MAX` for the current holder.
     pub active_until: f64,
 }
 
-/// An entry that the leader has and no majority yet.
+/// An entry that the leader has received but not committed.
 pub struct PendingEntry {
     pub due: f64,
     pub entry: LogEntry,
     pub proposer: Proposer,
 }
 
-/// What a version is, by the line that a majority agreed on.
+/// The committed digest and content of a version.
 pub struct KnownVersion {
     pub digest: Digest,
     pub content: Content,
@@ -123,46 +125,47 @@
 pub struct World {
     pub rng: ChaCha8Rng,
     pub bug: Bug,
-    /// s from the start.
+    /// Time since the start, s.
     pub now: f64,
     pub faults_end: f64,
-    /// Longest time for which regions are cut, s.
+    /// Maximum duration of a partition, s.
     pub max_partition_time: f64,
     pub digester: Digester,
     pub limits: RetentionLimits,
     pub servers: Vec<SimulatedServer>,
     pub distributors: Vec<SimulatedDistributor>,
     pub holders: Vec<SimulatedHolder>,
-    /// What a majority agreed on, and the history that it makes.
+    /// The committed entries.
     pub log: Vec<LogEntry>,
+    /// The history of the committed entries.
     pub committed: History,
-    /// The lease-store replicas, each as far as it has come.
+    /// The lease-store replicas, each with the entries applied so far.
     pub replicas: Vec<History>,
     pub pending: Vec<PendingEntry>,
     pub leaderless_until: f64,
-    /// Two regions don't hear each other until then; the majority is in region 0.
+    /// End of the partition between the two regions. The majority is in region 0.
     pub partitioned_until: f64,
     pub partitioned_since: f64,
     pub last_epoch: Epoch,
     pub next_lease_at: Option<f64>,
     pub in_transit: Vec<InTransit>,
     pub posted: u64,
-    /// Every version that ever was.
+    /// All committed versions.
     pub versions: BTreeMap<u64, KnownVersion>,
-    /// Which servers were allowed to have a version early.
+    /// Canaries by version number.
     pub canaries: BTreeMap<u64, BTreeSet<String>>,
-    /// The highest epoch under which anything took effect.
+    /// The highest epoch of an accepted entry.
     pub highest_epoch: Epoch,
     pub accepted: Vec<VersionId>,
     pub next_put: f64,
     pub put_interval: f64,
-    /// Keys of one change, at the most.
+    /// Maximum number of keys in one change.
     pub max_keys: usize,
     pub counts: Counts,
     converged_after: f64,
 }
 
-/// A server's own check.
+/// The local validation of a server.
 pub fn local_check(content: &Content) -> Result<(), ValidationError> {
     let key = Key::tenant("poison");
     match content.get(&key) {
@@ -180,7 +183,7 @@
         let committed = History::new(digester.clone(), limits);
         let server_count = rng.random_range(5..=40);
         let distributor_count = rng.random_range(1..=3);
-        let start = KnownVersion { digest: committed.head().digest, content: Content::default() };
+        let initial = KnownVersion { digest: committed.head().digest, content: Content::default() };
         let mut world = World {
             bug,
             now: 0.0,
@@ -199,7 +202,7 @@
             next_lease_at: Some(0.0),
             in_transit: Vec::new(),
             posted: 0,
-            versions: BTreeMap::from([(0, start)]),
+            versions: BTreeMap::from([(0, initial)]),
             canaries: BTreeMap::new(),
             highest_epoch: 0,
             accepted: Vec::new(),
@@ -257,8 +260,7 @@
     pub fn new_distributor(&mut self, region: usize) -> SimulatedDistributor {
         let rate = if self.bug == Bug::NoByteBudget { 1e9 } else { DistributorSettings::default().rate };
         let burst = if self.bug == Bug::NoByteBudget { 1e9 } else { DistributorSettings::default().burst };
-        // Few enough that servers wait for a slot, enough that the largest contents here can be everywhere in time: 40 servers in 16
-        // slots are three rounds, each of 6.5 KB at 8 KB a second.
+        // Few enough that servers wait for a slot, but enough to converge within the limit.
         let catch_up_slots = self.rng.random_range(4..9) * 4;
         let settings = DistributorSettings { rate, burst, catch_up_slots, ..DistributorSettings::default() };
         settings.check().expect("valid settings");
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Plays the schedule to its end, or until an invariant does not hold.
+    /// Runs the schedule to its end or to the first violated invariant.
     pub fn run(&mut self) -> InvariantResult {
         while self.now < self.faults_end + CONVERGENCE_LIMIT {
             self.now += STEP;
@@ -301,28 +303,32 @@
     }
 
     fn check_end(&self) -> InvariantResult {
-        if let Some(difference) = self.convergence_error() {
-            return Err(format!("{CONVERGENCE_LIMIT} s after healing: {difference}"));
+        if let Some(error) = self.convergence_error() {
+            return Err(format!("no convergence {CONVERGENCE_LIMIT} s after the last fault: {error}"));
         }
         for version in &self.accepted {
             if self.versions.get(&version.number).map(|known| known.digest) != Some(version.digest) {
-                return Err(format!("version {version} was accepted and is lost"));
+                return Err(format!("accepted version {version} was lost"));
             }
         }
         for replica in &self.replicas {
             if *replica != self.committed {
-                return Err(format!("a replica has {}, another {}", replica.head(), self.committed.head()));
+                return Err(format!(
+                    "a replica has head {}, expected {} of the committed history",
+                    replica.head(),
+                    self.committed.head()
+                ));
             }
         }
         Ok(())
     }
 
-    /// What keeps the fleet from having the last version everywhere.
+    /// Describes the first reason for which the fleet has not converged.
     fn convergence_error(&self) -> Option<String> {
         let head = self.committed.head();
         let state = self.committed.state();
         if state.released != head.number {
-            return Some(format!("released is {} of {head}, {state:?}", state.released));
+            return Some(format!("released version is {}, expected {head}; {state:?}", state.released));
         }
         let server = self.servers.iter().find(|server| server.active.version != head)?;
         let connection = server.connected_to.map(|at| {
@@ -330,7 +336,7 @@
             (distributor.is_sending_to(&server.name), distributor.catching_up(), replica.state())
         });
         Some(format!(
-            "{} has {}, not {head}; target {:?}, {:?}, incarnation {}, crashes at {:?}, {connection:?}",
+            "{} has {} active, expected {head}; target {:?}, {:?}, incarnation {}, crashes at {:?}, {connection:?}",
             server.name,
             server.active.version,
             server.follower.target(),
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -1,5 +1,4 @@
-//! What the plan's size takes in bytes: lines as they stand on a link, bodies, snapshots. `docs/config.md` has the figures; run with
-//! `--nocapture` to see them.
+//! Sizes of lines, bodies and snapshots for a large configuration. `--nocapture` prints them.
 
 use puffinladder_config_rollout::distributor::DistributorSettings;
 use puffinladder_config_rollout::history::{Command, History, LogEntry, Origin, PutRequest, RetentionLimits};
@@ -28,7 +27,7 @@
             change = change.set(Key::route(&name, field), 0.5);
         }
     }
-    content = content.with_change(&change).expect("fit");
+    content = content.with_change(&change).expect("within the limits");
     content
 }
 
@@ -46,8 +45,9 @@
     let digester = Digester::default();
     let content = full_content();
     let head = digester.version_id(1_234_567, &content);
-    let one = Change::default().set(Key::tenant("tenant-00042"), 120.0);
-    let small = line(Some(head), VersionId { number: head.number + 1, ..head }, encode_change(&one));
+    let single_change = Change::default().set(Key::tenant("tenant-00042"), 120.0);
+    let change_line =
+        line(Some(head), VersionId { number: head.number + 1, ..head }, encode_change(&single_change));
     let target = DistributorMessage::target(&digester, "server-0042", head, 0.125, 123_456).line_bytes();
     let ack = Acknowledgement {
         server: HolderId::new("server-0042", 17),
@@ -61,10 +61,10 @@
     let ack = serde_json::to_vec(&ack).expect("a line").len() + 1;
     let whole = encode_content(&content).len();
     println!(
-        "a change of one key: {small} B; target: {target} B; ack: {ack} B; the whole content: {whole} B"
+        "a change of one key: {change_line} B; target: {target} B; ack: {ack} B; the whole content: {whole} B"
     );
 
-    // A day of changes, each of one tenant's quota, as one body for a server that was away.
+    // The changes of one day, each of one tenant's quota, combined into one body.
     let mut history = History::new(digester, RetentionLimits::default());
     for at in 0..CHANGES_PER_DAY {
         let change =
@@ -77,25 +77,25 @@
             let canaries = BTreeSet::from(["n1".to_string()]);
             history
                 .apply(&LogEntry { at: 0.0, command: Command::StartCanary { epoch, number, canaries } })
-                .expect("tried");
+                .expect("canaries started");
             history
                 .apply(&LogEntry { at: 0.0, command: Command::Release { epoch, number } })
                 .expect("released");
         }
     }
-    let day = encode_change(&history.combined_change(0, u64::from(CHANGES_PER_DAY)).expect("kept")).len();
+    let day = encode_change(&history.combined_change(0, u64::from(CHANGES_PER_DAY)).expect("retained")).len();
     let rate = DistributorSettings::default().rate;
-    let takes = |body: usize| body as f64 * 4.0 / 3.0 * 1.1 / rate;
+    let transfer_time = |body: usize| body as f64 * 4.0 / 3.0 * 1.1 / rate;
     println!(
-        "a day of changes: {day} B, {:.1} s at {rate} B a second; whole: {:.0} s; a snapshot with them: {} B",
-        takes(day),
-        takes(whole),
+        "the changes of a day: {day} B, {:.1} s at {rate} B per second; whole content: {:.0} s; snapshot: {} B",
+        transfer_time(day),
+        transfer_time(whole),
         history.snapshot().len()
     );
-    assert!(small < 400 && target < 170 && ack < 400, "{small} {target} {ack}");
+    assert!(change_line < 400 && target < 170 && ack < 400, "{change_line} {target} {ack}");
     assert!(whole < 800_000 && day < 60_000, "{whole} {day}");
-    // What it costs a server that has everything: well under its 12,000 B a second, changes included.
-    let steady = ack + target + CHANGES_PER_DAY as usize * (small + 4 * ack) / 86_400;
-    println!("a server in calm: {steady} B a second");
+    // The traffic of an up-to-date server stays well below its byte budget, changes included.
+    let steady = ack + target + CHANGES_PER_DAY as usize * (change_line + 4 * ack) / 86_400;
+    println!("steady traffic of a server: {steady} B per second");
     assert!(steady < 600, "{steady}");
 }
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -1,5 +1,5 @@
-//! Two writers, one server, one canary phase, explored exhaustively: every order of puts, of commands of the lease holder, of chunks that come
-//! late, doubled or never, and of a restart from a disk that is behind.
+//! Exhaustive model check of two writers and one server: all interleavings of puts, lease holder commands, delayed, duplicated and lost
+//! chunks, and a restart from an outdated disk, up to a bounded depth.
 
 use puffinladder_config_rollout::follower::{Follower, PROBATION};
 use puffinladder_config_rollout::history::{
@@ -21,20 +21,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
-    /// A writer's change is accepted on whatever head there is.
+    /// Puts are accepted on any head.
     NoCompare,
-    /// The server activates what it receives, and again when it comes again.
+    /// The server activates every received version, including older and duplicate ones.
     Downgrade,
-    /// What is staged counts as active.
+    /// The staged version is acknowledged as active.
     EarlyAck,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     history: History,
-    /// The head that each writer saw last.
+    /// The head that each writer last read.
     seen_heads: [VersionId; 2],
-    /// Versions of which writers know that they were accepted.
+    /// Versions acknowledged to their writers, each with the key and value that it set.
     accepted: Vec<(VersionId, Key, f64)>,
     follower: Follower,
     active: VersionId,
@@ -66,10 +66,10 @@
     /// The distributor sends the change from the acknowledged version to the target.
     SendChange,
     SendWholeContent,
-    /// It arrives, and may arrive again.
+    /// Delivers a message, which may be delivered again.
     Deliver(usize),
     Lose(usize),
-    /// A round of the host.
+    /// Activates the staged version.
     Activate,
     Save,
     Acknowledge,
@@ -145,7 +145,7 @@
                 if self.0 == Bug::NoCompare {
                     base = head;
                 }
-                let saw = state.seen_heads[at];
+                let seen_head = state.seen_heads[at];
                 let put = PutRequest {
                     base,
                     author: ["ann", "bob"][at].into(),
@@ -154,8 +154,10 @@
                     change,
                 };
                 match apply(&mut state, Command::Put(put)) {
-                    // He believes that nothing came between what he saw and his own.
-                    Ok(Outcome::Accepted(new)) if new.number != saw.number + 1 => state.out_of_order = true,
+                    // The writer assumes that its version directly follows the head it read.
+                    Ok(Outcome::Accepted(new)) if new.number != seen_head.number + 1 => {
+                        state.out_of_order = true
+                    }
                     Ok(Outcome::Accepted(new)) => state.accepted.push((new, key, value)),
                     Err(Rejection::MissedVersions { .. }) => state.missed = true,
                     _ => return None,
@@ -173,7 +175,7 @@
                 apply(&mut state, Command::Release { epoch: 1, number: canary? }).ok()?;
             }
             Action::Revert => {
-                let (author, cause) = ("o".into(), "it fell".into());
+                let (author, cause) = ("o".into(), "canary unhealthy".into());
                 apply(&mut state, Command::Revert { epoch: 1, author, number: canary?, cause }).ok()?;
             }
             Action::SendChange | Action::SendWholeContent => {
@@ -220,13 +222,13 @@
                 state.follower.save_finished(PROBATION, Ok(()));
             }
             Action::Acknowledge => {
-                let held = state.follower.staged().filter(|_| self.0 == Bug::EarlyAck);
-                let now = held.map_or(state.follower.active().version, |held| held.version);
-                if state.acknowledged == now {
+                let staged = state.follower.staged().filter(|_| self.0 == Bug::EarlyAck);
+                let version = staged.map_or(state.follower.active().version, |staged| staged.version);
+                if state.acknowledged == version {
                     return None;
                 }
-                state.acknowledged = now;
-                state.out_of_order |= now != state.active;
+                state.acknowledged = version;
+                state.out_of_order |= version != state.active;
             }
             Action::Restart => {
                 state.restarts += 1;
@@ -240,22 +242,24 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("in order", |_, state: &State| !state.out_of_order),
-            Property::always("active is what the history has", |_, state: &State| {
+            Property::always("versions are in order", |_, state: &State| !state.out_of_order),
+            Property::always("the active content matches the history", |_, state: &State| {
                 let content = &state.follower.active().content;
-                let right: Option<Content> = state.history.content_at(state.active.number);
-                state.history.contains(state.active) && right.as_ref() == Some(&**content)
+                let expected: Option<Content> = state.history.content_at(state.active.number);
+                state.history.contains(state.active) && expected.as_ref() == Some(&**content)
             }),
-            Property::always("accepted stays", |_, state: &State| {
-                let kept = |head: &VersionId, key: &Key, value: f64| {
+            Property::always("accepted versions are durable", |_, state: &State| {
+                let is_stored = |head: &VersionId, key: &Key, value: f64| {
                     let content = state.history.content_at(head.number);
                     state.history.contains(*head)
                         && content.and_then(|content| content.get(key)) == Some(value)
                 };
-                state.accepted.iter().all(|(head, key, value)| kept(head, key, *value))
+                state.accepted.iter().all(|(head, key, value)| is_stored(head, key, *value))
+            }),
+            Property::sometimes("a put is rejected because of a missed version", |_, state: &State| {
+                state.missed
             }),
-            Property::sometimes("an author learns that he missed a version", |_, state: &State| state.missed),
-            Property::sometimes("the last version is active", |_, state: &State| {
+            Property::sometimes("the latest version is active", |_, state: &State| {
                 state.active.number == VERSIONS
             }),
             Property::sometimes("a version is reverted", |_, state: &State| {
@@ -268,7 +272,7 @@
 #[test]
 fn versions_stay_ordered_and_durable_in_every_interleaving() {
     let checker = RolloutModel(Bug::None).checker().target_max_depth(11).spawn_bfs().join();
-    println!("{} states, {} deep", checker.unique_state_count(), checker.max_depth());
+    println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
@@ -278,9 +282,13 @@
         let until_failure = HasDiscoveries::AnyFailures;
         let checker =
             RolloutModel(bug).checker().target_max_depth(11).finish_when(until_failure).spawn_bfs().join();
-        let harm = ["in order", "active is what the history has", "accepted stays"];
-        let path = harm.iter().find_map(|harm| checker.discovery(harm));
-        let path = path.unwrap_or_else(|| panic!("{bug:?} does no harm"));
-        println!("{bug:?}: harm after {} actions", path.into_actions().len());
+        let properties = [
+            "versions are in order",
+            "the active content matches the history",
+            "accepted versions are durable",
+        ];
+        let path = properties.iter().find_map(|property| checker.discovery(property));
+        let path = path.unwrap_or_else(|| panic!("{bug:?} is not detected"));
+        println!("{bug:?}: detected after {} actions", path.into_actions().len());
     }
 }
