--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -42,7 +42,7 @@
 
 fn change_message(versions: &[(VersionId, Content, Change)], from: usize, to: usize) -> DistributorMessage {
     let mut change = Change::default();
-    versions[from + 1..=to].iter().for_each(|(.., one)| change.append(one));
+    versions[from + 1..=to].iter().for_each(|(.., later)| change.append(later));
     let body = encode_change(&change);
     let transfer =
         TransferId { base: Some(versions[from].0), target: versions[to].0, total_bytes: body.len() as u32 };
@@ -330,9 +330,8 @@
     let validator = |_: &Content| Err(ValidationError::whole("unsupported content"));
     let (again, start_source) =
         Follower::start(HolderId::new("n1", 2), "east", digester(), Some(&disk), &validator);
-    assert!(
-        matches!(start_source, StartSource::BaseSettings(Some(error)) if error.to_string() == "last good version: rejected by the server: unsupported content")
-    );
+    assert!(matches!(start_source, StartSource::BaseSettings(Some(error)) if error.to_string()
+            == "last good version: rejected by the server: unsupported content"));
     assert_eq!(again.active().version.number, 0);
 }
 
--- a/crates/config-rollout/src/history/apply.rs
+++ b/crates/config-rollout/src/history/apply.rs
@@ -32,12 +32,12 @@
 }
 
 impl History {
-    /// Checks a put before it is proposed and returns the version that it would create. [`History::apply`] does not run `validator`, because
+    /// Checks a put before it is proposed and returns the version that it would create. [`History::apply`] runs no validator, because
     /// validators may differ between releases of the program.
     ///
     /// # Errors
     ///
-    /// Returns the rejection that applying the put would give now, or [`Rejection::Invalid`] from the validator.
+    /// Returns the rejection that applying the put would give, or [`Rejection::Invalid`] from the validator.
     pub fn check_put(
         &self,
         put: &PutRequest,
--- a/crates/config-rollout/src/history/command.rs
+++ b/crates/config-rollout/src/history/command.rs
@@ -109,7 +109,7 @@
     Announced,
     /// The version was created.
     Accepted(VersionId),
-    /// The entry had already taken effect, for example because the answer was lost and the entry proposed again. Contains the version that
+    /// The entry had already taken effect before, for example because it was proposed again after a lost answer. Contains the version that
     /// it created or released.
     #[serde(rename = "Repeat")]
     AlreadyApplied(VersionId),
@@ -127,14 +127,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Error)]
 pub enum Rejection {
     /// The entry was proposed under a lease that has ended.
-    #[error("epoch of the command is 0 or stale: expected epoch {seen} or later")]
+    #[error("epoch of the command is 0 or stale: expected {} or higher", (*seen).max(1))]
     #[serde(rename = "Late")]
     StaleEpoch {
         /// The highest epoch of any accepted entry.
         seen: Epoch,
     },
     /// Versions were created after the base of the put.
-    #[error("base of the put is outdated: expected head {head}; {} versions follow the base, the first is {:?}", missed.len(), missed.first())]
+    #[error(
+        "base of the put is outdated: expected head {head}; {} versions follow the base, the first is {:?}",
+        missed.len(),
+        missed.first()
+    )]
     #[serde(rename = "Missed")]
     MissedVersions {
         /// The current head, to be used as the base of a new put.
--- a/crates/config-rollout/src/history/replication.rs
+++ b/crates/config-rollout/src/history/replication.rs
@@ -1,5 +1,5 @@
-//! Snapshots of a history for disks and other replicas, and incremental updates. All digests of a snapshot or update are verified before any
-//! of it is applied.
+//! Snapshots and incremental updates of a history for disks and other replicas. All digests are verified before a snapshot or update is
+//! applied.
 
 use super::apply::MAX_REVERTED;
 use super::state::RolloutState;
--- a/crates/config-rollout/src/rollout/canary.rs
+++ b/crates/config-rollout/src/rollout/canary.rs
@@ -33,13 +33,13 @@
 /// Cause of a revert. Its text is stored in the history.
 #[derive(Debug, Error)]
 enum CanaryFailure {
-    #[error("canary {server} rejected the version: {cause}")]
+    #[error("{server} rejected the version: {cause}")]
     Rejected { server: String, cause: String },
-    #[error("canary {server} restarted")]
+    #[error("{server} restarted as a canary")]
     Restarted { server: String },
-    #[error("canary {server} is unhealthy with the version active")]
+    #[error("{server} is unhealthy with the version active")]
     Unhealthy { server: String },
-    #[error("canary {server} stopped sending acknowledgements")]
+    #[error("{server} stopped sending acknowledgements as a canary")]
     Silent { server: String },
     #[error("no server is eligible as a further canary: the version already has the maximum of {MAX_CANARIES} canaries")]
     NoCanaries,
@@ -51,7 +51,7 @@
     Passed,
     /// The observation is not finished. A quiet canary has missed an acknowledgement and may have crashed.
     Waiting { quiet: bool },
-    /// The canary was removed, never acknowledged to this holder, or is cut off with its zone, so it gives no evidence on the version.
+    /// The canary was removed, never acknowledged to this holder, or is partitioned with its zone, so the version cannot be judged by it.
     Lost,
     /// The canary failed.
     Failed(CanaryFailure),
@@ -206,7 +206,7 @@
             return Observation::Failed(CanaryFailure::Unhealthy { server: name.into() });
         }
         if self.is_silent(now, server) {
-            if self.is_zone_cut_off(now, name, &server.zone) || server.active.is_none() {
+            if self.is_zone_partitioned(now, name, &server.zone) || server.active.is_none() {
                 return Observation::Lost;
             }
             return Observation::Failed(CanaryFailure::Silent { server: name.into() });
@@ -218,7 +218,7 @@
     }
 
     /// Returns whether most other servers of the zone are silent too, which indicates a network failure rather than a crash.
-    fn is_zone_cut_off(&self, now: f64, name: &str, zone: &str) -> bool {
+    fn is_zone_partitioned(&self, now: f64, name: &str, zone: &str) -> bool {
         // The last acknowledgements before a partition arrive up to one acknowledgement interval apart.
         let silence_timeout = self.settings.silence_timeout - QUIET_TIMEOUT;
         let others = self.servers.iter().filter(|(other, server)| *other != name && server.zone == zone);
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -151,12 +151,12 @@
 }
 
 #[test]
-fn selects_other_canaries_when_a_zone_is_cut_off() {
+fn selects_other_canaries_when_a_zone_is_partitioned() {
     let mut fleet = Fleet::new(12);
     fleet.advance(2.0, |_, _| true);
     let number = fleet.put(1.0);
     fleet.advance(0.1, |_, _| true);
-    // The zones of all canaries but one are cut off.
+    // The zones of all canaries but one are partitioned.
     let connected_zone = fleet.servers[&fleet.canaries()[0]].0.zone.clone();
     for (ack, is_heard) in fleet.servers.values_mut() {
         *is_heard = ack.zone == connected_zone;
@@ -165,7 +165,7 @@
     let status = fleet.status();
     assert_eq!((status.released.number, &status.last_failed), (number, &None));
     assert!(!status.everywhere);
-    // Two canaries acknowledged the version before their zones were cut off.
+    // Two canaries acknowledged the version before their zones were partitioned.
     assert_eq!((status.up_to_date, status.servers, status.lagging.len()), (6, 12, 6));
     assert!(status.lagging.iter().all(|lag| matches!(lag.reason, LagReason::Silent(_))), "{status:?}");
     // Removed servers do not count.
--- a/crates/config-rollout/src/validation/tests.rs
+++ b/crates/config-rollout/src/validation/tests.rs
@@ -54,7 +54,7 @@
             base_settings().validate(&content).unwrap();
             parse_policy_config(&base_settings().overlay(&content).unwrap()).unwrap()
         };
-        assert_ne!(read(*range.start()), read(*range.end()), "{key} changes nothing");
+        assert_ne!(read(*range.start()), read(*range.end()), "{key} does not affect the policy settings");
     }
 }
 
--- a/crates/config-rollout/tests/schedules/faults.rs
+++ b/crates/config-rollout/tests/schedules/faults.rs
@@ -34,7 +34,7 @@
                 (self.partitioned_until, self.partitioned_since) =
                     (partitioned_until.min(self.faults_end), now);
             }
-            12 => self.send_hostile_message(at),
+            12 => self.send_forged_message(at),
             13 => self.restart_zone_of(at),
             _ => {}
         }
@@ -124,7 +124,7 @@
     }
 
     /// Sends a random forged message to a server, without knowledge of the fleet's key.
-    fn send_hostile_message(&mut self, at: usize) {
+    fn send_forged_message(&mut self, at: usize) {
         let (number, total) = (self.rng.random_range(0..40), self.rng.random_range(0..4000));
         let digest = match self.versions.get(&number) {
             Some(known) if self.rng.random_bool(0.5) => known.digest,
