--- a/crates/config-rollout/src/content/tests.rs
+++ b/crates/config-rollout/src/content/tests.rs
@@ -48,7 +48,7 @@
 #[test]
 fn rejects_changes_and_contents_over_the_key_limit() {
     let quota_changes = |count: usize| {
-        let keys = (0..count).map(|at| (Key::tenant(&format!("t{at}")), Some(Value(1.0))));
+        let keys = (0..count).map(|index| (Key::tenant(&format!("t{index}")), Some(Value(1.0))));
         keys.collect::<Change>()
     };
     assert!(quota_changes(MAX_CHANGE_KEYS).check().is_ok());
--- a/crates/config-rollout/src/distributor/tests.rs
+++ b/crates/config-rollout/src/distributor/tests.rs
@@ -26,7 +26,8 @@
 }
 
 fn quota_changes(keys: usize, quota: f64) -> Change {
-    (0..keys).fold(Change::default(), |change, at| change.set(Key::tenant(&format!("tenant-{at}")), quota))
+    (0..keys)
+        .fold(Change::default(), |change, index| change.set(Key::tenant(&format!("tenant-{index}")), quota))
 }
 
 fn ack(name: &str, sequence: u64, staged: VersionId) -> Acknowledgement {
@@ -46,8 +47,8 @@
     let mut heads = vec![history.head()];
     put(&mut history, quota_changes(400, 5.0));
     heads.push(history.head());
-    for at in 0..4 {
-        put(&mut history, quota_changes(2, f64::from(at)));
+    for index in 0..4 {
+        put(&mut history, quota_changes(2, f64::from(index)));
         heads.push(history.head());
     }
     release(&mut history);
@@ -87,8 +88,8 @@
         .collect();
     assert_eq!(chunks(&messages)[0].transfer.base, None);
     // After most keys are removed, the whole content is shorter than the change.
-    let gone =
-        (0..399).fold(Change::default(), |change, at| change.remove(Key::tenant(&format!("tenant-{at}"))));
+    let gone = (0..399)
+        .fold(Change::default(), |change, index| change.remove(Key::tenant(&format!("tenant-{index}"))));
     put(&mut history, gone);
     release(&mut history);
     distributor.receive(2.0, &ack("old", 1, heads[2]));
@@ -121,13 +122,13 @@
         sent.extend(messages.iter().map(|outgoing| (now, outgoing.message.line_bytes() as f64)));
     }
     assert!(sent.len() > 20);
-    for (at, _) in &sent {
+    for (second_start, _) in &sent {
         let sum: f64 = sent
             .iter()
-            .filter(|(sent_at, _)| sent_at >= at && *sent_at < at + 1.0)
+            .filter(|(sent_at, _)| sent_at >= second_start && *sent_at < second_start + 1.0)
             .map(|(_, bytes)| bytes)
             .sum();
-        assert!(sum <= 12_000.0, "{sum} B in the second after {at}");
+        assert!(sum <= 12_000.0, "{sum} B in the second after {second_start}");
     }
 }
 
@@ -168,7 +169,7 @@
     let (history, heads) = history();
     let settings = DistributorSettings { catch_up_slots: 3, ..DistributorSettings::default() };
     let mut distributor = Distributor::new(settings, 1, 0.0);
-    let names: Vec<String> = (0..30).map(|at| format!("n{at:02}")).collect();
+    let names: Vec<String> = (0..30).map(|index| format!("n{index:02}")).collect();
     let mut received: BTreeMap<String, usize> = BTreeMap::new();
     let mut order = Vec::new();
     let mut sequence = 0;
@@ -213,8 +214,8 @@
     let (history, heads) = history();
     let settings = DistributorSettings { max_servers: 5, ..DistributorSettings::default() };
     let mut distributor = Distributor::new(settings, 1, 0.0);
-    for at in 0..5 {
-        assert!(distributor.receive(0.0, &ack(&format!("n{at}"), 1, heads[0])));
+    for index in 0..5 {
+        assert!(distributor.receive(0.0, &ack(&format!("n{index}"), 1, heads[0])));
     }
     assert!(!distributor.receive(0.0, &ack("over the limit", 1, heads[0])));
     distributor.poll(1.0, &history, 0.0);
--- a/crates/config-rollout/src/follower/tests.rs
+++ b/crates/config-rollout/src/follower/tests.rs
@@ -25,17 +25,17 @@
 fn versions(count: u32) -> Vec<(VersionId, Content, Change)> {
     let mut content = Content::default();
     let mut versions = vec![(digester().version_id(0, &content), content.clone(), Change::default())];
-    for at in 1..=count {
-        let change = change(["a", "b", "c"][at as usize % 3], f64::from(at));
+    for index in 1..=count {
+        let change = change(["a", "b", "c"][index as usize % 3], f64::from(index));
         content = content.with_change(&change).unwrap();
-        versions.push((digester().version_id(u64::from(at), &content), content.clone(), change));
+        versions.push((digester().version_id(u64::from(index), &content), content.clone(), change));
     }
     versions
 }
 
 fn chunks(transfer: TransferId, body: &[u8], size: usize) -> Vec<DistributorMessage> {
-    let chunk = |(at, bytes): (usize, &[u8])| {
-        DistributorMessage::Chunk(Chunk { transfer, offset: (at * size) as u32, bytes: bytes.to_vec() })
+    let chunk = |(index, bytes): (usize, &[u8])| {
+        DistributorMessage::Chunk(Chunk { transfer, offset: (index * size) as u32, bytes: bytes.to_vec() })
     };
     body.chunks(size).enumerate().map(chunk).collect()
 }
@@ -137,10 +137,10 @@
     let versions = versions(6);
     let body = encode_content(&versions[6].1);
     let transfer = TransferId { base: None, target: versions[6].0, total_bytes: body.len() as u32 };
-    for at in 0..body.len() {
+    for index in 0..body.len() {
         for bit in [1, 0x40] {
             let mut other = body.clone();
-            other[at] ^= bit;
+            other[index] ^= bit;
             let mut follower = new_follower();
             let received = follower.receive(&chunks(transfer, &other, MAX_CHUNK_BYTES)[0], &BoundsValidator);
             assert!(
@@ -151,7 +151,7 @@
                             | MessageError::WrongDigest { received: VersionId { number: 6, .. }, .. }
                     )
                 ),
-                "byte {at}: {received:?}"
+                "byte {index}: {received:?}"
             );
             assert_eq!(follower.staged(), None);
             // The valid body is accepted afterwards.
@@ -161,10 +161,14 @@
             );
         }
         let mut follower = new_follower();
-        let short = TransferId { total_bytes: at as u32, ..transfer };
+        let short = TransferId { total_bytes: index as u32, ..transfer };
         assert!(!matches!(
             follower.receive(
-                &DistributorMessage::Chunk(Chunk { transfer: short, offset: 0, bytes: body[..at].to_vec() }),
+                &DistributorMessage::Chunk(Chunk {
+                    transfer: short,
+                    offset: 0,
+                    bytes: body[..index].to_vec()
+                }),
                 &BoundsValidator
             ),
             Received::Staged(_)
@@ -184,10 +188,10 @@
 fn rejects_invalid_sizes_and_ages() {
     let versions = versions(1);
     let to = versions[1].0;
-    let chunk = |total: u32, at: u32, length: usize| {
+    let chunk = |total_bytes: u32, offset: u32, length: usize| {
         DistributorMessage::Chunk(Chunk {
-            transfer: TransferId { base: None, target: to, total_bytes: total },
-            offset: at,
+            transfer: TransferId { base: None, target: to, total_bytes },
+            offset,
             bytes: vec![0; length],
         })
     };
@@ -315,14 +319,14 @@
     let start = |disk: &[u8]| {
         Follower::start(HolderId::new("n1", 2), "east", digester(), Some(disk), &BoundsValidator)
     };
-    for at in 0..disk.len() {
+    for index in 0..disk.len() {
         let mut corrupted = disk.clone();
-        corrupted[at] ^= 1;
-        for corrupted in [&corrupted[..], &disk[..at]] {
+        corrupted[index] ^= 1;
+        for corrupted in [&corrupted[..], &disk[..index]] {
             let (again, start_source) = start(corrupted);
             assert!(
                 matches!(start_source, StartSource::BaseSettings(Some(_))),
-                "byte {at}: {start_source:?}"
+                "byte {index}: {start_source:?}"
             );
             assert_eq!(again.active().version, versions[0].0);
         }
@@ -338,8 +342,8 @@
 #[test]
 fn age_counts_from_the_acknowledgement_that_a_target_answers() {
     let (mut follower, versions) = (new_follower(), versions(1));
-    let target = |at: usize, age: f64, sequence: u64| {
-        DistributorMessage::target(&digester(), "n1", versions[at].0, age, sequence)
+    let target = |index: usize, age: f64, sequence: u64| {
+        DistributorMessage::target(&digester(), "n1", versions[index].0, age, sequence)
     };
     assert_eq!(follower.age(5.0), None);
     let first = follower.acknowledge(5.0).unwrap().sequence;
@@ -378,8 +382,8 @@
     follower.receive(&change_message(&versions, 0, 1), &BoundsValidator);
     follower.activated(0.0, versions[1].0);
     let mut acks = 0;
-    for at in 0..1000 {
-        let now = 5.0 + f64::from(at) / 1000.0;
+    for index in 0..1000 {
+        let now = 5.0 + f64::from(index) / 1000.0;
         follower.receive(&change_message(&versions, 0, 1), &BoundsValidator);
         acks += u32::from(follower.acknowledge(now).is_some());
     }
--- a/crates/config-rollout/src/history/tests.rs
+++ b/crates/config-rollout/src/history/tests.rs
@@ -124,8 +124,8 @@
 #[test]
 fn diff_converts_between_any_two_retained_versions() {
     let mut history = history();
-    for at in 0..9u32 {
-        accept(&mut history, ["a", "b", "c"][at as usize % 3], f64::from(at));
+    for index in 0..9u32 {
+        accept(&mut history, ["a", "b", "c"][index as usize % 3], f64::from(index));
     }
     for from in 0..=9 {
         for to in 0..=9 {
@@ -142,8 +142,8 @@
 #[test]
 fn compacts_released_versions_only() {
     let mut history = History::new(Digester::default(), RetentionLimits { versions: 3, bytes: 1 << 20 });
-    for at in 0..3 {
-        accept(&mut history, "a", f64::from(at));
+    for index in 0..3 {
+        accept(&mut history, "a", f64::from(index));
     }
     let command = Command::Put(put(&history, 1, "a", 9.0));
     assert_eq!(
@@ -164,8 +164,8 @@
     assert_eq!(missed.len(), 3);
     // The byte limit.
     let mut history = History::new(Digester::default(), RetentionLimits { versions: 100, bytes: 40 });
-    for at in 0..4 {
-        accept(&mut history, "a", f64::from(at));
+    for index in 0..4 {
+        accept(&mut history, "a", f64::from(index));
         release(&mut history);
     }
     assert!(history.versions().count() <= 2);
@@ -202,7 +202,7 @@
     );
     // More canaries than allowed.
     accept(&mut history, "a", 5.0);
-    let too_many = (0..=MAX_CANARIES).map(|at| at.to_string()).collect();
+    let too_many = (0..=MAX_CANARIES).map(|index| index.to_string()).collect();
     assert_eq!(
         apply(&mut history, Command::StartCanary { epoch: 1, number: 5, canaries: too_many }),
         Err(Rejection::Full)
@@ -211,8 +211,8 @@
 
 fn history_with_canary() -> History {
     let mut history = History::new(Digester::keyed([5; 32]), RetentionLimits { versions: 4, bytes: 1 << 20 });
-    for at in 0..7 {
-        accept(&mut history, ["a", "b"][at % 2], at as f64);
+    for index in 0..7 {
+        accept(&mut history, ["a", "b"][index % 2], index as f64);
         release(&mut history);
     }
     accept(&mut history, "c", 1.0);
@@ -230,13 +230,17 @@
     for cut in 0..snapshot.len() {
         assert!(History::restore(Digester::keyed([5; 32]), &snapshot[..cut]).is_err(), "cut at {cut}");
     }
-    for at in 0..snapshot.len() {
+    for index in 0..snapshot.len() {
         for bit in [1, 0x80] {
             let mut corrupted = snapshot.clone();
-            corrupted[at] ^= bit;
+            corrupted[index] ^= bit;
             // The digest covers the content, but not authors, times and the state of the rollout.
             if let Ok(read) = History::restore(Digester::keyed([5; 32]), &corrupted) {
-                assert_eq!((read.head(), read.content()), (history.head(), history.content()), "byte {at}");
+                assert_eq!(
+                    (read.head(), read.content()),
+                    (history.head(), history.content()),
+                    "byte {index}"
+                );
             }
         }
     }
--- a/crates/config-rollout/src/messages/tests.rs
+++ b/crates/config-rollout/src/messages/tests.rs
@@ -35,11 +35,11 @@
         bytes: vec![1, 2, 3],
     });
     let line = serde_json::to_vec(&message).unwrap();
-    for at in 0..line.len() {
-        let _ = serde_json::from_slice::<DistributorMessage>(&line[..at]);
+    for index in 0..line.len() {
+        let _ = serde_json::from_slice::<DistributorMessage>(&line[..index]);
         for byte in [b'"', b'9', b'-', 0xff] {
             let mut other = line.clone();
-            other[at] = byte;
+            other[index] = byte;
             let _ = serde_json::from_slice::<DistributorMessage>(&other);
         }
     }
--- a/crates/config-rollout/src/patch/tests.rs
+++ b/crates/config-rollout/src/patch/tests.rs
@@ -65,7 +65,7 @@
     assert!(Patch::read("f", &" ".repeat(MAX_TEXT_BYTES + 1)).is_err());
     assert!(Patch::read("f", &"(".repeat(100_000)).is_err());
     let oversized: String =
-        (0..TOO_MANY_KEYS).map(|at| format!("(tenant (name \"{at}\") (quota 1))")).collect();
+        (0..TOO_MANY_KEYS).map(|index| format!("(tenant (name \"{index}\") (quota 1))")).collect();
     assert!(messages(&oversized)[0].contains("change too large: got 4097 keys"));
 }
 
--- a/crates/config-rollout/src/rollout/tests.rs
+++ b/crates/config-rollout/src/rollout/tests.rs
@@ -25,10 +25,10 @@
         let history = History::new(Digester::default(), RetentionLimits::default());
         let settings = RolloutSettings::default();
         settings.check().unwrap();
-        let ack = |at: usize| {
-            let (name, head) = (format!("n{at:02}"), history.head());
+        let ack = |index: usize| {
+            let (name, head) = (format!("n{index:02}"), history.head());
             let server = HolderId::new(&name, 1);
-            let zone = format!("z{}", at % 3);
+            let zone = format!("z{}", index % 3);
             (
                 name,
                 (
--- a/crates/config-rollout/tests/golden.rs
+++ b/crates/config-rollout/tests/golden.rs
@@ -34,8 +34,8 @@
 /// Returns a change with a valid value for each field.
 fn change() -> Change {
     let mut change = Change::default().set(Key::tenant("acme"), 120.5);
-    for (at, field) in Field::ALL.into_iter().enumerate() {
-        let value = 1.0 / (at + 1) as f64;
+    for (index, field) in Field::ALL.into_iter().enumerate() {
+        let value = 1.0 / (index + 1) as f64;
         change = match field.section() {
             Section::Tenant => change.set(Key::tenant("beta"), value),
             Section::Route => change.set(Key::route("orders", field), value),
@@ -62,7 +62,7 @@
 }
 
 fn bytes_of_hex(hex: &str) -> Vec<u8> {
-    let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hex digits");
+    let byte = |index| u8::from_str_radix(&hex[index..index + 2], 16).expect("two hex digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -356,19 +356,19 @@
 fn history() -> History {
     let mut history = History::new(digester(), RetentionLimits { versions: 3, bytes: 1 << 20 });
     let canaries = canaries();
-    for at in 1..=5u32 {
+    for index in 1..=5u32 {
         let (base, origin) = (history.head(), Origin::Put);
-        let change = change().set(Key::tenant("acme"), f64::from(at));
+        let change = change().set(Key::tenant("acme"), f64::from(index));
         apply(
             &mut history,
             Command::Put(PutRequest { base, author: "ann".into(), epoch: 7, origin, change }),
         );
         let number = history.head().number;
         apply(&mut history, Command::StartCanary { epoch: 7, number, canaries: canaries.clone() });
-        if at == 3 {
+        if index == 3 {
             let (author, cause) = ("owner-7".into(), "n1 fell".into());
             apply(&mut history, Command::Revert { epoch: 7, author, number, cause });
-        } else if at < 5 {
+        } else if index < 5 {
             apply(&mut history, Command::Release { epoch: 7, number });
         }
     }
--- a/crates/config-rollout/tests/schedules/control.rs
+++ b/crates/config-rollout/tests/schedules/control.rs
@@ -14,19 +14,19 @@
     pub fn run_lease_holders(&mut self) -> InvariantResult {
         if self.now >= self.faults_end {
             // The lease is granted, and the lease store has a leader.
-            self.next_lease_at = self.next_lease_at.map(|at| at.min(self.now));
+            self.next_lease_at = self.next_lease_at.map(|due| due.min(self.now));
             self.leaderless_until = self.leaderless_until.min(self.now);
         }
         if self.next_lease_at.is_none() && self.holders.iter().all(|holder| holder.active_until <= self.now) {
             self.next_lease_at = Some(self.now + 0.2);
         }
         self.holders.retain(|holder| holder.active_until > self.now);
-        if self.next_lease_at.is_some_and(|at| self.now >= at) && self.reaches_leader(0) {
+        if self.next_lease_at.is_some_and(|due| self.now >= due) && self.reaches_leader(0) {
             self.grant_lease();
         }
         self.expire_unreachable_lease();
-        for at in 0..self.holders.len() {
-            self.run_lease_holder(at)?;
+        for index in 0..self.holders.len() {
+            self.run_lease_holder(index)?;
         }
         Ok(())
     }
@@ -62,9 +62,9 @@
         }
     }
 
-    fn run_lease_holder(&mut self, at: usize) -> InvariantResult {
-        let reaches_leader = self.reaches_leader(self.holders[at].region);
-        let holder = &mut self.holders[at];
+    fn run_lease_holder(&mut self, index: usize) -> InvariantResult {
+        let reaches_leader = self.reaches_leader(self.holders[index].region);
+        let holder = &mut self.holders[index];
         let is_behind = holder.replica.applied() != self.committed.applied();
         if reaches_leader && is_behind && holder.active_until == f64::MAX {
             holder.replica = self.committed.clone();
@@ -72,7 +72,7 @@
         let command = holder.controller.next_command(self.now, &holder.replica);
         // Checked in every fourth step, because the status covers all servers.
         if ((self.now / STEP).round() as u64).is_multiple_of(4) {
-            self.check_status(at)?;
+            self.check_status(index)?;
         }
         let Some(command) = command.filter(|_| reaches_leader) else { return Ok(()) };
         let mut commands = vec![command];
@@ -83,7 +83,7 @@
         }
         for command in commands {
             let entry = LogEntry { at: self.now, command };
-            let replaced = self.holders[at].active_until < f64::MAX;
+            let replaced = self.holders[index].active_until < f64::MAX;
             let delay = if replaced { self.delay() * 10.0 } else { self.delay() };
             self.post(delay, Message::Proposal { entry, proposer: Proposer::LeaseHolder });
         }
@@ -91,8 +91,8 @@
     }
 
     /// Checks the status of a lease holder against the servers.
-    fn check_status(&mut self, at: usize) -> InvariantResult {
-        let holder = &self.holders[at];
+    fn check_status(&mut self, index: usize) -> InvariantResult {
+        let holder = &self.holders[index];
         let status = holder.controller.status(self.now, &holder.replica);
         if status.everywhere {
             self.counts.everywhere += 1;
@@ -115,20 +115,20 @@
     }
 
     pub fn run_distributors(&mut self) -> InvariantResult {
-        for at in 0..self.distributors.len() {
-            if self.now >= self.distributors[at].down_until {
-                self.run_distributor(at)?;
+        for index in 0..self.distributors.len() {
+            if self.now >= self.distributors[index].down_until {
+                self.run_distributor(index)?;
             }
         }
         Ok(())
     }
 
-    fn run_distributor(&mut self, at: usize) -> InvariantResult {
-        let region = self.distributors[at].region;
+    fn run_distributor(&mut self, index: usize) -> InvariantResult {
+        let region = self.distributors[index].region;
         // A lease-store replica of the same region. The one outside region 0 gets no updates during a partition.
         let replica = if region == 0 { self.rng.random_range(0..2) } else { 2 };
         let fresh = self.reaches_leader(region);
-        let distributor = &mut self.distributors[at];
+        let distributor = &mut self.distributors[index];
         if self.now >= distributor.next_update {
             distributor.next_update = self.now + 0.1;
             let replica = &self.replicas[replica];
@@ -136,7 +136,7 @@
                 Some(update) => distributor.replica.apply_update(update),
                 None => distributor.replica.apply_snapshot(&replica.snapshot()),
             };
-            updated.map_err(|error| format!("distributor {at}: {error}"))?;
+            updated.map_err(|error| format!("distributor {index}: {error}"))?;
             if fresh {
                 distributor.fresh_at = self.now;
             }
@@ -145,13 +145,13 @@
         let messages = distributor.distributor.poll(self.now, &distributor.replica, age);
         for OutgoingMessage { server: name, message } in messages {
             let Some(to) = self.servers.iter().position(|server| server.name == name) else { continue };
-            if self.servers[to].connected_to != Some(at)
+            if self.servers[to].connected_to != Some(index)
                 || self.is_partitioned(region, self.servers[to].region)
             {
                 continue;
             }
             self.check_budget(to, message.line_bytes() as f64)?;
-            self.send(at, to, message);
+            self.send(index, to, message);
         }
         Ok(())
     }
--- a/crates/config-rollout/tests/schedules/faults.rs
+++ b/crates/config-rollout/tests/schedules/faults.rs
@@ -15,12 +15,12 @@
         if !self.rng.random_bool(STEP * 3.0) {
             return Ok(());
         }
-        let at = self.rng.random_range(0..self.servers.len());
+        let index = self.rng.random_range(0..self.servers.len());
         let now = self.now;
         let span = self.rng.random_range(0.5..8.0);
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         match self.rng.random_range(0..15) {
-            0 => self.kill(at),
+            0 => self.kill(index),
             1 => server.paused_until = now + 2.0 * span,
             2 => server.outbound_lost_until = now + span,
             3 => server.inbound_lost_until = now + span,
@@ -34,26 +34,26 @@
                 (self.partitioned_until, self.partitioned_since) =
                     (partitioned_until.min(self.faults_end), now);
             }
-            12 => self.send_forged_message(at),
-            13 => self.restart_zone_of(at),
+            12 => self.send_forged_message(index),
+            13 => self.restart_zone_of(index),
             _ => {}
         }
         Ok(())
     }
 
     fn replace_distributor(&mut self, span: f64) {
-        let at = self.rng.random_range(0..self.distributors.len());
-        let region = self.distributors[at].region;
-        self.distributors[at] = self.new_distributor(region);
-        self.distributors[at].down_until = self.now + span / 4.0;
+        let index = self.rng.random_range(0..self.distributors.len());
+        let region = self.distributors[index].region;
+        self.distributors[index] = self.new_distributor(region);
+        self.distributors[index].down_until = self.now + span / 4.0;
         self.counts.kills += 1;
     }
 
-    fn restart_zone_of(&mut self, at: usize) {
-        let zone = self.servers[at].zone.clone();
-        for at in 0..self.servers.len() {
-            if self.servers[at].zone == zone {
-                self.kill(at);
+    fn restart_zone_of(&mut self, index: usize) {
+        let zone = self.servers[index].zone.clone();
+        for index in 0..self.servers.len() {
+            if self.servers[index].zone == zone {
+                self.kill(index);
             }
         }
     }
@@ -85,12 +85,12 @@
     }
 
     /// Kills a server and restarts it from its disk, which may be corrupted.
-    pub fn kill(&mut self, at: usize) {
+    pub fn kill(&mut self, index: usize) {
         let restart_time = self.rng.random_range(0.1..1.5);
         let is_corrupted = self.rng.random_bool(0.05);
         let place = self.rng.random_range(0..400);
         let digester = self.digester.clone();
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         if let Some(disk) = server.disk.as_mut().filter(|_| is_corrupted) {
             corrupt(disk, place);
         }
@@ -124,13 +124,13 @@
     }
 
     /// Sends a random forged message to a server, without knowledge of the fleet's key.
-    fn send_forged_message(&mut self, at: usize) {
+    fn send_forged_message(&mut self, index: usize) {
         let (number, total) = (self.rng.random_range(0..40), self.rng.random_range(0..4000));
         let digest = match self.versions.get(&number) {
             Some(known) if self.rng.random_bool(0.5) => known.digest,
             _ => Digest(self.rng.random()),
         };
-        let active = self.servers[at].active.version;
+        let active = self.servers[index].active.version;
         let base = if self.rng.random_bool(0.5) { Some(active) } else { None };
         let total = if self.rng.random_bool(0.2) { u32::MAX } else { total };
         let target = VersionId { number: if self.rng.random_bool(0.1) { u64::MAX } else { number }, digest };
@@ -151,9 +151,9 @@
                 DistributorMessage::Chunk(Chunk { transfer, offset, bytes })
             }
         };
-        let server = &self.servers[at];
+        let server = &self.servers[index];
         let (incarnation, distributor) = (server.incarnation, server.connected_to.unwrap_or(0));
-        self.post(0.01, Message::ToServer { server: at, incarnation, distributor, message });
+        self.post(0.01, Message::ToServer { server: index, incarnation, distributor, message });
     }
 
     /// Creates a well-formed content with a forged or known digest.
@@ -175,10 +175,10 @@
 
 /// Truncates a file or flips one of its bits.
 fn corrupt(disk: &mut Vec<u8>, place: usize) {
-    let at = place % disk.len().max(1);
+    let index = place % disk.len().max(1);
     if place.is_multiple_of(2) {
-        disk.truncate(at);
+        disk.truncate(index);
     } else {
-        disk[at] ^= 1;
+        disk[index] ^= 1;
     }
 }
--- a/crates/config-rollout/tests/schedules/lease_store.rs
+++ b/crates/config-rollout/tests/schedules/lease_store.rs
@@ -82,32 +82,32 @@
                 self.answer(outcome, pending.proposer);
             }
         }
-        for at in 0..self.replicas.len() {
+        for index in 0..self.replicas.len() {
             // The last replica is in the other region.
-            if at == 2 && self.now < self.partitioned_until {
+            if index == 2 && self.now < self.partitioned_until {
                 continue;
             }
-            while let Some(entry) = self.log.get(self.replicas[at].applied() as usize) {
-                let before = self.replicas[at].applied();
-                let _ = self.replicas[at].apply(entry);
-                assert_eq!(self.replicas[at].applied(), before + 1);
+            while let Some(entry) = self.log.get(self.replicas[index].applied() as usize) {
+                let before = self.replicas[index].applied();
+                let _ = self.replicas[index].apply(entry);
+                assert_eq!(self.replicas[index].applied(), before + 1);
             }
             if self.rng.random_bool(STEP / 10.0) {
-                self.restore_replica(at)?;
+                self.restore_replica(index)?;
             }
         }
         Ok(())
     }
 
     /// Restarts a replica from its snapshot.
-    fn restore_replica(&mut self, at: usize) -> InvariantResult {
-        let snapshot = self.replicas[at].snapshot();
+    fn restore_replica(&mut self, index: usize) -> InvariantResult {
+        let snapshot = self.replicas[index].snapshot();
         let restored =
             History::restore(self.digester.clone(), &snapshot).map_err(|error| error.to_string())?;
-        if restored != self.replicas[at] {
+        if restored != self.replicas[index] {
             return Err("a history restored from its snapshot differs from the original".into());
         }
-        self.replicas[at] = restored;
+        self.replicas[index] = restored;
         Ok(())
     }
 
--- a/crates/config-rollout/tests/schedules/main.rs
+++ b/crates/config-rollout/tests/schedules/main.rs
@@ -24,9 +24,12 @@
     const THREADS: u64 = 4;
     let mut results: Vec<(u64, T)> = std::thread::scope(|scope| {
         let run_seed = &run_seed;
-        let part = |at| {
+        let part = |index| {
             scope.spawn(move || {
-                (at..seeds).step_by(THREADS as usize).map(|seed| (seed, run_seed(seed))).collect::<Vec<_>>()
+                (index..seeds)
+                    .step_by(THREADS as usize)
+                    .map(|seed| (seed, run_seed(seed)))
+                    .collect::<Vec<_>>()
             })
         };
         let parts: Vec<_> = (0..THREADS).map(part).collect();
--- a/crates/config-rollout/tests/schedules/server.rs
+++ b/crates/config-rollout/tests/schedules/server.rs
@@ -25,13 +25,13 @@
 }
 
 impl World {
-    pub fn receive(&mut self, at: usize, message: &DistributorMessage) -> InvariantResult {
-        self.servers[at].last_heard = self.now;
-        if let Some(content) = self.content_from_bug(at, message) {
-            return self.activate(at, content);
+    pub fn receive(&mut self, index: usize, message: &DistributorMessage) -> InvariantResult {
+        self.servers[index].last_heard = self.now;
+        if let Some(content) = self.content_from_bug(index, message) {
+            return self.activate(index, content);
         }
         let whole = matches!(message, DistributorMessage::Chunk(chunk) if chunk.transfer.base.is_none());
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         let before = *server.follower.counters();
         if let Received::Staged(_) = server.follower.receive(message, &local_check) {
             self.counts.whole_contents += u64::from(whole);
@@ -52,8 +52,8 @@
     }
 
     /// Returns the content that a planted bug activates, bypassing the follower.
-    fn content_from_bug(&self, at: usize, message: &DistributorMessage) -> Option<VersionedContent> {
-        let server = &self.servers[at];
+    fn content_from_bug(&self, index: usize, message: &DistributorMessage) -> Option<VersionedContent> {
+        let server = &self.servers[index];
         match (self.bug, message) {
             (Bug::Unchecked, DistributorMessage::Chunk(chunk)) => apply_unchecked(&server.active, chunk),
             (Bug::Downgrade, DistributorMessage::Target { target, .. }) => {
@@ -64,8 +64,8 @@
     }
 
     /// Activates a content and checks that the version is newer, matches the committed one and may be active on this server.
-    fn activate(&mut self, at: usize, content: VersionedContent) -> InvariantResult {
-        let (now, server) = (self.now, &mut self.servers[at]);
+    fn activate(&mut self, index: usize, content: VersionedContent) -> InvariantResult {
+        let (now, server) = (self.now, &mut self.servers[index]);
         let (name, version) = (server.name.clone(), content.version);
         let previous = server.active.version;
         if version.number <= previous.number {
@@ -77,8 +77,8 @@
         server.highest = server.highest.max(version.number);
         self.counts.activated += 1;
         self.counts.wide_steps += u64::from(version.number >= previous.number + 10);
-        self.check_active(at)?;
-        let server = &mut self.servers[at];
+        self.check_active(index)?;
+        let server = &mut self.servers[index];
         if server.has_crashing_quota(CRASHING_QUOTA) {
             server.crashes_at = Some(now + 0.2);
         }
@@ -97,8 +97,9 @@
     }
 
     /// Checks that the active content equals the committed content of its version.
-    fn check_active(&self, at: usize) -> InvariantResult {
-        let SimulatedServer { name, active: VersionedContent { version, content }, .. } = &self.servers[at];
+    fn check_active(&self, index: usize) -> InvariantResult {
+        let SimulatedServer { name, active: VersionedContent { version, content }, .. } =
+            &self.servers[index];
         let Some(known) = self.versions.get(&version.number) else {
             return Err(format!("{name} has {version} active, which was never committed"));
         };
@@ -112,9 +113,9 @@
     }
 
     /// Runs one round of a server.
-    pub fn run_server(&mut self, at: usize) -> InvariantResult {
+    pub fn run_server(&mut self, index: usize) -> InvariantResult {
         let (now, healed) = (self.now, self.now >= self.faults_end);
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         if healed {
             (server.paused_until, server.disk_full_until) = (0.0, 0.0);
             (server.outbound_lost_until, server.inbound_lost_until) = (0.0, 0.0);
@@ -123,26 +124,26 @@
             return Ok(());
         }
         if server.crashes_at.is_some_and(|crashes_at| now >= crashes_at) {
-            self.kill(at);
-            self.servers[at].down_until = now + 0.3;
+            self.kill(index);
+            self.servers[index].down_until = now + 0.3;
             return Ok(());
         }
-        self.check_age(at)?;
-        let server = &mut self.servers[at];
+        self.check_age(index)?;
+        let server = &mut self.servers[index];
         if let Some(second_half) = server.second_half.take() {
             server.active.content = second_half.content;
         }
-        self.check_active(at)?;
-        self.connect(at);
-        if self.activate_staged(at, healed)? == Round::Ended || self.save(at, healed)? == Round::Ended {
+        self.check_active(index)?;
+        self.connect(index);
+        if self.activate_staged(index, healed)? == Round::Ended || self.save(index, healed)? == Round::Ended {
             return Ok(());
         }
-        self.acknowledge(at, healed)
+        self.acknowledge(index, healed)
     }
 
     /// Checks that a server partitioned from the majority computes an age of at least the duration of the partition.
-    fn check_age(&mut self, at: usize) -> InvariantResult {
-        let (now, server) = (self.now, &self.servers[at]);
+    fn check_age(&mut self, index: usize) -> InvariantResult {
+        let (now, server) = (self.now, &self.servers[index]);
         let is_partitioned = now < self.partitioned_until && server.region != 0;
         let Some(age) = server.follower.age(now).filter(|_| is_partitioned) else { return Ok(()) };
         let least = now - self.partitioned_since - STEP;
@@ -160,38 +161,38 @@
     }
 
     /// Activates the staged version. The server may be killed before or after.
-    fn activate_staged(&mut self, at: usize, healed: bool) -> Result<Round, String> {
+    fn activate_staged(&mut self, index: usize, healed: bool) -> Result<Round, String> {
         // Rounds of the host are independent of its connections.
         let is_round = self.rng.random_bool(0.6);
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         let Some(staged) = server.follower.staged().filter(|_| is_round).cloned() else {
             return Ok(Round::Continues);
         };
         let chance = if healed { 9 } else { self.rng.random_range(0..120) };
         if chance == 0 {
-            self.kill(at); // before the activation
+            self.kill(index); // before the activation
             return Ok(Round::Ended);
         }
         let version = staged.version;
         if self.bug == Bug::HalfChange && server.active.content.diff(&staged.content).len() > 1 {
-            self.activate_half(at, staged);
-            return self.check_active(at).map(|()| Round::Ended);
+            self.activate_half(index, staged);
+            return self.check_active(index).map(|()| Round::Ended);
         }
         if self.bug != Bug::Unchecked || version.number > server.active.version.number {
-            self.activate(at, staged)?;
+            self.activate(index, staged)?;
         }
         if chance == 1 {
-            self.kill(at); // after the activation, before the follower is informed
+            self.kill(index); // after the activation, before the follower is informed
             return Ok(Round::Ended);
         }
-        if !self.servers[at].follower.activated(self.now, version) {
+        if !self.servers[index].follower.activated(self.now, version) {
             return Err(format!("{version} was activated but is not staged in the follower"));
         }
         Ok(Round::Continues)
     }
 
-    fn activate_half(&mut self, at: usize, staged: VersionedContent) {
-        let server = &mut self.servers[at];
+    fn activate_half(&mut self, index: usize, staged: VersionedContent) {
+        let server = &mut self.servers[index];
         let whole = server.active.content.diff(&staged.content);
         let half: Change = whole.iter().map(|(key, value)| (key.clone(), value)).take(1).collect();
         let half = server.active.content.with_change(&half).expect("valid");
@@ -201,14 +202,14 @@
     }
 
     /// Writes the last good version to disk. The server may be killed before.
-    fn save(&mut self, at: usize, healed: bool) -> Result<Round, String> {
+    fn save(&mut self, index: usize, healed: bool) -> Result<Round, String> {
         let now = self.now;
-        let Some(bytes) = self.servers[at].follower.save(now) else { return Ok(Round::Continues) };
+        let Some(bytes) = self.servers[index].follower.save(now) else { return Ok(Round::Continues) };
         if !healed && self.rng.random_range(0..40) == 0 {
-            self.kill(at); // before the write
+            self.kill(index); // before the write
             return Ok(Round::Ended);
         }
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         if now < server.disk_full_until {
             server.follower.save_finished(now, Err(io::Error::other("no space left")));
             return Ok(Round::Continues);
@@ -227,8 +228,8 @@
         Ok(Round::Continues)
     }
 
-    fn acknowledge(&mut self, at: usize, healed: bool) -> InvariantResult {
-        let (now, server) = (self.now, &mut self.servers[at]);
+    fn acknowledge(&mut self, index: usize, healed: bool) -> InvariantResult {
+        let (now, server) = (self.now, &mut self.servers[index]);
         let Some(mut ack) = server.follower.acknowledge(now) else { return Ok(()) };
         let active = server.active.version;
         match self.bug {
@@ -246,16 +247,16 @@
         if let Some(distributor) = server.connected_to.filter(|_| now >= server.outbound_lost_until) {
             let delay = self.delay();
             if healed || self.rng.random_range(0..100) > 2 {
-                self.post(delay, Message::ToDistributor { distributor, server: at, ack });
+                self.post(delay, Message::ToDistributor { distributor, server: index, ack });
             }
         }
         Ok(())
     }
 
     /// Connects a server to a distributor, preferably of its region, or reconnects it after silence.
-    fn connect(&mut self, at: usize) {
+    fn connect(&mut self, index: usize) {
         let now = self.now;
-        let SimulatedServer { name, region, connected_to, last_heard, .. } = &self.servers[at];
+        let SimulatedServer { name, region, connected_to, last_heard, .. } = &self.servers[index];
         let (name, region) = (name.clone(), *region);
         let is_reached = |distributor: &SimulatedDistributor| {
             now >= distributor.down_until && !self.is_partitioned(distributor.region, region)
@@ -265,9 +266,9 @@
         if connected_to.is_some() && !is_broken && !is_silent {
             return;
         }
-        let reached = |at: &usize| is_reached(&self.distributors[*at]);
+        let reached = |index: &usize| is_reached(&self.distributors[*index]);
         let reachable: Vec<usize> = (0..self.distributors.len()).filter(reached).collect();
-        let in_region = |at: &usize| self.distributors[*at].region == region;
+        let in_region = |index: &usize| self.distributors[*index].region == region;
         let in_same_region: Vec<usize> = reachable.iter().copied().filter(in_region).collect();
         if let Some(current) = *connected_to {
             self.distributors[current].distributor.disconnected(&name);
@@ -275,7 +276,7 @@
         let candidates =
             if in_same_region.is_empty() || self.rng.random_bool(0.2) { reachable } else { in_same_region };
         let next = (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())]);
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         (server.connected_to, server.last_heard) = (next, now);
         server.follower.connected();
     }
--- a/crates/config-rollout/tests/schedules/world.rs
+++ b/crates/config-rollout/tests/schedules/world.rs
@@ -216,21 +216,21 @@
             committed,
             rng,
         };
-        for at in 0..distributor_count {
-            let region = if distributor_count == 1 { 0 } else { at % 2 };
+        for index in 0..distributor_count {
+            let region = if distributor_count == 1 { 0 } else { index % 2 };
             let distributor = world.new_distributor(region);
             world.distributors.push(distributor);
         }
-        for at in 0..server_count {
-            let server = world.new_server(at);
+        for index in 0..server_count {
+            let server = world.new_server(index);
             world.servers.push(server);
         }
         world
     }
 
-    fn new_server(&self, at: usize) -> SimulatedServer {
-        let (region, zone) = (at % 2, format!("z{}", at % 6));
-        let name = format!("n{at:02}");
+    fn new_server(&self, index: usize) -> SimulatedServer {
+        let (region, zone) = (index % 2, format!("z{}", index % 6));
+        let name = format!("n{index:02}");
         let (follower, _) =
             Follower::start(HolderId::new(&name, 1), &zone, self.digester.clone(), None, &local_check);
         SimulatedServer {
@@ -286,8 +286,8 @@
             self.run_lease_store()?;
             self.run_lease_holders()?;
             self.run_distributors()?;
-            for at in 0..self.servers.len() {
-                self.run_server(at)?;
+            for index in 0..self.servers.len() {
+                self.run_server(index)?;
             }
             if self.now >= self.faults_end
                 && self.converged_after == 0.0
@@ -331,8 +331,8 @@
             return Some(format!("released version is {}, expected {head}; {state:?}", state.released));
         }
         let server = self.servers.iter().find(|server| server.active.version != head)?;
-        let connection = server.connected_to.map(|at| {
-            let SimulatedDistributor { distributor, replica, .. } = &self.distributors[at];
+        let connection = server.connected_to.map(|index| {
+            let SimulatedDistributor { distributor, replica, .. } = &self.distributors[index];
             (distributor.is_sending_to(&server.name), distributor.catching_up(), replica.state())
         });
         Some(format!(
--- a/crates/config-rollout/tests/sizes.rs
+++ b/crates/config-rollout/tests/sizes.rs
@@ -16,11 +16,11 @@
 fn full_content() -> Content {
     let mut content = Content::default();
     let mut change = Change::default();
-    for at in 0..TENANTS {
-        change = change.set(Key::tenant(&format!("tenant-{at:05}")), f64::from(at) + 0.5);
+    for index in 0..TENANTS {
+        change = change.set(Key::tenant(&format!("tenant-{index:05}")), f64::from(index) + 0.5);
     }
-    for at in 0..ROUTES {
-        let name = format!("service-{:03}/route-{at:04}", at % 230);
+    for index in 0..ROUTES {
+        let name = format!("service-{:03}/route-{index:04}", index % 230);
         for field in
             [Field::LatencyObjective, Field::Timeout, Field::PriorityWeight, Field::LateWeightFraction]
         {
@@ -66,13 +66,13 @@
 
     // The changes of one day, each of one tenant's quota, combined into one body.
     let mut history = History::new(digester, RetentionLimits::default());
-    for at in 0..CHANGES_PER_DAY {
-        let change =
-            Change::default().set(Key::tenant(&format!("tenant-{:05}", at * 7 % TENANTS)), f64::from(at));
+    for index in 0..CHANGES_PER_DAY {
+        let change = Change::default()
+            .set(Key::tenant(&format!("tenant-{:05}", index * 7 % TENANTS)), f64::from(index));
         let put =
             PutRequest { base: history.head(), author: "ann".into(), epoch: 1, origin: Origin::Put, change };
-        history.apply(&LogEntry { at: f64::from(at), command: Command::Put(put) }).expect("accepted");
-        if at % 10 == 9 {
+        history.apply(&LogEntry { at: f64::from(index), command: Command::Put(put) }).expect("accepted");
+        if index % 10 == 9 {
             let (epoch, number) = (1, history.head().number);
             let canaries = BTreeSet::from(["n1".to_string()]);
             history
--- a/crates/config-rollout/tests/small.rs
+++ b/crates/config-rollout/tests/small.rs
@@ -110,12 +110,12 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for at in 0..2 {
-            if state.seen_heads[at] != state.history.head() {
-                actions.push(Action::ReadHead(at));
+        for index in 0..2 {
+            if state.seen_heads[index] != state.history.head() {
+                actions.push(Action::ReadHead(index));
             }
             if state.history.head().number < VERSIONS {
-                actions.push(Action::Put(at));
+                actions.push(Action::Put(index));
             }
         }
         actions.extend([
@@ -125,7 +125,9 @@
             Action::SendChange,
             Action::SendWholeContent,
         ]);
-        actions.extend((0..state.in_transit.len()).flat_map(|at| [Action::Deliver(at), Action::Lose(at)]));
+        actions.extend(
+            (0..state.in_transit.len()).flat_map(|index| [Action::Deliver(index), Action::Lose(index)]),
+        );
         actions.extend([Action::Activate, Action::Save, Action::Acknowledge]);
         if state.restarts == 0 {
             actions.push(Action::Restart);
@@ -137,18 +139,18 @@
         let head = state.history.head();
         let canary = state.history.state().canary_number();
         match action {
-            Action::ReadHead(at) => state.seen_heads[at] = head,
-            Action::Put(at) => {
-                let (key, value) = (Key::tenant(["a", "b"][at]), (head.number + 1) as f64);
+            Action::ReadHead(index) => state.seen_heads[index] = head,
+            Action::Put(index) => {
+                let (key, value) = (Key::tenant(["a", "b"][index]), (head.number + 1) as f64);
                 let change = Change::default().set(key.clone(), value);
-                let mut base = state.seen_heads[at];
+                let mut base = state.seen_heads[index];
                 if self.0 == Bug::NoCompare {
                     base = head;
                 }
-                let seen_head = state.seen_heads[at];
+                let seen_head = state.seen_heads[index];
                 let put = PutRequest {
                     base,
-                    author: ["ann", "bob"][at].into(),
+                    author: ["ann", "bob"][index].into(),
                     epoch: 1,
                     origin: Origin::Put,
                     change,
@@ -200,8 +202,8 @@
                 }
                 state.in_transit.push(message);
             }
-            Action::Deliver(at) => {
-                let message = state.in_transit[at].clone();
+            Action::Deliver(index) => {
+                let message = state.in_transit[index].clone();
                 state.follower.receive(&message, &BoundsValidator);
                 if self.0 == Bug::Downgrade {
                     if let DistributorMessage::Chunk(chunk) = &message {
@@ -210,7 +212,7 @@
                     }
                 }
             }
-            Action::Lose(at) => drop(state.in_transit.remove(at)),
+            Action::Lose(index) => drop(state.in_transit.remove(index)),
             Action::Activate => {
                 let head = state.follower.staged()?.version;
                 state.out_of_order |= head.number <= state.highest && state.highest > 0;
