--- a/crates/cli/src/fleet/lease_store.rs
+++ b/crates/cli/src/fleet/lease_store.rs
@@ -277,8 +277,8 @@
 /// Sends a command to the leader, which is done when this returns.
 pub async fn command_leader(at: &[SocketAddr], command: &ReplicaRequest) -> Done {
     match ask_leader(at, command).await? {
-        ReplicaReply::Done => Ok(()),
-        ReplicaReply::Failed(reason) => Err(failed(reason)),
+        ReplicaReply::CommandApplied => Ok(()),
+        ReplicaReply::CommandFailed(reason) => Err(failed(reason)),
         other => Err(failed(format!("the replica says {other:?}"))),
     }
 }
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -31,7 +31,7 @@
     pub fn usual(events: bool) -> Ground {
         Ground {
             clock: Clock::system(),
-            events: EventSink(events),
+            events: EventSink { enabled: events },
             sync_pause: Arc::default(),
             injected_bug: None,
         }
--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -153,7 +153,7 @@
             reporting: None,
             held_tasks: vec!["load".into()],
             clock: Clock::system(),
-            events: EventSink(false),
+            events: EventSink { enabled: false },
         };
         stewards.push(service::start(setup).await.map_err(|e| Wrong::Failed(e.to_string()))?);
     }
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -178,7 +178,7 @@
             let clock = Clock::skewed(rate, wall);
             let ground = Ground {
                 clock,
-                events: EventSink(true),
+                events: EventSink { enabled: true },
                 sync_pause: Default::default(),
                 injected_bug: plant,
             };
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -166,7 +166,7 @@
         // However the stream ended, another is opened.
         let _ = proxy.follow(control[index]).await;
         let previous = if opened.elapsed() > STABLE_STREAM { MIN_BACKOFF } else { last };
-        last = backoff(previous, random.next_unit());
+        last = backoff(previous, random.next_f64());
         sleep(last).await;
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -25,7 +25,7 @@
 /// would be what is measured.
 pub fn staggered_starts(count: usize, period: Duration, seed: u64) -> Vec<Duration> {
     let mut random = SeededRandom::new(seed);
-    (0..count).map(|index| period.mul_f64((index as f64 + random.next_unit()) / count as f64)).collect()
+    (0..count).map(|index| period.mul_f64((index as f64 + random.next_f64()) / count as f64)).collect()
 }
 
 /// Seed of one of many, by its number.
--- a/crates/emulator/src/quota_client.rs
+++ b/crates/emulator/src/quota_client.rs
@@ -133,7 +133,7 @@
         if now >= report_due {
             report_due = now + interval;
             // Most customers ask one server for little at a time.
-            let demand = config.quota / config.fleet_size.max(1) as f64 * MAX_DEMAND * random.next_unit();
+            let demand = config.quota / config.fleet_size.max(1) as f64 * MAX_DEMAND * random.next_f64();
             if let Ok(report) = encode_line(&client.next_report(now, |_| demand)) {
                 reports.send_replace(Arc::new(report));
             }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -70,7 +70,7 @@
         let counts = self.draw_requests(requests);
         let completed: u32 = counts.values().map(|count| count.received - count.rejected).sum();
         let random = &mut self.random;
-        self.limit = (self.limit * (LIMIT_STEP.0 + LIMIT_STEP.1 * random.next_unit()))
+        self.limit = (self.limit * (LIMIT_STEP.0 + LIMIT_STEP.1 * random.next_f64()))
             .clamp(LIMIT_RANGE.0, LIMIT_RANGE.1);
         let class = |(&(product, customer), count): (&ClassKey, &RequestCount)| ClassLoad {
             product,
@@ -81,9 +81,9 @@
         LoadSample {
             concurrency_limit: self.limit,
             in_flight: random.next_index(self.limit as usize + 1),
-            service_time: if completed > 0 { 0.008 + 0.01 * random.next_unit() } else { 0.0 },
-            pressure: 0.3 * random.next_unit(),
-            retry_after: 0.25 + 0.5 * random.next_unit(),
+            service_time: if completed > 0 { 0.008 + 0.01 * random.next_f64() } else { 0.0 },
+            pressure: 0.3 * random.next_f64(),
+            retry_after: 0.25 + 0.5 * random.next_f64(),
             healthy: true,
             terminates_in: None,
             goodput: f64::from(completed) / span,
@@ -107,11 +107,11 @@
         let mut counts: BTreeMap<ClassKey, RequestCount> = BTreeMap::new();
         for _ in 0..requests {
             // The product of two uniform draws is mostly small.
-            let skewed = random.next_unit() * random.next_unit();
+            let skewed = random.next_f64() * random.next_f64();
             let customer = ((skewed * customers as f64) as usize).min(customers - 1);
             let count = counts.entry((random.next_index(self.load.products), customer)).or_default();
             count.received += 1;
-            count.rejected += u32::from(random.next_unit() < REJECTED_SHARE);
+            count.rejected += u32::from(random.next_f64() < REJECTED_SHARE);
         }
         counts
     }
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -47,7 +47,7 @@
             reporting: None,
             held_tasks: vec!["load".into()],
             clock: Clock::system(),
-            events: EventSink(false),
+            events: EventSink { enabled: false },
         };
         all.0.push(service::start(setup).await.map_err(|e| e.to_string())?);
     }
--- a/crates/lease-store/src/server/event_loop/output.rs
+++ b/crates/lease-store/src/server/event_loop/output.rs
@@ -54,8 +54,8 @@
     fn reply_outcome(&mut self, outcome: CommandOutcome) {
         let Some(reply_to) = self.pending_replies.take(outcome.token) else { return };
         let reply = match outcome.result {
-            Ok(()) => ReplicaReply::Done,
-            Err(error) => ReplicaReply::Failed(error.to_string()),
+            Ok(()) => ReplicaReply::CommandApplied,
+            Err(error) => ReplicaReply::CommandFailed(error.to_string()),
         };
         let _ = reply_to.try_send(reply);
     }
--- a/crates/lease-store/src/server/event_loop/requests.rs
+++ b/crates/lease-store/src/server/event_loop/requests.rs
@@ -101,7 +101,7 @@
                 let address = leader.and_then(|number| joined.get(&number).cloned());
                 ReplicaReply::NotLeader { leader, address }
             }
-            other => ReplicaReply::Failed(other.to_string()),
+            other => ReplicaReply::CommandFailed(other.to_string()),
         };
         let _ = reply_to.try_send(reply);
     }
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -229,7 +229,7 @@
         tick_interval: 0.01,
         max_connections: 4,
         clock: Clock::system(),
-        events: EventSink(false),
+        events: EventSink { enabled: false },
         sync_delay: Default::default(),
     };
     let running = start(options, store, &durable).await.unwrap();
--- a/crates/leases/src/assignment.rs
+++ b/crates/leases/src/assignment.rs
@@ -58,7 +58,7 @@
 }
 
 /// Which of the `parts` parts of a task something named belongs to: the same for everyone who asks.
-pub fn part_of(task: &str, name: &str, parts: u32) -> u32 {
+pub fn part_for_key(task: &str, name: &str, parts: u32) -> u32 {
     (rank(task, 0, name) % u64::from(parts.max(1))) as u32
 }
 
--- a/crates/leases/src/coordination/coordinator.rs
+++ b/crates/leases/src/coordination/coordinator.rs
@@ -3,7 +3,7 @@
 use super::{
     CoordinatorReply, ServerReport, TenantAllocation, TenantDemand, DRAIN_TASK, MAX_TENANTS, QUOTA_TASK,
 };
-use crate::assignment::part_of;
+use crate::assignment::part_for_key;
 use crate::drain::{DrainReport, DrainRules, DrainSlots};
 use crate::quota::{AllocatorSettings, DemandReport, QuotaAllocator};
 use crate::table::MAX_NAME_BYTES;
@@ -85,7 +85,7 @@
 
     /// Which part of the task `quota` a tenant belongs to.
     pub fn part_for_tenant(&self, tenant: &str) -> u32 {
-        part_of(QUOTA_TASK, tenant, self.settings.quota_parts)
+        part_for_key(QUOTA_TASK, tenant, self.settings.quota_parts)
     }
 
     /// A lease starts at `now` (s): nothing of an earlier one is known any more.
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -76,9 +76,11 @@
         at: f64,
     },
     /// The command was carried out.
-    Done,
+    #[serde(rename = "done")]
+    CommandApplied,
     /// The command was not carried out, and why.
-    Failed(String),
+    #[serde(rename = "failed")]
+    CommandFailed(String),
 }
 
 /// How a replica is.
@@ -212,15 +214,15 @@
 
 /// Where events go: to standard output, or nowhere.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EventSink(
+pub struct EventSink {
     /// Whether events are written.
-    pub bool,
-);
+    pub enabled: bool,
+}
 
 impl EventSink {
     /// Writes an event, if events are asked for.
     pub fn emit(self, event: &Event) {
-        if !self.0 {
+        if !self.enabled {
             return;
         }
         // A write fails when nobody reads any more: then the event is dropped.
--- a/crates/leases/src/random.rs
+++ b/crates/leases/src/random.rs
@@ -26,12 +26,12 @@
     }
 
     /// The next number, uniform in [0, 1).
-    pub fn next_unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         (self.next_u64() >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
     }
 
     /// The next index below `count`, uniform; 0 if `count` is 0.
     pub fn next_index(&mut self, count: usize) -> usize {
-        ((self.next_unit() * count as f64) as usize).min(count.saturating_sub(1))
+        ((self.next_f64() * count as f64) as usize).min(count.saturating_sub(1))
     }
 }
--- a/crates/leases/src/replica_selector.rs
+++ b/crates/leases/src/replica_selector.rs
@@ -21,7 +21,7 @@
 
 /// What an instance without a connection does next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NextStep {
+pub enum NextAction {
     /// Connect to the replica of this number.
     Connect(u64),
     /// Do nothing before this time, s.
@@ -73,14 +73,14 @@
     }
 
     /// What to do at `now` (s) without a connection.
-    pub fn next_step(&self, now: f64) -> NextStep {
+    pub fn next_action(&self, now: f64) -> NextAction {
         if self.replicas.is_empty() {
-            return NextStep::WaitUntil(f64::MAX);
+            return NextAction::WaitUntil(f64::MAX);
         }
         if now < self.not_before {
-            return NextStep::WaitUntil(self.not_before);
+            return NextAction::WaitUntil(self.not_before);
         }
-        NextStep::Connect(self.current)
+        NextAction::Connect(self.current)
     }
 
     /// The connection is open.
@@ -128,7 +128,7 @@
         self.current = others.nth(1).unwrap_or(self.current);
         if self.failures.is_multiple_of(self.replicas.len().max(1)) {
             let longest = (BACKOFF_FACTOR * self.backoff).min(MAX_BACKOFF);
-            self.backoff = MIN_BACKOFF + (longest - MIN_BACKOFF) * self.random.next_unit();
+            self.backoff = MIN_BACKOFF + (longest - MIN_BACKOFF) * self.random.next_f64();
             self.not_before = now + self.backoff;
         }
     }
--- a/crates/leases/src/replica_selector/tests.rs
+++ b/crates/leases/src/replica_selector/tests.rs
@@ -12,10 +12,10 @@
     let mut backoffs = Vec::new();
     for seed in 0..300 {
         let mut selector = selector(seed);
-        let NextStep::Connect(to) = selector.next_step(0.0) else { panic!() };
+        let NextAction::Connect(to) = selector.next_action(0.0) else { panic!() };
         first[to as usize] += 1;
         (0..9).for_each(|_| selector.mark_failed(0.0));
-        let NextStep::WaitUntil(until) = selector.next_step(0.0) else { panic!() };
+        let NextAction::WaitUntil(until) = selector.next_action(0.0) else { panic!() };
         backoffs.push(until);
     }
     assert!(first.iter().all(|n| *n == 0 || (60..140).contains(n)), "{first:?}");
@@ -26,32 +26,38 @@
 #[test]
 fn a_redirect_is_followed_at_once_but_not_in_circles() {
     let mut selector = selector(1);
-    let NextStep::Connect(first) = selector.next_step(0.0) else { panic!() };
+    let NextAction::Connect(first) = selector.next_action(0.0) else { panic!() };
     let other = if first == 5 { 1 } else { 5 };
     selector.mark_connected();
     selector.follow_redirect(0.0, Some((other, None)));
-    assert_eq!(selector.next_step(0.0), NextStep::Connect(other));
+    assert_eq!(selector.next_action(0.0), NextAction::Connect(other));
     for _ in 0..2 {
-        let NextStep::Connect(to) = selector.next_step(0.0) else { break };
+        let NextAction::Connect(to) = selector.next_action(0.0) else { break };
         selector.follow_redirect(0.0, Some((if to == 5 { 1 } else { 5 }, None)));
     }
     (0..2).for_each(|_| selector.follow_redirect(0.0, None));
-    assert!(matches!(selector.next_step(0.0), NextStep::WaitUntil(_)), "they point at each other: backoff");
-    assert!(matches!(selector.next_step(9.0), NextStep::Connect(_)));
+    assert!(
+        matches!(selector.next_action(0.0), NextAction::WaitUntil(_)),
+        "they point at each other: backoff"
+    );
+    assert!(matches!(selector.next_action(9.0), NextAction::Connect(_)));
     selector.mark_healthy();
-    assert!(matches!(selector.next_step(0.0), NextStep::Connect(_)));
+    assert!(matches!(selector.next_action(0.0), NextAction::Connect(_)));
 }
 
 #[test]
 fn a_replica_that_joined_later_is_learned_and_what_the_settings_say_holds() {
     let mut selector = selector(1);
     selector.follow_redirect(0.0, Some((7, Some("seven"))));
-    assert_eq!((selector.next_step(0.0), selector.address(7)), (NextStep::Connect(7), Some(&"seven")));
+    assert_eq!((selector.next_action(0.0), selector.address(7)), (NextAction::Connect(7), Some(&"seven")));
     selector.follow_redirect(0.0, Some((1, Some("elsewhere"))));
     assert_eq!(selector.address(1), Some(&"one"));
     for number in 100..200 {
         selector.follow_redirect(0.0, Some((number, Some("more"))));
     }
     assert_eq!(selector.replicas.len(), MAX_REPLICAS);
-    assert_eq!(ReplicaSelector::<u8>::new(BTreeMap::new(), 1).next_step(0.0), NextStep::WaitUntil(f64::MAX));
+    assert_eq!(
+        ReplicaSelector::<u8>::new(BTreeMap::new(), 1).next_action(0.0),
+        NextAction::WaitUntil(f64::MAX)
+    );
 }
--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -237,9 +237,9 @@
             ReplicaReply::Tasks { leases: vec![row], instances: vec![instance], at: 9.5 },
             r#"{"duties":{"rows":[{"duty":{"name":"gather","part":3},"owner":{"instance":"n1","incarnation":7},"epoch":5,"since":1.5,"back":true,"paused":false}],"seats":[{"owner":{"instance":"n1","incarnation":7},"zone":"east","has":2,"leaving":true,"left":0.5,"rests":1.5}],"at":9.5}}"#,
         ),
-        (ReplicaReply::Done, r#""done""#),
+        (ReplicaReply::CommandApplied, r#""done""#),
         (
-            ReplicaReply::Failed("no duty \"x\" is declared".into()),
+            ReplicaReply::CommandFailed("no duty \"x\" is declared".into()),
             r#"{"failed":"no duty \"x\" is declared"}"#,
         ),
     ] {
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -719,9 +719,9 @@
             }
             let keepers = self.keepers();
             match ask_leader(&keepers, next).await {
-                Some(ReplicaReply::Done) => drop(asks.pop()),
+                Some(ReplicaReply::CommandApplied) => drop(asks.pop()),
                 // A command whose answer was lost may have been carried out.
-                Some(ReplicaReply::Failed(what))
+                Some(ReplicaReply::CommandFailed(what))
                     if what.contains("is one of them") || what.contains("is none of them") =>
                 {
                     asks.pop();
@@ -880,7 +880,7 @@
         let _ = steps.send(Step::Asks { who, pause });
         let answer: Option<ReplicaReply> = ask(at, &what).await;
         match answer {
-            Some(ReplicaReply::Done) if pause.is_some() => {
+            Some(ReplicaReply::CommandApplied) if pause.is_some() => {
                 let _ = steps.send(Step::Answered { who, paused: None });
             }
             Some(ReplicaReply::Tasks { leases: rows, .. }) if pause.is_none() => {
--- a/crates/proving/src/pipe.rs
+++ b/crates/proving/src/pipe.rs
@@ -40,7 +40,7 @@
         if shut {
             return Pass::Shut;
         }
-        let late = if delay > 0.0 { delay * self.chance.next_unit() } else { 0.0 };
+        let late = if delay > 0.0 { delay * self.chance.next_f64() } else { 0.0 };
         let slow = if rate > 0.0 { bytes as f64 / rate } else { 0.0 };
         self.last = (now + late).max(self.last) + slow;
         Pass::At(self.last)
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{BlockId, FileId, PutOutcome, Request, Response};
 use crate::store::PendingWrite;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use puffinladder_leases::assignment::part_of;
+use puffinladder_leases::assignment::part_for_key;
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::protocol::Event;
 use puffinladder_leases::{Epoch, Task};
@@ -65,7 +65,7 @@
             self.pending_writes.push(PendingWrite { update, block: Vec::new() });
         }
         let number = self.index.fence_state(&task).number;
-        let belongs_to_part = |file: &FileId| part_of(&task.name, &file.server, parts) == task.part;
+        let belongs_to_part = |file: &FileId| part_for_key(&task.name, &file.server, parts) == task.part;
         let progress = if verdict.is_applied() {
             let files = self.index.files().filter(|(file, _)| belongs_to_part(file));
             files.map(|(file, progress)| (file.clone(), *progress)).collect()
--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -17,7 +17,7 @@
 
 /// Which part of so many a server's files belong to.
 pub fn part_of(server: &str, parts: u32) -> u32 {
-    assignment::part_of(TASK, server, parts)
+    assignment::part_for_key(TASK, server, parts)
 }
 
 /// A file in a server's folder.
--- a/crates/worker/src/lease_store_client.rs
+++ b/crates/worker/src/lease_store_client.rs
@@ -3,7 +3,7 @@
 use crate::connection::{ConnectionEvent, NumberedEvent, ReplicaConnection};
 use puffinladder_leases::holder::LeaseHolder;
 use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest};
-use puffinladder_leases::replica_selector::{NextStep, ReplicaSelector};
+use puffinladder_leases::replica_selector::{NextAction, ReplicaSelector};
 use puffinladder_leases::table::LeaseResponse;
 use puffinladder_leases::HolderId;
 use std::collections::BTreeMap;
@@ -52,9 +52,9 @@
             let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
             return holder.next_renewal().min(timeout);
         }
-        match self.route.next_step(now) {
-            NextStep::WaitUntil(until) => until,
-            NextStep::Connect(_) => now,
+        match self.route.next_action(now) {
+            NextAction::WaitUntil(until) => until,
+            NextAction::Connect(_) => now,
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     fn open_connection(&mut self, now: f64) {
-        let NextStep::Connect(replica) = self.route.next_step(now) else { return };
+        let NextAction::Connect(replica) = self.route.next_action(now) else { return };
         let Some(address) = self.route.address(replica).copied() else { return };
         self.connections_opened += 1;
         let events = self.events.clone();
