--- a/crates/leases/src/assignment.rs
+++ b/crates/leases/src/assignment.rs
@@ -49,12 +49,12 @@
 
 /// The score of an instance in a part's ranking; the highest comes first.
 pub fn rank(task: &str, part: u32, instance: &str) -> u64 {
-    let mut text = Vec::with_capacity(task.len() + instance.len() + 6);
-    text.extend_from_slice(task.as_bytes());
-    text.push(0);
-    text.extend_from_slice(&part.to_le_bytes());
-    text.extend_from_slice(instance.as_bytes());
-    xxh3_64(&text)
+    let mut key = Vec::with_capacity(task.len() + instance.len() + 6);
+    key.extend_from_slice(task.as_bytes());
+    key.push(0);
+    key.extend_from_slice(&part.to_le_bytes());
+    key.extend_from_slice(instance.as_bytes());
+    xxh3_64(&key)
 }
 
 /// Which of the `parts` parts of a task something named belongs to: the same for everyone who asks.
@@ -114,8 +114,9 @@
     best(task, part, part_count, candidates, |candidate| has_capacity(candidate) && in_zone(candidate))
         .or_else(|| best(task, part, part_count, candidates, has_capacity))
         .or_else(|| {
-            let open = candidates.iter().enumerate().filter(|(_, candidate)| allowed(candidate));
-            open.min_by_key(|(_, candidate)| candidate.task_parts).map(|(index, _)| index)
+            let eligible_candidates =
+                candidates.iter().enumerate().filter(|(_, candidate)| allowed(candidate));
+            eligible_candidates.min_by_key(|(_, candidate)| candidate.task_parts).map(|(index, _)| index)
         })
 }
 
@@ -127,13 +128,13 @@
     candidates: &[Candidate],
     eligible: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
-    let open = candidates.iter().enumerate().filter(|(_, candidate)| eligible(candidate));
+    let eligible_candidates = candidates.iter().enumerate().filter(|(_, candidate)| eligible(candidate));
     let rank_of = |candidate: &Candidate| rank(task, part, &candidate.instance);
     let best = if part_count == 1 {
         // A task of one part has no mean to be bounded by: those that hold least of all tasks come first.
-        open.max_by_key(|(_, candidate)| (Reverse(candidate.total_parts), rank_of(candidate)))
+        eligible_candidates.max_by_key(|(_, candidate)| (Reverse(candidate.total_parts), rank_of(candidate)))
     } else {
-        open.max_by_key(|(_, candidate)| rank_of(candidate))
+        eligible_candidates.max_by_key(|(_, candidate)| rank_of(candidate))
     };
     best.map(|(index, _)| index)
 }
@@ -148,8 +149,8 @@
     limit: usize,
     excluded: impl Fn(u32, &str) -> bool,
 ) -> Vec<PartMove> {
-    let lowest = min_parts(part_count, candidates.len());
-    let highest = max_parts(part_count, candidates.len());
+    let min_load = min_parts(part_count, candidates.len());
+    let max_load = max_parts(part_count, candidates.len());
     let mut loads: BTreeMap<&str, usize> =
         candidates.iter().map(|candidate| (candidate.instance.as_str(), candidate.task_parts)).collect();
     let mut parts: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
@@ -160,9 +161,9 @@
     while moves.len() < limit {
         let least_loaded = loads.iter().min_by_key(|(_, load)| **load).map(|(name, load)| (*name, *load));
         let most_loaded = loads.iter().max_by_key(|(_, load)| **load).map(|(name, load)| (*name, *load));
-        let (Some((to, fewest)), Some((from, most))) = (least_loaded, most_loaded) else { break };
-        let within_bounds = fewest >= lowest && most <= highest;
-        if within_bounds || most < fewest + 2 {
+        let (Some((to, to_load)), Some((from, from_load))) = (least_loaded, most_loaded) else { break };
+        let within_bounds = to_load >= min_load && from_load <= max_load;
+        if within_bounds || from_load < to_load + 2 {
             break;
         }
         // Of the parts of the most loaded, the one that ranks the other highest: it would stay there.
@@ -170,8 +171,8 @@
         let allowed = movable.iter().enumerate().filter(|(_, part)| !excluded(**part, to));
         let Some((index, _)) = allowed.max_by_key(|(_, part)| rank(task, **part, to)) else { break };
         let part = movable.swap_remove(index);
-        loads.insert(from, most - 1);
-        loads.insert(to, fewest + 1);
+        loads.insert(from, from_load - 1);
+        loads.insert(to, to_load + 1);
         moves.push(PartMove { part, from: from.to_string(), to: to.to_string() });
     }
     moves
--- a/crates/leases/src/drain/slots.rs
+++ b/crates/leases/src/drain/slots.rs
@@ -9,7 +9,7 @@
 /// Fraction of a slot's duration within which its server must start to drain.
 const START_FRACTION: f64 = 0.2;
 /// A server that was silent for so many report timeouts or slots is gone for good, or comes back as a new one.
-const FORGET_FACTOR: f64 = 20.0;
+const SILENT_REMOVAL_FACTOR: f64 = 20.0;
 
 /// A slot and the server that it is for.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,15 +39,15 @@
     epoch: Epoch,
     rules: DrainRules,
     /// Slots of the former holder have ended from then on.
-    opens_at: f64,
+    assignments_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
 
 impl DrainSlots {
     /// A holder that starts at `now` (s) under this epoch.
     pub fn new(epoch: Epoch, rules: DrainRules, now: f64) -> DrainSlots {
-        let opens_at = now + rules.slot_duration * (1.0 + rules.max_clock_drift);
-        DrainSlots { epoch, rules, opens_at, servers: BTreeMap::new() }
+        let assignments_start_at = now + rules.slot_duration * (1.0 + rules.max_clock_drift);
+        DrainSlots { epoch, rules, assignments_start_at, servers: BTreeMap::new() }
     }
 
     /// Records a report; one that is older than the last is ignored.
@@ -87,20 +87,20 @@
 
     /// Assigns slots to the servers that have waited longest, as far as the rules allow.
     pub fn assign(&mut self, now: f64) -> Vec<ServerSlot> {
-        self.forget_silent(now);
-        if now < self.opens_at {
+        self.remove_silent(now);
+        if now < self.assignments_start_at {
             return Vec::new();
         }
         let mut slots = Vec::new();
         for server in self.waiting_servers(now) {
-            slots.extend(self.assign_one(now, server));
+            slots.extend(self.assign_slot(now, server));
         }
         slots
     }
 
-    fn forget_silent(&mut self, now: f64) {
-        let forget_after = FORGET_FACTOR * self.rules.report_timeout.max(self.rules.slot_duration);
-        self.servers.retain(|_, server| now - server.last_report <= forget_after);
+    fn remove_silent(&mut self, now: f64) {
+        let remove_after = SILENT_REMOVAL_FACTOR * self.rules.report_timeout.max(self.rules.slot_duration);
+        self.servers.retain(|_, server| now - server.last_report <= remove_after);
     }
 
     /// The servers that wait, those that have waited longest first.
@@ -116,7 +116,7 @@
     }
 
     /// A slot for one server, if the fleet and its zone allow one more.
-    fn assign_one(&mut self, now: f64, name: String) -> Option<ServerSlot> {
+    fn assign_slot(&mut self, now: f64, name: String) -> Option<ServerSlot> {
         let zone = &self.servers.get(&name)?.zone;
         if self.unavailable_count(now, None) >= self.rules.max_unavailable
             || self.unavailable_count(now, Some(zone)) >= self.zone_limit(zone)
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -52,9 +52,9 @@
     /// Ended here; reported until the lease store no longer lists them.
     released: Vec<LeaseId>,
     /// Dropped in the middle of a step: not released before the step has ended, since an effect may be on its way.
-    lingering: BTreeSet<LeaseId>,
-    last_request: Option<f64>,
-    urgent: bool,
+    dropped_mid_step: BTreeSet<LeaseId>,
+    last_request_at: Option<f64>,
+    renewal_due: bool,
     rejection: Option<Rejection>,
 }
 
@@ -73,9 +73,9 @@
             acknowledged: Acknowledged::default(),
             held: BTreeMap::new(),
             released: Vec::new(),
-            lingering: BTreeSet::new(),
-            last_request: None,
-            urgent: true,
+            dropped_mid_step: BTreeSet::new(),
+            last_request_at: None,
+            renewal_due: true,
             rejection: None,
         }
     }
@@ -102,24 +102,24 @@
 
     /// The instance shuts down: all leases are to be released.
     pub fn start_draining(&mut self) {
-        self.urgent |= !self.draining;
+        self.renewal_due |= !self.draining;
         self.draining = true;
     }
 
     /// The next request is due at once: a replica that may have received none is connected.
     pub fn renew_now(&mut self) {
-        self.urgent = true;
+        self.renewal_due = true;
     }
 
     /// Whether any lease was released without the lease store having confirmed it.
     pub fn has_pending_releases(&self) -> bool {
-        !self.released.is_empty() || !self.lingering.is_empty()
+        !self.released.is_empty() || !self.dropped_mid_step.is_empty()
     }
 
     /// When the next request is due (s); at once after something to report.
     pub fn next_renewal(&self) -> f64 {
-        match self.last_request {
-            Some(last_request) if !self.urgent => last_request + RENEWAL_FRACTION * self.term,
+        match self.last_request_at {
+            Some(last_request_at) if !self.renewal_due => last_request_at + RENEWAL_FRACTION * self.term,
             _ => f64::MIN,
         }
     }
@@ -130,8 +130,8 @@
         if now < self.next_renewal() || self.rejection == Some(Rejection::Superseded) {
             return None;
         }
-        self.last_request = Some(now);
-        self.urgent = false;
+        self.last_request_at = Some(now);
+        self.renewal_due = false;
         let serial = self.requests.record(now);
         Some(LeaseRequest {
             holder: self.id.clone(),
@@ -184,15 +184,15 @@
         // Without the list it is complete only if nothing changed since the version that came along.
         let complete = response.leases.is_some() || response.version == self.acknowledged.version;
         if !complete {
-            self.urgent = true;
+            self.renewal_due = true;
             return actions;
         }
-        let valid_before = self.valid_until;
+        let previous_valid_until = self.valid_until;
         self.extend_validity(response);
         self.acknowledge_progress(response.serial);
         self.acknowledged = received;
         if let Some(leases) = &response.leases {
-            actions.extend(self.apply_list(now, valid_before, leases));
+            actions.extend(self.apply_lease_list(now, previous_valid_until, leases));
         }
         actions
     }
@@ -217,34 +217,39 @@
     }
 
     /// Takes the lease store's list: what is missing there has ended, what is new starts. Revoked leases are valid until
-    /// `valid_before`, the end of validity before this response.
-    fn apply_list(&mut self, now: f64, valid_before: f64, leases: &[Lease]) -> Vec<HolderAction> {
+    /// `previous_valid_until`, the end of validity before this response.
+    fn apply_lease_list(
+        &mut self,
+        now: f64,
+        previous_valid_until: f64,
+        leases: &[Lease],
+    ) -> Vec<HolderAction> {
         let mut actions = Vec::new();
         let listed: BTreeMap<&Task, &Lease> = leases.iter().map(|lease| (&lease.task, lease)).collect();
         let is_listed =
             |task: &Task, epoch: Epoch| listed.get(task).is_some_and(|lease| lease.epoch == epoch);
-        let missing = self.held.iter().filter(|(task, held)| !is_listed(task, held.epoch));
-        let missing: Vec<Task> = missing.map(|(task, _)| task.clone()).collect();
-        for task in missing {
+        let unlisted = self.held.iter().filter(|(task, held)| !is_listed(task, held.epoch));
+        let unlisted: Vec<Task> = unlisted.map(|(task, _)| task.clone()).collect();
+        for task in unlisted {
             actions.extend(self.drop_lease(&task, EndReason::NotListed));
         }
         self.released.retain(|lease| is_listed(&lease.task, lease.epoch));
         for lease in listed.into_values() {
-            actions.extend(self.apply_lease(now, valid_before, lease));
+            actions.extend(self.apply_lease(now, previous_valid_until, lease));
         }
         actions
     }
 
-    fn apply_lease(&mut self, now: f64, valid_before: f64, lease: &Lease) -> Option<HolderAction> {
+    fn apply_lease(&mut self, now: f64, previous_valid_until: f64, lease: &Lease) -> Option<HolderAction> {
         let id = LeaseId::new(lease.task.clone(), lease.epoch);
-        if self.lingering.contains(&id) {
+        if self.dropped_mid_step.contains(&id) {
             return None;
         }
         if let Some(held) = self.held.get_mut(&lease.task) {
             if !lease.revoked || held.revoked_until.is_some() {
                 return None;
             }
-            held.revoked_until = Some(valid_before);
+            held.revoked_until = Some(previous_valid_until);
             return Some(HolderAction::Release(id.task, id.epoch));
         }
         let released = self.released.contains(&id);
@@ -252,7 +257,7 @@
             // Known to be over, or never started: released with the next request.
             if !released {
                 self.released.push(id);
-                self.urgent = true;
+                self.renewal_due = true;
             }
             return None;
         }
@@ -262,25 +267,25 @@
 
     /// Drops the leases that have expired at `now`.
     pub fn expire(&mut self, now: f64) -> Vec<HolderAction> {
-        let expired = self.held.iter().filter(|(_, lease)| now >= self.end_of(lease));
+        let expired = self.held.iter().filter(|(_, lease)| now >= self.lease_end(lease));
         let expired: Vec<Task> = expired.map(|(task, _)| task.clone()).collect();
         expired.iter().filter_map(|task| self.drop_lease(task, EndReason::TermExpired)).collect()
     }
 
     /// Until when a lease may be relied on.
-    fn end_of(&self, lease: &HeldLease) -> f64 {
+    fn lease_end(&self, lease: &HeldLease) -> f64 {
         lease.revoked_until.map_or(self.valid_until, |revoked_until| revoked_until.min(self.valid_until))
     }
 
     /// How far a lease may be relied on at `now`.
     pub fn stage(&self, now: f64, task: &Task) -> LeaseStage {
         let Some(lease) = self.held.get(task) else { return LeaseStage::Ended };
-        let left = self.end_of(lease) - now;
-        if left <= 0.0 {
+        let remaining = self.lease_end(lease) - now;
+        if remaining <= 0.0 {
             LeaseStage::Ended
         } else if lease.revoked_until.is_some() || self.draining {
             LeaseStage::Releasing
-        } else if left < EXPIRY_MARGIN_FRACTION * self.term {
+        } else if remaining < EXPIRY_MARGIN_FRACTION * self.term {
             LeaseStage::Expiring
         } else {
             LeaseStage::Active
@@ -292,8 +297,8 @@
         if self.stage(now, task) != LeaseStage::Active {
             return None;
         }
-        let lease = self.held.get_mut(task).filter(|lease| !lease.busy)?;
-        lease.busy = true;
+        let lease = self.held.get_mut(task).filter(|lease| !lease.step_running)?;
+        lease.step_running = true;
         Some(StepPermit { epoch: lease.epoch, valid_until: self.valid_until })
     }
 
@@ -311,9 +316,9 @@
         let id = LeaseId::new(task.clone(), epoch);
         if let Some(lease) = self.held.get_mut(task).filter(|lease| lease.epoch == epoch) {
             lease.finish_step(progress, has_work);
-        } else if self.lingering.remove(&id) {
+        } else if self.dropped_mid_step.remove(&id) {
             self.released.push(id);
-            self.urgent = true;
+            self.renewal_due = true;
         }
         actions
     }
@@ -321,7 +326,7 @@
     /// The host has stopped a task as asked: no effect of it is on its way. The lease is released with the next request,
     /// which is due at once.
     pub fn release(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
-        self.held.get(task).filter(|lease| lease.epoch == epoch && !lease.busy)?;
+        self.held.get(task).filter(|lease| lease.epoch == epoch && !lease.step_running)?;
         self.drop_lease(task, EndReason::Released)
     }
 
@@ -334,12 +339,12 @@
     fn drop_lease(&mut self, task: &Task, reason: EndReason) -> Option<HolderAction> {
         let lease = self.held.remove(task)?;
         let id = LeaseId::new(task.clone(), lease.epoch);
-        if lease.busy {
-            self.lingering.insert(id);
+        if lease.step_running {
+            self.dropped_mid_step.insert(id);
         } else if reason != EndReason::NotListed {
             // Should the lease store still list it later, it is not started again under the old epoch.
             self.released.push(id);
-            self.urgent = true;
+            self.renewal_due = true;
         }
         Some(HolderAction::Stop(task.clone(), lease.epoch, reason))
     }
--- a/crates/leases/src/holder/held_lease.rs
+++ b/crates/leases/src/holder/held_lease.rs
@@ -9,7 +9,7 @@
     /// Revoked: valid until then at the latest, whatever later responses allow.
     pub(super) revoked_until: Option<f64>,
     /// A step is running.
-    pub(super) busy: bool,
+    pub(super) step_running: bool,
     pub(super) steps_done: u64,
     pub(super) has_work: bool,
     progress_report: ProgressReport,
@@ -31,7 +31,7 @@
         HeldLease {
             epoch,
             revoked_until: None,
-            busy: false,
+            step_running: false,
             steps_done: 0,
             has_work: false,
             progress_report: ProgressReport::Acknowledged,
@@ -40,7 +40,7 @@
 
     /// A step is over; `progress` says whether it got anything done.
     pub(super) fn finish_step(&mut self, progress: bool, has_work: bool) {
-        self.busy = false;
+        self.step_running = false;
         self.steps_done += u64::from(progress);
         if progress || has_work != self.has_work {
             self.progress_report = ProgressReport::Due;
--- a/crates/leases/src/quota/allocator.rs
+++ b/crates/leases/src/quota/allocator.rs
@@ -62,16 +62,16 @@
     settings: AllocatorSettings,
     equal_share: f64,
     /// What the former holder allocated has expired from then on.
-    opens_at: f64,
+    allocations_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
 
 impl QuotaAllocator {
     /// A holder that starts at `now` (s) under this epoch.
     pub fn new(epoch: Epoch, settings: AllocatorSettings, now: f64) -> QuotaAllocator {
-        let opens_at = now + settings.validity * (1.0 + settings.max_clock_drift);
+        let allocations_start_at = now + settings.validity * (1.0 + settings.max_clock_drift);
         let equal_share = settings.quota / settings.server_count.max(1) as f64;
-        QuotaAllocator { epoch, settings, equal_share, opens_at, servers: BTreeMap::new() }
+        QuotaAllocator { epoch, settings, equal_share, allocations_start_at, servers: BTreeMap::new() }
     }
 
     /// Records a report; one that is older than the last is ignored.
@@ -106,8 +106,8 @@
     fn max_rate(&self, now: f64, server: &ServerState) -> f64 {
         let valid = server.outstanding.iter().filter(|outstanding| outstanding.expires_at > now);
         let highest = valid.clone().map(|outstanding| outstanding.rate).fold(0.0, f64::max);
-        let applies_one = valid.clone().any(|outstanding| outstanding.number == server.current);
-        if applies_one {
+        let applies_allocation = valid.clone().any(|outstanding| outstanding.number == server.current);
+        if applies_allocation {
             highest
         } else {
             highest.max(self.equal_share)
@@ -119,13 +119,13 @@
         for server in self.servers.values_mut() {
             server.outstanding.retain(|outstanding| outstanding.expires_at > now);
         }
-        if now < self.opens_at {
+        if now < self.allocations_start_at {
             return Vec::new();
         }
         let wanted = self.wanted_rates(now);
         let mut allocations = Vec::new();
         for server in self.reporting_servers(now, &wanted) {
-            allocations.extend(self.allocate_one(now, server, &wanted));
+            allocations.extend(self.allocate_rate(now, server, &wanted));
         }
         allocations
     }
@@ -141,7 +141,7 @@
     }
 
     /// One server's allocation: never more than what all others may apply leaves.
-    fn allocate_one(
+    fn allocate_rate(
         &mut self,
         now: f64,
         name: String,
@@ -172,10 +172,10 @@
         let quota = (self.settings.quota - reserved).max(0.0);
         let sum: f64 = self.servers.values().filter(active).map(|server| HEADROOM * server.demand).sum();
         let scale = if sum > quota { quota / sum } else { 1.0 };
-        let left = (quota - sum * scale).max(0.0) / count.max(1) as f64;
+        let spare_rate = (quota - sum * scale).max(0.0) / count.max(1) as f64;
         let wanted = |server: &ServerState| {
             if active(&server) {
-                HEADROOM * server.demand * scale + left
+                HEADROOM * server.demand * scale + spare_rate
             } else {
                 self.equal_share
             }
--- a/crates/leases/src/random.rs
+++ b/crates/leases/src/random.rs
@@ -10,19 +10,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeededRandom {
     seed: u64,
-    drawn: u64,
+    draw_count: u64,
 }
 
 impl SeededRandom {
     /// The sequence of this seed, from its start.
     pub fn new(seed: u64) -> SeededRandom {
-        SeededRandom { seed, drawn: 0 }
+        SeededRandom { seed, draw_count: 0 }
     }
 
     /// The next number, uniform over all values.
     pub fn next_u64(&mut self) -> u64 {
-        self.drawn += 1;
-        xxh3_64_with_seed(&self.drawn.to_le_bytes(), self.seed)
+        self.draw_count += 1;
+        xxh3_64_with_seed(&self.draw_count.to_le_bytes(), self.seed)
     }
 
     /// The next number, uniform in [0, 1).
--- a/crates/leases/src/replica_selector.rs
+++ b/crates/leases/src/replica_selector.rs
@@ -99,7 +99,7 @@
     /// The replica does not lead; `leader` may, if it is named. Its address comes along if it joined later.
     pub fn follow_redirect(&mut self, now: f64, leader: Option<(u64, Option<A>)>) {
         self.connected = false;
-        let leader = leader.and_then(|(number, address)| self.learn(number, address));
+        let leader = leader.and_then(|(number, address)| self.add_leader(number, address));
         match leader {
             Some(number) if self.redirects < MAX_REDIRECTS => {
                 self.current = number;
@@ -110,7 +110,7 @@
     }
 
     /// Learns a replica's address; returns its number if it can be connected to in place of the current one.
-    fn learn(&mut self, number: u64, address: Option<A>) -> Option<u64> {
+    fn add_leader(&mut self, number: u64, address: Option<A>) -> Option<u64> {
         if let Some(address) = address.filter(|_| self.replicas.len() < MAX_REPLICAS) {
             // The configured address takes precedence: this instance may reach a replica another way than others do.
             self.replicas.entry(number).or_insert(address);
--- a/crates/leases/src/table/limits.rs
+++ b/crates/leases/src/table/limits.rs
@@ -15,4 +15,4 @@
 /// Time for which loads that were found balanced are not checked again, unless an instance joined or left, s.
 pub(super) const BALANCE_CHECK_INTERVAL: f64 = 1.0;
 /// Shortest time for which an instance without a session is remembered, s.
-pub(super) const MIN_HISTORY: f64 = 600.0;
+pub(super) const MIN_HISTORY_RETENTION: f64 = 600.0;
--- a/crates/leases/src/table/placement.rs
+++ b/crates/leases/src/table/placement.rs
@@ -44,13 +44,13 @@
     }
 
     /// Whether so many instances fell silent of late that it is rather the lease store that can't be reached.
-    fn is_panicking(&self) -> bool {
+    fn most_instances_lost(&self) -> bool {
         let connected: BTreeSet<&str> = self.sessions.keys().map(|holder| holder.instance.as_str()).collect();
-        let lost_lately = |history: &InstanceHistory| {
-            history.lost_at.is_some_and(|at| self.now - at < self.rules.panic_window)
+        let expired_recently = |history: &InstanceHistory| {
+            history.session_expired_at.is_some_and(|at| self.now - at < self.rules.panic_window)
         };
-        let silent = self.instances.iter().filter(|(name, _)| !connected.contains(name.as_str()));
-        silent.filter(|(_, history)| lost_lately(history)).count() > connected.len()
+        let without_session = self.instances.iter().filter(|(name, _)| !connected.contains(name.as_str()));
+        without_session.filter(|(_, history)| expired_recently(history)).count() > connected.len()
     }
 
     /// The instances that may be assigned parts of a task, with what they hold. An instance counts once, in its latest
@@ -79,7 +79,7 @@
 
     /// Assigns what is vacant.
     pub(super) fn assign_vacant_parts(&mut self, outcome: &mut Outcome) {
-        if self.is_panicking() {
+        if self.most_instances_lost() {
             // Checked again with the next entry: the rule ends with its window, whatever happens.
             return;
         }
@@ -135,10 +135,10 @@
 
     /// Moves parts to instances that have too few, a few at a time and only while no instance joins or leaves.
     fn rebalance(&mut self, outcome: &mut Outcome) {
-        let checked_lately = self.balanced_at > self.membership_changed_at
+        let checked_recently = self.balanced_at > self.membership_changed_at
             && self.now - self.balanced_at < BALANCE_CHECK_INTERVAL;
         let settled = self.now - self.membership_changed_at >= self.rules.settle_time;
-        if checked_lately || !settled || self.is_panicking() {
+        if checked_recently || !settled || self.most_instances_lost() {
             return;
         }
         let mut moved = false;
--- a/crates/leases/src/table/sessions.rs
+++ b/crates/leases/src/table/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions: how requests renew them and how they expire.
 
-use super::limits::{MAX_INCARNATIONS, MIN_HISTORY};
+use super::limits::{MAX_INCARNATIONS, MIN_HISTORY_RETENTION};
 use super::state::Session;
 use super::{Cause, LeaseRequest, LeaseResponse, LeaseTable, Outcome, Progress, Rejection, MAX_INSTANCES};
 use crate::{HolderId, Task};
@@ -59,7 +59,7 @@
             return Err(Rejection::Superseded);
         }
         history.incarnation = holder.incarnation;
-        history.last_heard = self.now;
+        history.last_request_at = self.now;
         Ok(())
     }
 
@@ -137,7 +137,7 @@
         self.expire_sessions(outcome);
         self.expire_revoked(outcome);
         self.remove_undeclared_parts();
-        self.forget_instances();
+        self.remove_old_instances();
     }
 
     fn expire_sessions(&mut self, outcome: &mut Outcome) {
@@ -162,7 +162,7 @@
             return;
         }
         let Some(history) = self.instances.get_mut(&holder.instance) else { return };
-        history.lost_at = Some(self.now);
+        history.session_expired_at = Some(self.now);
         if !store_unreachable {
             history.record_flap(self.now, &self.rules);
         }
@@ -170,19 +170,20 @@
 
     fn expire_revoked(&mut self, outcome: &mut Outcome) {
         let until = |task: &Task| self.lease(task)?.revoked_until;
-        let is_over = |task: &&Task| until(task).is_none_or(|until| until <= self.now);
-        let expired: Vec<Task> = self.revoked.iter().filter(is_over).cloned().collect();
+        let has_expired = |task: &&Task| until(task).is_none_or(|until| until <= self.now);
+        let expired: Vec<Task> = self.revoked.iter().filter(has_expired).cloned().collect();
         for task in expired {
             self.end(&task, Cause::ReleaseTimeout, outcome);
         }
     }
 
     /// Forgets instances that were silent for long enough to matter to no rule.
-    fn forget_instances(&mut self) {
+    fn remove_old_instances(&mut self) {
         let now = self.now;
-        let keep = self.rules.flap_window.max(self.rules.flap_penalty).max(MIN_HISTORY);
+        let retention = self.rules.flap_window.max(self.rules.flap_penalty).max(MIN_HISTORY_RETENTION);
         let connected: BTreeSet<&str> = self.sessions.keys().map(|holder| holder.instance.as_str()).collect();
-        self.instances
-            .retain(|name, history| now - history.last_heard <= keep || connected.contains(name.as_str()));
+        self.instances.retain(|name, history| {
+            now - history.last_request_at <= retention || connected.contains(name.as_str())
+        });
     }
 }
--- a/crates/leases/src/table/state.rs
+++ b/crates/leases/src/table/state.rs
@@ -105,12 +105,12 @@
     /// The latest that has spoken.
     pub(super) incarnation: u64,
     /// When its last session expired.
-    pub(super) lost_at: Option<f64>,
+    pub(super) session_expired_at: Option<f64>,
     /// When those sessions expired that count as flapping.
     pub(super) flaps: VecDeque<f64>,
     /// It is assigned nothing before then.
     pub(super) excluded_until: f64,
-    pub(super) last_heard: f64,
+    pub(super) last_request_at: f64,
 }
 
 impl InstanceHistory {
