--- a/crates/leases/src/assignment.rs
+++ b/crates/leases/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Which instance is assigned which part: rendezvous hashing with bounded loads. Each part ranks all instances by a hash
-//! of both names and takes the first that has capacity; an instance that joins or leaves changes the rank of no other, so
-//! that few parts move.
+//! Assignment of parts to instances by rendezvous hashing with bounded loads. Each part ranks all instances by a hash of
+//! both names and goes to the first with capacity. An instance that joins or leaves does not change the ranking of the
+//! others, so that few parts move.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 #[cfg(test)]
 mod tests;
 
-/// How far above the mean an instance may be loaded.
+/// Highest load of an instance, as a multiple of the mean.
 pub const MAX_LOAD_FACTOR: f64 = 1.25;
-/// Below this fraction of the mean parts are moved to an instance.
+/// Fraction of the mean load below which parts are moved to an instance.
 pub const MIN_LOAD_FACTOR: f64 = 0.75;
 
-/// An instance that may be assigned parts of one task.
+/// An instance that may be assigned parts of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The instance's name.
@@ -47,7 +47,7 @@
     pub to: String,
 }
 
-/// The score of an instance in a part's ranking; the highest comes first.
+/// Returns the score of an instance in a part's ranking; the highest score ranks first.
 pub fn rank(task: &str, part: u32, instance: &str) -> u64 {
     let mut key = Vec::with_capacity(task.len() + instance.len() + 6);
     key.extend_from_slice(task.as_bytes());
@@ -57,27 +57,27 @@
     xxh3_64(&key)
 }
 
-/// Which of the `parts` parts of a task something named belongs to: the same for everyone who asks.
-pub fn part_for_key(task: &str, name: &str, parts: u32) -> u32 {
-    (rank(task, 0, name) % u64::from(parts.max(1))) as u32
+/// Returns the part of a task with `parts` parts that a key belongs to, the same on every process.
+pub fn part_for_key(task: &str, key: &str, parts: u32) -> u32 {
+    (rank(task, 0, key) % u64::from(parts.max(1))) as u32
 }
 
-/// The most of `parts` parts that one of `instances` instances may hold.
+/// Returns how many of `parts` parts one of `instances` instances may hold at most.
 pub fn max_parts(parts: usize, instances: usize) -> usize {
     let mean = parts as f64 / instances.max(1) as f64;
     (MAX_LOAD_FACTOR * mean).floor().max(mean.ceil()) as usize
 }
 
-/// The fewest of `parts` parts that an instance may hold before some are moved to it: none is idle while another has
-/// two.
+/// Returns the number of parts below which more are moved to an instance, given `parts` parts and `instances` instances.
+/// It is at least 1 if there are enough parts for all instances.
 pub fn min_parts(parts: usize, instances: usize) -> usize {
     let mean = parts as f64 / instances.max(1) as f64;
     ((MIN_LOAD_FACTOR * mean).floor() as usize).max(usize::from(mean >= 1.0))
 }
 
-/// Assigns `vacant` parts of a task of `part_count` parts and counts them at the candidates. `excluded` says which
-/// instance a part must not go to; a preferred `zone` is used as long as an instance in it has capacity. A part that no
-/// instance may have is left out.
+/// Assigns the `vacant` parts of a task of `part_count` parts and adds them to the loads of the candidates. `excluded`
+/// returns whether a part must not go to an instance. Instances in the preferred `zone` come first while they have
+/// capacity. A part that no candidate may hold stays vacant.
 pub fn assign_vacant(
     task: &str,
     zone: Option<&str>,
@@ -98,8 +98,8 @@
     assignments
 }
 
-/// The candidate for one part: the best with capacity in the zone, else the best with capacity, else the least loaded,
-/// since one that is too full is better than none.
+/// Returns the index of the candidate for one part: the highest ranked with capacity in the zone, else the highest
+/// ranked with capacity, else the least loaded.
 fn choose(
     task: &str,
     zone: Option<&str>,
@@ -120,7 +120,7 @@
         })
 }
 
-/// The highest ranked of the `eligible` candidates.
+/// Returns the index of the highest ranked of the `eligible` candidates.
 fn best(
     task: &str,
     part: u32,
@@ -131,7 +131,7 @@
     let eligible_candidates = candidates.iter().enumerate().filter(|(_, candidate)| eligible(candidate));
     let rank_of = |candidate: &Candidate| rank(task, part, &candidate.instance);
     let best = if part_count == 1 {
-        // A task of one part has no mean to be bounded by: those that hold least of all tasks come first.
+        // The mean load of a task with one part bounds nothing: prefer instances with the fewest parts of all tasks.
         eligible_candidates.max_by_key(|(_, candidate)| (Reverse(candidate.total_parts), rank_of(candidate)))
     } else {
         eligible_candidates.max_by_key(|(_, candidate)| rank_of(candidate))
@@ -139,8 +139,8 @@
     best.map(|(index, _)| index)
 }
 
-/// Which parts of a task of `part_count` parts to move so that no instance has too few or too many, at most `limit` of
-/// them. `holders` names the holder of each part; only candidates are considered.
+/// Returns at most `limit` moves that bring the loads of a task of `part_count` parts within bounds. `holders` contains
+/// the holder of each part; parts are only moved between candidates.
 pub fn rebalance(
     task: &str,
     holders: &BTreeMap<u32, String>,
@@ -166,7 +166,7 @@
         if within_bounds || from_load < to_load + 2 {
             break;
         }
-        // Of the parts of the most loaded, the one that ranks the other highest: it would stay there.
+        // Move the part that ranks its new holder highest, so that it stays there.
         let Some(movable) = parts.get_mut(from) else { break };
         let allowed = movable.iter().enumerate().filter(|(_, part)| !excluded(**part, to));
         let Some((index, _)) = allowed.max_by_key(|(_, part)| rank(task, **part, to)) else { break };
--- a/crates/leases/src/coordination.rs
+++ b/crates/leases/src/coordination.rs
@@ -1,9 +1,8 @@
-//! How servers' reports are answered: a worker that holds parts of the `quota` task allocates tenants' quotas, one that
-//! holds the drain task assigns drain slots; a server has its [`QuotaClient`] for both. Neither side does I/O or reads a
-//! clock.
+//! Reports of servers and the replies of workers. A worker that holds a part of the quota task allocates tenants' quotas,
+//! and the holder of the drain task assigns drain slots; a server uses a [`QuotaClient`] for both.
 //!
-//! A server sends the same report to all workers, and the holders of what is asked for answer. So nobody has to know who
-//! holds what, and a new holder is heard as soon as it speaks.
+//! A server sends its report to all workers, and those that hold the leases reply. So a server need not know the holders,
+//! and a new holder can reply at once.
 
 mod client;
 mod coordinator;
@@ -19,5 +18,5 @@
 pub const QUOTA_TASK: &str = "quota";
 /// Name of the task that assigns drain slots.
 pub const DRAIN_TASK: &str = "turns";
-/// Tenants that one report may name.
+/// Most tenants in one report.
 pub const MAX_TENANTS: usize = 10_000;
--- a/crates/leases/src/coordination/client.rs
+++ b/crates/leases/src/coordination/client.rs
@@ -1,11 +1,11 @@
-//! A server's side: its shares of tenants' quotas and its drain slot.
+//! A server's shares of tenants' quotas and its drain slot.
 
 use super::{CoordinatorReply, ServerReport, TenantDemand};
 use crate::drain::{DrainDecision, DrainState, DrainTiming, DrainingServer};
 use crate::quota::QuotaShare;
 use std::collections::BTreeMap;
 
-/// What a server reports to workers and takes from their replies.
+/// Creates a server's reports to workers and applies their replies.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     server: String,
@@ -18,7 +18,8 @@
 }
 
 impl QuotaClient {
-    /// A server that has just started, with each tenant's quota (requests per second) over `server_count` servers.
+    /// Creates the client of a server that has just started, with each tenant's quota (requests per second) over
+    /// `server_count` servers.
     pub fn new(
         server: &str,
         incarnation: u64,
@@ -38,14 +39,13 @@
         }
     }
 
-    /// The report to be sent at `now` (s); `demand` gives the requests per second that a tenant asked for of late.
+    /// Returns the report to send at `now` (s); `demand` returns a tenant's recent requests per second.
     pub fn next_report(&mut self, now: f64, demand: impl Fn(&str) -> f64) -> ServerReport {
         let mut demands = Vec::new();
         for (tenant, share) in &mut self.shares {
             let current = share.next_report(now).current;
             demands.push(TenantDemand { tenant: tenant.clone(), demand: demand(tenant), current });
         }
-        // All report numbers of one incarnation rise together.
         self.report_number += 1;
         let drain_state =
             self.draining.as_mut().map_or(DrainState::Serving, |draining| draining.next_report(now).state);
@@ -59,42 +59,42 @@
         }
     }
 
-    /// Takes a reply; what is for another incarnation, old or unknown changes nothing. Returns whether anything was
-    /// taken.
+    /// Applies a reply, except what is outdated, for another incarnation or for an unknown tenant. Returns whether
+    /// anything was applied.
     pub fn handle_reply(&mut self, now: f64, reply: &CoordinatorReply) -> bool {
         if reply.server != self.server || reply.incarnation != self.incarnation {
             return false;
         }
-        let mut taken = false;
+        let mut applied = false;
         for assigned in &reply.allocations {
             let share = self.shares.get_mut(&assigned.tenant);
-            taken |= share.is_some_and(|share| share.accept(now, &assigned.allocation));
+            applied |= share.is_some_and(|share| share.accept(now, &assigned.allocation));
         }
         if let (Some(slot), Some(draining)) = (&reply.drain_slot, &mut self.draining) {
             draining.accept(now, slot);
-            taken = true;
+            applied = true;
         }
-        taken
+        applied
     }
 
-    /// How many requests per second may be served for a tenant now; `None` for a tenant without a quota.
+    /// Returns how many requests per second may be served for a tenant at `now` (s); `None` without a quota.
     pub fn rate(&self, now: f64, tenant: &str) -> Option<f64> {
         Some(self.shares.get(tenant)?.rate(now))
     }
 
-    /// When the allocation of a tenant's quota that is applied expires (s), if one is.
+    /// Returns when the applied allocation of a tenant expires (s), if there is one.
     pub fn valid_until(&self, now: f64, tenant: &str) -> Option<f64> {
         self.shares.get(tenant)?.valid_until(now)
     }
 
-    /// The server was asked to shut down at `now` (s): it asks for its drain slot. A second call changes nothing.
+    /// Requests a drain slot from now on, after a request to shut down at `now` (s). A second call has no effect.
     pub fn start_draining(&mut self, now: f64, timing: DrainTiming) {
         if self.draining.is_none() {
             self.draining = Some(DrainingServer::new(now, timing, self.report_number));
         }
     }
 
-    /// Whether it may drain; `None` unless it was asked to shut down.
+    /// Returns whether the server may drain; `None` unless it was asked to shut down.
     pub fn drain_decision(&mut self, now: f64) -> Option<DrainDecision> {
         self.draining.as_mut().map(|draining| draining.decide(now))
     }
--- a/crates/leases/src/coordination/coordinator.rs
+++ b/crates/leases/src/coordination/coordinator.rs
@@ -1,4 +1,4 @@
-//! A worker's side: it records servers' reports and answers those whose tasks it holds.
+//! A worker's records of servers' reports and its replies under the leases that it holds.
 
 use super::{
     CoordinatorReply, ServerReport, TenantAllocation, TenantDemand, DRAIN_TASK, MAX_TENANTS, QUOTA_TASK,
@@ -11,23 +11,23 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Servers that one coordinator knows at the most.
+/// Most servers that one coordinator tracks.
 const MAX_SERVERS: usize = 10_000;
 
-/// What a coordinator knows of the fleet from its settings.
+/// Settings of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
     /// Each tenant's quota over the whole fleet, requests per second.
     pub tenant_quotas: BTreeMap<String, f64>,
-    /// Servers that the equal share is computed for.
+    /// Number of servers that the equal share is computed for.
     pub server_count: usize,
-    /// Parts of the task `quota`, as the lease store declares it.
+    /// Parts of the quota task, as declared to the lease store.
     pub quota_parts: u32,
-    /// How long an allocation of a quota is valid, s.
+    /// Validity of an allocation, s.
     pub quota_validity: f64,
-    /// Fraction by which clocks may differ in rate.
+    /// Largest difference between clock rates, as a fraction.
     pub max_clock_drift: f64,
-    /// The rules for drain slots.
+    /// Rules for drain slots.
     pub drain_rules: DrainRules,
 }
 
@@ -37,10 +37,10 @@
     /// The server's name is empty, or a name is too long.
     #[error("a name is missing or too long")]
     InvalidName,
-    /// It names more than [`MAX_TENANTS`] tenants.
+    /// The report names more than [`MAX_TENANTS`] tenants.
     #[error("too many tenants")]
     TooManyTenants,
-    /// No more servers are taken in.
+    /// The coordinator tracks the most servers that it can.
     #[error("too many servers")]
     TooManyServers,
     /// A later incarnation of the server has reported.
@@ -48,14 +48,14 @@
     StaleIncarnation,
 }
 
-/// The leases that a worker holds of the two tasks that answer servers.
+/// A worker's state of the quota and drain tasks that it holds leases of.
 #[derive(Clone, Debug)]
 pub struct QuotaCoordinator {
     settings: CoordinatorSettings,
-    /// By part of the task `quota`.
+    /// By part of the quota task.
     quota_leases: BTreeMap<u32, QuotaLease>,
     drain_lease: Option<DrainLease>,
-    /// The incarnation of each server that reported last.
+    /// The latest incarnation of each server.
     incarnations: BTreeMap<String, u64>,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl QuotaCoordinator {
-    /// A coordinator without a lease.
+    /// Creates a coordinator without leases.
     pub fn new(settings: CoordinatorSettings) -> QuotaCoordinator {
         QuotaCoordinator {
             settings,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Which part of the task `quota` a tenant belongs to.
+    /// Returns the part of the quota task that a tenant belongs to.
     pub fn part_for_tenant(&self, tenant: &str) -> u32 {
         part_for_key(QUOTA_TASK, tenant, self.settings.quota_parts)
     }
 
-    /// A lease starts at `now` (s): nothing of an earlier one is known any more.
+    /// Starts a lease at `now` (s), without any state of earlier leases.
     pub fn start_lease(&mut self, now: f64, task: &Task, epoch: Epoch) {
         if task.name == DRAIN_TASK {
             let slots = DrainSlots::new(epoch, self.settings.drain_rules.clone(), now);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Allocators for the tenants of one part.
+    /// Creates the allocators for the tenants of one part.
     fn allocators(&self, now: f64, part: u32, epoch: Epoch) -> BTreeMap<String, QuotaAllocator> {
         let settings = &self.settings;
         let tenants = settings.tenant_quotas.iter().filter(|(name, _)| self.part_for_tenant(name) == part);
@@ -115,7 +115,7 @@
         tenants.map(allocator).collect()
     }
 
-    /// A lease has ended; one under another epoch goes on.
+    /// Ends a lease. One of another epoch is unaffected.
     pub fn end_lease(&mut self, task: &Task, epoch: Epoch) {
         if task.name == DRAIN_TASK && self.drain_lease.as_ref().is_some_and(|lease| lease.epoch == epoch) {
             self.drain_lease = None;
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Records a server's report that arrives at `now` (s).
+    /// Records a server's report that arrived at `now` (s).
     ///
     /// # Errors
-    /// [`ReportError`] says why the report is ignored.
+    /// Returns a [`ReportError`] if the report is ignored.
     pub fn handle_report(&mut self, now: f64, report: &ServerReport) -> Result<(), ReportError> {
         check_size(report)?;
         self.check_incarnation(report)?;
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// One step of a task: the replies that are due at `now` (s). They are to be sent at once.
+    /// Runs one step of a task and returns the replies due at `now` (s), which must be sent at once.
     pub fn plan_replies(&mut self, now: f64, task: &Task) -> Vec<CoordinatorReply> {
         let mut replies = ReplyBatch { incarnations: &self.incarnations, replies: BTreeMap::new() };
         if task.name == DRAIN_TASK {
@@ -178,7 +178,7 @@
         replies.replies.into_values().collect()
     }
 
-    /// What may be in force of a tenant's quota, as far as this holder knows, requests per second. For inspection.
+    /// Returns the highest sum of a tenant's rates that may be in force, requests per second, if the lease is held here.
     pub fn committed_rate(&self, now: f64, tenant: &str) -> Option<f64> {
         let lease = self.quota_leases.get(&self.part_for_tenant(tenant))?;
         Some(lease.allocators.get(tenant)?.committed_rate(now))
@@ -192,7 +192,7 @@
 }
 
 impl ReplyBatch<'_> {
-    /// Adds to a server's reply. A server that never reported here has no incarnation that a reply could be for.
+    /// Changes a server's reply. A server that has not reported here gets none, since its incarnation is unknown.
     fn update(&mut self, server: String, change: impl FnOnce(&mut CoordinatorReply)) {
         if let Some(incarnation) = self.incarnations.get(&server).copied() {
             let empty =
--- a/crates/leases/src/coordination/messages.rs
+++ b/crates/leases/src/coordination/messages.rs
@@ -1,30 +1,30 @@
-//! A server's report and the replies to it.
+//! Reports of servers and the replies of workers.
 
 use crate::drain::{DrainSlot, DrainState};
 use crate::quota::{AllocationId, QuotaAllocation};
 use serde::{Deserialize, Serialize};
 
-/// What a server reports, the same to all workers.
+/// A server's report, sent to all workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The server's name.
     pub server: String,
-    /// Rises with every start.
+    /// The server's incarnation.
     pub incarnation: u64,
     /// The server's zone.
     #[serde(default)]
     pub zone: String,
-    /// Counts the reports of this incarnation.
+    /// The number of the report, from 1 in each incarnation.
     pub number: u64,
-    /// Whether it serves, waits for a drain slot or drains.
+    /// The server's drain state.
     #[serde(rename = "state")]
     pub drain_state: DrainState,
-    /// What each tenant asked of it.
+    /// The demand of each tenant.
     #[serde(default, rename = "asked")]
     pub demands: Vec<TenantDemand>,
 }
 
-/// What one tenant asked of a server.
+/// The demand of one tenant at a server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantDemand {
     /// The tenant's name.
@@ -37,12 +37,12 @@
     pub current: Option<AllocationId>,
 }
 
-/// What a worker replies to one server.
+/// A worker's reply to a server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CoordinatorReply {
     /// The server's name.
     pub server: String,
-    /// The incarnation that reported: another ignores the reply.
+    /// The incarnation that reported; other incarnations ignore the reply.
     pub incarnation: u64,
     /// Allocations of tenants' quotas.
     #[serde(default, rename = "parts")]
@@ -52,13 +52,13 @@
     pub drain_slot: Option<DrainSlot>,
 }
 
-/// An allocation of one tenant's quota. Written as the pair `[tenant, allocation]`.
+/// An allocation of one tenant's quota. Serialized as the pair `[tenant, allocation]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, QuotaAllocation)", into = "(String, QuotaAllocation)")]
 pub struct TenantAllocation {
     /// The tenant's name.
     pub tenant: String,
-    /// The server's portion of the tenant's quota.
+    /// The rate allocated to the server.
     pub allocation: QuotaAllocation,
 }
 
--- a/crates/leases/src/drain.rs
+++ b/crates/leases/src/drain.rs
@@ -1,6 +1,6 @@
-//! Drain slots: during a rollout no more than so many servers, and no more than a fraction of a zone, are unavailable at
-//! once. One lease holder assigns slots; a server waits a bounded time for its own, never so long that its drain would be
-//! cut short, then drains without one. Both sides are here; neither reads a clock.
+//! Drain slots, which bound how many servers of the fleet and of a zone are unavailable at once during a rollout. One
+//! lease holder assigns the slots. A server waits for its slot for a bounded time that leaves enough time to drain before
+//! the process is killed, then drains without a slot.
 
 mod messages;
 mod server;
--- a/crates/leases/src/drain/messages.rs
+++ b/crates/leases/src/drain/messages.rs
@@ -1,24 +1,24 @@
-//! The rules for drain slots, and what a server and their holder exchange.
+//! Rules for drain slots and the messages between servers and the lease holder.
 
 use crate::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// How many servers may be unavailable at once, and for how long.
+/// Limits on how many servers may be unavailable at once, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainRules {
-    /// Servers of the fleet that may be unavailable at once.
+    /// Most servers of the fleet that may be unavailable at once.
     #[serde(rename = "most")]
     pub max_unavailable: usize,
-    /// Fraction of a zone's servers that may be unavailable at once; one of a zone always may.
+    /// Largest fraction of a zone's servers that may be unavailable at once; one server of a zone always may.
     #[serde(rename = "zone_share")]
     pub max_zone_fraction: f64,
-    /// How long a slot lasts, s: drain, restart and warming up.
+    /// Duration of a slot, s, for drain, restart and warm-up.
     #[serde(rename = "span")]
     pub slot_duration: f64,
-    /// Fraction by which the clocks of the holder and of a server may differ in rate.
+    /// Largest difference between the clock rates of the holder and of a server, as a fraction.
     #[serde(rename = "drift")]
     pub max_clock_drift: f64,
-    /// Time without a report after which a server counts as unavailable, with a slot or without, s.
+    /// Time without a report after which a server counts as unavailable, s.
     #[serde(rename = "silent")]
     pub report_timeout: f64,
 }
@@ -35,34 +35,34 @@
     }
 }
 
-/// What a server reports of itself.
+/// The drain state that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainState {
-    /// It serves.
+    /// The server accepts requests.
     #[default]
     #[serde(rename = "Serves")]
     Serving,
-    /// It was asked to shut down and waits for its slot.
+    /// The server was asked to shut down and waits for its slot.
     #[serde(rename = "Waits")]
     Waiting,
-    /// It drains, with a slot or without.
+    /// The server drains, with a slot or without.
     #[serde(rename = "Leaves")]
     Draining,
 }
 
-/// A server's report to the holder of the slots.
+/// A server's report to the lease holder that assigns slots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DrainReport {
     /// The server's name.
     pub server: String,
     /// The server's incarnation.
     pub incarnation: u64,
-    /// Rises with each report of this incarnation.
+    /// The number of the report, which rises within an incarnation.
     #[serde(rename = "report")]
     pub report_number: u64,
     /// The server's zone.
     pub zone: String,
-    /// What it does.
+    /// The server's drain state.
     pub state: DrainState,
 }
 
@@ -71,10 +71,10 @@
 pub struct DrainSlot {
     /// The epoch of the lease under which it was assigned.
     pub epoch: Epoch,
-    /// The report that it answers.
+    /// The number of the report that it answers.
     #[serde(rename = "report")]
     pub report_number: u64,
-    /// Time after the report was sent within which the server must have started to drain, s; later the slot is void.
+    /// Time after the report was sent within which the server must start to drain, s; afterwards the slot is void.
     #[serde(rename = "begin")]
     pub start_within: f64,
 }
--- a/crates/leases/src/drain/server.rs
+++ b/crates/leases/src/drain/server.rs
@@ -1,31 +1,31 @@
-//! A server's side, from the request to shut down on.
+//! The drain of a server, from the request to shut down on.
 
 use super::{DrainSlot, DrainState};
 use crate::sent_times::SentTimes;
 use crate::Epoch;
 
-/// Reports whose send times are kept until they are answered.
+/// Reports whose send times are kept.
 const MAX_PENDING_REPORTS: usize = 32;
 
-/// How a server that was asked to shut down goes on.
+/// Whether a server that was asked to shut down may drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainDecision {
-    /// It waits for its slot.
+    /// The server waits for its slot.
     Wait,
-    /// It drains with a slot that was assigned under this epoch.
+    /// The server drains with a slot that was assigned under this epoch.
     WithSlot(Epoch),
-    /// It drains without a slot: it has waited as long as it may.
+    /// The server drains without a slot, since its wait has timed out.
     WithoutSlot,
 }
 
-/// How long a server may wait for its slot.
+/// Limits on the wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainTiming {
     /// Longest wait for a slot, s.
     pub max_wait: f64,
-    /// When the process will be killed, s by the server's clock.
+    /// Time at which the process will be killed, s by the server's clock.
     pub killed_at: f64,
-    /// How long the drain takes, s: it must end before the kill.
+    /// Duration of the drain, s, which must end before the kill.
     pub drain_duration: f64,
 }
 
@@ -34,21 +34,21 @@
 pub struct StateReport {
     /// The report's number.
     pub number: u64,
-    /// What the server does.
+    /// The server's drain state.
     pub state: DrainState,
 }
 
 /// A server that was asked to shut down.
 #[derive(Clone, Debug)]
 pub struct DrainingServer {
-    /// When it drains at the latest.
+    /// Latest time to start to drain.
     deadline: f64,
     reports: SentTimes,
     decision: DrainDecision,
 }
 
 impl DrainingServer {
-    /// Asked to shut down at `now` (s). `reports` reports have been sent before.
+    /// Creates the state of a server that was asked to shut down at `now` (s), after it sent `reports` reports.
     pub fn new(now: f64, timing: DrainTiming, reports: u64) -> DrainingServer {
         let latest_start = timing.killed_at - timing.drain_duration;
         DrainingServer {
@@ -58,14 +58,14 @@
         }
     }
 
-    /// A report that is sent at `now` (s).
+    /// Returns the report to send at `now` (s).
     pub fn next_report(&mut self, now: f64) -> StateReport {
         let state =
             if self.decision == DrainDecision::Wait { DrainState::Waiting } else { DrainState::Draining };
         StateReport { number: self.reports.record(now), state }
     }
 
-    /// Takes a slot; ignored if it is not for a report of this incarnation, or too late to start.
+    /// Accepts a slot. One that answers no report of this incarnation, or arrives too late, is ignored.
     pub fn accept(&mut self, now: f64, slot: &DrainSlot) {
         let in_time = |sent_at: f64| slot.start_within.is_finite() && now - sent_at < slot.start_within;
         let usable = self.reports.sent_at(slot.report_number).is_some_and(in_time);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// How it goes on; to be asked until it no longer waits.
+    /// Returns the decision at `now` (s). It is final once it is no longer [`DrainDecision::Wait`].
     pub fn decide(&mut self, now: f64) -> DrainDecision {
         if self.decision == DrainDecision::Wait && now >= self.deadline {
             self.decision = DrainDecision::WithoutSlot;
--- a/crates/leases/src/drain/slots.rs
+++ b/crates/leases/src/drain/slots.rs
@@ -1,14 +1,14 @@
-//! The lease holder's side: who may drain now.
+//! Assignment of drain slots by the lease holder.
 
 use super::{DrainReport, DrainRules, DrainSlot, DrainState};
 use crate::Epoch;
 use std::collections::BTreeMap;
 
-/// Servers that one holder knows at the most.
+/// Most servers that one holder tracks.
 const MAX_SERVERS: usize = 10_000;
-/// Fraction of a slot's duration within which its server must start to drain.
+/// Fraction of a slot's duration within which the server must start to drain.
 const START_FRACTION: f64 = 0.2;
-/// A server that was silent for so many report timeouts or slots is gone for good, or comes back as a new one.
+/// Time after which a silent server is removed, in report timeouts or slot durations.
 const SILENT_REMOVAL_FACTOR: f64 = 20.0;
 
 /// A slot and the server that it is for.
@@ -16,7 +16,7 @@
 pub struct ServerSlot {
     /// The server's name.
     pub server: String,
-    /// Its slot.
+    /// The slot.
     pub slot: DrainSlot,
 }
 
@@ -27,9 +27,9 @@
     zone: String,
     state: DrainState,
     last_report: f64,
-    /// Since when it waits for a slot.
+    /// Time since which it waits for a slot.
     waiting_since: Option<f64>,
-    /// When its slot ends, if it has one.
+    /// End of its slot, if it has one.
     slot_until: Option<f64>,
 }
 
@@ -38,19 +38,19 @@
 pub struct DrainSlots {
     epoch: Epoch,
     rules: DrainRules,
-    /// Slots of the former holder have ended from then on.
+    /// Time from which on all slots of the former holder have ended.
     assignments_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
 
 impl DrainSlots {
-    /// A holder that starts at `now` (s) under this epoch.
+    /// Creates the slots of a holder whose lease starts at `now` (s) under this epoch.
     pub fn new(epoch: Epoch, rules: DrainRules, now: f64) -> DrainSlots {
         let assignments_start_at = now + rules.slot_duration * (1.0 + rules.max_clock_drift);
         DrainSlots { epoch, rules, assignments_start_at, servers: BTreeMap::new() }
     }
 
-    /// Records a report; one that is older than the last is ignored.
+    /// Records a report that arrived at `now` (s), unless it is older than the last.
     pub fn record_report(&mut self, now: f64, report: &DrainReport) {
         if !self.servers.contains_key(&report.server) && self.servers.len() >= MAX_SERVERS {
             return;
@@ -60,7 +60,7 @@
             return;
         }
         if report.incarnation > server.incarnation && report.state == DrainState::Serving {
-            // It has restarted and serves again.
+            // The server has restarted and serves again.
             server.slot_until = None;
         }
         server.incarnation = report.incarnation;
@@ -72,20 +72,20 @@
         server.waiting_since = waits.then(|| server.waiting_since.unwrap_or(now));
     }
 
-    /// Whether a server counts as unavailable: it has a slot, drains without one, or is silent.
+    /// Returns whether a server counts as unavailable: it has a slot, drains without one, or is silent.
     fn is_unavailable(&self, now: f64, server: &ServerState) -> bool {
         server.slot_until.is_some_and(|until| now < until)
             || server.state == DrainState::Draining
             || now - server.last_report > self.rules.report_timeout
     }
 
-    /// How many servers are unavailable, in all or in one zone.
+    /// Returns how many servers are unavailable, in the fleet or in one zone.
     pub fn unavailable_count(&self, now: f64, zone: Option<&str>) -> usize {
         let in_zone = |server: &&ServerState| zone.is_none_or(|zone| server.zone == zone);
         self.servers.values().filter(in_zone).filter(|server| self.is_unavailable(now, server)).count()
     }
 
-    /// Assigns slots to the servers that have waited longest, as far as the rules allow.
+    /// Assigns slots within the limits, to the servers that have waited longest first.
     pub fn assign(&mut self, now: f64) -> Vec<ServerSlot> {
         self.remove_silent(now);
         if now < self.assignments_start_at {
@@ -103,7 +103,7 @@
         self.servers.retain(|_, server| now - server.last_report <= remove_after);
     }
 
-    /// The servers that wait, those that have waited longest first.
+    /// Returns the waiting servers, those that have waited longest first.
     fn waiting_servers(&self, now: f64) -> Vec<String> {
         let mut waiting: Vec<(f64, &String)> = Vec::new();
         for (name, server) in &self.servers {
@@ -115,7 +115,7 @@
         waiting.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// A slot for one server, if the fleet and its zone allow one more.
+    /// Assigns a slot to one server, if the limits of the fleet and of its zone allow it.
     fn assign_slot(&mut self, now: f64, name: String) -> Option<ServerSlot> {
         let zone = &self.servers.get(&name)?.zone;
         if self.unavailable_count(now, None) >= self.rules.max_unavailable
@@ -131,7 +131,7 @@
         Some(ServerSlot { server: name, slot })
     }
 
-    /// How many servers of a zone may be unavailable at once.
+    /// Returns how many servers of a zone may be unavailable at once.
     fn zone_limit(&self, zone: &str) -> usize {
         let size = self.servers.values().filter(|server| server.zone == zone).count();
         ((self.rules.max_zone_fraction * size as f64).floor() as usize).max(1)
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,6 +1,5 @@
-//! The check where an effect is stored. A fence keeps the highest epoch that it has seen of each task and the number of
-//! the last effect under it. It belongs into the same store as the effects, and [`Fence::check_and_record`] into the
-//! same transaction as the effect, so that no check outlives the state that it was made on.
+//! Fencing of effects. A fence keeps the highest epoch of each task and the number of the last effect under it. It must
+//! be stored with the effects, and [`Fence::check_and_record`] must be called in the transaction that stores the effect.
 
 use crate::{Epoch, Task};
 use serde::{Deserialize, Serialize};
@@ -9,31 +8,31 @@
 #[cfg(test)]
 mod tests;
 
-/// What a fence has seen of one task.
+/// The highest epoch and last effect of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceRecord {
     /// The highest epoch.
     pub epoch: Epoch,
-    /// The number of the last effect under that epoch: the first has 1; 0 if there was none.
+    /// The number of the last effect under that epoch, from 1; 0 if there was none.
     pub number: u64,
 }
 
-/// What becomes of an effect.
+/// The result of checking an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is to be applied now, together with what [`Fence::check_and_record`] recorded.
+    /// The effect must be applied, together with the record that [`Fence::check_and_record`] changed.
     New,
-    /// It was applied before under this epoch; its holder missed the response.
+    /// The effect was applied before under this epoch; its holder missed the response.
     #[serde(rename = "Repeat")]
     Duplicate,
-    /// A later holder has announced itself or stored an effect.
+    /// A holder with a later epoch has announced itself or stored an effect.
     #[serde(rename = "Late")]
     Stale {
         /// The epoch of that holder.
         #[serde(rename = "seen")]
         latest: Epoch,
     },
-    /// An earlier effect is missing: applied out of order, a holder that dies would leave a hole.
+    /// An earlier effect is missing. Effects are applied in order, so that a crashed holder leaves no gap.
     Gap {
         /// The number that would be accepted.
         expected: u64,
@@ -41,7 +40,7 @@
 }
 
 impl Verdict {
-    /// Whether the effect is applied, now or before, so that its holder may go on.
+    /// Returns whether the effect is applied, now or before, so that its holder may continue.
     pub fn is_applied(self) -> bool {
         matches!(self, Verdict::New | Verdict::Duplicate)
     }
@@ -55,7 +54,7 @@
 }
 
 impl Fence {
-    /// A fence from stored records; of two records of a task the higher counts.
+    /// Creates a fence from stored records; the higher of two records of a task takes effect.
     pub fn from_records(stored: impl IntoIterator<Item = (Task, FenceRecord)>) -> Fence {
         let mut fence = Fence::default();
         for (task, record) in stored {
@@ -67,18 +66,17 @@
         fence
     }
 
-    /// The record of a task; all zero if it was never seen.
+    /// Returns the record of a task; all zero if there is none.
     pub fn record(&self, task: &Task) -> FenceRecord {
         self.records.get(task).copied().unwrap_or_default()
     }
 
-    /// All records, in the order of the tasks.
+    /// Returns all records, ordered by task.
     pub fn records(&self) -> impl Iterator<Item = (&Task, &FenceRecord)> {
         self.records.iter()
     }
 
-    /// Checks an effect without recording it; for inspection only, since another effect may come between a check and
-    /// the effect.
+    /// Checks an effect without recording it. For inspection only: the record may change before the effect is stored.
     pub fn check(&self, task: &Task, epoch: Epoch, number: u64) -> Verdict {
         let record = self.record(task);
         if epoch < record.epoch || epoch == 0 {
@@ -93,8 +91,7 @@
         }
     }
 
-    /// Checks an effect and records it if it is new. The record must become durable together with the effect or not
-    /// at all.
+    /// Checks an effect and records it if it is new. The record and the effect must become durable atomically.
     pub fn check_and_record(&mut self, task: &Task, epoch: Epoch, number: u64) -> Verdict {
         let verdict = self.check(task, epoch, number);
         if verdict == Verdict::New {
@@ -103,18 +100,18 @@
         verdict
     }
 
-    /// Records what is durable already.
+    /// Sets the record of a task, which must be durable already.
     pub fn insert(&mut self, task: &Task, record: FenceRecord) {
         self.records.insert(task.clone(), record);
     }
 
-    /// A fence that knows this one task only, to find out what would become of an effect.
+    /// Returns a copy with the record of one task only, to check effects in advance.
     pub fn restricted_to(&self, task: &Task) -> Fence {
         Fence::from_records([(task.clone(), self.record(task))])
     }
 
-    /// A new holder announces its epoch before its first effect, so that no effect of a former holder is accepted from
-    /// here on. The verdict says whether it may begin.
+    /// Records the epoch of a new holder before its first effect, so that effects of former holders are rejected from
+    /// then on. The holder may start if the verdict is [`Verdict::is_applied`].
     pub fn announce(&mut self, task: &Task, epoch: Epoch) -> Verdict {
         let record = self.record(task);
         if epoch == 0 || epoch < record.epoch {
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,10 +1,9 @@
-//! What an instance knows of its own leases. Its host sends what [`LeaseHolder::next_request`] gives, passes in the
-//! responses, and asks [`LeaseHolder::begin_step`] before every step of a task. Times are seconds by the instance's own
-//! monotonic clock.
+//! The leases of one instance. The host sends the requests of [`LeaseHolder::next_request`], passes in the responses, and
+//! calls [`LeaseHolder::begin_step`] before every step of a task. Times are seconds by the instance's monotonic clock.
 //!
-//! The term counts from when a request was sent: whatever the network did to it, the lease store counts from later. A
-//! process that was stopped finds out at its first check, since every check compares the clock with what the last
-//! answered request allows.
+//! A term counts from when the request was sent, so that it ends here before the lease store considers it expired. Every
+//! check compares the clock with the end of the term, so that a process that was paused does not continue under an expired
+//! lease.
 
 mod action;
 mod held_lease;
@@ -19,14 +18,14 @@
 use held_lease::HeldLease;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fraction of the term after which a request is due; four may fail before a lease expires.
+/// Interval of requests as a fraction of the term; four may fail in a row before a lease expires.
 pub const RENEWAL_FRACTION: f64 = 0.2;
-/// Fraction of the term left below which no new step begins.
+/// Fraction of the term before its end in which no new step begins.
 pub const EXPIRY_MARGIN_FRACTION: f64 = 0.25;
-/// Requests whose send times are kept until they are answered; older responses come too late to matter.
+/// Requests whose send times are kept; responses to older ones are too late to extend a lease.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-/// The latest response that was accepted.
+/// The latest accepted response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Acknowledged {
     /// The serial number of the request that it answered.
@@ -40,18 +39,18 @@
 pub struct LeaseHolder {
     id: HolderId,
     zone: String,
-    /// Names of the tasks that it can run.
+    /// Names of the tasks that the instance can run.
     tasks: BTreeSet<String>,
     draining: bool,
     requests: SentTimes,
-    /// Until when the last answered request allows to rely on leases.
+    /// End of the term that the last answered request allows.
     valid_until: f64,
     term: f64,
     acknowledged: Acknowledged,
     held: BTreeMap<Task, HeldLease>,
-    /// Ended here; reported until the lease store no longer lists them.
+    /// Leases that ended here, reported until the lease store no longer lists them.
     released: Vec<LeaseId>,
-    /// Dropped in the middle of a step: not released before the step has ended, since an effect may be on its way.
+    /// Leases that ended during a step. They are released once the step has ended, since an effect may be in flight.
     dropped_mid_step: BTreeSet<LeaseId>,
     last_request_at: Option<f64>,
     renewal_due: bool,
@@ -59,8 +58,8 @@
 }
 
 impl LeaseHolder {
-    /// A holder without a lease that can run the tasks of these names. `term` (s) is a guess until a response gives it;
-    /// it only paces the first requests.
+    /// Creates a holder without leases that can run the tasks of these names. `term` (s) paces the requests until a
+    /// response contains the term in force.
     pub fn new(id: HolderId, zone: &str, tasks: impl IntoIterator<Item = String>, term: f64) -> LeaseHolder {
         LeaseHolder {
             id,
@@ -80,43 +79,43 @@
         }
     }
 
-    /// The instance and its incarnation.
+    /// Returns the instance and its incarnation.
     pub fn id(&self) -> &HolderId {
         &self.id
     }
 
-    /// Why the lease store rejects this incarnation, if it does.
+    /// Returns why the lease store rejects this incarnation, if it does.
     pub fn rejection(&self) -> Option<Rejection> {
         self.rejection
     }
 
-    /// Whether it releases all its leases to shut down.
+    /// Returns whether the instance releases all its leases to shut down.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// The leases that it holds, by task. Whether one is still valid is for [`LeaseHolder::stage`] to say.
+    /// Returns the held leases, by task. [`LeaseHolder::stage`] returns whether one is still valid.
     pub fn leases(&self) -> impl Iterator<Item = (&Task, Epoch)> {
         self.held.iter().map(|(task, lease)| (task, lease.epoch))
     }
 
-    /// The instance shuts down: all leases are to be released.
+    /// Starts to release all leases, to shut down.
     pub fn start_draining(&mut self) {
         self.renewal_due |= !self.draining;
         self.draining = true;
     }
 
-    /// The next request is due at once: a replica that may have received none is connected.
+    /// Makes the next request due at once, for a newly connected replica.
     pub fn renew_now(&mut self) {
         self.renewal_due = true;
     }
 
-    /// Whether any lease was released without the lease store having confirmed it.
+    /// Returns whether the lease store has yet to confirm the release of a lease.
     pub fn has_pending_releases(&self) -> bool {
         !self.released.is_empty() || !self.dropped_mid_step.is_empty()
     }
 
-    /// When the next request is due (s); at once after something to report.
+    /// Returns when the next request is due (s).
     pub fn next_renewal(&self) -> f64 {
         match self.last_request_at {
             Some(last_request_at) if !self.renewal_due => last_request_at + RENEWAL_FRACTION * self.term,
@@ -124,8 +123,8 @@
         }
     }
 
-    /// The request to send now, if one is due. It is to be sent at once, since the term counts from `now`. Releases and
-    /// progress are repeated until a response shows that they arrived.
+    /// Returns the request to send, if one is due. It must be sent at once, since the term counts from `now` (s). Releases
+    /// and progress are repeated until a response acknowledges them.
     pub fn next_request(&mut self, now: f64) -> Option<LeaseRequest> {
         if now < self.next_renewal() || self.rejection == Some(Rejection::Superseded) {
             return None;
@@ -145,7 +144,7 @@
         })
     }
 
-    /// The progress that goes into the request of this serial number.
+    /// Returns the progress for the request of this serial number.
     fn report_progress(&mut self, serial: u64) -> Vec<Progress> {
         let mut progress = Vec::new();
         for (task, lease) in &mut self.held {
@@ -162,7 +161,7 @@
         progress
     }
 
-    /// Takes a response of the lease store, however late or often it arrives, and returns what the host is to do.
+    /// Handles a response that arrived at `now` (s), possibly late or duplicated, and returns the actions for the host.
     pub fn handle_response(&mut self, now: f64, response: &LeaseResponse) -> Vec<HolderAction> {
         let mut actions = self.expire(now);
         if response.holder != self.id {
@@ -176,12 +175,12 @@
             return actions;
         }
         let received = Acknowledged { serial: response.serial, version: response.version };
-        // A response to a request that was never sent, or older than what is known, says nothing.
+        // Ignore a response to a request that was never sent, or older than the last accepted one.
         if response.serial > self.requests.last_number() || received < self.acknowledged {
             return actions;
         }
         self.rejection = None;
-        // Without the list it is complete only if nothing changed since the version that came along.
+        // A response without the list is usable only if the list has not changed since the acknowledged version.
         let complete = response.leases.is_some() || response.version == self.acknowledged.version;
         if !complete {
             self.renewal_due = true;
@@ -197,7 +196,7 @@
         actions
     }
 
-    /// The term counts from when the answered request was sent.
+    /// Extends the validity by a term from when the answered request was sent.
     fn extend_validity(&mut self, response: &LeaseResponse) {
         let valid_term = response.term.is_finite() && response.term > 0.0;
         if let Some(sent_at) = self.requests.sent_at(response.serial).filter(|_| valid_term) {
@@ -206,7 +205,7 @@
         }
     }
 
-    /// The request of this serial number arrived with all the progress in it.
+    /// Marks the progress in requests up to this serial number as acknowledged.
     fn acknowledge_progress(&mut self, answered: u64) {
         if answered <= self.acknowledged.serial {
             return;
@@ -216,8 +215,8 @@
         }
     }
 
-    /// Takes the lease store's list: what is missing there has ended, what is new starts. Revoked leases are valid until
-    /// `previous_valid_until`, the end of validity before this response.
+    /// Applies the lease store's list: stops leases that are not in it and starts new ones. Newly revoked leases are valid
+    /// until `previous_valid_until`, the end of the term before this response.
     fn apply_lease_list(
         &mut self,
         now: f64,
@@ -254,7 +253,7 @@
         }
         let released = self.released.contains(&id);
         if released || lease.revoked || now >= self.valid_until {
-            // Known to be over, or never started: released with the next request.
+            // The lease has ended here or never started: release it with the next request.
             if !released {
                 self.released.push(id);
                 self.renewal_due = true;
@@ -265,19 +264,19 @@
         Some(HolderAction::Start(id.task, id.epoch))
     }
 
-    /// Drops the leases that have expired at `now`.
+    /// Drops the leases that have expired at `now` (s).
     pub fn expire(&mut self, now: f64) -> Vec<HolderAction> {
         let expired = self.held.iter().filter(|(_, lease)| now >= self.lease_end(lease));
         let expired: Vec<Task> = expired.map(|(task, _)| task.clone()).collect();
         expired.iter().filter_map(|task| self.drop_lease(task, EndReason::TermExpired)).collect()
     }
 
-    /// Until when a lease may be relied on.
+    /// Returns when a lease ends (s).
     fn lease_end(&self, lease: &HeldLease) -> f64 {
         lease.revoked_until.map_or(self.valid_until, |revoked_until| revoked_until.min(self.valid_until))
     }
 
-    /// How far a lease may be relied on at `now`.
+    /// Returns the stage of a task's lease at `now` (s).
     pub fn stage(&self, now: f64, task: &Task) -> LeaseStage {
         let Some(lease) = self.held.get(task) else { return LeaseStage::Ended };
         let remaining = self.lease_end(lease) - now;
@@ -292,7 +291,7 @@
         }
     }
 
-    /// Begins a step, if one may begin now. A step that would last longer than the lease is valid must not begin.
+    /// Begins a step, if one may begin at `now` (s). The host must not begin a step that would outlast the permit.
     pub fn begin_step(&mut self, now: f64, task: &Task) -> Option<StepPermit> {
         if self.stage(now, task) != LeaseStage::Active {
             return None;
@@ -302,8 +301,8 @@
         Some(StepPermit { epoch: lease.epoch, valid_until: self.valid_until })
     }
 
-    /// A step is over; `progress` says whether it got anything done, `has_work` whether there is more. Returns what
-    /// became due meanwhile.
+    /// Ends a step: `progress` tells whether it made progress, `has_work` whether there is more to do. Returns the actions
+    /// due by now.
     pub fn finish_step(
         &mut self,
         now: f64,
@@ -323,14 +322,14 @@
         actions
     }
 
-    /// The host has stopped a task as asked: no effect of it is on its way. The lease is released with the next request,
-    /// which is due at once.
+    /// Releases a lease whose task the host has stopped, with no effect in flight. The next request, which is due at once,
+    /// reports it.
     pub fn release(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
         self.held.get(task).filter(|lease| lease.epoch == epoch && !lease.step_running)?;
         self.drop_lease(task, EndReason::Released)
     }
 
-    /// A fence rejected this epoch: another instance holds the task, whatever is known here.
+    /// Drops a lease whose epoch a fence rejected, since another instance holds the task.
     pub fn handle_fenced(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
         self.held.get(task).filter(|lease| lease.epoch == epoch)?;
         self.drop_lease(task, EndReason::Fenced)
@@ -342,7 +341,7 @@
         if lease.step_running {
             self.dropped_mid_step.insert(id);
         } else if reason != EndReason::NotListed {
-            // Should the lease store still list it later, it is not started again under the old epoch.
+            // Keeps the lease from starting again if the lease store still lists it.
             self.released.push(id);
             self.renewal_due = true;
         }
--- a/crates/leases/src/holder/action.rs
+++ b/crates/leases/src/holder/action.rs
@@ -1,17 +1,17 @@
-//! What a holder tells its host.
+//! Actions, stages and permits that a holder returns to its host.
 
 use crate::{Epoch, Task};
 
-/// How far a lease may be relied on.
+/// Whether a lease is valid and steps may begin under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStage {
-    /// Steps may begin.
+    /// Valid; steps may begin.
     Active,
-    /// The term is nearly over: the running step may end, no new one begins.
+    /// The term is about to end: the running step may finish, no new one may begin.
     Expiring,
-    /// Revoked, or the instance drains: the lease is released as soon as no step is running.
+    /// Revoked, or the instance drains: to be released as soon as no step is running.
     Releasing,
-    /// Not held; an effect that is still on its way is rejected by its fence.
+    /// Not held; once there is a new holder, the fence rejects effects in flight.
     Ended,
 }
 
@@ -20,22 +20,23 @@
 pub enum EndReason {
     /// The term passed without a response, or this process was paused.
     TermExpired,
-    /// Released as asked.
+    /// Released by the host.
     Released,
-    /// The lease store no longer lists it: it expired there.
+    /// Expired in the lease store, which no longer lists it.
     NotListed,
-    /// A later incarnation has spoken.
+    /// A later incarnation of the instance has a session.
     Superseded,
-    /// A fence has seen a later epoch.
+    /// A fence has recorded a later epoch.
     Fenced,
 }
 
-/// What the host is to do.
+/// An action that the host must take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HolderAction {
     /// Start a task under this epoch.
     Start(Task, Epoch),
-    /// End the running step, begin none, then call [`LeaseHolder::release`](super::LeaseHolder::release).
+    /// Finish the running step without beginning another, then call
+    /// [`LeaseHolder::release`](super::LeaseHolder::release).
     Release(Task, Epoch),
     /// Stop the task at once.
     Stop(Task, Epoch, EndReason),
@@ -44,8 +45,8 @@
 /// Permission to run one step of a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StepPermit {
-    /// The lease's fencing token, which goes with every effect.
+    /// The lease's fencing token, to be sent with every effect.
     pub epoch: Epoch,
-    /// Until when the lease may be relied on, s by the instance's clock.
+    /// End of the lease, s by the instance's clock.
     pub valid_until: f64,
 }
--- a/crates/leases/src/holder/held_lease.rs
+++ b/crates/leases/src/holder/held_lease.rs
@@ -1,4 +1,4 @@
-//! What a holder keeps of one lease.
+//! A holder's state of one lease.
 
 use crate::Epoch;
 
@@ -6,23 +6,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct HeldLease {
     pub(super) epoch: Epoch,
-    /// Revoked: valid until then at the latest, whatever later responses allow.
+    /// Latest end of a revoked lease, which later responses do not extend.
     pub(super) revoked_until: Option<f64>,
-    /// A step is running.
     pub(super) step_running: bool,
     pub(super) steps_done: u64,
     pub(super) has_work: bool,
     progress_report: ProgressReport,
 }
 
-/// Whether the progress of a lease has to be reported.
+/// Whether the progress of a lease must be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProgressReport {
-    /// The lease store has the latest.
+    /// The lease store has the latest progress.
     Acknowledged,
-    /// It goes into the next request.
+    /// The next request must contain it.
     Due,
-    /// It goes into every request until the one of this serial number is answered.
+    /// Every request contains it until the one of this serial number is answered.
     Pending { serial: u64 },
 }
 
@@ -38,7 +37,7 @@
         }
     }
 
-    /// A step is over; `progress` says whether it got anything done.
+    /// Ends a step; `progress` tells whether it made progress.
     pub(super) fn finish_step(&mut self, progress: bool, has_work: bool) {
         self.step_running = false;
         self.steps_done += u64::from(progress);
@@ -48,7 +47,7 @@
         self.has_work = has_work;
     }
 
-    /// Whether the progress goes into the request of this serial number.
+    /// Returns whether the request of this serial number must contain the progress.
     pub(super) fn report_progress_with(&mut self, serial: u64) -> bool {
         if self.progress_report == ProgressReport::Due {
             self.progress_report = ProgressReport::Pending { serial };
@@ -56,7 +55,7 @@
         self.progress_report != ProgressReport::Acknowledged
     }
 
-    /// The request of the serial number `answered` arrived with all the progress in it.
+    /// Marks progress reported up to the request of the serial number `answered` as acknowledged.
     pub(super) fn acknowledge_progress(&mut self, answered: u64) {
         if matches!(self.progress_report, ProgressReport::Pending { serial } if serial <= answered) {
             self.progress_report = ProgressReport::Acknowledged;
--- a/crates/leases/src/identity.rs
+++ b/crates/leases/src/identity.rs
@@ -1,21 +1,21 @@
-//! The names of tasks, holders and leases, which every other module refers to.
+//! Identifiers of tasks, holders and leases.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The fencing token of a lease: a later lease of a task has a higher one, and none is issued twice.
+/// The fencing token of a lease. It rises with every lease of a task and is never reused.
 pub type Epoch = u64;
 
-/// One incarnation of an instance. A restart under the same name is another holder and inherits no lease.
+/// An incarnation of an instance. A restarted instance is a new holder and inherits no lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HolderId {
     /// The instance's name.
     pub instance: String,
-    /// Rises with every start of the instance.
+    /// The incarnation, which rises with every start of the instance.
     pub incarnation: u64,
 }
 
-/// One part of a task; a task that can't be partitioned has part 0 alone.
+/// One part of a task; a task that cannot be partitioned has part 0 only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Task {
     /// The task's name, as the settings declare it.
@@ -24,7 +24,7 @@
     pub part: u32,
 }
 
-/// One lease: a task under one epoch. Written as the pair `[task, epoch]`.
+/// A lease, identified by its task and epoch. Serialized as the pair `[task, epoch]`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Task, Epoch)", into = "(Task, Epoch)")]
 pub struct LeaseId {
@@ -35,21 +35,21 @@
 }
 
 impl Task {
-    /// Part `part` of the task `name`.
+    /// Creates the identifier of one part of a task.
     pub fn new(name: &str, part: u32) -> Task {
         Task { name: name.into(), part }
     }
 }
 
 impl HolderId {
-    /// Incarnation `incarnation` of `instance`.
+    /// Creates the identifier of one incarnation of an instance.
     pub fn new(instance: &str, incarnation: u64) -> HolderId {
         HolderId { instance: instance.into(), incarnation }
     }
 }
 
 impl LeaseId {
-    /// The lease of `task` under `epoch`.
+    /// Creates the identifier of a task's lease under an epoch.
     pub fn new(task: Task, epoch: Epoch) -> LeaseId {
         LeaseId { task, epoch }
     }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,9 +1,8 @@
 //! Leases on the fleet's background tasks: at most one holder at a time, with fencing (`docs/leases.md`).
 //!
-//! A [`table`] of leases is the state that the replicas of the lease store agree on; a [`holder`] is what an
-//! instance knows of its own leases; a [`fence`] stands where an effect is stored and rejects effects of former
-//! holders. Nothing here does I/O or reads a clock: times are passed in as seconds, each by the clock that the
-//! function names.
+//! The [`table`] of leases is the state that the replicas of the lease store replicate. A [`holder`] tracks the leases
+//! of one instance. A [`fence`] belongs to the store of a task's effects and rejects effects of former holders. This
+//! crate does no I/O and reads no clock: times are passed in as seconds, by the clock that the function names.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -1,5 +1,5 @@
-//! What instances, operators and replicas of the lease store exchange: one line of JSON for each message. One connection
-//! may carry all kinds.
+//! Messages between instances, operators and replicas of the lease store, as lines of JSON. One connection may carry all
+//! of them.
 
 use crate::fence::Verdict;
 use crate::table::{Change, Command, InstanceRow, LeaseRequest, LeaseResponse, LeaseRow};
@@ -10,27 +10,27 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest line, in bytes: a list of leases of tens of thousands of parts.
+/// Longest line, in bytes; fits a list of tens of thousands of leases.
 pub const MAX_LINE_BYTES: usize = 16 << 20;
 
 /// A message to a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaRequest {
-    /// An instance renews its session and reports.
+    /// Renews an instance's session and reports its progress.
     #[serde(rename = "say")]
     Renew(LeaseRequest),
-    /// From another replica: a message of the consensus library, base64.
+    /// A message of the consensus library from another replica, base64.
     #[serde(rename = "peer")]
     PeerMessage(String),
-    /// How this replica is, by itself alone.
+    /// Requests the status of this replica.
     Status,
-    /// All leases and instances as of now; the leader answers.
+    /// Requests all leases and instances from the leader.
     #[serde(rename = "duties")]
     Tasks,
-    /// An operator's command.
+    /// A command of an operator.
     Command(Command),
-    /// A replica under a number that was never used, reached at the address.
+    /// Adds a replica under a number that was never used.
     #[serde(rename = "add")]
     AddReplica {
         /// The replica's number.
@@ -38,7 +38,7 @@
         /// Its address, as host and port.
         address: String,
     },
-    /// Removes a replica for good.
+    /// Removes a replica; its number cannot be used again.
     #[serde(rename = "remove")]
     RemoveReplica {
         /// The replica's number.
@@ -50,20 +50,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaReply {
-    /// To an instance.
+    /// A response to an instance.
     #[serde(rename = "told")]
     Lease(LeaseResponse),
-    /// This replica does not lead.
+    /// This replica is not the leader.
     #[serde(rename = "elsewhere")]
     NotLeader {
-        /// The replica that may lead.
+        /// The number of the probable leader.
         leader: Option<u64>,
         /// Its address, as host and port.
         address: Option<String>,
     },
-    /// In reply to [`ReplicaRequest::Status`].
+    /// The reply to [`ReplicaRequest::Status`].
     Status(Box<ReplicaStatus>),
-    /// In reply to [`ReplicaRequest::Tasks`].
+    /// The reply to [`ReplicaRequest::Tasks`].
     #[serde(rename = "duties")]
     Tasks {
         /// All parts of all tasks.
@@ -78,49 +78,48 @@
     /// The command was carried out.
     #[serde(rename = "done")]
     CommandApplied,
-    /// The command was not carried out, and why.
+    /// The command was not carried out, for this reason.
     #[serde(rename = "failed")]
     CommandFailed(String),
 }
 
-/// How a replica is.
+/// The status of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// The replica's number.
     pub number: u64,
-    /// The replica that leads, as far as it knows.
+    /// The number of the leader, if this replica knows it.
     pub leader: Option<u64>,
-    /// It leads, and has applied all that was committed before.
+    /// Whether it is the leader and has applied all entries committed before.
     #[serde(rename = "leads")]
     pub is_leader: bool,
     /// The consensus term.
     pub term: u64,
-    /// Index of the last entry that was applied.
+    /// Index of the last applied entry.
     pub applied: u64,
-    /// Entries after the last snapshot.
+    /// Number of log entries after the last snapshot.
     pub log_entries: usize,
     /// Replicas with a vote.
     pub voters: Vec<u64>,
-    /// Replicas that catch up before they get a vote.
+    /// Replicas without a vote, which replicate the log.
     pub learners: Vec<u64>,
     /// Replicas that were removed.
     pub retired: Vec<u64>,
-    /// The latest epoch that was issued.
+    /// The latest epoch issued.
     pub last_epoch: u64,
-    /// Sessions in the table.
+    /// Number of sessions in the table.
     pub instances: usize,
-    /// Its disk takes longer than a leader's may.
+    /// Whether its disk is too slow for a leader.
     #[serde(rename = "slow")]
     pub slow_disk: bool,
-    /// Time since it started, s by its clock.
+    /// Time since the process started, s.
     #[serde(rename = "up")]
     pub uptime: f64,
-    /// Counters since it started, by name.
+    /// Counters since the process started, by name.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What a process did, for whoever collects the history of many: one line of JSON each on standard output, where that is
-/// asked for.
+/// An event for checkers that collect the history of many processes, written as a line of JSON to standard output.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
@@ -167,8 +166,8 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A server applies a rate for a tenant from `at` on, and no more than the lower of it and the equal share from
-    /// `valid_until` on if nothing else is allocated. Both are seconds of the machine's monotonic clock.
+    /// A server applies a rate for a tenant from `at` on. From `valid_until` on it applies at most the lower of this rate
+    /// and the equal share. Both times are seconds of the machine's monotonic clock.
     #[serde(rename = "goes")]
     QuotaApplied {
         /// The tenant's name.
@@ -179,22 +178,22 @@
         /// The equal share, requests per second.
         #[serde(rename = "equal")]
         equal_share: f64,
-        /// Since when it applies, s.
+        /// Time since which the rate applies, s.
         at: f64,
-        /// When the allocation expires, s; none if the server has none.
+        /// Expiry of the allocation, s, if the server has one.
         #[serde(rename = "until")]
         valid_until: Option<f64>,
     },
-    /// A server drains.
+    /// A server starts to drain.
     #[serde(rename = "leaves")]
     ServerDraining {
         /// The server's zone.
         zone: String,
-        /// The epoch of its drain slot; none if it drains without one.
+        /// The epoch of its drain slot, if it has one.
         #[serde(rename = "by")]
         slot_epoch: Option<Epoch>,
     },
-    /// A fence checked an effect or, without a block, the announcement of a holder.
+    /// A fence checked an effect or, without a block, the announcement of a new holder.
     #[serde(rename = "judged")]
     EffectChecked {
         /// The task.
@@ -202,17 +201,17 @@
         task: Task,
         /// The epoch of the effect.
         epoch: Epoch,
-        /// The number of the effect; of an announcement the last number that is recorded.
+        /// The number of the effect; for an announcement, the last recorded number.
         number: u64,
-        /// The block of a trace that is the effect.
+        /// The trace block that is the effect.
         #[serde(rename = "piece")]
         block: Option<String>,
-        /// What becomes of it.
+        /// The result of the check.
         verdict: Verdict,
     },
 }
 
-/// Where events go: to standard output, or nowhere.
+/// Writes events to standard output, or drops them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventSink {
     /// Whether events are written.
@@ -220,12 +219,12 @@
 }
 
 impl EventSink {
-    /// Writes an event, if events are asked for.
+    /// Writes an event, if events are enabled.
     pub fn emit(self, event: &Event) {
         if !self.enabled {
             return;
         }
-        // A write fails when nobody reads any more: then the event is dropped.
+        // A write fails once the reader has closed the pipe; the event is dropped.
         if let Ok(mut line) = serde_json::to_string(event) {
             line.push('\n');
             let _ = std::io::Write::write_all(&mut std::io::stdout().lock(), line.as_bytes());
--- a/crates/leases/src/quota.rs
+++ b/crates/leases/src/quota.rs
@@ -1,9 +1,9 @@
-//! Shares of a tenant's quota: one lease holder learns what each server is asked for and allocates the fleet's quota in
-//! portions that expire. A server without a valid allocation falls back to the equal share, and not at once: what the
-//! holder allocated to others must have expired first. Both sides are here; neither reads a clock.
+//! Distribution of a tenant's quota over the fleet. One lease holder collects the demand at each server and allocates
+//! rates that expire. A server whose allocation has expired falls back to the equal share, after a delay in which the
+//! allocations of the other servers expire as well.
 //!
-//! The rates in force sum to no more than the quota, but for servers that have just started: they know of no allocation
-//! and begin with the equal share, which the holder learns from their first report.
+//! The rates in force sum to no more than the quota, except for servers that have just started: they apply the equal
+//! share until the holder has received their first report.
 
 mod allocator;
 mod messages;
--- a/crates/leases/src/quota/allocator.rs
+++ b/crates/leases/src/quota/allocator.rs
@@ -1,24 +1,24 @@
-//! The lease holder's side: the allocations of one tenant's quota.
+//! Allocation of one tenant's quota by the lease holder.
 
 use super::{AllocationId, DemandReport, QuotaAllocation};
 use crate::Epoch;
 use std::collections::BTreeMap;
 
-/// Weight of a new report in a server's smoothed demand.
+/// Weight of a new report in a server's demand, an exponential moving average.
 const DEMAND_WEIGHT: f64 = 0.3;
-/// Demand is planned with this factor on top: it moves until the next plan.
+/// Factor by which the allocated rate exceeds the demand, which may grow until the next allocation.
 const HEADROOM: f64 = 1.25;
 
-/// What the allocator of one tenant goes by.
+/// Settings of the allocator of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllocatorSettings {
     /// Requests per second over the whole fleet.
     pub quota: f64,
-    /// Servers that the equal share is computed for.
+    /// Number of servers that the equal share is computed for.
     pub server_count: usize,
-    /// How long an allocation is valid, s.
+    /// Validity of an allocation, s.
     pub validity: f64,
-    /// Fraction by which the clocks of the holder and of a server may differ in rate.
+    /// Largest difference between the clock rates of the holder and of a server, as a fraction.
     pub max_clock_drift: f64,
 }
 
@@ -27,11 +27,11 @@
 pub struct ServerAllocation {
     /// The server's name.
     pub server: String,
-    /// Its allocation.
+    /// The allocation.
     pub allocation: QuotaAllocation,
 }
 
-/// What the holder knows of one server.
+/// The holder's state of one server.
 #[derive(Clone, Debug, Default)]
 struct ServerState {
     incarnation: u64,
@@ -39,11 +39,11 @@
     demand: f64,
     /// The number of its latest allocation.
     last_number: u64,
-    /// Allocations that may be in force; the server applies the first once it says so.
+    /// Allocations that may be in force, oldest first.
     outstanding: Vec<Outstanding>,
-    /// The number of the allocation that the server says it applies.
+    /// The number of the allocation that the server applies by its last report.
     current: u64,
-    /// It has reported since its last allocation.
+    /// Whether it has reported since its last allocation.
     reported: bool,
 }
 
@@ -61,23 +61,23 @@
     epoch: Epoch,
     settings: AllocatorSettings,
     equal_share: f64,
-    /// What the former holder allocated has expired from then on.
+    /// Time from which on all allocations of the former holder have expired.
     allocations_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
 
 impl QuotaAllocator {
-    /// A holder that starts at `now` (s) under this epoch.
+    /// Creates the allocator of a holder whose lease starts at `now` (s) under this epoch.
     pub fn new(epoch: Epoch, settings: AllocatorSettings, now: f64) -> QuotaAllocator {
         let allocations_start_at = now + settings.validity * (1.0 + settings.max_clock_drift);
         let equal_share = settings.quota / settings.server_count.max(1) as f64;
         QuotaAllocator { epoch, settings, equal_share, allocations_start_at, servers: BTreeMap::new() }
     }
 
-    /// Records a report; one that is older than the last is ignored.
+    /// Records a report, unless it is older than the last. Servers beyond the planned number stay at the equal share.
     pub fn record_report(&mut self, report: &DemandReport) {
         if !self.servers.contains_key(&report.server) && self.servers.len() >= self.settings.server_count {
-            return; // more servers than the quota was planned for: they stay at the equal share
+            return;
         }
         let server = self.servers.entry(report.server.clone()).or_default();
         if (report.incarnation, report.report_number) <= (server.incarnation, server.report_number) {
@@ -96,13 +96,13 @@
         server.record_current(report.current, self.epoch);
     }
 
-    /// What may be in force over the whole fleet, requests per second.
+    /// Returns the highest sum of rates that may be in force over the fleet, requests per second.
     pub fn committed_rate(&self, now: f64) -> f64 {
         let known: f64 = self.servers.values().map(|server| self.max_rate(now, server)).sum();
         known + self.equal_share * (self.settings.server_count - self.servers.len()) as f64
     }
 
-    /// The highest rate that a server may apply, now and until what is allocated now has expired.
+    /// Returns the highest rate that a server may apply until an allocation made now expires.
     fn max_rate(&self, now: f64, server: &ServerState) -> f64 {
         let valid = server.outstanding.iter().filter(|outstanding| outstanding.expires_at > now);
         let highest = valid.clone().map(|outstanding| outstanding.rate).fold(0.0, f64::max);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Allocations for the servers that have reported since their last one.
+    /// Returns allocations for the servers that have reported since their last allocation.
     pub fn allocate(&mut self, now: f64) -> Vec<ServerAllocation> {
         for server in self.servers.values_mut() {
             server.outstanding.retain(|outstanding| outstanding.expires_at > now);
@@ -130,8 +130,8 @@
         allocations
     }
 
-    /// The servers that have reported. Those that get less come first: what that frees can be allocated once they have
-    /// confirmed it, never before.
+    /// Returns the servers that have reported, those whose rate decreases most first. Freed rate is allocated to others
+    /// only once the server has confirmed the decrease.
     fn reporting_servers(&self, now: f64, wanted: &BTreeMap<String, f64>) -> Vec<String> {
         let reporting = self.servers.iter().filter(|(_, server)| server.reported);
         let mut names: Vec<String> = reporting.map(|(name, _)| name.clone()).collect();
@@ -140,7 +140,7 @@
         names
     }
 
-    /// One server's allocation: never more than what all others may apply leaves.
+    /// Allocates a rate to one server, at most the quota less the rates that all others may apply.
     fn allocate_rate(
         &mut self,
         now: f64,
@@ -161,8 +161,8 @@
         Some(ServerAllocation { server: name, allocation })
     }
 
-    /// What each server should have: its demand with headroom, scaled down alike where the sum is too high; what is left
-    /// is spread evenly. For servers that are silent or were never heard the equal share is reserved.
+    /// Returns the rate that each server should get: its demand with headroom, scaled down if the sum exceeds the quota,
+    /// plus an equal part of the remaining quota. The equal share is reserved for servers without recent reports.
     fn wanted_rates(&self, now: f64) -> BTreeMap<String, f64> {
         let active = |server: &&ServerState| {
             server.reported || server.outstanding.iter().any(|outstanding| outstanding.expires_at > now)
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Drops the allocations before the one that the server applies; one of another epoch is not ours.
+    /// Drops the allocations before the one that the server applies. One of another epoch is ignored.
     fn record_current(&mut self, current: Option<AllocationId>, epoch: Epoch) {
         let current = current.filter(|id| id.epoch == epoch).map_or(0, |id| id.number);
         self.current = current;
--- a/crates/leases/src/quota/share.rs
+++ b/crates/leases/src/quota/share.rs
@@ -1,15 +1,14 @@
-//! A server's own share of a tenant's quota.
+//! A server's share of a tenant's quota.
 
 use super::{AllocationId, QuotaAllocation};
 use crate::sent_times::SentTimes;
 
-/// How long after its allocation expired a server stays at the lower of that and the equal share, in validities of the
-/// allocation. Allocations that others got while the holder still counted on this one have expired by then: a validity,
-/// its drift, and the age that an allocation may have when it is accepted.
+/// Time after the expiry of an allocation, in validities, for which the server applies at most the allocated rate. It
+/// covers the validity, drift and age of allocations that other servers got on account of this one.
 const FALLBACK_DELAY: f64 = 2.1;
-/// Fraction of its validity after which an allocation is too old to be accepted.
+/// Largest age of an allocation that is accepted, as a fraction of its validity.
 const MAX_AGE: f64 = 0.9;
-/// Reports whose send times are kept until they are answered.
+/// Reports whose send times are kept.
 const MAX_PENDING_REPORTS: usize = 32;
 
 /// The number and content of a report that is due.
@@ -17,11 +16,11 @@
 pub struct ShareReport {
     /// The report's number.
     pub number: u64,
-    /// The allocation that is applied, if any.
+    /// The applied allocation, if any.
     pub current: Option<AllocationId>,
 }
 
-/// The rate at which one server may serve one tenant.
+/// The rate at which a server may serve a tenant.
 #[derive(Clone, Debug)]
 pub struct QuotaShare {
     equal_share: f64,
@@ -36,7 +35,7 @@
 }
 
 impl QuotaShare {
-    /// A server that has just started, for a quota (requests per second) over so many servers.
+    /// Creates the share of a server that has just started, of a quota (requests per second) over `servers` servers.
     pub fn new(quota: f64, servers: f64) -> QuotaShare {
         QuotaShare {
             equal_share: quota / servers.max(1.0),
@@ -45,15 +44,15 @@
         }
     }
 
-    /// A report that is sent at `now` (s).
+    /// Returns the report to send at `now` (s).
     pub fn next_report(&mut self, now: f64) -> ShareReport {
         let number = self.reports.record(now);
         let valid = self.current.as_ref().filter(|current| now < current.expires_at);
         ShareReport { number, current: valid.map(|current| current.allocation.id()) }
     }
 
-    /// Applies an allocation, unless a later one was applied, its report is not known here, or it is too old. Returns
-    /// whether it was applied.
+    /// Applies an allocation, unless it is invalid, too old, superseded, or answers an unknown report. Returns whether it
+    /// was applied.
     pub fn accept(&mut self, now: f64, allocation: &QuotaAllocation) -> bool {
         let Some(sent_at) = self.reports.sent_at(allocation.report_number) else { return false };
         let superseded =
@@ -68,12 +67,12 @@
         true
     }
 
-    /// When the allocation that it applies expires (s), if it applies one.
+    /// Returns when the applied allocation expires (s), if there is one.
     pub fn valid_until(&self, now: f64) -> Option<f64> {
         self.current.as_ref().map(|current| current.expires_at).filter(|expires_at| now < *expires_at)
     }
 
-    /// How many requests per second it may serve for the tenant now.
+    /// Returns how many requests per second may be served for the tenant at `now` (s).
     pub fn rate(&self, now: f64) -> f64 {
         let Some(AcceptedAllocation { allocation, expires_at }) = &self.current else {
             return self.equal_share;
--- a/crates/leases/src/replica_selector.rs
+++ b/crates/leases/src/replica_selector.rs
@@ -1,6 +1,6 @@
-//! Which replica of the lease store an instance connects to. It follows a redirect to the leader, turns to another
-//! replica when one is silent or rejects it, and backs off between rounds, so that hundreds of instances that lost the
-//! same replica do not all reconnect at the same moment.
+//! Selection of the lease store's replica that an instance connects to. An instance follows redirects to the leader,
+//! switches to the next replica when one fails, and backs off with jitter when all have failed, so that many instances do
+//! not reconnect at the same moment.
 
 use crate::SeededRandom;
 use std::collections::BTreeMap;
@@ -12,31 +12,31 @@
 const MIN_BACKOFF: f64 = 0.05;
 /// Longest backoff, s.
 const MAX_BACKOFF: f64 = 2.0;
-/// Each backoff is drawn between the shortest and this many times the one before (decorrelated jitter).
+/// Upper bound of a backoff as a multiple of the previous one (decorrelated jitter).
 const BACKOFF_FACTOR: f64 = 3.0;
-/// Redirects that are followed in a row without a response: replicas may point at each other during an election.
+/// Redirects followed in a row without a response; replicas may redirect to each other during an election.
 const MAX_REDIRECTS: usize = 2;
-/// Replicas that one instance knows at the most.
+/// Most replicas that one instance keeps addresses of.
 pub const MAX_REPLICAS: usize = 16;
 
-/// What an instance without a connection does next.
+/// Next action of an instance without a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextAction {
     /// Connect to the replica of this number.
     Connect(u64),
-    /// Do nothing before this time, s.
+    /// Wait until this time, s.
     WaitUntil(f64),
 }
 
-/// The replicas that an instance knows, with their addresses, and the one it uses.
+/// The addresses of the replicas and the replica that an instance uses.
 #[derive(Clone, Debug)]
 pub struct ReplicaSelector<A> {
     replicas: BTreeMap<u64, A>,
-    /// The replica that it uses, or would.
+    /// The replica to use, whether connected or not.
     current: u64,
     connected: bool,
     redirects: usize,
-    /// Replicas that failed since the last response.
+    /// Failures since the last response.
     failures: usize,
     backoff: f64,
     not_before: f64,
@@ -44,8 +44,8 @@
 }
 
 impl<A: Clone> ReplicaSelector<A> {
-    /// Starts at one of `replicas` (by number). `seed` is the instance's own: it determines where it starts and how
-    /// long it backs off.
+    /// Creates a selector for `replicas` (by number). `seed` determines the first replica and the backoffs and must
+    /// differ between instances.
     pub fn new(replicas: BTreeMap<u64, A>, seed: u64) -> ReplicaSelector<A> {
         let mut random = SeededRandom::new(seed);
         let index = random.next_index(replicas.len().max(1));
@@ -62,17 +62,17 @@
         }
     }
 
-    /// The address of a replica, if it is known.
+    /// Returns the address of a replica, if it is known.
     pub fn address(&self, replica: u64) -> Option<&A> {
         self.replicas.get(&replica)
     }
 
-    /// The replica that it is connected to, if it is.
+    /// Returns the connected replica, if any.
     pub fn connected(&self) -> Option<u64> {
         self.connected.then_some(self.current)
     }
 
-    /// What to do at `now` (s) without a connection.
+    /// Returns what to do at `now` (s) without a connection.
     pub fn next_action(&self, now: f64) -> NextAction {
         if self.replicas.is_empty() {
             return NextAction::WaitUntil(f64::MAX);
@@ -83,12 +83,12 @@
         NextAction::Connect(self.current)
     }
 
-    /// The connection is open.
+    /// Records that the connection is open.
     pub fn mark_connected(&mut self) {
         self.connected = true;
     }
 
-    /// The replica gave a useful response: failures and backoff start over.
+    /// Records a useful response of the replica, which resets failures and backoff.
     pub fn mark_healthy(&mut self) {
         self.redirects = 0;
         self.failures = 0;
@@ -96,7 +96,8 @@
         self.not_before = f64::MIN;
     }
 
-    /// The replica does not lead; `leader` may, if it is named. Its address comes along if it joined later.
+    /// Handles a redirect from a replica that is not the leader to `leader`, if it is known. The address is given for
+    /// replicas that may not be in the configuration.
     pub fn follow_redirect(&mut self, now: f64, leader: Option<(u64, Option<A>)>) {
         self.connected = false;
         let leader = leader.and_then(|(number, address)| self.add_leader(number, address));
@@ -109,17 +110,16 @@
         }
     }
 
-    /// Learns a replica's address; returns its number if it can be connected to in place of the current one.
+    /// Adds the leader's address if it is unknown; returns its number if it is another replica with a known address.
     fn add_leader(&mut self, number: u64, address: Option<A>) -> Option<u64> {
         if let Some(address) = address.filter(|_| self.replicas.len() < MAX_REPLICAS) {
-            // The configured address takes precedence: this instance may reach a replica another way than others do.
+            // The configured address takes precedence, since it may be specific to this instance.
             self.replicas.entry(number).or_insert(address);
         }
         Some(number).filter(|number| *number != self.current && self.replicas.contains_key(number))
     }
 
-    /// The replica could not be reached, closed the connection, or was silent for too long: the next one is used, after
-    /// a backoff once all have failed.
+    /// Records a failed connection or a timeout and selects the next replica, after a backoff once all have failed.
     pub fn mark_failed(&mut self, now: f64) {
         self.connected = false;
         self.redirects = 0;
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -1,11 +1,9 @@
-//! The lease table that the replicas of the lease store agree on. Every replica applies the same entries in the same
-//! order and arrives at the same table; times are the table's own (see [`crate::table_clock`]), so that nothing here
-//! depends on whose clock it is.
+//! The lease table, the replicated state machine of the lease store. All replicas apply the same log entries in the same
+//! order. Times are those of the log entries (see [`crate::table_clock`]), so that the table depends on no replica's clock.
 //!
-//! An instance keeps one session, however many leases it holds: one request renews all of them, and the cost follows the
-//! number of instances. A lease ends when its holder releases it, when the session expires, or after it was *revoked*:
-//! then it stays until its holder has released it or can no longer rely on it, which is when the session would have
-//! expired that was in force at that moment.
+//! An instance has one session for all its leases, which one request renews. A lease ends when its holder releases it or
+//! when the session expires. A *revoked* lease ends when its holder releases it, at the latest when the session would
+//! have expired as of the revocation.
 
 mod change;
 mod command;
@@ -35,7 +33,7 @@
 use state::{InstanceHistory, Session, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All tasks, leases and sessions. Stored in snapshots by position: the order of the fields is part of the format.
+/// All tasks, leases and sessions. Snapshots encode fields by position: their order is part of the format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTable {
     rules: LeaseRules,
@@ -50,11 +48,11 @@
     instances: BTreeMap<String, InstanceHistory>,
     /// Leases that were revoked and have not ended yet.
     revoked: BTreeSet<Task>,
-    /// When an instance last joined or left.
+    /// Time at which an instance last joined or left.
     membership_changed_at: f64,
-    /// Whether a vacant part may have to be assigned.
+    /// Whether vacant parts may need to be assigned.
     assignment_due: bool,
-    /// When loads were last found balanced: with ten thousand parts that is not checked with every entry.
+    /// Time at which loads were last found balanced; checking them with every entry would be slow.
     balanced_at: f64,
 }
 
@@ -66,8 +64,7 @@
             self.now = self.now.max(entry.at);
         }
         let version_before = self.last_version;
-        // Requests come first: what had not expired when they were read need not expire now. A leader that was paused
-        // reads what waited before it advances time.
+        // Requests are applied before sessions expire, so that renewals received in time by a paused leader take effect.
         let mut known_versions = BTreeMap::new();
         if let Command::Renew(requests) = &entry.command {
             known_versions = self.receive_all(requests, &mut outcome);
@@ -94,8 +91,7 @@
         }
     }
 
-    /// Answers those that sent a request and notifies those whose leases changed: last of all, so that the lists are
-    /// complete.
+    /// Responds to new requests and notifies holders whose leases changed. Called last, so that the lists are complete.
     fn respond(&self, known_versions: &BTreeMap<HolderId, u64>, version_before: u64, outcome: &mut Outcome) {
         for (holder, session) in &self.sessions {
             let known_version = known_versions.get(holder);
--- a/crates/leases/src/table/change.rs
+++ b/crates/leases/src/table/change.rs
@@ -1,10 +1,10 @@
-//! What changes in the table, for logs, metrics and checkers.
+//! Changes of leases, for logs, metrics and checkers.
 
 use crate::{Epoch, HolderId, Task};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A lease that began, was revoked or ended.
+/// The grant, revocation or end of a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The table's time, s.
@@ -17,49 +17,49 @@
     pub holder: HolderId,
     /// The fencing token.
     pub epoch: Epoch,
-    /// What happened to the lease.
+    /// The kind of change.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
-    /// Why.
+    /// The cause of the change.
     pub cause: Cause,
 }
 
-/// What happened to a lease.
+/// The kinds of changes of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// It began.
+    /// The lease was granted.
     #[serde(rename = "Given")]
     Granted,
-    /// It is to be released.
+    /// The lease is to be released.
     #[serde(rename = "TakenBack")]
     Revoked,
-    /// The part is vacant.
+    /// The lease ended; the part is vacant.
     Ended,
 }
 
-/// Why a lease began or ended.
+/// The cause of a change of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
     /// The part was vacant.
     Vacant,
-    /// Its holder was silent for the term.
+    /// The holder's session expired.
     Expired,
-    /// Its holder released it.
+    /// The holder released the lease.
     #[serde(rename = "HandedOver")]
     Released,
-    /// Its holder did not release it in time.
+    /// The holder did not release the revoked lease in time.
     #[serde(rename = "NotHandedOver")]
     ReleaseTimeout,
-    /// Revoked since its holder drains.
+    /// The holder drains.
     Draining,
-    /// Revoked since its holder had work and got nothing done.
+    /// The holder had work and made no progress.
     Stalled,
-    /// Revoked since its holder has more parts than others.
+    /// The part moves to an instance with fewer parts.
     #[serde(rename = "Levelled")]
     Rebalanced,
-    /// Revoked since an operator moved it.
+    /// An operator moved the part.
     Moved,
-    /// Revoked since an operator paused the task.
+    /// An operator paused the task.
     Paused,
     /// The task, or this part of it, is no longer declared.
     #[serde(rename = "Dropped")]
@@ -67,7 +67,7 @@
 }
 
 impl Cause {
-    /// The cause in words, for logs and operators.
+    /// Returns a description for logs and operators.
     pub fn text(self) -> &'static str {
         match self {
             Cause::Vacant => "it was vacant",
--- a/crates/leases/src/table/command.rs
+++ b/crates/leases/src/table/command.rs
@@ -1,18 +1,18 @@
-//! Entries of the replicated log and what comes of them. Stored by position: the order of variants and fields is part of
-//! the format.
+//! Entries of the replicated log and their outcome. The log encodes variants and fields by position: their order is part
+//! of the format.
 
 use super::{Change, CommandError, LeaseRequest, LeaseResponse, LeaseRules};
 use crate::Task;
 use serde::{Deserialize, Serialize};
 
-/// A task as the lease store's settings declare it.
+/// A task as declared in the lease store's settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskDeclaration {
     /// The task's name.
     pub name: String,
-    /// How many parts it has, each leased by itself.
+    /// The number of parts, each of which is leased separately.
     pub parts: u32,
-    /// Instances of this zone are preferred.
+    /// Zone whose instances are preferred.
     pub zone: Option<String>,
 }
 
@@ -21,52 +21,52 @@
 pub struct LogEntry {
     /// The table's time, s.
     pub at: f64,
-    /// What is to be done.
+    /// The command to apply.
     pub command: Command,
 }
 
-/// What an entry of the log does.
+/// A command of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Time passes: what has expired is assigned anew, and loads are balanced.
+    /// Advances the table's time: reassigns expired leases and balances loads.
     #[serde(rename = "Time")]
     AdvanceTime,
     /// Replaces the rules and the declared tasks.
     Declare {
-        /// The rules from now on.
+        /// The new rules.
         rules: LeaseRules,
-        /// All tasks from now on.
+        /// All declared tasks.
         #[serde(rename = "duties")]
         tasks: Vec<TaskDeclaration>,
     },
-    /// Requests of instances.
+    /// Applies requests of instances.
     #[serde(rename = "Say")]
     Renew(Vec<LeaseRequest>),
-    /// From an operator: no instance holds the task until it is resumed.
+    /// Pauses a task, whose parts are then not leased, or resumes it.
     Pause {
         /// The task's name.
         #[serde(rename = "duty")]
         task: String,
-        /// `false` resumes it.
+        /// Whether the task is to be paused; `false` resumes it.
         paused: bool,
     },
-    /// From an operator: the part is assigned to this instance as soon as possible.
+    /// Moves a part to an instance as soon as possible.
     Move {
         /// The part.
         #[serde(rename = "duty")]
         task: Task,
-        /// The instance.
+        /// The name of the instance.
         to: String,
     },
 }
 
-/// What came of an entry.
+/// The outcome of applying an entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Leases that began, were revoked or ended.
+    /// Changes of leases.
     pub changes: Vec<Change>,
-    /// What is to be sent to instances.
+    /// Responses to send to instances.
     pub responses: Vec<LeaseResponse>,
-    /// Why a command was not carried out.
+    /// The reason why the command was not carried out, if it was not.
     pub error: Option<CommandError>,
 }
--- a/crates/leases/src/table/leases.rs
+++ b/crates/leases/src/table/leases.rs
@@ -1,4 +1,4 @@
-//! How leases begin, are revoked and end.
+//! Grant, revocation and end of leases.
 
 use super::state::{ActiveLease, PartState};
 use super::{Cause, Change, ChangeKind, LeaseTable, Outcome};
@@ -13,7 +13,7 @@
         self.part_mut(task)?.lease.as_mut()
     }
 
-    /// The lease of a task, if it is this one.
+    /// Returns the lease of a task, if this holder holds it under this epoch.
     pub(super) fn lease_held_by(
         &mut self,
         holder: &HolderId,
@@ -23,7 +23,7 @@
         self.lease_mut(task).filter(|lease| lease.is_held_by(holder, epoch))
     }
 
-    /// The holder's list of leases has changed: it is sent again.
+    /// Gives the holder's list of leases a new version, so that it is sent again.
     fn bump_version(&mut self, holder: &HolderId) {
         self.last_version += 1;
         if let Some(session) = self.sessions.get_mut(holder) {
@@ -47,7 +47,7 @@
         outcome.changes.push(Change { at: now, task, holder, epoch, kind, cause });
     }
 
-    /// Ends a lease: the part is vacant.
+    /// Ends a lease, which leaves the part vacant.
     pub(super) fn end(&mut self, task: &Task, cause: Cause, outcome: &mut Outcome) {
         self.revoked.remove(task);
         let Some(lease) = self.part_mut(task).and_then(|part| part.lease.take()) else { return };
@@ -61,7 +61,7 @@
         outcome.changes.push(Change { at: self.now, task: task.clone(), holder, epoch, kind, cause });
     }
 
-    /// Revokes a lease: it ends when it is released, or at `until` (s).
+    /// Revokes a lease, which ends when it is released, at the latest at `until` (s).
     pub(super) fn revoke(&mut self, task: &Task, until: f64, cause: Cause, outcome: &mut Outcome) {
         let Some(lease) = self.lease_mut(task).filter(|lease| !lease.is_revoked()) else { return };
         lease.revoked_until = Some(until);
@@ -72,7 +72,7 @@
         outcome.changes.push(Change { at: self.now, task: task.clone(), holder, epoch, kind, cause });
     }
 
-    /// Revokes a lease on the lease store's own account: its holder may rely on its session as it stands.
+    /// Revokes a lease, which ends at the latest when its holder's session expires as of now.
     pub(super) fn revoke_now(&mut self, task: &Task, cause: Cause, outcome: &mut Outcome) {
         let holder = self.holder(task).map(|(holder, _)| holder);
         let session = holder.and_then(|holder| self.sessions.get(holder));
--- a/crates/leases/src/table/messages.rs
+++ b/crates/leases/src/table/messages.rs
@@ -1,4 +1,4 @@
-//! What an instance and the lease store exchange. Requests are stored in the log by position: the order of the fields is
+//! Messages between an instance and the lease store. The log encodes the fields of requests by position: their order is
 //! part of the format.
 
 use super::{MAX_NAMES, MAX_NAME_BYTES};
@@ -15,27 +15,27 @@
     /// The instance's zone.
     #[serde(default)]
     pub zone: String,
-    /// Rises with every request of this incarnation, whichever replica it goes to.
+    /// The number of the request, which rises within an incarnation over all replicas.
     pub serial: u64,
-    /// Names of the tasks that it can run.
+    /// Names of the tasks that the instance can run.
     #[serde(default, rename = "wants")]
     pub tasks: BTreeSet<String>,
-    /// It drains: it releases all leases and takes none.
+    /// Whether the instance drains: it releases all leases and accepts none.
     #[serde(default, rename = "leaving")]
     pub draining: bool,
-    /// Progress that changed, also of parts that have work again or no more.
+    /// Progress that changed, including whether a part has work.
     #[serde(default, rename = "marks")]
     pub progress: Vec<Progress>,
-    /// Leases that it has ended: no effect of them is on its way from here.
+    /// Released leases, with no effect in flight.
     #[serde(default, rename = "given")]
     pub released: Vec<LeaseId>,
-    /// The list of leases that it knows, see [`LeaseResponse::version`].
+    /// The version of the list of leases that it has, see [`LeaseResponse::version`].
     #[serde(default, rename = "knows")]
     pub known_version: u64,
 }
 
 impl LeaseRequest {
-    /// Whether the names are of allowed length and number.
+    /// Returns whether the length and number of names are within limits.
     pub(super) fn is_valid(&self) -> bool {
         let names = [&self.holder.instance, &self.zone].into_iter().chain(&self.tasks);
         let too_long = names.into_iter().any(|name| name.len() > MAX_NAME_BYTES);
@@ -43,7 +43,7 @@
     }
 }
 
-/// How far a holder got with a task.
+/// A holder's progress on a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     /// The task.
@@ -51,35 +51,35 @@
     pub task: Task,
     /// The epoch of the lease.
     pub epoch: Epoch,
-    /// Rises whenever a step got something done.
+    /// Number of steps that made progress under this lease.
     #[serde(rename = "done")]
     pub steps_done: u64,
-    /// Whether there is something to do.
+    /// Whether the task has work to do.
     #[serde(rename = "work")]
     pub has_work: bool,
 }
 
-/// What the lease store sends to an instance, in response to a request and whenever its leases change.
+/// The lease store's message to an instance, in response to a request and whenever its leases change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// The instance and its incarnation.
     #[serde(rename = "owner")]
     pub holder: HolderId,
-    /// The last of its requests that was applied: the term counts from when that one was sent.
+    /// The serial number of its last applied request. The term counts from when that request was sent.
     pub serial: u64,
-    /// How long leases are valid from then on, s.
+    /// The term of all its leases, s.
     pub term: f64,
-    /// Rises with every change of its leases.
+    /// The version of the list of leases, which rises with every change.
     pub version: u64,
-    /// All its leases, unless the instance knows this version of the list.
+    /// All its leases, unless the instance has this version of the list.
     #[serde(default, rename = "grants")]
     pub leases: Option<Vec<Lease>>,
-    /// Why it has no session, if it has none.
+    /// The reason why it has no session, if it has none.
     #[serde(default, rename = "refused")]
     pub rejection: Option<Rejection>,
 }
 
-/// A lease as its holder learns of it.
+/// A lease in the list sent to its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The leased task.
@@ -87,20 +87,20 @@
     pub task: Task,
     /// The fencing token.
     pub epoch: Epoch,
-    /// No new step may begin, and the lease is to be released when the running one has ended.
+    /// Whether it is revoked: no new step may begin, and it must be released when the running step has ended.
     #[serde(rename = "back")]
     pub revoked: bool,
 }
 
-/// Why an instance gets no session.
+/// The reason why an instance gets no session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// A later incarnation of it has spoken.
+    /// A later incarnation of the instance has sent a request.
     Superseded,
-    /// The table has no capacity for one more.
+    /// The table has no capacity for another instance or session.
     #[serde(rename = "Full")]
     CapacityExceeded,
-    /// A name is too long, or the request names too many tasks.
+    /// The instance has no name, a name is too long, or there are too many tasks.
     #[serde(rename = "Unfit")]
     Invalid,
 }
--- a/crates/leases/src/table/operations.rs
+++ b/crates/leases/src/table/operations.rs
@@ -1,4 +1,4 @@
-//! What settings and operators order: declarations, pauses and moves.
+//! Commands of the settings and of operators: declarations, pauses and moves.
 
 use super::state::{PartState, TaskState};
 use super::{
@@ -18,7 +18,7 @@
     ) -> Result<(), CommandError> {
         rules.check()?;
         check_declarations(tasks)?;
-        // A shorter term must not let sessions expire that their holders still rely on: those in force keep their end.
+        // Sessions keep their expiry: under a shorter term, their holders may still rely on them.
         self.rules = rules.clone();
         self.revoke_undeclared(tasks, outcome);
         for declaration in tasks {
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Revokes the leases of parts that are not declared any more.
+    /// Revokes the leases of parts that are no longer declared.
     fn revoke_undeclared(&mut self, tasks: &[TaskDeclaration], outcome: &mut Outcome) {
         let declared: BTreeMap<&str, u32> =
             tasks.iter().map(|task| (task.name.as_str(), task.parts)).collect();
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Removes parts that are no longer declared once their leases have ended. Their numbers are the highest, so that the
-    /// others keep their places.
+    /// Removes parts that are no longer declared and have no lease. Their numbers are the highest, so that no other part is
+    /// renumbered.
     pub(super) fn remove_undeclared_parts(&mut self) {
         for task in self.tasks.values_mut() {
             while task.parts.len() > task.declaration.parts as usize
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Moves a part to an instance as soon as its holder has released it.
+    /// Moves a part to an instance as soon as its holder releases it.
     pub(super) fn move_part(
         &mut self,
         task: &Task,
--- a/crates/leases/src/table/placement.rs
+++ b/crates/leases/src/table/placement.rs
@@ -1,4 +1,4 @@
-//! Which instance is assigned which part, and when parts are moved.
+//! Assignment of vacant parts and moves of parts between instances.
 
 use super::limits::{BALANCE_CHECK_INTERVAL, MAX_EXCLUSIONS};
 use super::state::{ActiveLease, Exclusion, InstanceHistory, PartState, Session, TaskState};
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl LeaseTable {
-    /// What is due as time passes: stalled parts are revoked, loads are balanced.
+    /// Revokes stalled parts and balances loads.
     pub(super) fn advance(&mut self, outcome: &mut Outcome) {
-        // An instance that was excluded for a while may be assigned a vacant part now.
+        // The exclusion of an instance may have ended.
         let has_vacant =
             |task: &TaskState| !task.paused && task.declared_parts().any(|part| part.lease.is_none());
         self.assignment_due |= self.tasks.values().any(has_vacant);
@@ -18,8 +18,8 @@
         self.rebalance(outcome);
     }
 
-    /// A holder that is heard, has work and gets nothing done (a grey failure) loses the part and is excluded from it for
-    /// a while.
+    /// Revokes parts whose holder renews its session and has work, but makes no progress (a grey failure), and excludes the
+    /// holder from them for a while.
     fn revoke_stalled(&mut self, outcome: &mut Outcome) {
         let now = self.now;
         let timeout = self.rules.stall_timeout;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether so many instances fell silent of late that it is rather the lease store that can't be reached.
+    /// Returns whether more instances lost their session recently than have one, as when the lease store was unreachable.
     fn most_instances_lost(&self) -> bool {
         let connected: BTreeSet<&str> = self.sessions.keys().map(|holder| holder.instance.as_str()).collect();
         let expired_recently = |history: &InstanceHistory| {
@@ -53,8 +53,8 @@
         without_session.filter(|(_, history)| expired_recently(history)).count() > connected.len()
     }
 
-    /// The instances that may be assigned parts of a task, with what they hold. An instance counts once, in its latest
-    /// incarnation.
+    /// Returns the instances that may be assigned parts of a task, with their loads. Of each instance only the latest
+    /// incarnation is a candidate.
     pub(super) fn candidates(&self, name: &str) -> Vec<Candidate> {
         let eligible = |holder: &HolderId, session: &Session| {
             let history = self.instances.get(&holder.instance);
@@ -77,10 +77,10 @@
         self.tasks.keys().cloned().collect()
     }
 
-    /// Assigns what is vacant.
+    /// Assigns vacant parts.
     pub(super) fn assign_vacant_parts(&mut self, outcome: &mut Outcome) {
         if self.most_instances_lost() {
-            // Checked again with the next entry: the rule ends with its window, whatever happens.
+            // The next entry tries again, until the panic window has passed.
             return;
         }
         self.assignment_due = false;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Assignments of a task's vacant parts.
+    /// Returns assignments of a task's vacant parts.
     fn plan_assignments(&self, name: &str) -> Vec<Assignment> {
         let task = &self.tasks[name];
         let mut candidates = self.candidates(name);
@@ -105,7 +105,7 @@
             return Vec::new();
         }
         let excluded = |part: u32, instance: &str| task.parts[part as usize].excludes(instance, self.now);
-        // A part with a chosen next holder goes there, whatever the loads: they were weighed when it was chosen.
+        // A part with a chosen next holder goes to it regardless of loads, which the choice took into account.
         let mut assignments = Vec::new();
         let mut rest = Vec::new();
         for part in vacant {
@@ -133,7 +133,7 @@
         assignments
     }
 
-    /// Moves parts to instances that have too few, a few at a time and only while no instance joins or leaves.
+    /// Moves a limited number of parts to instances with too few, once no instance has joined or left for a while.
     fn rebalance(&mut self, outcome: &mut Outcome) {
         let checked_recently = self.balanced_at > self.membership_changed_at
             && self.now - self.balanced_at < BALANCE_CHECK_INTERVAL;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Moves that would balance a task's loads, at most `limit`.
+    /// Returns at most `limit` moves that balance a task's loads.
     fn plan_moves(&self, name: &str, limit: usize) -> Vec<assignment::PartMove> {
         let task = &self.tasks[name];
         let mut candidates = self.candidates(name);
@@ -180,7 +180,7 @@
     }
 }
 
-/// Counts the parts of each candidate; a part that is moving already counts where it goes.
+/// Counts the parts of each candidate. A part that is moving counts for its next holder.
 fn count_loads<'a>(
     candidates: &mut [Candidate],
     holders: &'a BTreeMap<u32, String>,
--- a/crates/leases/src/table/rules.rs
+++ b/crates/leases/src/table/rules.rs
@@ -1,47 +1,48 @@
-//! The rules by which leases are granted.
+//! Rules for granting and ending leases.
 
 use super::RulesError;
 use serde::{Deserialize, Serialize};
 
-/// Longest time that a rule may name, s: a day.
+/// Longest time in a rule, s.
 const MAX_TIME: f64 = 86_400.0;
-/// Shortest term, s: a request and its response must fit into a fraction of it.
+/// Shortest term, s; a request and its response must fit into a fraction of it.
 const MIN_TERM: f64 = 0.2;
-/// Largest difference of clock rates that a rule may allow for.
+/// Largest allowed clock drift, as a fraction.
 const MAX_DRIFT: f64 = 0.5;
-/// A part must not count as stalled before so many terms have passed.
+/// Shortest stall timeout, in terms.
 const MIN_STALL_TERMS: f64 = 2.0;
 
-/// What leases are granted by. Times are in seconds; the replicas agree on these as on the table. Stored by position: the
-/// order of the fields is part of the format.
+/// Rules for granting and ending leases, replicated with the table. Times are in seconds. The log and snapshots encode
+/// fields by position: their order is part of the format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRules {
-    /// How long a lease is valid, by its holder's clock from when it sent the request.
+    /// Validity of a lease, by its holder's clock from when it sent the request.
     pub term: f64,
-    /// Fraction by which the clocks of a holder and of a replica may differ in rate; replicas wait that much longer.
+    /// Largest difference between the clock rates of a holder and of a replica, as a fraction; replicas wait that much
+    /// longer.
     pub drift: f64,
-    /// A part with work whose progress stands still for so long is revoked.
+    /// Time without progress after which a part with work is revoked.
     #[serde(rename = "stall")]
     pub stall_timeout: f64,
-    /// For how long a part is kept from the instance that stalled on it.
+    /// Time for which an instance that stalled on a part is not assigned it.
     #[serde(rename = "barred")]
     pub exclusion_period: f64,
-    /// An instance whose sessions expired so often within `flap_window` is assigned nothing for `flap_penalty`.
+    /// Number of expired sessions within `flap_window` after which an instance is assigned nothing for `flap_penalty`.
     #[serde(rename = "flaps")]
     pub max_flaps: usize,
-    /// Window in which expired sessions are counted.
+    /// Time window in which expired sessions are counted.
     #[serde(rename = "flap_span")]
     pub flap_window: f64,
-    /// For how long an instance that flaps is assigned nothing.
+    /// Time for which a flapping instance is assigned nothing.
     #[serde(rename = "flap_rest")]
     pub flap_penalty: f64,
-    /// While more instances fell silent within this window than have sessions, nothing is assigned.
+    /// While more instances lost their session within this window than have one, nothing is assigned.
     #[serde(rename = "panic")]
     pub panic_window: f64,
-    /// No part is moved to balance loads until no instance has joined or left for so long.
+    /// Time since an instance last joined or left after which parts may be moved to balance loads.
     #[serde(rename = "calm")]
     pub settle_time: f64,
-    /// Parts that may be moving at once, over all tasks.
+    /// Most parts of all tasks that may be moving at once.
     #[serde(rename = "moves")]
     pub max_moves: usize,
 }
@@ -64,10 +65,10 @@
 }
 
 impl LeaseRules {
-    /// Checks that the rules can be kept.
+    /// Checks that all values are in range.
     ///
     /// # Errors
-    /// [`RulesError`] names the first value that is out of range.
+    /// Returns a [`RulesError`] for the first value that is out of range.
     pub fn check(&self) -> Result<(), RulesError> {
         self.check_times()?;
         if self.term < MIN_TERM {
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// How long after a request was applied its holder may still rely on it, with all that clocks may differ, s.
+    /// Returns the time for which a holder may rely on its session after a request was applied, including drift, s.
     pub(super) fn session_duration(&self) -> f64 {
         self.term * (1.0 + self.drift)
     }
--- a/crates/leases/src/table/sessions.rs
+++ b/crates/leases/src/table/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: how requests renew them and how they expire.
+//! Renewal and expiry of sessions.
 
 use super::limits::{MAX_INCARNATIONS, MIN_HISTORY_RETENTION};
 use super::state::Session;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl LeaseTable {
-    /// Applies requests; returns the version of the list of leases that each holder with a new request knows.
+    /// Applies requests. Returns the version of the list of leases that each holder with a new request has.
     pub(super) fn receive_all(
         &mut self,
         requests: &[LeaseRequest],
@@ -31,7 +31,7 @@
         known_versions
     }
 
-    /// Applies a request; returns whether it is new. One that is older than the last of its session is ignored.
+    /// Applies a request, unless it is older than the last of its session. Returns whether it was applied.
     fn receive(&mut self, request: &LeaseRequest, outcome: &mut Outcome) -> Result<bool, Rejection> {
         if !request.is_valid() {
             return Err(Rejection::Invalid);
@@ -63,8 +63,8 @@
         Ok(())
     }
 
-    /// Renews a session or opens one. Returns when it would have expired without this request, or `None` if the request
-    /// is not new.
+    /// Renews or opens a session. Returns when it would have expired without this request, or `None` if the request is not
+    /// new.
     fn renew_session(&mut self, request: &LeaseRequest) -> Result<Option<f64>, Rejection> {
         let expires_at = self.now + self.rules.session_duration();
         let Some(session) = self.sessions.get_mut(&request.holder) else {
@@ -121,8 +121,8 @@
         };
     }
 
-    /// Revokes all leases of a holder that drains, and those of tasks that it no longer runs. They are valid until the
-    /// session would have expired without this request, since the response to it names them.
+    /// Revokes all leases of a draining holder, and those of tasks that it no longer runs, at the latest from `until` (s)
+    /// on, when the session would have expired without this request.
     fn revoke_unwanted(&mut self, holder: &HolderId, until: f64, outcome: &mut Outcome) {
         let Some(session) = self.sessions.get(holder) else { return };
         let wanted = |task: &Task| !session.draining && session.tasks.contains(&task.name);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Ends what has expired: sessions with all their leases, and leases that were revoked.
+    /// Ends expired sessions with all their leases, and revoked leases that were not released in time.
     pub(super) fn expire(&mut self, outcome: &mut Outcome) {
         self.expire_sessions(outcome);
         self.expire_revoked(outcome);
@@ -144,7 +144,7 @@
         let now = self.now;
         let expired = self.sessions.iter().filter(|(_, session)| session.expires_at <= now);
         let expired: Vec<HolderId> = expired.map(|(holder, _)| holder.clone()).collect();
-        // Where most expire at once it is the lease store that could not be reached: that is no flapping.
+        // If most sessions expire at once, the lease store was unreachable and the instances are not flapping.
         let store_unreachable = 2 * expired.len() > self.sessions.len();
         for holder in expired {
             self.expire_session(&holder, store_unreachable, outcome);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Forgets instances that were silent for long enough to matter to no rule.
+    /// Removes instances without a session whose history no longer affects any rule.
     fn remove_old_instances(&mut self) {
         let now = self.now;
         let retention = self.rules.flap_window.max(self.rules.flap_penalty).max(MIN_HISTORY_RETENTION);
--- a/crates/leases/src/table/state.rs
+++ b/crates/leases/src/table/state.rs
@@ -1,5 +1,5 @@
-//! What the table keeps of tasks, leases and instances. Stored in snapshots by position: the order of the fields is part
-//! of the format.
+//! The table's state of tasks, leases and instances. Snapshots encode fields by position: their order is part of the
+//! format.
 
 use super::TaskDeclaration;
 use crate::{Epoch, HolderId, Task};
@@ -11,12 +11,12 @@
 pub(super) struct ActiveLease {
     pub(super) holder: HolderId,
     pub(super) epoch: Epoch,
-    /// When it began.
+    /// Time at which it was granted.
     pub(super) since: f64,
     pub(super) steps_done: u64,
-    /// Since when there has been work and no progress.
+    /// Time since which there has been work without progress.
     pub(super) stalled_since: Option<f64>,
-    /// Revoked, and ended at that time at the latest.
+    /// Latest end, if the lease is revoked.
     pub(super) revoked_until: Option<f64>,
 }
 
@@ -34,19 +34,19 @@
     }
 }
 
-/// An instance that stalled on a part and is not assigned it for a while.
+/// The exclusion of an instance from a part that it stalled on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Exclusion {
     pub(super) instance: String,
     pub(super) until: f64,
 }
 
-/// One part of a task.
+/// The state of one part of a task.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct PartState {
     pub(super) lease: Option<ActiveLease>,
     pub(super) exclusions: Vec<Exclusion>,
-    /// The instance that it is to be assigned to next, if possible.
+    /// The instance to assign the part to next, if possible.
     pub(super) next_holder: Option<String>,
 }
 
@@ -61,7 +61,7 @@
 pub(super) struct TaskState {
     pub(super) declaration: TaskDeclaration,
     pub(super) paused: bool,
-    /// Also parts that are no longer declared, until their leases have ended.
+    /// All parts, including undeclared ones whose leases have not ended.
     pub(super) parts: Vec<PartState>,
 }
 
@@ -70,51 +70,51 @@
         TaskState { declaration, paused: false, parts: Vec::new() }
     }
 
-    /// Parts that are still declared.
+    /// Returns the declared parts.
     pub(super) fn declared_parts(&self) -> impl Iterator<Item = &PartState> {
         self.parts.iter().take(self.declaration.parts as usize)
     }
 
-    /// Numbers of the declared parts without a lease.
+    /// Returns the numbers of the declared parts without a lease.
     pub(super) fn vacant_parts(&self) -> Vec<u32> {
         let vacant = self.declared_parts().zip(0..).filter(|(part, _)| part.lease.is_none());
         vacant.map(|(_, number)| number).collect()
     }
 }
 
-/// An instance that is heard.
+/// The session of an incarnation of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Session {
     pub(super) zone: String,
-    /// The serial number of its last request.
+    /// The serial number of the last request.
     pub(super) serial: u64,
-    /// The term that the last request was granted, whatever the rules say by now.
+    /// The term granted to the last request.
     pub(super) term: f64,
     pub(super) expires_at: f64,
-    /// Names of the tasks that it can run.
+    /// Names of the tasks that the instance can run.
     pub(super) tasks: BTreeSet<String>,
     pub(super) draining: bool,
-    /// The version of its list of leases.
+    /// The version of the list of leases.
     pub(super) version: u64,
     pub(super) leases: BTreeSet<Task>,
 }
 
-/// What is remembered of an instance between its incarnations.
+/// The history of an instance over its incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct InstanceHistory {
-    /// The latest that has spoken.
+    /// The latest incarnation that sent a request.
     pub(super) incarnation: u64,
-    /// When its last session expired.
+    /// Time at which the last session expired.
     pub(super) session_expired_at: Option<f64>,
-    /// When those sessions expired that count as flapping.
+    /// Times at which sessions expired, within the flap window.
     pub(super) flaps: VecDeque<f64>,
-    /// It is assigned nothing before then.
+    /// Time until which the instance is assigned nothing.
     pub(super) excluded_until: f64,
     pub(super) last_request_at: f64,
 }
 
 impl InstanceHistory {
-    /// Counts an expired session; too many within the window exclude the instance for a while.
+    /// Records an expired session. Too many within the window exclude the instance for a while.
     pub(super) fn record_flap(&mut self, now: f64, rules: &super::LeaseRules) {
         self.flaps.push_back(now);
         while self.flaps.front().is_some_and(|at| now - at > rules.flap_window)
--- a/crates/leases/src/table/views.rs
+++ b/crates/leases/src/table/views.rs
@@ -1,31 +1,31 @@
-//! What operators and the lease store's replicas read from the table.
+//! Read access to the table for operators and replicas.
 
 use super::state::{ActiveLease, PartState, Session};
 use super::{Lease, LeaseRules, LeaseTable, TaskDeclaration};
 use crate::{Epoch, HolderId, Task};
 use serde::{Deserialize, Serialize};
 
-/// A part as operators see it.
+/// A part in the lists for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRow {
     /// The part.
     #[serde(rename = "duty")]
     pub task: Task,
-    /// Its holder, if it is leased.
+    /// The holder, if the part is leased.
     #[serde(rename = "owner")]
     pub holder: Option<HolderId>,
-    /// The fencing token; 0 if it is vacant.
+    /// The fencing token; 0 if the part is vacant.
     pub epoch: Epoch,
-    /// When the lease began, s by the table's time; 0 if it is vacant.
+    /// Time at which the lease was granted, s by the table's time; 0 if the part is vacant.
     pub since: f64,
-    /// The lease is to be released.
+    /// Whether the lease is revoked.
     #[serde(rename = "back")]
     pub revoked: bool,
-    /// The task is paused.
+    /// Whether the task is paused.
     pub paused: bool,
 }
 
-/// An instance as operators see it.
+/// An instance in the lists for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRow {
     /// The instance and its incarnation.
@@ -33,52 +33,52 @@
     pub holder: HolderId,
     /// The instance's zone.
     pub zone: String,
-    /// How many leases it holds.
+    /// Number of held leases.
     #[serde(rename = "has")]
     pub parts: usize,
-    /// It releases all its leases to shut down.
+    /// Whether the instance releases all its leases to shut down.
     #[serde(rename = "leaving")]
     pub draining: bool,
     /// Time until its session expires, s.
     #[serde(rename = "left")]
     pub session_remaining: f64,
-    /// Time for which it is assigned nothing since it flapped, s.
+    /// Remaining time for which the instance is assigned nothing because of flapping, s.
     #[serde(rename = "rests")]
     pub penalty_remaining: f64,
 }
 
 impl LeaseTable {
-    /// The table's time, s.
+    /// Returns the table's time, s.
     pub fn now(&self) -> f64 {
         self.now
     }
 
-    /// The rules in force.
+    /// Returns the rules in force.
     pub fn rules(&self) -> &LeaseRules {
         &self.rules
     }
 
-    /// The latest epoch that was issued.
+    /// Returns the latest epoch issued.
     pub fn last_epoch(&self) -> Epoch {
         self.last_epoch
     }
 
-    /// The declared tasks, by name.
+    /// Returns the declared tasks, ordered by name.
     pub fn declarations(&self) -> Vec<TaskDeclaration> {
         self.tasks.values().map(|task| task.declaration.clone()).collect()
     }
 
-    /// How many sessions there are.
+    /// Returns the number of sessions.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Who holds a part now, by the table: the holder may know better that its lease is over.
+    /// Returns the holder and epoch of a part. For the holder itself the lease may have expired already.
     pub fn holder(&self, task: &Task) -> Option<(&HolderId, Epoch)> {
         self.lease(task).map(|lease| (&lease.holder, lease.epoch))
     }
 
-    /// All parts with their leases.
+    /// Returns all parts with their leases.
     pub fn lease_rows(&self) -> Vec<LeaseRow> {
         let mut rows = Vec::new();
         for (name, task) in &self.tasks {
@@ -89,7 +89,7 @@
         rows
     }
 
-    /// All instances with a session.
+    /// Returns all instances with a session.
     pub fn instance_rows(&self) -> Vec<InstanceRow> {
         self.sessions.iter().map(|(holder, session)| self.instance_row(holder, session)).collect()
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A session's leases, as its holder is to learn of them.
+    /// Returns the list of a session's leases for its holder.
     pub(super) fn leases_of(&self, session: &Session) -> Vec<Lease> {
         let lease = |task: &Task| {
             let lease = self.lease(task)?;
