--- a/crates/leases/src/coordination/coordinator.rs
+++ b/crates/leases/src/coordination/coordinator.rs
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReportError {
     /// The server's name is empty, or a name is too long.
-    #[error("a name is missing or too long")]
+    #[error("the server's name is missing, or a name is longer than {MAX_NAME_BYTES} bytes")]
     InvalidName,
     /// The report names more than [`MAX_TENANTS`] tenants.
-    #[error("too many tenants")]
+    #[error("the report names more than {MAX_TENANTS} tenants")]
     TooManyTenants,
     /// The coordinator tracks the most servers that it can.
-    #[error("too many servers")]
+    #[error("more than {MAX_SERVERS} servers have reported")]
     TooManyServers,
     /// A later incarnation of the server has reported.
-    #[error("a later incarnation has reported")]
+    #[error("a later incarnation of the server has reported")]
     StaleIncarnation,
 }
 
--- a/crates/leases/src/table/change.rs
+++ b/crates/leases/src/table/change.rs
@@ -70,15 +70,15 @@
     /// Returns a description for logs and operators.
     pub fn text(self) -> &'static str {
         match self {
-            Cause::Vacant => "it was vacant",
-            Cause::Expired => "its holder was silent for a term",
-            Cause::Released => "released",
+            Cause::Vacant => "the part was vacant",
+            Cause::Expired => "the holder sent no request for a term",
+            Cause::Released => "released by the holder",
             Cause::ReleaseTimeout => "not released in time",
-            Cause::Draining => "its holder drains",
-            Cause::Stalled => "its holder got nothing done",
-            Cause::Rebalanced => "its holder has more parts than others",
-            Cause::Moved => "an operator moved it",
-            Cause::Paused => "an operator paused it",
+            Cause::Draining => "the holder drains",
+            Cause::Stalled => "the holder made no progress",
+            Cause::Rebalanced => "moved to balance loads",
+            Cause::Moved => "moved by an operator",
+            Cause::Paused => "paused by an operator",
             Cause::Undeclared => "no longer declared",
         }
     }
--- a/crates/leases/src/table/error.rs
+++ b/crates/leases/src/table/error.rs
@@ -1,13 +1,14 @@
-//! Why a command can't be carried out. The texts reach operators and name values as the settings do.
+//! Errors of commands. The messages are shown to operators and use the names of the settings.
 
+use super::{MAX_NAMES, MAX_NAME_BYTES, MAX_PARTS};
 use crate::Task;
 use thiserror::Error;
 
-/// What is wrong with rules.
+/// The reason why rules are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum RulesError {
-    /// A time is negative, longer than a day, or not a number.
-    #[error("{name}: {value} s is out of range, 0 to a day is meant")]
+    /// A time is negative, longer than a day, or NaN.
+    #[error("{name}: {value} s is out of range, expected 0 to 86400 s")]
     TimeOutOfRange {
         /// The setting.
         name: &'static str,
@@ -15,44 +16,44 @@
         value: f64,
     },
     /// The term (s) is too short.
-    #[error("term: {0} s is too short, 0.2 s at the least")]
+    #[error("term: {0} s is too short, expected at least 0.2 s")]
     TermTooShort(f64),
     /// The clock drift is out of range.
-    #[error("drift: {0} is out of range, 0 to 0.5 is meant")]
+    #[error("drift: {0} is out of range, expected 0 to 0.5")]
     DriftOutOfRange(f64),
     /// The stall timeout (s) is shorter than two terms.
-    #[error("stall: {0} s, must be two terms at the least")]
+    #[error("stall: {0} s is too short, expected at least two terms")]
     StallTooShort(f64),
-    /// A count that must be positive is 0.
-    #[error("flaps, moves: 1 at the least")]
+    /// A count is 0 that must be positive.
+    #[error("flaps, moves: 0 is out of range, expected at least 1")]
     CountIsZero,
 }
 
-/// Why a command was not carried out.
+/// The reason why a command was not carried out.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommandError {
-    /// The declared rules can't be kept.
+    /// The declared rules are invalid.
     #[error(transparent)]
     Rules(#[from] RulesError),
-    /// More than [`MAX_NAMES`](super::MAX_NAMES) tasks or [`MAX_PARTS`](super::MAX_PARTS) parts are declared.
-    #[error("{tasks} duties with {parts} parts are too many")]
+    /// More than [`MAX_NAMES`] tasks or [`MAX_PARTS`] parts are declared.
+    #[error("{tasks} tasks with {parts} parts are too many, expected at most {MAX_NAMES} and {MAX_PARTS}")]
     TooManyTasks {
-        /// Declared tasks.
+        /// Number of declared tasks.
         tasks: usize,
-        /// Their parts together.
+        /// Number of their parts.
         parts: usize,
     },
     /// A declared task's name is empty or too long, or it has no parts.
-    #[error("duty {0:?}: its name or its parts can't be")]
+    #[error("task {0:?}: expected a name of 1 to {MAX_NAME_BYTES} bytes and at least one part")]
     InvalidTask(String),
     /// A task of this name is not declared.
-    #[error("no duty {0:?} is declared")]
+    #[error("no task {0:?} is declared")]
     UnknownTask(String),
     /// A part is not declared.
-    #[error("no duty {0} is declared")]
+    #[error("no task {0} is declared")]
     UnknownPart(Task),
-    /// An instance may not be assigned the part.
-    #[error("{instance:?} is no instance that may have {task}")]
+    /// The instance has no session or may not be assigned the part.
+    #[error("instance {instance:?} is not connected or may not hold {task}")]
     NotEligible {
         /// The instance.
         instance: String,
--- a/crates/leases/src/table/tests.rs
+++ b/crates/leases/src/table/tests.rs
@@ -266,7 +266,7 @@
     table.send(1.2, &named("a"), |request| request.released = vec![LeaseId::new(task(0), 1)]);
     assert_eq!(table.holder(0).unwrap().0, "b#1");
     let error = table.at(1.3, Command::Move { task: task(0), to: "x".into() }).error.unwrap();
-    assert!(error.to_string().contains("\"x\" is no instance"), "{error}");
+    assert!(error.to_string().contains("instance \"x\" is not connected"), "{error}");
     table.at(1.4, Command::Pause { task: "gather".into(), paused: true });
     table.advance(9.0);
     table.renew(9.1, &named("a"));
--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -167,15 +167,15 @@
         assert_json(&change(kind, cause), literal);
     }
     for (cause, literal, text) in [
-        (Cause::Vacant, r#""Vacant""#, "it was vacant"),
-        (Cause::Expired, r#""Expired""#, "its holder was silent for a term"),
-        (Cause::Released, r#""HandedOver""#, "released"),
+        (Cause::Vacant, r#""Vacant""#, "the part was vacant"),
+        (Cause::Expired, r#""Expired""#, "the holder sent no request for a term"),
+        (Cause::Released, r#""HandedOver""#, "released by the holder"),
         (Cause::ReleaseTimeout, r#""NotHandedOver""#, "not released in time"),
-        (Cause::Draining, r#""Draining""#, "its holder drains"),
-        (Cause::Stalled, r#""Stalled""#, "its holder got nothing done"),
-        (Cause::Rebalanced, r#""Levelled""#, "its holder has more parts than others"),
-        (Cause::Moved, r#""Moved""#, "an operator moved it"),
-        (Cause::Paused, r#""Paused""#, "an operator paused it"),
+        (Cause::Draining, r#""Draining""#, "the holder drains"),
+        (Cause::Stalled, r#""Stalled""#, "the holder made no progress"),
+        (Cause::Rebalanced, r#""Levelled""#, "moved to balance loads"),
+        (Cause::Moved, r#""Moved""#, "moved by an operator"),
+        (Cause::Paused, r#""Paused""#, "paused by an operator"),
         (Cause::Undeclared, r#""Dropped""#, "no longer declared"),
     ] {
         assert_json(&cause, literal);
@@ -393,25 +393,34 @@
     for (command, text) in [
         (
             declare(LeaseRules { stall_timeout: -1.0, ..rules.clone() }, "a", 1),
-            "stall: -1 s is out of range, 0 to a day is meant",
+            "stall: -1 s is out of range, expected 0 to 86400 s",
         ),
         (
             declare(LeaseRules { term: 0.1, ..rules.clone() }, "a", 1),
-            "term: 0.1 s is too short, 0.2 s at the least",
+            "term: 0.1 s is too short, expected at least 0.2 s",
         ),
         (
             declare(LeaseRules { drift: 0.6, ..rules.clone() }, "a", 1),
-            "drift: 0.6 is out of range, 0 to 0.5 is meant",
+            "drift: 0.6 is out of range, expected 0 to 0.5",
         ),
         (
             declare(LeaseRules { stall_timeout: 3.0, ..rules.clone() }, "a", 1),
-            "stall: 3 s, must be two terms at the least",
+            "stall: 3 s is too short, expected at least two terms",
+        ),
+        (
+            declare(LeaseRules { max_flaps: 0, ..rules.clone() }, "a", 1),
+            "flaps, moves: 0 is out of range, expected at least 1",
+        ),
+        (
+            declare(rules.clone(), "a", 100_001),
+            "1 tasks with 100001 parts are too many, expected at most 256 and 100000",
+        ),
+        (declare(rules.clone(), "", 1), "task \"\": expected a name of 1 to 128 bytes and at least one part"),
+        (Command::Pause { task: "x".into(), paused: true }, "no task \"x\" is declared"),
+        (
+            Command::Move { task: task(), to: "n2".into() },
+            "instance \"n2\" is not connected or may not hold gather/3",
         ),
-        (declare(LeaseRules { max_flaps: 0, ..rules.clone() }, "a", 1), "flaps, moves: 1 at the least"),
-        (declare(rules.clone(), "a", 100_001), "1 duties with 100001 parts are too many"),
-        (declare(rules.clone(), "", 1), "duty \"\": its name or its parts can't be"),
-        (Command::Pause { task: "x".into(), paused: true }, "no duty \"x\" is declared"),
-        (Command::Move { task: task(), to: "n2".into() }, "\"n2\" is no instance that may have gather/3"),
     ] {
         let outcome = LeaseTable::default().apply(&LogEntry { at: 1.0, command });
         assert_eq!(outcome.error.unwrap().to_string(), text);
