--- a/crates/leases/src/assignment.rs
+++ b/crates/leases/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Assignment of parts to instances by rendezvous hashing with bounded loads. Each part ranks all instances by a hash of
-//! both names and goes to the first with capacity. An instance that joins or leaves does not change the ranking of the
-//! others, so that few parts move.
+//! Assignment of parts to instances by rendezvous hashing with bounded loads. Each part ranks all instances by a hash
+//! of both names and goes to the first with capacity. An instance that joins or leaves does not change the ranking of
+//! the others, so that few parts move.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -68,8 +68,8 @@
     (MAX_LOAD_FACTOR * mean).floor().max(mean.ceil()) as usize
 }
 
-/// Returns the number of parts below which more are moved to an instance, given `parts` parts and `instances` instances.
-/// It is at least 1 if there are enough parts for all instances.
+/// Returns the number of parts below which more are moved to an instance, given `parts` parts and `instances`
+/// instances. It is at least 1 if there are enough parts for all instances.
 pub fn min_parts(parts: usize, instances: usize) -> usize {
     let mean = parts as f64 / instances.max(1) as f64;
     ((MIN_LOAD_FACTOR * mean).floor() as usize).max(usize::from(mean >= 1.0))
--- a/crates/leases/src/coordination.rs
+++ b/crates/leases/src/coordination.rs
@@ -1,8 +1,8 @@
-//! Reports of servers and the replies of workers. A worker that holds a part of the quota task allocates tenants' quotas,
-//! and the holder of the drain task assigns drain slots; a server uses a [`QuotaClient`] for both.
+//! Reports of servers and the replies of workers. A worker that holds a part of the quota task allocates tenants'
+//! quotas, and the holder of the drain task assigns drain slots; a server uses a [`QuotaClient`] for both.
 //!
-//! A server sends its report to all workers, and those that hold the leases reply. So a server need not know the holders,
-//! and a new holder can reply at once.
+//! A server sends its report to all workers, and those that hold the leases reply. So a server need not know the
+//! holders, and a new holder can reply at once.
 
 mod client;
 mod coordinator;
--- a/crates/leases/src/coordination/coordinator.rs
+++ b/crates/leases/src/coordination/coordinator.rs
@@ -178,7 +178,8 @@
         replies.replies.into_values().collect()
     }
 
-    /// Returns the highest sum of a tenant's rates that may be in force, requests per second, if the lease is held here.
+    /// Returns the highest sum of a tenant's rates that may be in force, requests per second, if the lease is held
+    /// here.
     pub fn committed_rate(&self, now: f64, tenant: &str) -> Option<f64> {
         let lease = self.quota_leases.get(&self.part_for_tenant(tenant))?;
         Some(lease.allocators.get(tenant)?.committed_rate(now))
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,5 +1,6 @@
 //! Fencing of effects. A fence keeps the highest epoch of each task and the number of the last effect under it. It must
-//! be stored with the effects, and [`Fence::check_and_record`] must be called in the transaction that stores the effect.
+//! be stored with the effects, and [`Fence::check_and_record`] must be called in the transaction that stores the
+//! effect.
 
 use crate::{Epoch, Task};
 use serde::{Deserialize, Serialize};
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,9 +1,10 @@
-//! The leases of one instance. The host sends the requests of [`LeaseHolder::next_request`], passes in the responses, and
-//! calls [`LeaseHolder::begin_step`] before every step of a task. Times are seconds by the instance's monotonic clock.
+//! The leases of one instance. The host sends the requests of [`LeaseHolder::next_request`], passes in the responses,
+//! and calls [`LeaseHolder::begin_step`] before every step of a task. Times are seconds by the instance's monotonic
+//! clock.
 //!
-//! A term counts from when the request was sent, so that it ends here before the lease store considers it expired. Every
-//! check compares the clock with the end of the term, so that a process that was paused does not continue under an expired
-//! lease.
+//! A term counts from when the request was sent, so that it ends here before the lease store considers it expired.
+//! Every check compares the clock with the end of the term, so that a process that was paused does not continue under
+//! an expired lease.
 
 mod action;
 mod held_lease;
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Returns the request to send, if one is due. It must be sent at once, since the term counts from `now` (s). Releases
-    /// and progress are repeated until a response acknowledges them.
+    /// Returns the request to send, if one is due. It must be sent at once, since the term counts from `now` (s).
+    /// Releases and progress are repeated until a response acknowledges them.
     pub fn next_request(&mut self, now: f64) -> Option<LeaseRequest> {
         if now < self.next_renewal() || self.rejection == Some(Rejection::Superseded) {
             return None;
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Applies the lease store's list: stops leases that are not in it and starts new ones. Newly revoked leases are valid
-    /// until `previous_valid_until`, the end of the term before this response.
+    /// Applies the lease store's list: stops leases that are not in it and starts new ones. Newly revoked leases are
+    /// valid until `previous_valid_until`, the end of the term before this response.
     fn apply_lease_list(
         &mut self,
         now: f64,
@@ -301,8 +302,8 @@
         Some(StepPermit { epoch: lease.epoch, valid_until: self.valid_until })
     }
 
-    /// Ends a step: `progress` tells whether it made progress, `has_work` whether there is more to do. Returns the actions
-    /// due by now.
+    /// Ends a step: `progress` tells whether it made progress, `has_work` whether there is more to do. Returns the
+    /// actions due by now.
     pub fn finish_step(
         &mut self,
         now: f64,
@@ -322,8 +323,8 @@
         actions
     }
 
-    /// Releases a lease whose task the host has stopped, with no effect in flight. The next request, which is due at once,
-    /// reports it.
+    /// Releases a lease whose task the host has stopped, with no effect in flight. The next request, which is due at
+    /// once, reports it.
     pub fn release(&mut self, task: &Task, epoch: Epoch) -> Option<HolderAction> {
         self.held.get(task).filter(|lease| lease.epoch == epoch && !lease.step_running)?;
         self.drop_lease(task, EndReason::Released)
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -1,5 +1,5 @@
-//! Messages between instances, operators and replicas of the lease store, as lines of JSON. One connection may carry all
-//! of them.
+//! Messages between instances, operators and replicas of the lease store, as lines of JSON. One connection may carry
+//! all of them.
 
 use crate::fence::Verdict;
 use crate::table::{Change, Command, InstanceRow, LeaseRequest, LeaseResponse, LeaseRow};
@@ -166,8 +166,8 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A server applies a rate for a tenant from `at` on. From `valid_until` on it applies at most the lower of this rate
-    /// and the equal share. Both times are seconds of the machine's monotonic clock.
+    /// A server applies a rate for a tenant from `at` on. From `valid_until` on it applies at most the lower of this
+    /// rate and the equal share. Both times are seconds of the machine's monotonic clock.
     #[serde(rename = "goes")]
     QuotaApplied {
         /// The tenant's name.
--- a/crates/leases/src/quota/allocator.rs
+++ b/crates/leases/src/quota/allocator.rs
@@ -161,8 +161,9 @@
         Some(ServerAllocation { server: name, allocation })
     }
 
-    /// Returns the rate that each server should get: its demand with headroom, scaled down if the sum exceeds the quota,
-    /// plus an equal part of the remaining quota. The equal share is reserved for servers without recent reports.
+    /// Returns the rate that each server should get: its demand with headroom, scaled down if the sum exceeds the
+    /// quota, plus an equal part of the remaining quota. The equal share is reserved for servers without recent
+    /// reports.
     fn wanted_rates(&self, now: f64) -> BTreeMap<String, f64> {
         let active = |server: &&ServerState| {
             server.reported || server.outstanding.iter().any(|outstanding| outstanding.expires_at > now)
--- a/crates/leases/src/quota/share.rs
+++ b/crates/leases/src/quota/share.rs
@@ -51,8 +51,8 @@
         ShareReport { number, current: valid.map(|current| current.allocation.id()) }
     }
 
-    /// Applies an allocation, unless it is invalid, too old, superseded, or answers an unknown report. Returns whether it
-    /// was applied.
+    /// Applies an allocation, unless it is invalid, too old, superseded, or answers an unknown report. Returns whether
+    /// it was applied.
     pub fn accept(&mut self, now: f64, allocation: &QuotaAllocation) -> bool {
         let Some(sent_at) = self.reports.sent_at(allocation.report_number) else { return false };
         let superseded =
--- a/crates/leases/src/replica_selector.rs
+++ b/crates/leases/src/replica_selector.rs
@@ -1,6 +1,6 @@
 //! Selection of the lease store's replica that an instance connects to. An instance follows redirects to the leader,
-//! switches to the next replica when one fails, and backs off with jitter when all have failed, so that many instances do
-//! not reconnect at the same moment.
+//! switches to the next replica when one fails, and backs off with jitter when all have failed, so that many instances
+//! do not reconnect at the same moment.
 
 use crate::SeededRandom;
 use std::collections::BTreeMap;
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -1,9 +1,10 @@
-//! The lease table, the replicated state machine of the lease store. All replicas apply the same log entries in the same
-//! order. Times are those of the log entries (see [`crate::table_clock`]), so that the table depends on no replica's clock.
+//! The lease table, the replicated state machine of the lease store. All replicas apply the same log entries in the
+//! same order. Times are those of the log entries (see [`crate::table_clock`]), so that the table depends on no
+//! replica's clock.
 //!
-//! An instance has one session for all its leases, which one request renews. A lease ends when its holder releases it or
-//! when the session expires. A *revoked* lease ends when its holder releases it, at the latest when the session would
-//! have expired as of the revocation.
+//! An instance has one session for all its leases, which one request renews. A lease ends when its holder releases it
+//! or when the session expires. A *revoked* lease ends when its holder releases it, at the latest when the session
+//! would have expired as of the revocation.
 
 mod change;
 mod command;
@@ -64,7 +65,8 @@
             self.now = self.now.max(entry.at);
         }
         let version_before = self.last_version;
-        // Requests are applied before sessions expire, so that renewals received in time by a paused leader take effect.
+        // Requests are applied before sessions expire, so that renewals received in time by a paused leader take
+        // effect.
         let mut known_versions = BTreeMap::new();
         if let Command::Renew(requests) = &entry.command {
             known_versions = self.receive_all(requests, &mut outcome);
--- a/crates/leases/src/table/command.rs
+++ b/crates/leases/src/table/command.rs
@@ -1,5 +1,5 @@
-//! Entries of the replicated log and their outcome. The log encodes variants and fields by position: their order is part
-//! of the format.
+//! Entries of the replicated log and their outcome. The log encodes variants and fields by position: their order is
+//! part of the format.
 
 use super::{Change, CommandError, LeaseRequest, LeaseResponse, LeaseRules};
 use crate::Task;
--- a/crates/leases/src/table/operations.rs
+++ b/crates/leases/src/table/operations.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Removes parts that are no longer declared and have no lease. Their numbers are the highest, so that no other part is
-    /// renumbered.
+    /// Removes parts that are no longer declared and have no lease. Their numbers are the highest, so that no other
+    /// part is renumbered.
     pub(super) fn remove_undeclared_parts(&mut self) {
         for task in self.tasks.values_mut() {
             while task.parts.len() > task.declaration.parts as usize
--- a/crates/leases/src/table/placement.rs
+++ b/crates/leases/src/table/placement.rs
@@ -18,8 +18,8 @@
         self.rebalance(outcome);
     }
 
-    /// Revokes parts whose holder renews its session and has work, but makes no progress (a grey failure), and excludes the
-    /// holder from them for a while.
+    /// Revokes parts whose holder renews its session and has work, but makes no progress (a grey failure), and excludes
+    /// the holder from them for a while.
     fn revoke_stalled(&mut self, outcome: &mut Outcome) {
         let now = self.now;
         let timeout = self.rules.stall_timeout;
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Returns whether more instances lost their session recently than have one, as when the lease store was unreachable.
+    /// Returns whether more instances lost their session recently than have one, as when the lease store was
+    /// unreachable.
     fn most_instances_lost(&self) -> bool {
         let connected: BTreeSet<&str> = self.sessions.keys().map(|holder| holder.instance.as_str()).collect();
         let expired_recently = |history: &InstanceHistory| {
--- a/crates/leases/src/table/sessions.rs
+++ b/crates/leases/src/table/sessions.rs
@@ -63,8 +63,8 @@
         Ok(())
     }
 
-    /// Renews or opens a session. Returns when it would have expired without this request, or `None` if the request is not
-    /// new.
+    /// Renews or opens a session. Returns when it would have expired without this request, or `None` if the request is
+    /// not new.
     fn renew_session(&mut self, request: &LeaseRequest) -> Result<Option<f64>, Rejection> {
         let expires_at = self.now + self.rules.session_duration();
         let Some(session) = self.sessions.get_mut(&request.holder) else {
@@ -121,8 +121,8 @@
         };
     }
 
-    /// Revokes all leases of a draining holder, and those of tasks that it no longer runs, at the latest from `until` (s)
-    /// on, when the session would have expired without this request.
+    /// Revokes all leases of a draining holder, and those of tasks that it no longer runs, at the latest from `until`
+    /// (s) on, when the session would have expired without this request.
     fn revoke_unwanted(&mut self, holder: &HolderId, until: f64, outcome: &mut Outcome) {
         let Some(session) = self.sessions.get(holder) else { return };
         let wanted = |task: &Task| !session.draining && session.tasks.contains(&task.name);
