--- a/crates/leases/src/drain/tests.rs
+++ b/crates/leases/src/drain/tests.rs
@@ -17,25 +17,25 @@
 }
 
 #[test]
-fn no_more_than_the_fleet_and_a_zone_allow_drain_and_those_first_that_waited_longest() {
+fn slots_respect_limits_and_waiting_order() {
     let mut slots = DrainSlots::new(4, rules(), 0.0);
-    for at in 0..16 {
-        let state = if at < 12 { DrainState::Waiting } else { DrainState::Serving };
+    for index in 0..16 {
+        let state = if index < 12 { DrainState::Waiting } else { DrainState::Serving };
         slots.record_report(
-            11.0 + at as f64 / 100.0,
-            &report(&format!("n{at:02}"), 1, ["e", "w"][at % 2], state),
+            11.0 + index as f64 / 100.0,
+            &report(&format!("n{index:02}"), 1, ["e", "w"][index % 2], state),
         );
     }
-    let assigned: Vec<String> = slots.assign(12.0).into_iter().map(|one| one.server).collect();
-    assert_eq!(assigned, ["n00", "n01", "n02"], "two of a zone of eight, three of all");
-    // One is back as a new incarnation, and another is silent: that one counts as unavailable.
+    let assigned: Vec<String> = slots.assign(12.0).into_iter().map(|assigned| assigned.server).collect();
+    assert_eq!(assigned, ["n00", "n01", "n02"], "two of a zone with eight servers, three of the fleet");
+    // n00 has restarted and frees its slot.
     slots.record_report(13.0, &DrainReport { incarnation: 2, ..report("n00", 1, "e", DrainState::Serving) });
     assert_eq!(slots.assign(13.1).len(), 1);
-    assert!(slots.assign(30.0).is_empty(), "all are silent");
+    assert!(slots.assign(30.0).is_empty(), "all servers are silent");
 }
 
 #[test]
-fn a_new_holder_assigns_none_while_slots_of_the_former_may_last() {
+fn new_holder_waits_for_former_slots_to_end() {
     let mut slots = DrainSlots::new(5, rules(), 100.0);
     slots.record_report(105.0, &report("a", 1, "e", DrainState::Waiting));
     assert!(slots.assign(110.1).is_empty());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_server_waits_no_longer_than_it_may_and_never_into_its_drain() {
+fn wait_is_bounded_by_limit_and_kill() {
     for (max_wait, latest) in [(3.0, 103.0), (60.0, 106.0)] {
         let mut draining = DrainingServer::new(100.0, timing(max_wait, 110.0), 7);
         assert_eq!(
@@ -63,11 +63,15 @@
         );
     }
     let mut late = DrainingServer::new(100.0, timing(60.0, 102.0), 0);
-    assert_eq!(late.decide(100.0), DrainDecision::WithoutSlot, "its drain takes longer than it has");
+    assert_eq!(
+        late.decide(100.0),
+        DrainDecision::WithoutSlot,
+        "the drain takes longer than the time until the kill"
+    );
 }
 
 #[test]
-fn a_slot_that_comes_late_or_for_another_incarnation_is_void() {
+fn ignores_late_and_foreign_slots() {
     let mut draining = DrainingServer::new(100.0, timing(60.0, 200.0), 0);
     let report = draining.next_report(100.0).number;
     let slot = DrainSlot { epoch: 3, report_number: report, start_within: 2.0 };
@@ -79,9 +83,9 @@
     assert_eq!(draining.decide(103.0), DrainDecision::WithSlot(3));
 }
 
-/// All of a fleet want to drain; holders are replaced, reports and slots late or lost.
+/// Simulates a rollout over the fleet with replaced holders, and late or lost reports and slots.
 #[test]
-fn in_a_rollout_no_more_are_unavailable_than_may_be_and_all_get_their_slots() {
+fn rollout_respects_limits_under_faults() {
     let (mut with_slot, mut without_slot, mut holders) = (0, 0, 0);
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -93,17 +97,17 @@
             report_timeout: 3.0,
             max_clock_drift: 0.02,
         };
-        let zone = |at: usize| ["e", "w", "s"][at % 3];
+        let zone = |server: usize| ["e", "w", "s"][server % 3];
         let clocks: Vec<(f64, f64)> =
             (0..count).map(|_| (rng.random_range(0.0..1e4), 1.0 + rng.random_range(-0.01..0.01))).collect();
         let (mut incarnations, mut reports) = (vec![1u64; count], vec![0u64; count]);
         let mut draining_servers: Vec<Option<DrainingServer>> = vec![None; count];
-        // Unavailable until then, and whether with a slot; which has been replaced.
+        // Until when each server is unavailable, and whether it drains with a slot.
         let mut unavailable_until: Vec<(f64, bool)> = vec![(0.0, false); count];
         let mut done = vec![false; count];
         let mut slots = DrainSlots::new(1, rules.clone(), -10.0);
         let mut epoch = 1;
-        let mut mail: Vec<(f64, usize, u64, Result<DrainReport, DrainSlot>)> = Vec::new();
+        let mut in_flight: Vec<(f64, usize, u64, Result<DrainReport, DrainSlot>)> = Vec::new();
         let mut t = 0.0;
         for step in 0..20_000 {
             t += 0.02;
@@ -111,35 +115,35 @@
                 (epoch, holders) = (epoch + 1, holders + 1);
                 slots = DrainSlots::new(epoch, rules.clone(), t);
             }
-            for at in 0..count {
-                let now = clocks[at].0 + clocks[at].1 * t;
-                if t < unavailable_until[at].0 {
+            for server in 0..count {
+                let now = clocks[server].0 + clocks[server].1 * t;
+                if t < unavailable_until[server].0 {
                     continue;
                 }
-                if draining_servers[at].is_none() && !done[at] && rng.random_bool(0.005) {
-                    draining_servers[at] =
-                        Some(DrainingServer::new(now, timing(300.0, now + 400.0), reports[at]));
+                if draining_servers[server].is_none() && !done[server] && rng.random_bool(0.005) {
+                    draining_servers[server] =
+                        Some(DrainingServer::new(now, timing(300.0, now + 400.0), reports[server]));
                 }
-                if (step + at * 3) % 25 == 0 {
-                    let StateReport { number, state } = match &mut draining_servers[at] {
+                if (step + server * 3) % 25 == 0 {
+                    let StateReport { number, state } = match &mut draining_servers[server] {
                         Some(draining) => draining.next_report(now),
-                        None => StateReport { number: reports[at] + 1, state: DrainState::Serving },
+                        None => StateReport { number: reports[server] + 1, state: DrainState::Serving },
                     };
-                    reports[at] = number;
+                    reports[server] = number;
                     let report = DrainReport {
-                        incarnation: incarnations[at],
+                        incarnation: incarnations[server],
                         report_number: number,
-                        ..report(&format!("n{at}"), 0, zone(at), state)
+                        ..report(&format!("n{server}"), 0, zone(server), state)
                     };
                     let delay = if rng.random_bool(0.05) { rng.random_range(0.1..3.0) } else { 0.01 };
-                    mail.push((t + delay, at, incarnations[at], Ok(report)));
+                    in_flight.push((t + delay, server, incarnations[server], Ok(report)));
                 }
-                let decision = draining_servers[at].as_mut().map(|draining| draining.decide(now));
+                let decision = draining_servers[server].as_mut().map(|draining| draining.decide(now));
                 if matches!(decision, Some(DrainDecision::WithSlot(_) | DrainDecision::WithoutSlot)) {
-                    // A drain and a restart take half a slot, so that it is back before its slot ends.
-                    unavailable_until[at] = (t + 3.0, decision != Some(DrainDecision::WithoutSlot));
-                    (draining_servers[at], done[at], reports[at]) = (None, true, 0);
-                    incarnations[at] += 1;
+                    // Drain and restart take half a slot.
+                    unavailable_until[server] = (t + 3.0, decision != Some(DrainDecision::WithoutSlot));
+                    (draining_servers[server], done[server], reports[server]) = (None, true, 0);
+                    incarnations[server] += 1;
                     if decision == Some(DrainDecision::WithoutSlot) {
                         without_slot += 1
                     } else {
@@ -149,23 +153,23 @@
             }
             if step % 10 == 0 {
                 for ServerSlot { server, slot } in slots.assign(t) {
-                    let at: usize = server[1..].parse().unwrap();
+                    let server: usize = server[1..].parse().unwrap();
                     let delay = if rng.random_bool(0.05) { rng.random_range(0.1..3.0) } else { 0.01 };
-                    mail.push((t + delay, at, incarnations[at], Err(slot)));
+                    in_flight.push((t + delay, server, incarnations[server], Err(slot)));
                 }
             }
-            let mut place = 0;
-            while place < mail.len() {
-                if mail[place].0 > t {
-                    place += 1;
+            let mut index = 0;
+            while index < in_flight.len() {
+                if in_flight[index].0 > t {
+                    index += 1;
                     continue;
                 }
-                let (_, at, incarnation, what) = mail.swap_remove(place);
-                match what {
+                let (_, server, incarnation, message) = in_flight.swap_remove(index);
+                match message {
                     Ok(report) => slots.record_report(t, &report),
-                    Err(slot) if incarnation == incarnations[at] => {
-                        let now = clocks[at].0 + clocks[at].1 * t;
-                        if let Some(draining) = &mut draining_servers[at] {
+                    Err(slot) if incarnation == incarnations[server] => {
+                        let now = clocks[server].0 + clocks[server].1 * t;
+                        if let Some(draining) = &mut draining_servers[server] {
                             draining.accept(now, &slot);
                         }
                     }
@@ -173,10 +177,10 @@
                 }
             }
             let unavailable = |zone_of: Option<&str>| {
-                let here = |at: &usize| zone_of.is_none_or(|name| zone(*at) == name);
+                let in_zone = |server: &usize| zone_of.is_none_or(|name| zone(*server) == name);
                 (0..count)
-                    .filter(here)
-                    .filter(|at| t < unavailable_until[*at].0 && unavailable_until[*at].1)
+                    .filter(in_zone)
+                    .filter(|server| t < unavailable_until[*server].0 && unavailable_until[*server].1)
                     .count()
             };
             assert!(
@@ -186,10 +190,10 @@
                 rules.max_unavailable
             );
             for name in ["e", "w", "s"] {
-                let of_zone = (0..count).filter(|at| zone(*at) == name).count();
-                let most = ((rules.max_zone_fraction * of_zone as f64).floor() as usize).max(1);
+                let zone_size = (0..count).filter(|server| zone(*server) == name).count();
+                let limit = ((rules.max_zone_fraction * zone_size as f64).floor() as usize).max(1);
                 assert!(
-                    unavailable(Some(name)) <= most,
+                    unavailable(Some(name)) <= limit,
                     "seed {seed}, {t:.2} s: {} of {name}",
                     unavailable(Some(name))
                 );
--- a/crates/leases/src/protocol/tests.rs
+++ b/crates/leases/src/protocol/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn messages_read_back_as_they_were_written() {
+fn requests_round_trip_through_json() {
     let requests = [
         ReplicaRequest::Renew(LeaseRequest { serial: 3, ..LeaseRequest::default() }),
         ReplicaRequest::Status,
@@ -14,7 +14,7 @@
         let text = serde_json::to_string(&request).unwrap();
         assert_eq!(serde_json::from_str::<ReplicaRequest>(&text).unwrap(), request, "{text}");
     }
-    // What another version leaves out has a default.
+    // Fields that another version omits have defaults.
     let short = r#"{"say":{"owner":{"instance":"n1","incarnation":1},"serial":1}}"#;
     assert!(
         matches!(serde_json::from_str(short).unwrap(), ReplicaRequest::Renew(renewal) if renewal.known_version == 0)
--- a/crates/leases/src/quota/tests.rs
+++ b/crates/leases/src/quota/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_server_without_an_allocation_applies_the_equal_share_and_one_whose_allocation_expired_the_lower() {
+fn expired_allocation_falls_back_to_lower_rate() {
     let mut share = QuotaShare::new(QUOTA, 10.0);
     assert_eq!(share.rate(0.0), 10.0);
     for (rate, after) in [(40.0, 10.0), (1.0, 1.0)] {
@@ -36,61 +36,67 @@
         rate: 1.0,
         validity: VALIDITY,
     };
-    assert!(!share.accept(6.9, &allocation(3, 1, report)), "stale");
-    assert!(!share.accept(5.1, &allocation(3, 1, 99)), "no report of ours");
+    assert!(!share.accept(6.9, &allocation(3, 1, report)), "too old");
+    assert!(!share.accept(5.1, &allocation(3, 1, 99)), "answers an unknown report");
     assert!(share.accept(5.1, &allocation(3, 2, report)));
     assert!(
         !share.accept(5.2, &allocation(3, 2, report)) && !share.accept(5.2, &allocation(2, 9, report)),
-        "a later one is held"
+        "a later allocation is applied"
     );
     assert!(!share.accept(5.2, &QuotaAllocation { rate: f64::NAN, ..allocation(4, 1, report) }));
 }
 
 #[test]
-fn nobody_gets_more_before_another_was_heard_to_have_less() {
+fn rate_increases_only_after_confirmed_decrease() {
     let mut allocator = QuotaAllocator::new(7, settings(2), 0.0);
     allocator.record_report(&report("a", 1, 72.0, None));
     allocator.record_report(&report("b", 1, 4.0, None));
-    assert!(allocator.allocate(1.0).is_empty(), "what the former holder allocated may be in force");
+    assert!(allocator.allocate(1.0).is_empty(), "allocations of the former holder may be in force");
     let rate = |allocations: &[ServerAllocation], name: &str| {
-        allocations.iter().find(|one| one.server == name).unwrap().allocation.rate
+        allocations.iter().find(|allocation| allocation.server == name).unwrap().allocation.rate
     };
     let first = allocator.allocate(2.1);
     assert!(rate(&first, "a") == 50.0 && rate(&first, "b") < 10.0, "{first:?}");
     allocator.record_report(&report("a", 2, 72.0, Some(AllocationId { epoch: 7, number: 1 })));
     let second = allocator.allocate(2.5);
-    assert_eq!(rate(&second, "a"), 50.0, "b has not said that it applies its allocation");
+    assert_eq!(rate(&second, "a"), 50.0, "b has not confirmed its allocation");
     allocator.record_report(&report("b", 2, 4.0, Some(AllocationId { epoch: 7, number: 1 })));
     allocator.record_report(&report("a", 3, 72.0, Some(AllocationId { epoch: 7, number: 2 })));
     let third = allocator.allocate(3.0);
     assert!(rate(&third, "a") > 90.0, "{third:?}");
-    // b falls silent: as soon as its allocation has expired the equal share is reserved for it.
-    for at in 1..8 {
-        allocator.record_report(&report("a", 3 + at, 72.0, Some(AllocationId { epoch: 7, number: 2 + at })));
-        allocator.allocate(3.0 + at as f64 / 2.0);
-        assert!(allocator.committed_rate(3.0 + at as f64 / 2.0) < QUOTA + 50.0);
+    // b stops reporting: once its allocation has expired, the equal share is reserved for it.
+    for step in 1..8 {
+        allocator.record_report(&report(
+            "a",
+            3 + step,
+            72.0,
+            Some(AllocationId { epoch: 7, number: 2 + step }),
+        ));
+        allocator.allocate(3.0 + step as f64 / 2.0);
+        assert!(allocator.committed_rate(3.0 + step as f64 / 2.0) < QUOTA + 50.0);
     }
     allocator.record_report(&report("a", 11, 72.0, Some(AllocationId { epoch: 7, number: 10 })));
     assert_eq!(rate(&allocator.allocate(9.0), "a"), 50.0);
 }
 
-/// Servers, a holder that is replaced, reports and allocations that are late or lost.
+/// Simulates servers with drifting clocks, replaced holders, and late or lost reports and allocations.
 #[test]
-fn whatever_is_lost_or_late_what_is_in_force_sums_to_the_quota() {
-    let (mut gained, mut equal) = (0.0, 0.0);
+fn rates_sum_to_quota_under_faults() {
+    let (mut met, mut met_by_equal_shares) = (0.0, 0.0);
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(2..12usize);
         let mut shares: Vec<QuotaShare> = (0..count).map(|_| QuotaShare::new(QUOTA, count as f64)).collect();
-        // A tenth of the servers, one at the least, has most of the demand.
+        // A tenth of the servers, at least one, has most of the demand.
         let hot = count.div_ceil(10);
-        let demand = |at: usize| if at < hot { 70.0 / hot as f64 } else { 20.0 / (count - hot) as f64 };
+        let demand =
+            |server: usize| if server < hot { 70.0 / hot as f64 } else { 20.0 / (count - hot) as f64 };
         let clocks: Vec<(f64, f64)> =
             (0..count).map(|_| (rng.random_range(0.0..1e4), 1.0 + rng.random_range(-0.01..0.01))).collect();
-        let mut cut = vec![0.0; count];
+        let mut cut_until = vec![0.0; count];
         let mut epoch = 1;
         let mut allocator = QuotaAllocator::new(epoch, settings(count), 0.0);
-        let mut mail: Vec<(f64, usize, Result<DemandReport, QuotaAllocation>)> = Vec::new();
+        let mut in_flight: Vec<(f64, usize, Result<DemandReport, QuotaAllocation>)> = Vec::new();
         let mut t = 0.0;
         for step in 0..6000 {
             t += 0.01;
@@ -102,55 +108,57 @@
                 }
             };
             if rng.random_bool(0.002) && t < 50.0 {
-                cut[rng.random_range(0..count)] = t + rng.random_range(1.0..12.0);
+                cut_until[rng.random_range(0..count)] = t + rng.random_range(1.0..12.0);
             }
             if rng.random_bool(0.0007) {
                 epoch += 1;
                 allocator = QuotaAllocator::new(epoch, settings(count), t);
             }
-            for at in 0..count {
-                if (step + at * 7) % 40 == 0 && t >= cut[at] {
-                    let now = clocks[at].0 + clocks[at].1 * t;
-                    let ShareReport { number: report, current } = shares[at].next_report(now);
-                    let demand = demand(at);
+            for server in 0..count {
+                if (step + server * 7) % 40 == 0 && t >= cut_until[server] {
+                    let now = clocks[server].0 + clocks[server].1 * t;
+                    let ShareReport { number: report, current } = shares[server].next_report(now);
+                    let demand = demand(server);
                     let report = DemandReport {
-                        server: format!("n{at}"),
+                        server: format!("n{server}"),
                         incarnation: 1,
                         report_number: report,
                         demand,
                         current,
                     };
-                    mail.push((t + delay(&mut rng), at, Ok(report)));
+                    in_flight.push((t + delay(&mut rng), server, Ok(report)));
                 }
             }
             if step % 25 == 0 {
                 for ServerAllocation { server, allocation } in allocator.allocate(t) {
-                    let at: usize = server[1..].parse().unwrap();
-                    mail.push((t + delay(&mut rng), at, Err(allocation)));
+                    let server: usize = server[1..].parse().unwrap();
+                    in_flight.push((t + delay(&mut rng), server, Err(allocation)));
                 }
             }
-            let mut place = 0;
-            while place < mail.len() {
-                if mail[place].0 > t {
-                    place += 1;
+            let mut index = 0;
+            while index < in_flight.len() {
+                if in_flight[index].0 > t {
+                    index += 1;
                     continue;
                 }
-                match mail.swap_remove(place) {
-                    (_, at, _) if t < cut[at] => {}
+                match in_flight.swap_remove(index) {
+                    (_, server, _) if t < cut_until[server] => {}
                     (_, _, Ok(report)) => allocator.record_report(&report),
-                    (_, at, Err(allocation)) => {
-                        shares[at].accept(clocks[at].0 + clocks[at].1 * t, &allocation);
+                    (_, server, Err(allocation)) => {
+                        shares[server].accept(clocks[server].0 + clocks[server].1 * t, &allocation);
                     }
                 }
             }
-            let rates: Vec<f64> =
-                (0..count).map(|at| shares[at].rate(clocks[at].0 + clocks[at].1 * t)).collect();
+            let rates: Vec<f64> = (0..count)
+                .map(|server| shares[server].rate(clocks[server].0 + clocks[server].1 * t))
+                .collect();
             let sum: f64 = rates.iter().sum();
             assert!(sum <= QUOTA * 1.0001, "seed {seed}, {t:.2} s: {sum} of {QUOTA}: {rates:?}");
-            gained += (0..count).map(|at| rates[at].min(demand(at))).sum::<f64>();
-            equal += (0..count).map(|at| (QUOTA / count as f64).min(demand(at))).sum::<f64>();
+            met += (0..count).map(|server| rates[server].min(demand(server))).sum::<f64>();
+            met_by_equal_shares +=
+                (0..count).map(|server| (QUOTA / count as f64).min(demand(server))).sum::<f64>();
         }
     }
-    println!("demand met within the quota: {:.3} times what equal shares meet", gained / equal);
-    assert!(gained > 1.3 * equal, "{gained} {equal}");
+    println!("demand met: {:.3} times that of equal shares", met / met_by_equal_shares);
+    assert!(met > 1.3 * met_by_equal_shares, "{met} {met_by_equal_shares}");
 }
--- a/crates/leases/src/replica_selector/tests.rs
+++ b/crates/leases/src/replica_selector/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn instances_begin_at_different_replicas_and_back_off_for_different_times() {
+fn spreads_first_replicas_and_backoffs() {
     let mut first = [0; 6];
     let mut backoffs = Vec::new();
     for seed in 0..300 {
@@ -18,13 +18,13 @@
         let NextAction::WaitUntil(until) = selector.next_action(0.0) else { panic!() };
         backoffs.push(until);
     }
-    assert!(first.iter().all(|n| *n == 0 || (60..140).contains(n)), "{first:?}");
+    assert!(first.iter().all(|count| *count == 0 || (60..140).contains(count)), "{first:?}");
     backoffs.sort_by(f64::total_cmp);
     assert!(backoffs[0] < 0.2 && backoffs[290] > 0.4 && backoffs[299] < MAX_BACKOFF, "{backoffs:?}");
 }
 
 #[test]
-fn a_redirect_is_followed_at_once_but_not_in_circles() {
+fn follows_redirects_without_loops() {
     let mut selector = selector(1);
     let NextAction::Connect(first) = selector.next_action(0.0) else { panic!() };
     let other = if first == 5 { 1 } else { 5 };
@@ -38,7 +38,7 @@
     (0..2).for_each(|_| selector.follow_redirect(0.0, None));
     assert!(
         matches!(selector.next_action(0.0), NextAction::WaitUntil(_)),
-        "they point at each other: backoff"
+        "a redirect loop ends in a backoff"
     );
     assert!(matches!(selector.next_action(9.0), NextAction::Connect(_)));
     selector.mark_healthy();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_replica_that_joined_later_is_learned_and_what_the_settings_say_holds() {
+fn adds_redirected_replica_and_keeps_configured_address() {
     let mut selector = selector(1);
     selector.follow_redirect(0.0, Some((7, Some("seven"))));
     assert_eq!((selector.next_action(0.0), selector.address(7)), (NextAction::Connect(7), Some(&"seven")));
--- a/crates/leases/src/sent_times/tests.rs
+++ b/crates/leases/src/sent_times/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_latest_are_known_and_no_others() {
+fn keeps_latest_times_only() {
     let mut sent = SentTimes::new(7, 2);
     assert_eq!((sent.sent_at(7), sent.sent_at(u64::MAX)), (None, None));
     assert_eq!([1.0, 2.0, 3.0].map(|now| sent.record(now)), [8, 9, 10]);
--- a/crates/leases/src/table/tests.rs
+++ b/crates/leases/src/table/tests.rs
@@ -12,7 +12,7 @@
 fn table(parts: u32, rules: LeaseRules) -> TestTable {
     let mut table = TestTable { inner: LeaseTable::default(), serials: BTreeMap::new() };
     let tasks = vec![TaskDeclaration { name: "gather".into(), parts, zone: None }];
-    let outcome = table.at(0.0, Command::Declare { rules, tasks });
+    let outcome = table.apply_at(0.0, Command::Declare { rules, tasks });
     assert_eq!(outcome.error, None);
     table
 }
@@ -22,11 +22,11 @@
 }
 
 impl TestTable {
-    fn at(&mut self, at: f64, command: Command) -> Outcome {
+    fn apply_at(&mut self, at: f64, command: Command) -> Outcome {
         self.inner.apply(&LogEntry { at, command })
     }
     fn advance(&mut self, at: f64) -> Outcome {
-        self.at(at, Command::AdvanceTime)
+        self.apply_at(at, Command::AdvanceTime)
     }
     fn next_request(&mut self, holder: &HolderId) -> LeaseRequest {
         let serial = self.serials.entry(holder.clone()).or_default();
@@ -37,7 +37,7 @@
     fn send(&mut self, at: f64, holder: &HolderId, change: impl FnOnce(&mut LeaseRequest)) -> Outcome {
         let mut request = self.next_request(holder);
         change(&mut request);
-        self.at(at, Command::Renew(vec![request]))
+        self.apply_at(at, Command::Renew(vec![request]))
     }
     fn renew(&mut self, at: f64, holder: &HolderId) -> Outcome {
         self.send(at, holder, |_| {})
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_silent_holder_keeps_its_task_for_the_term_and_the_drift_then_another_has_it_under_a_higher_epoch() {
+fn silent_holder_keeps_lease_for_term_and_drift() {
     let mut table = table(1, LeaseRules::default());
     let outcome = table.renew(1.0, &named("a"));
     assert_eq!(table.holder(0), Some(("a#1".into(), 1)));
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn a_request_that_comes_late_or_twice_renews_nothing() {
+fn ignores_late_and_duplicate_requests() {
     let mut table = table(1, LeaseRules::default());
     let first = table.next_request(&named("a"));
     table.renew(1.0, &named("a"));
-    assert!(table.at(2.9, Command::Renew(vec![first.clone(), first])).responses.is_empty());
+    assert!(table.apply_at(2.9, Command::Renew(vec![first.clone(), first])).responses.is_empty());
     table.advance(3.1);
     assert_eq!(table.holder(0), None);
 }
 
 #[test]
-fn a_restart_inherits_nothing_and_the_former_incarnation_is_notified() {
+fn restart_inherits_no_lease() {
     let mut table = table(1, LeaseRules::default());
     table.renew(1.0, &named("a"));
     let outcome = table.renew(1.5, &HolderId::new("a", 2));
@@ -87,13 +87,17 @@
     let outcome = table.renew(1.6, &named("a"));
     assert_eq!(outcome.responses[0].rejection, Some(Rejection::Superseded));
     table.renew(3.0, &HolderId::new("a", 2));
-    assert_eq!(table.holder(0), Some(("a#1".into(), 1)), "it may still rely on it");
+    assert_eq!(
+        table.holder(0),
+        Some(("a#1".into(), 1)),
+        "the former incarnation may still rely on its lease"
+    );
     table.advance(3.1);
     assert_eq!(table.holder(0), Some(("a#2".into(), 2)));
 }
 
 #[test]
-fn a_drain_releases_in_two_requests_and_in_no_more_than_the_term() {
+fn drain_releases_leases_within_term() {
     for releases in [true, false] {
         let mut table = table(2, LeaseRules::default());
         table.renew(1.0, &named("a"));
@@ -108,7 +112,7 @@
             .clone()
             .unwrap();
         assert!(leases.len() == 2 && leases.iter().all(|lease| lease.revoked), "{leases:?}");
-        assert_eq!(table.holder(0).unwrap().0, "a#1", "it may be in the middle of a step");
+        assert_eq!(table.holder(0).unwrap().0, "a#1", "a step may be running");
         if releases {
             let released = vec![LeaseId::new(task(0), 1), LeaseId::new(task(1), 2)];
             let outcome = table
@@ -118,7 +122,7 @@
                 .iter()
                 .any(|response| response.holder == named("b") && response.leases.is_some()));
         } else {
-            // Requests go on, but what was revoked is not renewed by them.
+            // Later requests do not renew revoked leases.
             table.send(2.5, &named("a"), |request| request.draining = true);
             table.renew(2.5, &named("b"));
             table.advance(3.03);
@@ -130,35 +134,35 @@
 }
 
 #[test]
-fn a_holder_that_is_heard_and_gets_nothing_done_loses_the_task_for_a_while() {
+fn stalled_holder_is_excluded_for_a_while() {
     let mut table =
         table(1, LeaseRules { stall_timeout: 4.0, exclusion_period: 10.0, ..LeaseRules::default() });
-    let busy = |done| {
+    let progress = |steps_done| {
         move |request: &mut LeaseRequest| {
-            request.progress = vec![Progress { task: task(0), epoch: 1, steps_done: done, has_work: true }];
+            request.progress = vec![Progress { task: task(0), epoch: 1, steps_done, has_work: true }];
         }
     };
     for at in 1..=9 {
-        table.send(f64::from(at), &named("a"), busy(u64::from(at.min(5) as u32)));
+        table.send(f64::from(at), &named("a"), progress(u64::from(at.min(5) as u32)));
         table.renew(f64::from(at), &named("b"));
         table.advance(f64::from(at) + 0.1);
     }
     assert_eq!(table.holder(0).unwrap().0, "a#1");
-    table.send(9.2, &named("a"), busy(5));
+    table.send(9.2, &named("a"), progress(5));
     table.advance(9.3);
     table.send(10.0, &named("a"), |request| request.released = vec![LeaseId::new(task(0), 1)]);
     assert_eq!(table.holder(0).unwrap().0, "b#1", "a is excluded");
     for at in 10..19 {
         table.renew(f64::from(at) + 0.5, &named("a"));
     }
-    assert_eq!(table.holder(0), None, "b is gone and a is excluded still");
+    assert_eq!(table.holder(0), None, "b's session has expired and a is still excluded");
     table.renew(19.5, &named("a"));
     table.advance(19.6);
     assert_eq!(table.holder(0).unwrap().0, "a#1");
 }
 
 #[test]
-fn a_holder_without_work_is_not_stalled() {
+fn holder_without_work_is_not_stalled() {
     let mut table = table(1, LeaseRules { stall_timeout: 4.0, ..LeaseRules::default() });
     for at in 1..30 {
         let progress = Progress { task: task(0), epoch: 1, steps_done: 3, has_work: false };
@@ -169,51 +173,51 @@
 }
 
 #[test]
-fn an_instance_that_flaps_is_assigned_nothing_for_a_while() {
+fn flapping_instance_is_assigned_nothing_for_a_while() {
     let mut table = table(1, LeaseRules { panic_window: 0.0, ..LeaseRules::default() });
-    // Two others are there all the while, though they run no task.
-    let pass = |table: &mut TestTable, from: f64, to: f64, with: bool| {
+    // b and c keep sessions throughout, but run no task.
+    let run = |table: &mut TestTable, from: f64, to: f64, with_a: bool| {
         for at in 0..((to - from) * 2.0) as u32 {
             let at = from + f64::from(at) / 2.0;
             for name in ["b", "c"] {
                 table.send(at, &named(name), |request| request.tasks.clear());
             }
-            if with {
+            if with_a {
                 table.renew(at, &named("a"));
             }
             table.advance(at + 0.1);
         }
     };
     for at in [1.0, 4.0, 7.0] {
-        pass(&mut table, at, at + 0.5, true);
+        run(&mut table, at, at + 0.5, true);
         assert!(table.holder(0).is_some());
-        pass(&mut table, at + 0.5, at + 3.0, false);
+        run(&mut table, at + 0.5, at + 3.0, false);
         assert!(table.holder(0).is_none());
     }
-    pass(&mut table, 10.0, 39.0, true);
-    assert_eq!(table.holder(0), None, "three times in a minute");
-    pass(&mut table, 39.0, 41.0, true);
+    run(&mut table, 10.0, 39.0, true);
+    assert_eq!(table.holder(0), None, "three expired sessions within a minute");
+    run(&mut table, 39.0, 41.0, true);
     assert_eq!(table.holder(0).unwrap().0, "a#1");
 }
 
 #[test]
-fn an_instance_that_was_silent_since_the_replicas_were_is_not_flapping() {
+fn store_outage_is_not_flapping() {
     let mut table = table(3, LeaseRules { panic_window: 0.0, ..LeaseRules::default() });
     for at in [1.0, 4.0, 7.0, 10.0] {
         let requests: Vec<LeaseRequest> = ["a", "b", "c"].map(|name| table.next_request(&named(name))).into();
-        table.at(at, Command::Renew(requests));
+        table.apply_at(at, Command::Renew(requests));
         assert!(table.holder(0).is_some(), "{at}");
         table.advance(at + 2.5);
     }
 }
 
 #[test]
-fn while_most_are_silent_nothing_is_assigned_though_not_for_ever() {
+fn panic_window_delays_assignment() {
     let mut table = table(8, LeaseRules::default());
     for at in [1.0, 1.1] {
         let requests: Vec<LeaseRequest> =
             ["a", "b", "c", "d"].map(|name| table.next_request(&named(name))).into();
-        table.at(at, Command::Renew(requests));
+        table.apply_at(at, Command::Renew(requests));
     }
     let mut at = 2.0;
     while at < 4.0 {
@@ -221,7 +225,7 @@
         at += 0.5;
     }
     let vacant = |table: &TestTable| (0..8).filter(|part| table.holder(*part).is_none()).count();
-    assert_eq!(vacant(&table), 6, "three of four fell silent at once");
+    assert_eq!(vacant(&table), 6, "three of four sessions expired at once");
     while at < 8.6 {
         table.renew(at, &named("a"));
         at += 0.5;
@@ -230,7 +234,7 @@
 }
 
 #[test]
-fn an_instance_that_joins_late_gets_its_share_from_the_most_loaded() {
+fn joining_instance_gets_its_share() {
     let mut table = table(40, LeaseRules::default());
     table.renew(1.0, &named("a"));
     table.renew(1.0, &named("b"));
@@ -249,40 +253,43 @@
         }
         table.advance(at + 0.1);
     }
-    let has =
+    let load =
         |name: &str| table.inner.lease_rows().iter().filter(|row| row.holder == Some(named(name))).count();
-    let loads = ["a", "b", "c"].map(has);
-    assert!(loads.iter().sum::<usize>() == 40 && loads.iter().all(|n| (9..=16).contains(n)), "{loads:?}");
+    let loads = ["a", "b", "c"].map(load);
+    assert!(
+        loads.iter().sum::<usize>() == 40 && loads.iter().all(|load| (9..=16).contains(load)),
+        "{loads:?}"
+    );
     assert!(table.inner.last_epoch() <= 40 + 30, "few moves: {}", table.inner.last_epoch());
 }
 
 #[test]
-fn operators_pause_and_move_and_what_is_no_longer_declared_ends() {
+fn pause_move_and_undeclare_end_leases() {
     let mut table = table(2, LeaseRules::default());
     table.renew(1.0, &named("a"));
     table.renew(1.0, &named("b"));
-    let to = Command::Move { task: task(0), to: "b".into() };
-    assert_eq!(table.at(1.1, to.clone()).error, None);
+    let move_part = Command::Move { task: task(0), to: "b".into() };
+    assert_eq!(table.apply_at(1.1, move_part.clone()).error, None);
     table.send(1.2, &named("a"), |request| request.released = vec![LeaseId::new(task(0), 1)]);
     assert_eq!(table.holder(0).unwrap().0, "b#1");
-    let error = table.at(1.3, Command::Move { task: task(0), to: "x".into() }).error.unwrap();
+    let error = table.apply_at(1.3, Command::Move { task: task(0), to: "x".into() }).error.unwrap();
     assert!(error.to_string().contains("instance \"x\" is not connected"), "{error}");
-    table.at(1.4, Command::Pause { task: "gather".into(), paused: true });
+    table.apply_at(1.4, Command::Pause { task: "gather".into(), paused: true });
     table.advance(9.0);
     table.renew(9.1, &named("a"));
     assert_eq!(table.holder(0), None);
-    table.at(9.2, Command::Pause { task: "gather".into(), paused: false });
+    table.apply_at(9.2, Command::Pause { task: "gather".into(), paused: false });
     assert!(table.holder(0).is_some());
     let declare = Command::Declare { rules: LeaseRules::default(), tasks: vec![] };
-    table.at(9.3, declare);
+    table.apply_at(9.3, declare);
     table.advance(20.0);
     assert!(table.inner.lease_rows().is_empty());
-    let never = Command::Pause { task: "gather".into(), paused: true };
-    assert!(table.at(20.1, never).error.is_some());
+    let pause_undeclared = Command::Pause { task: "gather".into(), paused: true };
+    assert!(table.apply_at(20.1, pause_undeclared).error.is_some());
 }
 
 #[test]
-fn a_table_that_was_stored_and_read_goes_on_alike() {
+fn restored_table_behaves_alike() {
     let mut first = table(5, LeaseRules::default());
     first.renew(1.25, &named("a"));
     first.renew(1.5, &named("b"));
@@ -295,17 +302,17 @@
     }
     assert_eq!(first.inner, second.inner);
     assert!(first.inner.last_epoch() > 5);
-    // A file that was cut off or changed is an error, not a panic.
-    for cut in 0..bytes.len() {
-        let _ = postcard::from_bytes::<LeaseTable>(&bytes[..cut]);
+    // Truncated bytes must not cause a panic.
+    for len in 0..bytes.len() {
+        let _ = postcard::from_bytes::<LeaseTable>(&bytes[..len]);
     }
 }
 
 #[test]
-fn what_is_too_long_too_many_or_out_of_range_is_rejected() {
+fn rejects_invalid_requests_and_commands() {
     let mut table = table(1, LeaseRules::default());
-    let long = named(&"x".repeat(MAX_NAME_BYTES + 1));
-    assert_eq!(table.renew(1.0, &long).responses[0].rejection, Some(Rejection::Invalid));
+    let long_name = named(&"x".repeat(MAX_NAME_BYTES + 1));
+    assert_eq!(table.renew(1.0, &long_name).responses[0].rejection, Some(Rejection::Invalid));
     for incarnation in 1..=MAX_INCARNATIONS as u64 {
         table.renew(1.0, &HolderId::new("a", incarnation));
     }
@@ -315,7 +322,7 @@
     );
     let tasks = vec![TaskDeclaration { name: "huge".into(), parts: u32::MAX, zone: None }];
     let declare = Command::Declare { rules: LeaseRules::default(), tasks };
-    assert!(table.at(1.1, declare).error.unwrap().to_string().contains("too many"));
+    assert!(table.apply_at(1.1, declare).error.unwrap().to_string().contains("too many"));
     for rules in [
         LeaseRules { term: f64::NAN, ..LeaseRules::default() },
         LeaseRules { term: 0.0, ..LeaseRules::default() },
--- a/crates/leases/tests/schedules.rs
+++ b/crates/leases/tests/schedules.rs
@@ -1,9 +1,7 @@
-//! Random schedules of faults around the modules without I/O, in simulated time: holders that stop, restart, drain and
-//! are cut off, a lease store that changes its leader and pauses, clocks that run apart, effects that are a minute on
-//! their way, fences that restart. In each of them no instance relies on a lease that another has, a fence's epochs never
-//! fall and each belongs to one incarnation, and every row is written once.
-//!
-//! A bug planted in the host has to be caught by the same schedules, or they prove nothing.
+//! Random schedules of faults in simulated time: pauses, restarts, drains, partitions, leader changes, clock drift,
+//! late effects and restarts of the fence. In each schedule at most one instance relies on a lease, the epochs of
+//! stored effects never decrease and each belongs to one incarnation, and every row is written once. The same schedules
+//! must catch bugs planted in the host.
 
 use puffinladder_leases::fence::{Fence, Verdict};
 use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
@@ -16,29 +14,29 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many schedules are played; their seeds are their numbers.
+/// Number of schedules; their seeds are 0, 1, 2 and so on.
 const SCHEDULES: u64 = 2000;
 /// Simulated time between two steps, s.
 const STEP: f64 = 0.02;
 /// Length of a schedule, s.
 const DURATION: f64 = 110.0;
-/// No new fault from here on (s), so that the end must be a fleet at work.
+/// Time of the last fault, s; afterwards the fleet must recover.
 const LAST_FAULT: f64 = 60.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
-    /// The term counts from when the response came.
+    /// The term counts from when the response arrived.
     TermFromReceipt,
-    /// A fence forgets at its restart.
+    /// The fence loses its records when it restarts.
     VolatileFence,
-    /// A fence checks an effect, and stores it a second later.
+    /// The fence checks an effect and stores it a second later.
     CheckThenStore,
-    /// Epochs are read off the holder's clock.
+    /// Epochs are taken from the holder's clock.
     ClockEpoch,
-    /// A lease is released while its last effect is on its way, and its holder goes on.
+    /// The holder continues after its lease has ended.
     KeepsRunning,
-    /// A restarted instance takes up the leases of its former incarnation.
+    /// A restarted instance keeps the leases of its former incarnation.
     SameIncarnation,
 }
 
@@ -49,28 +47,28 @@
     incarnation: u64,
 }
 
-/// An effect on its way to the fence.
+/// An effect sent to the fence.
 #[derive(Clone, Debug)]
 struct Effect {
     task: Task,
     epoch: Epoch,
-    /// 0 is the announcement of a holder.
+    /// 0 for the announcement of a new holder.
     number: u64,
     row: u64,
     sender: Sender,
 }
 
-/// What a host knows of a task that it runs.
+/// A host's state of a running task.
 #[derive(Clone, Debug)]
 struct RunningTask {
-    /// As the effects carry it; the lease's own, but for a bug.
+    /// The epoch of sent effects, the lease's own unless a bug is planted.
     sent_epoch: Epoch,
     lease_epoch: Epoch,
-    /// Rows that it knows to be written, once the fence has said.
+    /// Number of written rows, once the fence has replied.
     rows: Option<u64>,
     /// The number of its last effect.
     number: u64,
-    /// Since when it waits for the verdict on an effect.
+    /// Time since which it waits for the verdict on an effect.
     waiting_since: Option<f64>,
     releasing: bool,
 }
@@ -84,16 +82,16 @@
 struct Host {
     name: String,
     holder: LeaseHolder,
-    /// The holder's incarnation, unless a bug keeps the former one.
+    /// The host's incarnation, which the holder shares unless a bug is planted.
     incarnation: u64,
     clock_offset: f64,
     clock_rate: f64,
     paused_until: f64,
-    /// Requests to the lease store are lost until then.
+    /// Time until which requests to the lease store are lost.
     requests_cut_until: f64,
-    /// Responses of the lease store are lost until then.
+    /// Time until which responses of the lease store are lost.
     responses_cut_until: f64,
-    /// Messages from and to the fence are lost until then.
+    /// Time until which messages from and to the fence are lost.
     fence_cut_until: f64,
     running: BTreeMap<Task, RunningTask>,
 }
@@ -111,17 +109,17 @@
         response: LeaseResponse,
     },
     Effect(Effect),
-    /// To the sender: what became of its effect, and how many rows are stored.
+    /// The fence's reply to the sender, with the number of stored rows.
     EffectChecked {
         effect: Effect,
         verdict: Verdict,
         rows: u64,
     },
-    /// A fence with the bug of two steps stores it now.
+    /// Stores an effect that was checked before, under [`Bug::CheckThenStore`].
     Store(Effect),
 }
 
-struct Posted {
+struct InFlight {
     arrives_at: f64,
     number: u64,
     message: Message,
@@ -137,23 +135,23 @@
     leader_clock_offset: f64,
     leader_clock_rate: f64,
     leader_paused_until: f64,
-    /// Requests that wait for the leader.
+    /// Requests that the leader has not read.
     unread: VecDeque<LeaseRequest>,
     next_advance: f64,
-    messages: Vec<Posted>,
-    posted: u64,
+    messages: Vec<InFlight>,
+    sent_count: u64,
     fence: Fence,
     fence_down_until: f64,
-    /// Rows as they were stored.
+    /// Rows in the order in which they were stored.
     rows: BTreeMap<Task, Vec<u64>>,
-    /// Whose effects an epoch had at the fence.
+    /// The sender of each epoch's first effect at the fence.
     senders: BTreeMap<(Task, Epoch), Sender>,
     highest_epochs: BTreeMap<Task, Epoch>,
     stale_effects: u64,
     lease_changes: u64,
 }
 
-/// What a schedule found broken, in words.
+/// The result of a check, with a description of the violation.
 type CheckResult = Result<(), String>;
 
 impl World {
@@ -172,7 +170,7 @@
             unread: VecDeque::new(),
             next_advance: 0.0,
             messages: Vec::new(),
-            posted: 0,
+            sent_count: 0,
             fence: Fence::default(),
             fence_down_until: 0.0,
             rows: BTreeMap::new(),
@@ -208,8 +206,8 @@
     }
 
     fn post(&mut self, delay: f64, message: Message) {
-        self.posted += 1;
-        self.messages.push(Posted { arrives_at: self.t + delay, number: self.posted, message });
+        self.sent_count += 1;
+        self.messages.push(InFlight { arrives_at: self.t + delay, number: self.sent_count, message });
     }
 
     fn delay(&mut self) -> f64 {
@@ -248,7 +246,7 @@
             if row.holder.is_none() || stored == 0 {
                 let (holder, instances) = (row.holder, self.table.instance_rows());
                 return Err(format!(
-                    "{} has {holder:?} and {stored} rows after calm: {instances:?}",
+                    "{} has {holder:?} and {stored} rows after recovery: {instances:?}",
                     row.task
                 ));
             }
@@ -256,7 +254,7 @@
         Ok(())
     }
 
-    /// One fault in a second or so.
+    /// Injects a fault about once a second.
     fn inject_fault(&mut self) {
         if !self.rng.random_bool(STEP) {
             return;
@@ -282,7 +280,7 @@
         }
     }
 
-    /// Another replica leads, on a clock of its own. What the former one had not yet read is lost.
+    /// Elects another leader, with a clock of its own. Requests that the former leader has not read are lost.
     fn change_leader(&mut self) {
         let rate = 1.0 + self.rng.random_range(-0.01..0.01);
         self.leader_clock_offset = self.rng.random_range(0.0..1e4);
@@ -306,7 +304,7 @@
         if self.bug != Bug::SameIncarnation || host.holder.is_draining() {
             host.holder = new_holder(&host.name, host.incarnation);
         } else {
-            // It finds its leases again in what it stored, but no longer knows what it did under them.
+            // The leases survive the restart, but not the state of their tasks.
             for (task, epoch) in host.holder.leases() {
                 host.running.insert(task.clone(), RunningTask::new(epoch, epoch));
             }
@@ -318,7 +316,7 @@
         self.leader_clock_offset + self.leader_clock_rate * self.t
     }
 
-    /// The leader reads requests and advances the table's time.
+    /// Lets the leader read requests and advance the table's time.
     fn run_leader(&mut self) {
         if self.t < self.leader_paused_until {
             return;
@@ -352,13 +350,18 @@
 
     fn deliver(&mut self) -> CheckResult {
         let t = self.t;
-        let mut due: Vec<Posted> = self.messages.extract_if(.., |posted| posted.arrives_at <= t).collect();
+        let mut due: Vec<InFlight> =
+            self.messages.extract_if(.., |in_flight| in_flight.arrives_at <= t).collect();
         due.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at).then(a.number.cmp(&b.number)));
-        for Posted { arrives_at, number, message } in due {
+        for InFlight { arrives_at, number, message } in due {
             match message {
                 Message::Request(request) => self.unread.push_back(request),
                 Message::Response { host, .. } if t < self.hosts[host].paused_until => {
-                    self.messages.push(Posted { arrives_at: self.hosts[host].paused_until, number, message });
+                    self.messages.push(InFlight {
+                        arrives_at: self.hosts[host].paused_until,
+                        number,
+                        message,
+                    });
                 }
                 Message::Response { host, response } => self.respond(host, arrives_at, response),
                 Message::Effect(effect) => self.check_effect(effect)?,
@@ -367,7 +370,7 @@
                     if t < self.hosts[effect.sender.host].paused_until =>
                 {
                     let arrives_at = self.hosts[effect.sender.host].paused_until;
-                    self.messages.push(Posted { arrives_at, number, message });
+                    self.messages.push(InFlight { arrives_at, number, message });
                 }
                 Message::EffectChecked { effect, verdict, rows } => {
                     if effect.sender.incarnation == self.hosts[effect.sender.host].incarnation {
@@ -384,7 +387,6 @@
         let host = &mut self.hosts[index];
         let now = host.clock(t);
         if self.bug == Bug::TermFromReceipt {
-            // Half a term and more, as a response may be late.
             response.term += (arrived_at - t).abs() + 1.5;
         }
         let actions = host.holder.handle_response(now, &response);
@@ -393,7 +395,7 @@
 
     fn check_effect(&mut self, effect: Effect) -> CheckResult {
         if self.t < self.fence_down_until {
-            return Ok(()); // rejected connections: it is sent again
+            return Ok(());
         }
         let verdict = if effect.number == 0 {
             self.fence.announce(&effect.task, effect.epoch)
@@ -450,13 +452,13 @@
         let now = host.clock(self.t);
         let running = host.running.get_mut(&effect.task);
         let Some(running) = running.filter(|running| running.sent_epoch == effect.epoch) else {
-            // Its lease is over here; the step is too.
+            // The lease has ended here: end the step too.
             let _ = host.holder.finish_step(now, &effect.task, effect.epoch, false, true);
             return;
         };
         let expected = running.number + u64::from(running.rows.is_some());
         if running.waiting_since.is_none() || effect.number != expected {
-            return; // a second verdict
+            return;
         }
         running.waiting_since = None;
         let lease_epoch = running.lease_epoch;
@@ -504,7 +506,7 @@
         }
     }
 
-    /// A host checks its clock, sends requests, begins steps and releases leases.
+    /// Lets a host check its clock, send requests, begin steps and release leases.
     fn run_host(&mut self, index: usize) -> CheckResult {
         let t = self.t;
         if t < self.hosts[index].paused_until {
@@ -513,7 +515,7 @@
         let now = self.hosts[index].clock(t);
         let actions = self.hosts[index].holder.expire(now);
         self.perform(index, actions);
-        // Drains come now and then, and end in a new incarnation.
+        // A drain ends in a new incarnation.
         if t < LAST_FAULT && self.rng.random_bool(STEP / 40.0) {
             self.hosts[index].holder.start_draining();
         }
@@ -535,7 +537,7 @@
         Ok(())
     }
 
-    /// Releases a lease that is to be released, or begins a step and sends its effect.
+    /// Releases the lease if it is to be released, else begins a step and sends its effect.
     fn run_task(&mut self, index: usize, now: f64, task: Task) -> CheckResult {
         let t = self.t;
         let host = &mut self.hosts[index];
@@ -564,7 +566,7 @@
         let (number, row) = running.rows.map_or((0, 0), |rows| (running.number + 1, rows + 1));
         let sender = Sender { host: index, incarnation };
         let effect = Effect { task, epoch: running.sent_epoch, number, row, sender };
-        // One in a hundred is on its way until its holder has long lost the lease.
+        // One in a hundred effects arrives after its holder may have lost the lease.
         let delay = if self.rng.random_bool(0.01) { self.rng.random_range(1.0..60.0) } else { self.delay() };
         if t >= self.hosts[index].fence_cut_until {
             self.post(delay, Message::Effect(effect));
@@ -572,7 +574,7 @@
         Ok(())
     }
 
-    /// No instance relies on a lease that another relies on, and whoever relies on one is whom the table names.
+    /// Checks that at most one instance relies on each lease, and that it is the holder in the table.
     fn check_holders(&self) -> CheckResult {
         let mut seen: BTreeMap<&Task, usize> = BTreeMap::new();
         for (index, host) in self.hosts.iter().enumerate() {
@@ -585,9 +587,12 @@
                 if let Some(other) = seen.insert(task, index) {
                     return Err(format!("{:.2}: {task} is relied on by {other} and {index}", self.t));
                 }
-                let named = self.table.holder(task).map(|(holder, epoch)| (holder.clone(), epoch));
-                if named != Some((id.clone(), epoch)) {
-                    return Err(format!("{:.2}: {task} is {named:?}, relied on by {id}", self.t));
+                let table_holder = self.table.holder(task).map(|(holder, epoch)| (holder.clone(), epoch));
+                if table_holder != Some((id.clone(), epoch)) {
+                    return Err(format!(
+                        "{:.2}: {task} is held by {table_holder:?}, relied on by {id}",
+                        self.t
+                    ));
                 }
             }
         }
@@ -611,7 +616,7 @@
 }
 
 #[test]
-fn whatever_fails_one_holder_at_a_time_and_every_row_once() {
+fn leases_are_exclusive_under_faults() {
     let (mut stale_effects, mut lease_changes, mut rows) = (0, 0, 0);
     for seed in 0..SCHEDULES {
         let mut world = World::new(seed, Bug::None);
@@ -625,12 +630,12 @@
     println!(
         "{SCHEDULES} schedules: {rows} rows, {lease_changes} changes of leases, {stale_effects} stale effects rejected"
     );
-    // A run in which no stale effect was tried proves nothing.
+    // The schedules must have sent stale effects.
     assert!(stale_effects > SCHEDULES, "{stale_effects}");
 }
 
 #[test]
-fn each_planted_bug_is_caught() {
+fn schedules_catch_planted_bugs() {
     for bug in [
         Bug::TermFromReceipt,
         Bug::VolatileFence,
--- a/crates/leases/tests/small.rs
+++ b/crates/leases/tests/small.rs
@@ -1,5 +1,5 @@
-//! Two instances, one part, one fence, explored exhaustively: every order of requests, responses, effects, checks of the
-//! clock and restarts within a few whole seconds. Messages may be on their way for good.
+//! Exhaustive model checking of two instances, one part and one fence: every order of requests, responses, effects,
+//! clock checks and restarts within a few seconds. Messages may be lost.
 
 use puffinladder_leases::fence::{Fence, Verdict};
 use puffinladder_leases::holder::{HolderAction, LeaseHolder, LeaseStage};
@@ -10,21 +10,21 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
-/// How many seconds are explored; the term is one of them.
+/// Explored time, s; the term is 1 s.
 const LAST_SECOND: u8 = 3;
-/// Requests that each incarnation sends.
+/// Most requests of one incarnation.
 const MAX_REQUESTS: u64 = 1;
-/// Messages that are on their way at once.
+/// Most messages in flight.
 const MAX_MESSAGES: usize = 3;
-/// Effects that are stored.
+/// Most stored effects.
 const MAX_STORED: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
-    /// The term counts from when the response came.
+    /// The term counts from when the response arrived.
     TermFromReceipt,
-    /// The fence forgets when it restarts.
+    /// The fence loses its records when it restarts.
     VolatileFence,
 }
 
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// A second passes; no instance checks its clock by itself.
+    /// A second passes.
     PassSecond,
     /// The lease store advances its time.
     AdvanceTime,
@@ -54,7 +54,7 @@
 struct Instance {
     holder: LeaseHolder,
     incarnation: u64,
-    /// Requests that this incarnation has sent.
+    /// Number of requests sent by this incarnation.
     requests: u64,
 }
 
@@ -83,7 +83,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        // Times are whole seconds, and what is written out tells states apart.
+        // Times are whole seconds, so that the debug output distinguishes states.
         format!("{self:?}").hash(hasher);
     }
 }
@@ -108,7 +108,7 @@
     fn post(&mut self, message: Message) {
         if self.messages.len() < MAX_MESSAGES && !self.messages.contains(&message) {
             self.messages.push(message);
-            // Any of them may arrive next: their order is no difference.
+            // Messages arrive in any order, so that their order does not distinguish states.
             self.messages.sort_by_key(|message| format!("{message:?}"));
         }
     }
@@ -155,7 +155,7 @@
             restarts: 0,
             fence_restarts: 0,
         };
-        // Both are known, and the first of them has the lease.
+        // Both instances have sessions, and the first holds the lease.
         for index in 0..2 {
             let request = state.instances[index].holder.next_request(0.0).expect("a first request");
             state.apply(Command::Renew(vec![request]));
@@ -210,7 +210,7 @@
                 }
                 let Instance { holder, incarnation, .. } = &mut state.instances[index];
                 let epoch = holder.begin_step(now, &task())?.epoch;
-                // One effect under each epoch is enough to be stale.
+                // One effect under each epoch suffices.
                 let (sender, incarnation, number) = (index, *incarnation, 1);
                 let sent = state.stored.iter().any(|effect| effect.epoch == epoch);
                 if sent {
@@ -265,22 +265,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one relies on the lease", |_, state: &State| {
+            Property::always("at most one instance relies on the lease", |_, state: &State| {
                 !(state.relies_on_lease(0) && state.relies_on_lease(1))
             }),
-            Property::always("epochs do not fall", |_, state: &State| {
-                state.stored.windows(2).all(|two| two[0].epoch <= two[1].epoch)
+            Property::always("epochs never decrease", |_, state: &State| {
+                state.stored.windows(2).all(|pair| pair[0].epoch <= pair[1].epoch)
             }),
-            Property::always(
-                "no effect is stored twice, no epoch has two incarnations",
-                |_, state: &State| {
-                    let epochs = |index: usize| {
-                        state.stored.iter().filter(move |one| one.epoch == state.stored[index].epoch)
-                    };
-                    (0..state.stored.len()).all(|index| epochs(index).count() == 1)
-                },
-            ),
-            Property::sometimes("both have the lease in turn", |_, state: &State| {
+            Property::always("each epoch stores one effect", |_, state: &State| {
+                let same_epoch = |index: usize| {
+                    state.stored.iter().filter(move |effect| effect.epoch == state.stored[index].epoch)
+                };
+                (0..state.stored.len()).all(|index| same_epoch(index).count() == 1)
+            }),
+            Property::sometimes("both instances hold the lease in turn", |_, state: &State| {
                 state.stored.len() >= 2 && state.stored[0].sender != state.stored[1].sender
             }),
             Property::sometimes("a stale effect is rejected", |_, state: &State| state.stale_rejected),
@@ -289,20 +286,21 @@
 }
 
 #[test]
-fn in_every_order_one_relies_on_the_lease_and_no_stale_effect_is_stored() {
+fn leases_are_exclusive_in_every_order() {
     let checker = SmallModel(Bug::None).checker().spawn_bfs().join();
     println!("{} states, {} deep", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
 #[test]
-fn planted_bugs_have_a_shortest_way_to_harm() {
-    for (bug, harm) in
-        [(Bug::TermFromReceipt, "one relies on the lease"), (Bug::VolatileFence, "epochs do not fall")]
-    {
+fn planted_bugs_violate_properties() {
+    for (bug, property) in [
+        (Bug::TermFromReceipt, "at most one instance relies on the lease"),
+        (Bug::VolatileFence, "epochs never decrease"),
+    ] {
         let until = HasDiscoveries::AnyFailures;
         let checker = SmallModel(bug).checker().finish_when(until).spawn_bfs().join();
-        let path = checker.discovery(harm).unwrap_or_else(|| panic!("{bug:?} does no harm"));
-        println!("{bug:?}: {harm} no more after {} steps", path.into_actions().len());
+        let path = checker.discovery(property).unwrap_or_else(|| panic!("{bug:?} violates no property"));
+        println!("{bug:?}: \"{property}\" is violated after {} steps", path.into_actions().len());
     }
 }
--- a/crates/leases/tests/stored_format.rs
+++ b/crates/leases/tests/stored_format.rs
@@ -1,4 +1,5 @@
-//! What goes into the log and the snapshots of the lease store, byte by byte: postcard is positional, and files outlive the code.
+//! Bytes of log entries and snapshots of the lease store. Postcard encodes by position, so that a changed order of
+//! fields would make stored files unreadable.
 
 use puffinladder_leases::fence::{Fence, FenceRecord, Verdict};
 use puffinladder_leases::table::{
@@ -9,7 +10,7 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// A table with sessions, leases, barred, moved and revoked parts, and instances that fell silent.
+/// A table with sessions, leases, excluded, moved and revoked parts, and expired sessions.
 const TABLE: &[u8] = include_bytes!("golden/lease_table.postcard");
 
 fn assert_stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, literal: &str) {
@@ -38,7 +39,7 @@
     table.apply(&LogEntry { at, command })
 }
 
-/// The entries that led to the stored table.
+/// Applies the entries that lead to the stored table.
 fn stored_table() -> LeaseTable {
     let mut table = LeaseTable::default();
     let rules = LeaseRules { stall_timeout: 4.0, max_flaps: 1, panic_window: 0.0, ..LeaseRules::default() };
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn entries_of_the_log() {
+fn log_entries() {
     let rules = LeaseRules::default();
     let tasks = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
     let mut request = request("a", 4);
@@ -90,14 +91,14 @@
 }
 
 #[test]
-fn the_table_of_a_snapshot() {
+fn snapshot_table() {
     let table = stored_table();
     assert_eq!(postcard::to_allocvec(&table).unwrap(), TABLE);
     assert_eq!(postcard::from_bytes::<LeaseTable>(TABLE).unwrap(), table);
 }
 
 #[test]
-fn the_records_of_a_fence() {
+fn fence_records() {
     let mut fence = Fence::default();
     assert_eq!(fence.check_and_record(&task(1), 5, 1), Verdict::New);
     assert_eq!(fence.check_and_record(&task(1), 5, 2), Verdict::New);
--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The JSON that instances, operators, servers and replicas exchange, as literals: names in the code may change, these may not.
+//! JSON messages between instances, operators, servers and replicas, compared with literals that must not change.
 
 use puffinladder_leases::coordination::{CoordinatorReply, ServerReport, TenantAllocation, TenantDemand};
 use puffinladder_leases::drain::{DrainReport, DrainRules, DrainSlot, DrainState};
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_a_default() {
+fn omitted_fields_have_defaults() {
     let short = r#"{"owner":{"instance":"n1","incarnation":7},"serial":1}"#;
     let expected = LeaseRequest { holder: holder(), serial: 1, ..LeaseRequest::default() };
     assert_eq!(serde_json::from_str::<LeaseRequest>(short).unwrap(), expected);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn commands_and_entries() {
+fn commands_and_log_entries() {
     let tasks = vec![TaskDeclaration { name: "gather".into(), parts: 4, zone: Some("east".into()) }];
     for (command, literal) in [
         (Command::AdvanceTime, r#""Time""#),
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn texts_of_commands_that_are_not_carried_out() {
+fn command_error_messages() {
     let declare = |rules: LeaseRules, name: &str, parts: u32| Command::Declare {
         rules,
         tasks: vec![TaskDeclaration { name: name.into(), parts, zone: None }],
