--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -83,7 +83,7 @@
 fn setup(told: &Told) -> ServeConfig {
     let fleet = FleetConfig {
         fresh_for: told.fresh_for,
-        expired_after: told.gone_after,
+        expired_after: told.expired_after,
         panic_threshold: told.panic_threshold,
         max_servers: told.max_servers,
         ..FleetConfig::default()
--- a/crates/cli/src/fleet/common.rs
+++ b/crates/cli/src/fleet/common.rs
@@ -32,7 +32,7 @@
 
 /// Runs a service until it fails or the process is told to stop, and then stops it.
 pub async fn run_until_stopped<E: Display>(mut service: RunningService<E>) -> Done {
-    let ended = match serve::until_told(service.ended()).await? {
+    let ended = match serve::until_told(service.wait()).await? {
         Some(ended) => ended,
         None => service.stop().await,
     };
--- a/crates/cli/src/fleet/trace_store.rs
+++ b/crates/cli/src/fleet/trace_store.rs
@@ -68,7 +68,7 @@
 pub async fn run_service(settings: &TraceStoreSettings, ground: &Ground) -> Done {
     let config = ServiceConfig {
         listen: settings.listen,
-        folder: (&settings.directory).into(),
+        directory: (&settings.directory).into(),
         max_bytes: settings.max_bytes,
         max_connections: settings.max_connections,
         events: ground.events,
--- a/crates/cli/src/fleet/worker.rs
+++ b/crates/cli/src/fleet/worker.rs
@@ -47,18 +47,18 @@
         name: settings.name.clone(),
         zone: settings.zone.clone(),
         incarnation,
-        replicas: settings.lease_stores.clone(),
+        replicas: settings.lease_store_replicas.clone(),
         collection: settings.trace_collection.as_ref().map(collection_config),
         reporting: settings.report_listen.map(|listen| reporting_config(settings, listen)),
-        held_tasks: settings.idle_tasks.clone(),
+        idle_tasks: settings.idle_tasks.clone(),
         clock: ground.clock.clone(),
         events: ground.events,
     };
     tracing::info!("worker {}, incarnation {incarnation}", settings.name);
     let mut running = start(config).await.map_err(|e| failed(e.to_string()))?;
-    let listen = running.listen.map_or(String::new(), |address| address.to_string());
+    let listen = running.report_address.map_or(String::new(), |address| address.to_string());
     ground.events.emit(&Event::Ready { listen });
-    match serve::until_told(running.ended()).await? {
+    match serve::until_told(running.wait()).await? {
         Some(()) => Err(failed(format!("worker {}: a later incarnation of it has spoken", settings.name))),
         None => {
             running.stop().await;
@@ -69,28 +69,28 @@
 
 fn collection_config(settings: &TraceCollectionSettings) -> CollectionConfig {
     CollectionConfig {
-        traces: (&settings.traces_directory).into(),
+        traces_directory: (&settings.traces_directory).into(),
         trace_store: settings.trace_store,
         parts: settings.parts as u32,
-        list_interval: settings.scan_interval,
-        max_step: settings.max_step_duration,
+        scan_interval: settings.scan_interval,
+        max_step_duration: settings.max_step_duration,
     }
 }
 
 fn reporting_config(settings: &WorkerSettings, listen: SocketAddr) -> ReportingConfig {
     let (quota, turns) = (settings.quota.as_ref(), settings.drain_slots.as_ref());
     let turn_rules = turns.map_or_else(Default::default, |turns| DrainRules {
-        max_unavailable: turns.max_draining,
-        max_zone_fraction: turns.max_zone_share,
+        max_unavailable: turns.max_unavailable,
+        max_zone_fraction: turns.max_zone_fraction,
         slot_duration: turns.slot_duration,
-        report_timeout: turns.silence_timeout,
+        report_timeout: turns.report_timeout,
         max_clock_drift: MAX_CLOCK_DRIFT,
     });
     let coordinator = coordination::CoordinatorSettings {
         tenant_quotas: quota.map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
         server_count: quota.map_or(1, |quota| quota.servers),
         quota_parts: quota.map_or(1, |quota| quota.parts as u32),
-        quota_validity: quota.map_or(UNUSED_SPAN, |quota| quota.share_duration),
+        quota_validity: quota.map_or(UNUSED_SPAN, |quota| quota.quota_validity),
         max_clock_drift: MAX_CLOCK_DRIFT,
         drain_rules: turn_rules,
     };
--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -151,7 +151,7 @@
             replicas: all.clone(),
             collection: None,
             reporting: None,
-            held_tasks: vec!["load".into()],
+            idle_tasks: vec!["load".into()],
             clock: Clock::system(),
             events: EventSink { enabled: false },
         };
--- a/crates/gauging/src/keeper.rs
+++ b/crates/gauging/src/keeper.rs
@@ -45,7 +45,7 @@
             replicas: keepers.reached(),
             collection: None,
             reporting: None,
-            held_tasks: vec!["load".into()],
+            idle_tasks: vec!["load".into()],
             clock: Clock::system(),
             events: EventSink { enabled: false },
         };
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -233,7 +233,7 @@
         sync_delay: Default::default(),
     };
     let running = start(options, store, &durable).await.unwrap();
-    let stream = connect(running.listen).await.unwrap();
+    let stream = connect(running.address).await.unwrap();
     let mut session = Session { stream: BufReader::new(stream) };
     // Nobody leads at first: then it says who may.
     let mut duties = session.ask(r#""duties""#).await;
--- a/crates/settings/src/settings/control.rs
+++ b/crates/settings/src/settings/control.rs
@@ -24,7 +24,7 @@
     /// Seconds for which a report counts in full. Key `fresh`, default 1 s.
     pub fresh_for: f64,
     /// Seconds after which a report no longer counts; between this and `fresh_for` it counts ever less. Key `gone`, default 4 s.
-    pub gone_after: f64,
+    pub expired_after: f64,
     /// Share of the servers that may be silent before the reports are suspected rather than the servers. Key `panic`,
     /// default 0.5.
     pub panic_threshold: f64,
@@ -62,7 +62,7 @@
             heartbeat_interval: block.duration("heartbeat", 0.5, 0.05..=300.0),
             plan_interval: block.duration("plan-every", 0.25, 0.05..=60.0),
             fresh_for: block.duration("fresh", 1.0, 0.1..=600.0),
-            gone_after: block.duration("gone", 4.0, 0.2..=3600.0),
+            expired_after: block.duration("gone", 4.0, 0.2..=3600.0),
             panic_threshold: block.number("panic", 0.5, 0.05..=1.0),
             subset_size: block.count("subset", 100, 1..=100_000),
             max_proxies: block.count("most-proxies", 10_000, 1..=1_000_000),
@@ -73,7 +73,7 @@
         if control.heartbeat_interval * 2.0 > control.max_staleness {
             block.report("heartbeat", "should be half of the bound at the most, or leases end between two");
         }
-        if control.gone_after <= control.fresh_for {
+        if control.expired_after <= control.fresh_for {
             block.report("gone", "should be longer than fresh");
         }
         block.finish();
@@ -100,7 +100,7 @@
         write_optional(f, "\n  ", "debug", self.debug_listen)?;
         write!(f, "\n  (bound {}s) (heartbeat {}s)", self.max_staleness, self.heartbeat_interval)?;
         writeln!(f, " (plan-every {}s)", self.plan_interval)?;
-        write!(f, "  (fresh {}s) (gone {}s)", self.fresh_for, self.gone_after)?;
+        write!(f, "  (fresh {}s) (gone {}s)", self.fresh_for, self.expired_after)?;
         writeln!(f, " (panic {})", self.panic_threshold)?;
         write!(f, "  (subset {}) (most-proxies {})", self.subset_size, self.max_proxies)?;
         write!(f, " (most-servers {})", self.max_servers)?;
--- a/crates/settings/src/settings/worker.rs
+++ b/crates/settings/src/settings/worker.rs
@@ -17,7 +17,7 @@
     /// Directory of the incarnation number, which must not be lost. Key `folder`.
     pub directory: String,
     /// Replicas of the lease store by number. Key `keepers`.
-    pub lease_stores: BTreeMap<u64, SocketAddr>,
+    pub lease_store_replicas: BTreeMap<u64, SocketAddr>,
     /// Tasks that it holds leases for without doing anything: other programs ask the lease store who holds them. Key `holds`.
     pub idle_tasks: Vec<String>,
     /// The task of collecting traces. Key `gather`.
@@ -38,7 +38,7 @@
     /// Servers that the equal share is calculated for. Key `servers`.
     pub servers: usize,
     /// Seconds for which a share of a quota holds. Key `span`, default 2 s.
-    pub share_duration: f64,
+    pub quota_validity: f64,
     /// Each customer's quota over the whole fleet, requests a second. Key `customer`, any number of times.
     pub customer_rates: BTreeMap<String, f64>,
 }
@@ -47,13 +47,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainSlotSettings {
     /// Servers of the fleet that may be away at once. Key `most`, default 10.
-    pub max_draining: usize,
+    pub max_unavailable: usize,
     /// Share of a zone's servers that may be away at once; one of a zone always may. Key `zone-share`, default 0.1.
-    pub max_zone_share: f64,
+    pub max_zone_fraction: f64,
     /// Seconds that a slot lasts: drain, restart and slow start. Key `span`, default 30 s.
     pub slot_duration: f64,
     /// Seconds without a report after which a server counts as away. Key `silent`, default 5 s.
-    pub silence_timeout: f64,
+    pub report_timeout: f64,
 }
 
 /// The task of collecting sealed trace files.
@@ -84,7 +84,7 @@
             zone: block.text("zone").unwrap_or_else(|| "default".into()),
             directory: required_text(block, "folder"),
             idle_tasks: block.texts("holds"),
-            lease_stores: replica_addresses(block, "keepers"),
+            lease_store_replicas: replica_addresses(block, "keepers"),
             trace_collection,
             report_listen: address(block, "listen"),
             quota,
@@ -101,7 +101,7 @@
         let quota = QuotaSettings {
             parts: block.count("parts", 1, 1..=10_000),
             servers: block.count("servers", 1, 1..=10_000),
-            share_duration: block.duration("span", 2.0, 0.1..=600.0),
+            quota_validity: block.duration("span", 2.0, 0.1..=600.0),
             customer_rates,
         };
         block.require("servers");
@@ -127,10 +127,10 @@
 impl DrainSlotSettings {
     fn read(block: &Block) -> DrainSlotSettings {
         let slots = DrainSlotSettings {
-            max_draining: block.count("most", 10, 1..=10_000),
-            max_zone_share: block.number("zone-share", 0.1, 0.0..=1.0),
+            max_unavailable: block.count("most", 10, 1..=10_000),
+            max_zone_fraction: block.number("zone-share", 0.1, 0.0..=1.0),
             slot_duration: block.duration("span", 30.0, 0.1..=3600.0),
-            silence_timeout: block.duration("silent", 5.0, 0.1..=600.0),
+            report_timeout: block.duration("silent", 5.0, 0.1..=600.0),
         };
         block.finish();
         slots
@@ -155,7 +155,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "(steward (name {}) (zone {})", quoted(&self.name), quoted(&self.zone))?;
         write!(f, " (folder {})", quoted(&self.directory))?;
-        write!(f, "\n  (keepers {})", format::replica_addresses(&self.lease_stores))?;
+        write!(f, "\n  (keepers {})", format::replica_addresses(&self.lease_store_replicas))?;
         if !self.idle_tasks.is_empty() {
             let names: Vec<String> = self.idle_tasks.iter().map(|name| quoted(name)).collect();
             write!(f, "\n  (holds {})", names.join(" "))?;
@@ -179,7 +179,7 @@
 impl fmt::Display for QuotaSettings {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "(quota (parts {}) (servers {})", self.parts, self.servers)?;
-        write!(f, " (span {}s)", self.share_duration)?;
+        write!(f, " (span {}s)", self.quota_validity)?;
         for (name, rate) in &self.customer_rates {
             write!(f, "\n    (customer (name {}) (rate {rate}))", quoted(name))?;
         }
@@ -189,8 +189,8 @@
 
 impl fmt::Display for DrainSlotSettings {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "(turns (most {}) (zone-share {})", self.max_draining, self.max_zone_share)?;
-        write!(f, " (span {}s) (silent {}s))", self.slot_duration, self.silence_timeout)
+        write!(f, "(turns (most {}) (zone-share {})", self.max_unavailable, self.max_zone_fraction)?;
+        write!(f, " (span {}s) (silent {}s))", self.slot_duration, self.report_timeout)
     }
 }
 
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -137,7 +137,7 @@
             heartbeat_interval: 1.5,
             plan_interval: 0.5,
             fresh_for: 2.0,
-            gone_after: 60.0,
+            expired_after: 60.0,
             panic_threshold: 0.25,
             subset_size: 50,
             max_proxies: 100,
@@ -178,7 +178,7 @@
             name: "s1".into(),
             zone: "b".into(),
             directory: "sf".into(),
-            lease_stores: BTreeMap::from([(1, "127.0.0.1:18201".parse().unwrap())]),
+            lease_store_replicas: BTreeMap::from([(1, "127.0.0.1:18201".parse().unwrap())]),
             idle_tasks: vec!["x".into(), "y".into()],
             trace_collection: Some(TraceCollectionSettings {
                 traces_directory: "/t".into(),
@@ -191,14 +191,14 @@
             quota: Some(QuotaSettings {
                 parts: 2,
                 servers: 300,
-                share_duration: 3.0,
+                quota_validity: 3.0,
                 customer_rates: BTreeMap::from([("k001".into(), 120.0), ("k002".into(), 7.5)]),
             }),
             drain_slots: Some(DrainSlotSettings {
-                max_draining: 11,
-                max_zone_share: 0.2,
+                max_unavailable: 11,
+                max_zone_fraction: 0.2,
                 slot_duration: 31.0,
-                silence_timeout: 6.0,
+                report_timeout: 6.0,
             }),
         }),
         trace_store: Some(TraceStoreSettings {
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -121,12 +121,12 @@
     }
 
     /// Bytes of all blocks that are stored.
-    pub fn bytes(&self) -> u64 {
+    pub fn stored_bytes(&self) -> u64 {
         self.bytes
     }
 
     /// Effects of superseded epochs that were rejected since the process started.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_effects(&self) -> u64 {
         self.rejected
     }
 
--- a/crates/trace-store/src/index/tests.rs
+++ b/crates/trace-store/src/index/tests.rs
@@ -45,7 +45,7 @@
     assert_eq!(put(&mut index, 6, 1, &block("a", 1, true), 10), NEW);
     let complete = FileProgress { blocks: 2, complete: true };
     assert_eq!(put(&mut index, 6, 2, &block("a", 2, true), 10), PutOutcome::UnexpectedBlock(complete));
-    assert_eq!((index.bytes(), index.rejected()), (20, 1));
+    assert_eq!((index.stored_bytes(), index.rejected_effects()), (20, 1));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         "not collected again"
     );
     assert_eq!(put(&mut index, 5, 4, &block("d", 0, true), 90), PutOutcome::Full, "b is not complete yet");
-    assert_eq!(index.bytes(), 80);
+    assert_eq!(index.stored_bytes(), 80);
 }
 
 #[test]
@@ -87,7 +87,7 @@
         assert_eq!(put(&mut index, 5, number, &block(file, 0, true), 10), NEW);
     }
     let names: Vec<&str> = index.files().map(|(file, _)| file.name.as_str()).collect();
-    assert_eq!((names, index.bytes()), (vec!["b", "c"], 20));
+    assert_eq!((names, index.stored_bytes()), (vec!["b", "c"], 20));
     let mut index = TraceIndex::new(1000, [], []);
     index.max_files = 1;
     announce(&mut index, 5);
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -104,8 +104,8 @@
             files: self.known_files(),
             complete_files: self.index.files().filter(|(_, progress)| progress.complete).count(),
             blocks: self.stored_blocks,
-            bytes: self.index.bytes(),
-            rejected: self.index.rejected(),
+            bytes: self.index.stored_bytes(),
+            rejected: self.index.rejected_effects(),
         }
     }
 }
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -21,7 +21,7 @@
     /// Where it listens; port 0 lets the system choose one.
     pub listen: SocketAddr,
     /// The folder of its database.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Bytes that the stored blocks may take.
     pub max_bytes: u64,
     /// Connections that may be open at once.
@@ -59,7 +59,7 @@
 
 /// Starts a trace store; it listens when this returns.
 pub async fn start(config: ServiceConfig) -> Result<RunningService<StoreError>, StartError> {
-    let (mut store, index) = Store::open(&config.folder, config.max_bytes)?;
+    let (mut store, index) = Store::open(&config.directory, config.max_bytes)?;
     store.inject_bug(config.injected_bug);
     let (stop, stopped) = watch::channel(false);
     let (requests, queue) = mpsc::channel(MAX_WAITING_REQUESTS);
--- a/crates/trace-store/src/store/tests.rs
+++ b/crates/trace-store/src/store/tests.rs
@@ -22,7 +22,7 @@
     }
     drop(store);
     let (mut store, mut index) = Store::open(folder.path(), 100).unwrap();
-    assert_eq!((index.fence_state(&task), index.bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
+    assert_eq!((index.fence_state(&task), index.stored_bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
     assert!(index.put(&task, 6, 1, &block("b", 0, true), 1).update.is_none());
     // The next one needs capacity: the oldest complete file is evicted, also from the disk.
     let update = index.put(&task, 7, 3, &block("b", 0, true), 40).update.unwrap();
@@ -41,6 +41,7 @@
     drop(store);
     let (_, index) = Store::open(folder.path(), 100).unwrap();
     assert!(
-        index.files().any(|(file, progress)| file.name == "a" && progress.complete) && index.bytes() == 40
+        index.files().any(|(file, progress)| file.name == "a" && progress.complete)
+            && index.stored_bytes() == 40
     );
 }
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -22,7 +22,7 @@
     assert_eq!(index.fence_state(&Task::new("gather", 0)), FenceRecord { epoch: 7, number: 4 });
     assert_eq!(index.fence_state(&Task::new("gather", 3)), FenceRecord { epoch: 12, number: 1 });
     assert_eq!(index.fence_state(&Task::new("gather", 1)), FenceRecord { epoch: 0, number: 0 });
-    assert_eq!(index.bytes(), 95);
+    assert_eq!(index.stored_bytes(), 95);
     let files: Vec<(FileId, FileProgress)> =
         index.files().map(|(file, progress)| (file.clone(), *progress)).collect();
     let wanted = [
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -29,7 +29,7 @@
 /// A service that runs; `E` says why its main task can't go on.
 pub struct RunningService<E> {
     /// Where it listens.
-    pub listen: SocketAddr,
+    pub address: SocketAddr,
     stop: watch::Sender<bool>,
     main_task: JoinHandle<Result<(), E>>,
 }
@@ -37,22 +37,22 @@
 impl<E: Display> RunningService<E> {
     /// A handle on a service that listens. Its tasks watch the receivers of `stop`; `main_task` works until it is stopped or can't go on.
     pub fn new(
-        listen: SocketAddr,
+        address: SocketAddr,
         stop: watch::Sender<bool>,
         main_task: JoinHandle<Result<(), E>>,
     ) -> RunningService<E> {
-        RunningService { listen, stop, main_task }
+        RunningService { address, stop, main_task }
     }
 
     /// Waits until it ends by itself, which only a fault makes it do.
-    pub async fn ended(&mut self) -> Result<(), ServiceError<E>> {
+    pub async fn wait(&mut self) -> Result<(), ServiceError<E>> {
         (&mut self.main_task).await?.map_err(ServiceError::Failed)
     }
 
     /// Stops it and waits until everything that it has acknowledged is on disk.
     pub async fn stop(mut self) -> Result<(), ServiceError<E>> {
         let _ = self.stop.send(true);
-        self.ended().await
+        self.wait().await
     }
 }
 
--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -7,7 +7,7 @@
 use std::ops::Bound;
 
 /// The task's name.
-pub const TASK: &str = "gather";
+pub const TASK_NAME: &str = "gather";
 /// Seconds until a file that could not be read is retried; doubled with each attempt, up to the longest.
 const FIRST_BACKOFF: f64 = 1.0;
 /// The longest backoff, in seconds.
@@ -16,8 +16,8 @@
 const MAX_UNREADABLE: usize = 10_000;
 
 /// Which part of so many a server's files belong to.
-pub fn part_of(server: &str, parts: u32) -> u32 {
-    assignment::part_for_key(TASK, server, parts)
+pub fn part_for_server(server: &str, parts: u32) -> u32 {
+    assignment::part_for_key(TASK_NAME, server, parts)
 }
 
 /// A file in a server's folder.
--- a/crates/worker/src/collection/tests.rs
+++ b/crates/worker/src/collection/tests.rs
@@ -66,8 +66,8 @@
 fn each_server_belongs_to_one_part() {
     let mut counts = [0; 8];
     for at in 0..800 {
-        counts[part_of(&format!("n{at}"), 8) as usize] += 1;
+        counts[part_for_server(&format!("n{at}"), 8) as usize] += 1;
     }
     assert!(counts.iter().all(|n| (60..140).contains(n)), "{counts:?}");
-    assert_eq!(part_of("n1", 0), 0);
+    assert_eq!(part_for_server("n1", 0), 0);
 }
--- a/crates/worker/src/config.rs
+++ b/crates/worker/src/config.rs
@@ -23,7 +23,7 @@
     /// The tasks that answer servers' reports, if it may hold any.
     pub reporting: Option<ReportingConfig>,
     /// Further tasks that it holds without doing anything: whoever asks the lease store learns who holds them.
-    pub held_tasks: Vec<String>,
+    pub idle_tasks: Vec<String>,
     /// The clock that terms are measured by.
     pub clock: Clock,
     /// Where it tells what it does.
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug)]
 pub struct CollectionConfig {
     /// The folder that holds a folder of trace files for each server.
-    pub traces: PathBuf,
+    pub traces_directory: PathBuf,
     /// Where the trace store listens.
     pub trace_store: SocketAddr,
     /// How many parts the task has.
     pub parts: u32,
     /// Seconds between two listings of the folders.
-    pub list_interval: f64,
+    pub scan_interval: f64,
     /// Seconds that a step may take at the most.
-    pub max_step: f64,
+    pub max_step_duration: f64,
 }
--- a/crates/worker/src/service.rs
+++ b/crates/worker/src/service.rs
@@ -15,7 +15,7 @@
 /// A worker that runs.
 pub struct RunningWorker {
     /// Where servers report, if anywhere.
-    pub listen: Option<SocketAddr>,
+    pub report_address: Option<SocketAddr>,
     stop: watch::Sender<bool>,
     main_task: JoinHandle<()>,
 }
@@ -28,7 +28,7 @@
     }
 
     /// Waits until it ends by itself, which only a later incarnation of it makes it do.
-    pub async fn ended(&mut self) {
+    pub async fn wait(&mut self) {
         let _ = (&mut self.main_task).await;
     }
 
@@ -50,5 +50,5 @@
         address = Some(bound);
     }
     let main_task = tokio::spawn(Worker::run(config, received, stopped));
-    Ok(RunningWorker { listen: address, stop, main_task })
+    Ok(RunningWorker { report_address: address, stop, main_task })
 }
--- a/crates/worker/src/trace_files.rs
+++ b/crates/worker/src/trace_files.rs
@@ -1,6 +1,6 @@
 //! The trace files in the servers' folders: which there are, and the blocks that they hold.
 
-use crate::collection::{mark_finished, part_of, ListedFile, TraceFile};
+use crate::collection::{mark_finished, part_for_server, ListedFile, TraceFile};
 use crate::transfer_error::TransferError;
 use puffinladder_trace::file::{pack_notes, pack_rows, Entry, Kind, Packed};
 use puffinladder_trace::{Fault, Names, Trace};
@@ -40,7 +40,7 @@
     let mut all = Vec::new();
     for folder in fs::read_dir(traces).map_err(failed)?.filter_map(Result::ok) {
         let Some(server) = folder.file_name().to_str().map(String::from) else { continue };
-        if part_of(&server, parts) != part || !is_valid_name(&server) {
+        if part_for_server(&server, parts) != part || !is_valid_name(&server) {
             continue;
         }
         let Some(mut files) = list_server(&folder.path()) else { continue };
--- a/crates/worker/src/transfer.rs
+++ b/crates/worker/src/transfer.rs
@@ -72,13 +72,13 @@
 
     /// Seconds until there may be something to do, where a step has found nothing.
     pub fn idle_interval(&self) -> f64 {
-        self.config.list_interval
+        self.config.scan_interval
     }
 
     /// Works until `until` by this clock, until there is nothing to do, or until `stop_early` is set: then the block in transfer is the last.
     pub async fn step(&mut self, clock: &Clock, until: f64, stop_early: &AtomicBool) -> StepOutcome {
         let mut outcome = StepOutcome { has_more: true, ..StepOutcome::default() };
-        let until = until.min(clock.now() + self.config.max_step);
+        let until = until.min(clock.now() + self.config.max_step_duration);
         let timeout = clock.sleep_duration((until - clock.now()).max(0.0));
         let work = self.transfer_blocks(clock, until, stop_early, &mut outcome);
         let result = tokio::time::timeout(timeout, work).await;
@@ -116,7 +116,7 @@
             if started >= until || (outcome.progress && expected >= until) {
                 return Ok(());
             }
-            if started - self.listed_at >= self.config.list_interval {
+            if started - self.listed_at >= self.config.scan_interval {
                 self.list_files(started).await?;
             }
             let Some((file, position)) = self.plan.next_block(started) else {
@@ -156,7 +156,7 @@
 
     async fn list_files(&mut self, now: f64) -> Result<(), TransferError> {
         self.listed_at = now;
-        let (traces, parts, part) = (self.config.traces.clone(), self.config.parts, self.task.part);
+        let (traces, parts, part) = (self.config.traces_directory.clone(), self.config.parts, self.task.part);
         let list = tokio::task::spawn_blocking(move || list_trace_files(&traces, parts, part));
         self.plan.set_files(list.await??);
         Ok(())
@@ -169,7 +169,7 @@
         file: FileId,
         position: u64,
     ) -> Result<Option<(BlockId, Vec<u8>)>, TransferError> {
-        let path = self.config.traces.join(&file.server).join(&file.name);
+        let path = self.config.traces_directory.join(&file.server).join(&file.name);
         let open = self.open_file.take().filter(|open| open.id == file);
         let id = file.clone();
         let read = tokio::task::spawn_blocking(move || read_block(open, id, &path, position));
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -45,8 +45,8 @@
 impl Worker {
     fn new(config: WorkerConfig) -> (Worker, EventReceivers) {
         let holder_id = HolderId::new(&config.name, config.incarnation);
-        let mut wanted = config.held_tasks.clone();
-        wanted.extend(config.collection.iter().map(|_| collection::TASK.to_string()));
+        let mut wanted = config.idle_tasks.clone();
+        wanted.extend(config.collection.iter().map(|_| collection::TASK_NAME.to_string()));
         let reporting = config.reporting.iter();
         wanted.extend(reporting.flat_map(ReportPlanner::wanted_tasks).map(String::from));
         let (event_sender, connection_events) = mpsc::channel(MAX_WAITING_EVENTS);
@@ -157,7 +157,7 @@
         if let Some(planner) = &mut self.report_planner {
             planner.begin(now, &task, epoch);
         }
-        let collection = self.config.collection.clone().filter(|_| task.name == collection::TASK);
+        let collection = self.config.collection.clone().filter(|_| task.name == collection::TASK_NAME);
         if let Some(config) = collection {
             self.collection_tasks.insert(config, task, epoch, now);
         }
