--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -11,7 +11,7 @@
 const ABSENT_WORD: &str = "silent";
 
 /// The value of an object that is absent.
-const NULL: &Value = &Value::Null;
+const ABSENT_OBJECT: &Value = &Value::Null;
 
 /// Parses a text whose top level has to be an object.
 pub(crate) fn parse_object(text: &[u8]) -> Result<Value, ConfigError> {
@@ -54,7 +54,7 @@
 
     /// The object under a key. An absent one reads as an object without keys.
     pub(crate) fn object(&self, key: &str) -> Result<JsonObject<'a>, ConfigError> {
-        let value = self.get(key).unwrap_or(NULL);
+        let value = self.get(key).unwrap_or(ABSENT_OBJECT);
         if !value.is_object() && !value.is_null() {
             return Err(self.invalid(key, "an object"));
         }
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -113,20 +113,22 @@
     top: &JsonObject,
     info: &JsonObject,
 ) -> Result<(Vec<String>, Vec<RequestClass>), ConfigError> {
-    let info_at = |key: &str, index: usize| -> Option<&Value> { info.get(key)?.get(index) };
+    let class_info = |key: &str, index: usize| -> Option<&Value> { info.get(key)?.get(index) };
     let (mut names, mut classes) = (Vec::new(), Vec::new());
-    for (index, lane) in top.objects("Lanes")?.iter().enumerate() {
-        names.push(lane.name()?);
+    for (index, class) in top.objects("Lanes")?.iter().enumerate() {
+        names.push(class.name()?);
         classes.push(RequestClass {
-            latency_objective: lane.positive_duration("Promise")?,
-            objective_stretch: lane.number_or_zero("AimStretch")?,
-            timeout: lane.positive_duration("GiveUp")?,
-            priority_weight: lane.number("Importance")?,
-            late_weight_fraction: lane.number_or_zero("LateShare")?,
-            idempotency: read_idempotency(lane)?,
-            dedup_window: lane.duration_or_zero("DedupWindow")?,
-            makes_calls: info_at("ClassCalls", index).and_then(Value::as_bool).unwrap_or(false),
-            degraded_weight_fraction: info_at("ClassSkipWorth", index).and_then(Value::as_f64).unwrap_or(0.0),
+            latency_objective: class.positive_duration("Promise")?,
+            objective_stretch: class.number_or_zero("AimStretch")?,
+            timeout: class.positive_duration("GiveUp")?,
+            priority_weight: class.number("Importance")?,
+            late_weight_fraction: class.number_or_zero("LateShare")?,
+            idempotency: read_idempotency(class)?,
+            dedup_window: class.duration_or_zero("DedupWindow")?,
+            makes_calls: class_info("ClassCalls", index).and_then(Value::as_bool).unwrap_or(false),
+            degraded_weight_fraction: class_info("ClassSkipWorth", index)
+                .and_then(Value::as_f64)
+                .unwrap_or(0.0),
         });
     }
     Ok((names, classes))
@@ -149,13 +151,13 @@
     limits.duration_or_zero("MaxRetryAfter")
 }
 
-fn read_idempotency(lane: &JsonObject) -> Result<Idempotency, ConfigError> {
+fn read_idempotency(class: &JsonObject) -> Result<Idempotency, ConfigError> {
     let kinds = [
         ("safe", Idempotency::Idempotent),
         ("keyed", Idempotency::Keyed),
         ("unsafe", Idempotency::NonIdempotent),
     ];
-    lane.choice("Effect", &kinds)
+    class.choice("Effect", &kinds)
 }
 
 fn read_downstream(info: &JsonObject) -> Result<Downstream, ConfigError> {
--- a/crates/settings/src/settings/control.rs
+++ b/crates/settings/src/settings/control.rs
@@ -1,6 +1,6 @@
 //! Section `control`: the control service.
 
-use super::fields::{address, present_text, required_address};
+use super::fields::{read_address, read_required_address, read_text_of_required_key};
 use super::format::{quoted, write_optional};
 use crate::sexpr::Block;
 use std::fmt;
@@ -55,9 +55,9 @@
     pub(super) fn read(block: &Block) -> ControlSettings {
         let tls = block.block("tls").as_ref().map(TlsFiles::read);
         let control = ControlSettings {
-            xds_listen: required_address(block, "xds"),
-            report_listen: required_address(block, "reports"),
-            debug_listen: address(block, "debug"),
+            xds_listen: read_required_address(block, "xds"),
+            report_listen: read_required_address(block, "reports"),
+            debug_listen: read_address(block, "debug"),
             max_staleness: block.duration("bound", 2.0, 0.2..=600.0),
             heartbeat_interval: block.duration("heartbeat", 0.5, 0.05..=300.0),
             plan_interval: block.duration("plan-every", 0.25, 0.05..=60.0),
@@ -84,8 +84,8 @@
 impl TlsFiles {
     fn read(block: &Block) -> TlsFiles {
         let tls = TlsFiles {
-            certificate: present_text(block, "certificate"),
-            key: present_text(block, "key"),
+            certificate: read_text_of_required_key(block, "certificate"),
+            key: read_text_of_required_key(block, "key"),
             client_authority: block.text("clients"),
         };
         block.finish();
--- a/crates/settings/src/settings/fields.rs
+++ b/crates/settings/src/settings/fields.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 
 /// Stands for a required address that is missing; the settings it lands in are never used.
-const PLACEHOLDER: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+const PLACEHOLDER_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
 /// An address, written as text.
-pub(super) fn address(block: &Block, key: &'static str) -> Option<SocketAddr> {
+pub(super) fn read_address(block: &Block, key: &'static str) -> Option<SocketAddr> {
     let text = block.text(key)?;
     let address = text.parse().ok();
     if address.is_none() {
@@ -18,20 +18,20 @@
 }
 
 /// An address that has to be given.
-pub(super) fn required_address(block: &Block, key: &'static str) -> SocketAddr {
+pub(super) fn read_required_address(block: &Block, key: &'static str) -> SocketAddr {
     block.require(key);
-    address(block, key).unwrap_or_else(|| SocketAddr::from(PLACEHOLDER))
+    read_address(block, key).unwrap_or_else(|| SocketAddr::from(PLACEHOLDER_ADDRESS))
 }
 
 /// Text whose key has to be there.
-pub(super) fn present_text(block: &Block, key: &'static str) -> String {
+pub(super) fn read_text_of_required_key(block: &Block, key: &'static str) -> String {
     let text = block.text(key);
     block.require(key);
     text.unwrap_or_default()
 }
 
-/// Text that has to be given: unlike [`present_text`], a value that is no text counts as missing too.
-pub(super) fn required_text(block: &Block, key: &'static str) -> String {
+/// Text that has to be given: unlike [`read_text_of_required_key`], a value that is no text counts as missing too.
+pub(super) fn read_required_text(block: &Block, key: &'static str) -> String {
     let text = block.text(key);
     if text.is_none() {
         block.report(key, Problem::Missing);
@@ -40,7 +40,7 @@
 }
 
 /// Addresses of lease-store replicas by number, written as `"1=127.0.0.1:18201"`.
-pub(super) fn replica_addresses(block: &Block, key: &'static str) -> BTreeMap<u64, SocketAddr> {
+pub(super) fn read_replica_addresses(block: &Block, key: &'static str) -> BTreeMap<u64, SocketAddr> {
     let texts = block.texts(key);
     let mut replicas = BTreeMap::new();
     for text in &texts {
--- a/crates/settings/src/settings/format.rs
+++ b/crates/settings/src/settings/format.rs
@@ -11,7 +11,7 @@
 }
 
 /// Lease-store replicas as `"1=127.0.0.1:18201"`, with spaces between them.
-pub(super) fn replica_addresses(replicas: &BTreeMap<u64, SocketAddr>) -> String {
+pub(super) fn format_replica_addresses(replicas: &BTreeMap<u64, SocketAddr>) -> String {
     let texts: Vec<String> =
         replicas.iter().map(|(number, address)| format!("\"{number}={address}\"")).collect();
     texts.join(" ")
--- a/crates/settings/src/settings/lease_store.rs
+++ b/crates/settings/src/settings/lease_store.rs
@@ -1,6 +1,6 @@
 //! Section `keeper`: a replica of the lease store.
 
-use super::fields::{replica_addresses, required_address, required_text};
+use super::fields::{read_replica_addresses, read_required_address, read_required_text};
 use super::format::{self, quoted, write_optional};
 use crate::sexpr::Block;
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
 impl TaskSettings {
     fn read(block: &Block) -> TaskSettings {
         let task = TaskSettings {
-            name: required_text(block, "name"),
+            name: read_required_text(block, "name"),
             parts: block.count("parts", 1, 1..=100_000),
             zone: block.text("zone"),
         };
@@ -74,9 +74,9 @@
     pub(super) fn read(block: &Block) -> LeaseStoreSettings {
         let store = LeaseStoreSettings {
             replica_id: block.count("number", 0, 1..=1_000_000) as u64,
-            listen: required_address(block, "listen"),
-            directory: required_text(block, "folder"),
-            peers: replica_addresses(block, "peers"),
+            listen: read_required_address(block, "listen"),
+            directory: read_required_text(block, "folder"),
+            peers: read_replica_addresses(block, "peers"),
             tasks: block.blocks("duty").iter().map(TaskSettings::read).collect(),
             lease_duration: block.duration("term", 2.0, 0.2..=600.0),
             max_clock_drift: block.number("drift", 0.02, 0.0..=0.5),
@@ -128,7 +128,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "(keeper\n  (number {}) (listen \"{}\")", self.replica_id, self.listen)?;
         writeln!(f, " (folder {})", quoted(&self.directory))?;
-        writeln!(f, "  (peers {})", format::replica_addresses(&self.peers))?;
+        writeln!(f, "  (peers {})", format::format_replica_addresses(&self.peers))?;
         for task in &self.tasks {
             writeln!(f, "  {task}")?;
         }
--- a/crates/settings/src/settings/publish.rs
+++ b/crates/settings/src/settings/publish.rs
@@ -1,6 +1,6 @@
 //! Section `publish`: where a server reports its state.
 
-use super::fields::address;
+use super::fields::read_address;
 use super::format::{quoted, write_optional};
 use crate::sexpr::{Block, Problem};
 use std::fmt;
@@ -25,7 +25,7 @@
             control_addresses: read_control_addresses(block),
             zone: block.text("zone").unwrap_or_else(|| "default".into()),
             interval: block.duration("every", 0.25, 0.05..=10.0),
-            advertised_address: address(block, "address"),
+            advertised_address: read_address(block, "address"),
         };
         block.finish();
         publish
--- a/crates/settings/src/settings/tests.rs
+++ b/crates/settings/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn settings_read_as_they_are_shown() {
+fn displayed_settings_parse_to_equal_values() {
     let text =
         "; ours\n(log (format json))\n(trace (folder \"/a \\\"b\\\"\") (file-span 2h) (file-bytes 1MB))";
     let settings = parse_settings("x", text).unwrap();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_control_service_and_who_publishes_to_it_read_as_they_are_shown() {
+fn round_trips_control_and_publish_sections() {
     let text = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\") (debug \"127.0.0.1:3\") (bound 3s) (snapshot \"s\")
             (tls (certificate \"c\") (key \"k\") (clients \"a\")))
             (publish (control \"127.0.0.1:2\" \"127.0.0.2:2\") (zone \"a\") (every 100ms))";
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn every_fault_is_named_with_its_place_in_one_reading() {
+fn reports_every_problem_with_its_position() {
     let text = "(log (format yaml))\n(trace\n  (block-rows many)\n  (file-spam 1h)\n  (file-span 90)\n  (sample 1) (sample 2))\nstray";
     let reported: Vec<String> =
         parse_settings("f.scm", text).unwrap_err().diagnostics().iter().map(Diagnostic::to_string).collect();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_text_that_cannot_be_read_says_where() {
+fn reports_position_of_syntax_errors() {
     for (text, place) in [("(log", "1:5"), ("(a))", "1:4"), ("(a \"x", "1:6"), ("(a \"\\q\")", "1:6")] {
         let error = parse_settings("f", text).unwrap_err();
         assert!(
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lease_stores_workers_and_trace_stores_read_as_they_are_shown() {
+fn round_trips_lease_store_worker_and_trace_store_sections() {
     let text = "(keeper (number 1) (listen \"127.0.0.1:0\") (folder \"k\") (peers \"1=127.0.0.1:1\" \"2=127.0.0.2:1\")
               (duty (name \"gather\") (parts 16) (zone \"a\")) (duty (name \"turns\")) (term 1s))
             (steward (name \"s1\") (folder \"s\") (holds \"x\" \"y\") (keepers \"1=127.0.0.1:1\") (gather (traces \"/t\") (archive \"127.0.0.9:1\") (parts 16))
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_is_missing_or_stands_twice_is_named_with_its_key() {
+fn reports_missing_and_duplicate_keys() {
     let wrong =
         "(keeper (listen \"127.0.0.1:0\") (peers \"one\" \"2=127.0.0.2:1\" \"2=127.0.0.3:1\") (stall 1s)
             (duty (name \"a\")) (duty (name \"a\"))) (steward (gather (parts 0)) (quota (customer (name \"a\"))))";
--- a/crates/settings/src/settings/trace.rs
+++ b/crates/settings/src/settings/trace.rs
@@ -1,6 +1,6 @@
 //! Section `trace`: what the recorder of requests writes, and where.
 
-use super::fields::present_text;
+use super::fields::read_text_of_required_key;
 use super::format::{quoted, write_optional};
 use crate::sexpr::Block;
 use std::fmt;
@@ -32,7 +32,7 @@
 impl TraceSettings {
     pub(super) fn read(block: &Block) -> TraceSettings {
         let trace = TraceSettings {
-            directory: present_text(block, "folder"),
+            directory: read_text_of_required_key(block, "folder"),
             block_rows: block.count("block-rows", 4096, 16..=65536),
             block_duration: block.duration("block-span", 5.0, 0.1..=600.0),
             file_bytes: block.bytes("file-bytes", 64 << 20, 1 << 16..=1 << 40),
--- a/crates/settings/src/settings/trace_store.rs
+++ b/crates/settings/src/settings/trace_store.rs
@@ -1,6 +1,6 @@
 //! Section `archive`: the store of collected traces.
 
-use super::fields::{required_address, required_text};
+use super::fields::{read_required_address, read_required_text};
 use super::format::quoted;
 use crate::sexpr::Block;
 use std::fmt;
@@ -22,8 +22,8 @@
 impl TraceStoreSettings {
     pub(super) fn read(block: &Block) -> TraceStoreSettings {
         let store = TraceStoreSettings {
-            listen: required_address(block, "listen"),
-            directory: required_text(block, "folder"),
+            listen: read_required_address(block, "listen"),
+            directory: read_required_text(block, "folder"),
             max_bytes: block.bytes("most-bytes", 10 << 30, 1 << 20..=1 << 50),
             max_connections: block.count("most-connections", 500, 4..=100_000),
         };
--- a/crates/settings/src/settings/worker.rs
+++ b/crates/settings/src/settings/worker.rs
@@ -1,6 +1,6 @@
 //! Section `steward`: an instance that runs the tasks it holds leases for.
 
-use super::fields::{address, replica_addresses, required_address, required_text};
+use super::fields::{read_address, read_replica_addresses, read_required_address, read_required_text};
 use super::format::{self, quoted};
 use crate::sexpr::Block;
 use std::collections::BTreeMap;
@@ -80,13 +80,13 @@
             block.report("listen", "should be given: servers report there");
         }
         let worker = WorkerSettings {
-            name: required_text(block, "name"),
+            name: read_required_text(block, "name"),
             zone: block.text("zone").unwrap_or_else(|| "default".into()),
-            directory: required_text(block, "folder"),
+            directory: read_required_text(block, "folder"),
             idle_tasks: block.texts("holds"),
-            lease_store_replicas: replica_addresses(block, "keepers"),
+            lease_store_replicas: read_replica_addresses(block, "keepers"),
             trace_collection,
-            report_listen: address(block, "listen"),
+            report_listen: read_address(block, "listen"),
             quota,
             drain_slots,
         };
@@ -113,7 +113,7 @@
 fn read_customer_rates(block: &Block) -> BTreeMap<String, f64> {
     let mut rates = BTreeMap::new();
     for customer in block.blocks("customer") {
-        let name = required_text(&customer, "name");
+        let name = read_required_text(&customer, "name");
         let rate = customer.number("rate", 0.0, 0.001..=1e9);
         customer.require("rate");
         if rates.insert(name.clone(), rate).is_some() {
@@ -140,8 +140,8 @@
 impl TraceCollectionSettings {
     fn read(block: &Block) -> TraceCollectionSettings {
         let collection = TraceCollectionSettings {
-            traces_directory: required_text(block, "traces"),
-            trace_store: required_address(block, "archive"),
+            traces_directory: read_required_text(block, "traces"),
+            trace_store: read_required_address(block, "archive"),
             parts: block.count("parts", 1, 1..=100_000),
             scan_interval: block.duration("every", 1.0, 0.01..=3600.0),
             max_step_duration: block.duration("step", 0.5, 0.01..=60.0),
@@ -155,7 +155,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "(steward (name {}) (zone {})", quoted(&self.name), quoted(&self.zone))?;
         write!(f, " (folder {})", quoted(&self.directory))?;
-        write!(f, "\n  (keepers {})", format::replica_addresses(&self.lease_store_replicas))?;
+        write!(f, "\n  (keepers {})", format::format_replica_addresses(&self.lease_store_replicas))?;
         if !self.idle_tasks.is_empty() {
             let names: Vec<String> = self.idle_tasks.iter().map(|name| quoted(name)).collect();
             write!(f, "\n  (holds {})", names.join(" "))?;
--- a/crates/settings/src/sexpr/block.rs
+++ b/crates/settings/src/sexpr/block.rs
@@ -1,6 +1,6 @@
 //! Lists of `(key value ...)` entries, read key by key.
 
-use super::quantity::{format_quantity, parse_quantity, Unit, BYTES, DURATION, PLAIN};
+use super::quantity::{format_quantity, parse_quantity, Unit, BYTES, DURATION, UNITLESS};
 use super::spelling::edit_distance;
 use super::{Form, Node, Problem, Reader};
 use std::cell::{Cell, RefCell};
@@ -16,11 +16,11 @@
     position: usize,
     /// What follows the key.
     values: &'r [Node],
-    /// Whether anybody asked for the key.
-    asked: Cell<bool>,
+    /// Whether the key was requested.
+    requested: Cell<bool>,
 }
 
-/// A list of `(key value ...)` entries. Values are checked as they are asked for; a key that nobody asked for by
+/// A list of `(key value ...)` entries. Values are checked as they are requested for; a key that nobody requested for by
 /// [`Block::finish`] is unknown. All problems go to the reader.
 ///
 /// The functions that take a default return it where the key is absent and where its value is not usable: the caller
@@ -30,20 +30,20 @@
     path: String,
     position: usize,
     entries: Vec<Entry<'r>>,
-    /// Keys that were asked for, to suggest one in place of an unknown key.
-    known: RefCell<Vec<&'static str>>,
+    /// Keys that were requested for, to suggest one in place of an unknown key.
+    requested_keys: RefCell<Vec<&'static str>>,
 }
 
 impl<'r> Block<'r> {
     pub(super) fn new(reader: &'r Reader<'r>, path: String, position: usize, forms: &'r [Node]) -> Block<'r> {
         let mut entries = Vec::new();
         for node in forms {
-            match Entry::of(node) {
+            match Entry::parse(node) {
                 Some(entry) => entries.push(entry),
                 None => reader.report(node.span.start, &path, Problem::NotAnEntry),
             }
         }
-        Block { reader, path, position, entries, known: RefCell::default() }
+        Block { reader, path, position, entries, requested_keys: RefCell::default() }
     }
 
     fn key_path(&self, key: &str) -> String {
@@ -75,9 +75,9 @@
 
     /// All entries under a key that may be given any number of times.
     fn entries(&self, key: &'static str) -> Vec<&Entry<'r>> {
-        self.known.borrow_mut().push(key);
+        self.requested_keys.borrow_mut().push(key);
         let found: Vec<&Entry> = self.entries.iter().filter(|entry| entry.key == key).collect();
-        found.iter().for_each(|entry| entry.asked.set(true));
+        found.iter().for_each(|entry| entry.requested.set(true));
         found
     }
 
@@ -158,7 +158,7 @@
 
     /// A number without a unit.
     pub fn number(&self, key: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
-        self.quantity(key, default, range, PLAIN)
+        self.quantity(key, default, range, UNITLESS)
     }
 
     /// A whole number.
@@ -179,10 +179,10 @@
         self.quantity(key, default as f64, range, BYTES) as u64
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Reports the keys that nobody requested for.
     pub fn finish(&self) {
-        let known = self.known.borrow();
-        for entry in self.entries.iter().filter(|entry| !entry.asked.get()) {
+        let known = self.requested_keys.borrow();
+        for entry in self.entries.iter().filter(|entry| !entry.requested.get()) {
             let closest = known.iter().map(|name| (edit_distance(entry.key, name), *name)).min();
             let problem = match closest {
                 Some((distance, name)) if distance <= MISSPELLING_DISTANCE => Problem::Misspelled(name),
@@ -194,11 +194,11 @@
 }
 
 impl<'r> Entry<'r> {
-    fn of(node: &'r Node) -> Option<Entry<'r>> {
+    fn parse(node: &'r Node) -> Option<Entry<'r>> {
         let Form::List(parts) = &node.form else { return None };
         let (first, values) = parts.split_first()?;
         let key = atom(&first.form)?;
-        Some(Entry { key, position: node.span.start, values, asked: Cell::new(false) })
+        Some(Entry { key, position: node.span.start, values, requested: Cell::new(false) })
     }
 }
 
--- a/crates/settings/src/sexpr/quantity.rs
+++ b/crates/settings/src/sexpr/quantity.rs
@@ -14,7 +14,7 @@
 }
 
 /// A number without a unit.
-pub(super) const PLAIN: &[Unit] = &[unit("", 1.0)];
+pub(super) const UNITLESS: &[Unit] = &[unit("", 1.0)];
 /// Units of time, in seconds.
 pub(super) const DURATION: &[Unit] =
     &[unit("s", 1.0), unit("ms", 1e-3), unit("us", 1e-6), unit("m", 60.0), unit("h", 3600.0)];
--- a/crates/settings/src/sexpr/reader.rs
+++ b/crates/settings/src/sexpr/reader.rs
@@ -1,6 +1,6 @@
 //! A text that is being read, and the problems found in it so far.
 
-use super::syntax::{find_excess, parse_forms};
+use super::syntax::{find_limit_violation, parse_forms};
 use super::{Block, Diagnostic, Node, Problem};
 use std::cell::RefCell;
 
@@ -33,7 +33,7 @@
 
     /// Parses the text into its expressions. Whatever follows one that can't be parsed is left out.
     pub fn parse(&self) -> Vec<Node> {
-        if let Some(position) = find_excess(self.text) {
+        if let Some(position) = find_limit_violation(self.text) {
             self.report(position, "", Problem::TooLarge);
             return Vec::new();
         }
--- a/crates/settings/src/sexpr/syntax.rs
+++ b/crates/settings/src/sexpr/syntax.rs
@@ -37,11 +37,11 @@
 const MAX_TEXT_BYTES: usize = 4 << 20;
 
 /// The first byte where a text is longer or nested deeper than the parser takes.
-pub(super) fn find_excess(text: &str) -> Option<usize> {
-    find_too_deep(text).or((text.len() > MAX_TEXT_BYTES).then_some(0))
+pub(super) fn find_limit_violation(text: &str) -> Option<usize> {
+    find_excess_depth(text).or((text.len() > MAX_TEXT_BYTES).then_some(0))
 }
 
-fn find_too_deep(text: &str) -> Option<usize> {
+fn find_excess_depth(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (position, character) in text.char_indices() {
         depth = match character {
@@ -70,14 +70,14 @@
             Err(error) => {
                 let position = input.current_token_start();
                 input.reset(&begin);
-                return (forms, Some((position, describe(error, &mut input))));
+                return (forms, Some((position, describe_error(error, &mut input))));
             }
         }
     }
 }
 
 /// Why the expression that `input` begins with can't be parsed.
-fn describe(error: ErrMode<ContextError>, input: &mut Input) -> Problem {
+fn describe_error(error: ErrMode<ContextError>, input: &mut Input) -> Problem {
     if any::<_, ContextError>.parse_next(input).ok() == Some(')') {
         return Problem::UnmatchedParenthesis;
     }
--- a/crates/settings/tests/golden_config.rs
+++ b/crates/settings/tests/golden_config.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_full_server_configuration_reads_as_its_literal_values() {
+fn parses_full_server_configuration() {
     let config = parse_server_config(FULL.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
     assert_eq!(config.name, "edge-7.a_b");
     assert_eq!(config.listen.to_string(), "127.0.0.1:4100");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn absent_keys_read_as_their_defaults() {
+fn applies_defaults_to_absent_keys() {
     let policy = parse_policy_config(LEAST.as_bytes()).unwrap();
     let product = RequestClass {
         latency_objective: 1.0,
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn each_word_of_the_wire_reads_as_its_literal_value() {
+fn parses_each_configuration_word() {
     let read = |key: &str, word: &str| {
         let text = LEAST.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
         parse_policy_config(text.as_bytes()).unwrap().settings
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn faults_of_policy_configurations_are_worded_as_they_are() {
+fn reports_policy_configuration_errors_verbatim() {
     let cases = [
         (r#""Servers": 1,"#, "", "start text: Servers should be given"),
         (r#""Servers": 1,"#, r#""Servers": null,"#, "start text: Servers should be given"),
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn faults_of_server_configurations_are_worded_as_they_are() {
+fn reports_server_configuration_errors_verbatim() {
     let cases = [
         (
             r#""name": "edge-7.a_b""#,
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn keys_that_hold_until_the_next_start_are_named() {
+fn lists_changes_needing_restart() {
     let read = |text: &str| parse_server_config(text.as_bytes(), None, None).unwrap();
     let old = read(FULL);
     assert!(old.changes_needing_restart(&old).is_empty());
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -211,12 +211,12 @@
 }
 
 #[test]
-fn a_full_settings_file_reads_as_its_literal_values() {
+fn parses_every_settings_key() {
     assert_eq!(parse_settings("f", FULL).unwrap(), full());
 }
 
 #[test]
-fn settings_are_shown_word_for_word() {
+fn displays_settings_verbatim() {
     assert_eq!(full().to_string(), SHOWN);
     assert_eq!(parse_settings("shown", SHOWN).unwrap(), full());
     assert_eq!(parse_settings("f", LEAST).unwrap().to_string(), DEFAULTS_SHOWN);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_is_worded_with_file_line_column_and_key() {
+fn reports_each_problem_with_its_exact_message() {
     let cases: [(&str, &[&str]); 24] = [
         ("stray", &["f.scm:1:1: should be a list that begins with a key"]),
         ("(log stray)", &["f.scm:1:6: log: should be a list that begins with a key"]),
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_fault_gives_file_line_column_and_key_one_by_one() {
+fn diagnostic_exposes_file_line_column_and_key() {
     let error = parse_settings("f.scm", "(log\n  (format yaml))").unwrap_err();
     let diagnostics = error.diagnostics();
     assert_eq!(diagnostics.len(), 1);
--- a/crates/trace-store/src/export.rs
+++ b/crates/trace-store/src/export.rs
@@ -46,33 +46,34 @@
     },
 }
 
-/// Merges all stored files into one trace at `into`, which appears there once it is complete. `made` is the time that the trace names, in us since 1970;
+/// Merges all stored files into one trace at `destination`, which appears there once it is complete. `made` is the time that the trace names, in us since 1970;
 /// `progress` is told how many rows of how many are written.
 pub fn export(
     store: &Store,
-    into: &Path,
+    destination: &Path,
     made: i64,
     progress: &mut dyn FnMut(usize, usize),
 ) -> Result<Met, ExportError> {
-    let write_error = |source| ExportError::Write { path: into.into(), source };
-    let merge_error = |source| ExportError::Merge { path: into.into(), source };
+    let write_error = |source| ExportError::Write { path: destination.into(), source };
+    let merge_error = |source| ExportError::Merge { path: destination.into(), source };
     // Beside the trace itself, so that there is space for both or for none.
-    let folder = into.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let parts = tempfile::tempdir_in(folder).map_err(write_error)?;
+    let directory =
+        destination.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let parts = tempfile::tempdir_in(directory).map_err(write_error)?;
     let mut traces = Vec::new();
     for (position, file) in store.files()?.iter().enumerate() {
         let path = parts.path().join(format!("{position}.trace"));
-        write_stored_file(store, file, &path, into, made)?;
+        write_stored_file(store, file, &path, destination, made)?;
         let reader = BufReader::new(File::open(&path).map_err(write_error)?);
         traces.push((Trace::open(reader).map_err(merge_error)?, 0));
     }
-    let unfinished = parts.path().join("whole");
-    let out = BufWriter::new(File::create(&unfinished).map_err(write_error)?);
+    let temporary = parts.path().join("whole");
+    let out = BufWriter::new(File::create(&temporary).map_err(write_error)?);
     let meta = Meta { node: MERGED_SERVER.into(), made };
     let mut writer = Writer::new(out, &meta).map_err(write_error)?;
     let merged = merge(traces, &mut writer, progress).map_err(merge_error)?;
     finish(writer).map_err(write_error)?;
-    std::fs::rename(&unfinished, into).map_err(write_error)?;
+    std::fs::rename(&temporary, destination).map_err(write_error)?;
     Ok(merged)
 }
 
@@ -81,10 +82,10 @@
     store: &Store,
     file: &FileId,
     path: &Path,
-    exported: &Path,
+    destination: &Path,
     made: i64,
 ) -> Result<(), ExportError> {
-    let write_error = |source| ExportError::Write { path: exported.into(), source };
+    let write_error = |source| ExportError::Write { path: destination.into(), source };
     let out = BufWriter::new(File::create(path).map_err(write_error)?);
     let meta = Meta { node: file.server.clone(), made };
     let mut writer = Writer::new(out, &meta).map_err(write_error)?;
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -89,7 +89,7 @@
 }
 
 /// There is no capacity for a block, even with all evicted that may be.
-struct Full;
+struct CapacityExceeded;
 
 /// Whether a name may become part of a path where traces are exported.
 pub fn is_valid_name(name: &str) -> bool {
@@ -183,7 +183,7 @@
         if stored.complete || stored.blocks != id.position {
             return Decision::unchanged(PutOutcome::UnexpectedBlock(stored));
         }
-        let Ok(Removals { evicted, dropped }) = self.free_capacity(&id.file, bytes) else {
+        let Ok(Removals { evicted, dropped }) = self.plan_removals(&id.file, bytes) else {
             return Decision::unchanged(PutOutcome::Full);
         };
         let progress = FileProgress { blocks: stored.blocks + 1, complete: id.last };
@@ -198,22 +198,22 @@
     }
 
     /// What has to go before so many bytes of a file are stored.
-    fn free_capacity(&self, file: &FileId, bytes: u64) -> Result<Removals, Full> {
+    fn plan_removals(&self, file: &FileId, bytes: u64) -> Result<Removals, CapacityExceeded> {
         if !is_valid_name(&file.server) || !is_valid_name(&file.name) {
-            return Err(Full);
+            return Err(CapacityExceeded);
         }
         Ok(Removals { evicted: self.files_to_evict(bytes)?, dropped: self.file_to_drop(file)? })
     }
 
-    fn file_to_drop(&self, file: &FileId) -> Result<Option<FileId>, Full> {
+    fn file_to_drop(&self, file: &FileId) -> Result<Option<FileId>, CapacityExceeded> {
         if self.progress.contains_key(file) || self.progress.len() < self.max_files {
             return Ok(None);
         }
         // Its server has long removed it by then: a recorder keeps some hundred files.
-        self.complete.front().cloned().map(Some).ok_or(Full)
+        self.complete.front().cloned().map(Some).ok_or(CapacityExceeded)
     }
 
-    fn files_to_evict(&self, bytes: u64) -> Result<Vec<FileId>, Full> {
+    fn files_to_evict(&self, bytes: u64) -> Result<Vec<FileId>, CapacityExceeded> {
         let mut evicted = Vec::new();
         let mut remaining = self.bytes + bytes;
         for file in &self.evictable {
@@ -224,7 +224,7 @@
             evicted.push(file.clone());
         }
         if remaining > self.max_bytes {
-            return Err(Full);
+            return Err(CapacityExceeded);
         }
         Ok(evicted)
     }
--- a/crates/trace-store/src/index/tests.rs
+++ b/crates/trace-store/src/index/tests.rs
@@ -24,7 +24,7 @@
 const NEW: PutOutcome = PutOutcome::Fence(Verdict::New);
 
 #[test]
-fn a_successor_goes_on_where_the_one_before_stopped_and_that_one_lands_nothing_more() {
+fn new_epoch_resumes_and_fences_the_previous_one() {
     let mut index = TraceIndex::new(1000, [], []);
     assert_eq!(
         put(&mut index, 5, 1, &block("a", 0, false), 10),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_was_not_written_is_not_known() {
+fn unapplied_decisions_leave_the_index_unchanged() {
     let mut index = TraceIndex::new(1000, [], []);
     announce(&mut index, 5);
     assert_eq!(index.put(&task(), 5, 1, &block("a", 0, true), 10).outcome, NEW);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn past_the_bound_the_oldest_complete_files_are_evicted_and_stay_known() {
+fn evicts_oldest_complete_files_past_the_byte_limit() {
     let mut index = TraceIndex::new(100, [], []);
     announce(&mut index, 5);
     assert_eq!(put(&mut index, 5, 1, &block("a", 0, true), 40), NEW);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn past_the_number_of_files_the_one_completed_first_is_dropped() {
+fn drops_first_completed_file_past_the_file_limit() {
     let mut index = TraceIndex::new(1000, [], []);
     index.max_files = 2;
     announce(&mut index, 5);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn names_that_could_be_paths_and_parts_past_the_bound_are_rejected() {
+fn rejects_invalid_names() {
     let mut index = TraceIndex::new(1000, [], []);
     announce(&mut index, 5);
     for name in ["../x", "", ".x", "a/b", "a\0"] {
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -37,7 +37,7 @@
     }
 
     /// Files that are known, evicted ones included.
-    pub fn known_files(&self) -> usize {
+    pub fn file_count(&self) -> usize {
         self.index.files().count()
     }
 
@@ -101,7 +101,7 @@
 
     fn status(&self) -> Response {
         Response::Status {
-            files: self.known_files(),
+            files: self.file_count(),
             complete_files: self.index.files().filter(|(_, progress)| progress.complete).count(),
             blocks: self.stored_blocks,
             bytes: self.index.stored_bytes(),
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -68,7 +68,7 @@
     let address = listen("trace store", config.listen, config.max_connections, stopped, handle).await?;
     config.events.emit(&Event::Ready { listen: address.to_string() });
     tracing::info!("trace store listens on {address}, {} files known", index.files().count());
-    let main_task = tokio::task::spawn_blocking(move || run(index, store, queue, config.events));
+    let main_task = tokio::task::spawn_blocking(move || process_requests(index, store, queue, config.events));
     Ok(RunningService::new(address, stop, main_task))
 }
 
@@ -90,7 +90,7 @@
 }
 
 /// Answers requests until no connection can send one any more, or the database fails.
-fn run(
+fn process_requests(
     index: TraceIndex,
     mut store: Store,
     mut queue: mpsc::Receiver<PendingRequest>,
@@ -99,7 +99,7 @@
     let mut handler = RequestHandler::new(index);
     while let Some(first) = queue.blocking_recv() {
         let mut replies = Vec::new();
-        for PendingRequest { request, respond_to } in batch(first, &mut queue) {
+        for PendingRequest { request, respond_to } in collect_batch(first, &mut queue) {
             replies.push((respond_to, handler.handle(request)));
         }
         let writes = handler.take_pending_writes();
@@ -113,12 +113,12 @@
             let _ = respond_to.send(reply.response);
         }
     }
-    tracing::info!("ends with {} files", handler.known_files());
+    tracing::info!("ends with {} files", handler.file_count());
     Ok(())
 }
 
 /// The first request, and those that wait behind it already.
-fn batch(first: PendingRequest, queue: &mut mpsc::Receiver<PendingRequest>) -> Vec<PendingRequest> {
+fn collect_batch(first: PendingRequest, queue: &mut mpsc::Receiver<PendingRequest>) -> Vec<PendingRequest> {
     let mut batch = vec![first];
     while batch.len() < MAX_BATCH {
         let Ok(next) = queue.try_recv() else { break };
--- a/crates/trace-store/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The database's name in the store's folder.
+/// The database's name in the store's directory.
 pub const DATABASE_FILE: &str = "archive.redb";
 /// The version of the stored form, kept under [`SCHEMA_KEY`].
 const SCHEMA_VERSION: u32 = 1;
@@ -32,7 +32,7 @@
 /// A file's server and name, and the position of a block in it.
 type BlockKey = (&'static str, &'static str, u64);
 
-const FACTS: TableDefinition<&str, u32> = TableDefinition::new("facts");
+const METADATA: TableDefinition<&str, u32> = TableDefinition::new("facts");
 const FENCE: TableDefinition<TaskKey, &[u8]> = TableDefinition::new("fence");
 const FILES: TableDefinition<FileKey, &[u8]> = TableDefinition::new("files");
 const BLOCKS: TableDefinition<BlockKey, &[u8]> = TableDefinition::new("blocks");
@@ -65,8 +65,8 @@
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub enum StorageFailure {
-    /// The store's folder can't be created.
-    Folder(std::io::Error),
+    /// The store's directory can't be created.
+    Directory(std::io::Error),
     /// The database can't be opened.
     Open(DatabaseError),
     /// No transaction can be begun.
@@ -102,7 +102,7 @@
 
 /// Which rows of a [`PendingWrite`] a transaction writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Rows {
+enum WriteScope {
     All,
     /// The fence and the files' progress: half of [`InjectedBug::TwoSteps`].
     Decisions,
@@ -120,10 +120,10 @@
 }
 
 impl Store {
-    /// Opens the store in a folder, which is created where there is none, and reads its index. Blocks may take `max_bytes`.
-    pub fn open(folder: &Path, max_bytes: u64) -> Result<(Store, TraceIndex), StoreError> {
-        let path = folder.join(DATABASE_FILE);
-        std::fs::create_dir_all(folder).map_err(|e| storage_error(&path, StorageFailure::Folder(e)))?;
+    /// Opens the store in a directory, which is created where there is none, and reads its index. Blocks may take `max_bytes`.
+    pub fn open(directory: &Path, max_bytes: u64) -> Result<(Store, TraceIndex), StoreError> {
+        let path = directory.join(DATABASE_FILE);
+        std::fs::create_dir_all(directory).map_err(|e| storage_error(&path, StorageFailure::Directory(e)))?;
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES);
         let database = builder.create(&path).map_err(|e| match e {
@@ -152,10 +152,10 @@
     fn ensure_schema(&self) -> Result<u32, StorageFailure> {
         let transaction = self.database.begin_write()?;
         let found = {
-            let mut facts = transaction.open_table(FACTS)?;
-            let found = facts.get(SCHEMA_KEY)?.map(|value| value.value());
+            let mut metadata = transaction.open_table(METADATA)?;
+            let found = metadata.get(SCHEMA_KEY)?.map(|value| value.value());
             if found.is_none() {
-                facts.insert(SCHEMA_KEY, SCHEMA_VERSION)?;
+                metadata.insert(SCHEMA_KEY, SCHEMA_VERSION)?;
             }
             Tables::open(&transaction)?;
             found.unwrap_or(SCHEMA_VERSION)
@@ -187,22 +187,23 @@
     pub fn commit(&mut self, writes: &[PendingWrite]) -> Result<(), StoreError> {
         let written = match self.injected_bug {
             Some(InjectedBug::TwoSteps) => self.write_in_two_steps(writes),
-            _ => self.write(writes, Rows::All),
+            _ => self.write(writes, WriteScope::All),
         };
         written.map_err(|e| self.error(e))
     }
 
     fn write_in_two_steps(&mut self, writes: &[PendingWrite]) -> Result<(), StorageFailure> {
-        self.write(writes, Rows::Decisions)?;
+        self.write(writes, WriteScope::Decisions)?;
         std::thread::sleep(TWO_STEPS_PAUSE);
-        self.write(writes, Rows::Blocks)
+        self.write(writes, WriteScope::Blocks)
     }
 
-    fn write(&mut self, writes: &[PendingWrite], rows: Rows) -> Result<(), StorageFailure> {
+    fn write(&mut self, writes: &[PendingWrite], scope: WriteScope) -> Result<(), StorageFailure> {
         let transaction = self.database.begin_write()?;
         {
             let mut tables = Tables::open(&transaction)?;
-            let writes_fence = rows != Rows::Blocks && self.injected_bug != Some(InjectedBug::ForgetsEpochs);
+            let writes_fence =
+                scope != WriteScope::Blocks && self.injected_bug != Some(InjectedBug::ForgetsEpochs);
             for PendingWrite { update, block } in writes {
                 if writes_fence {
                     tables.put_fence(&update.task, update.fence)?;
@@ -214,10 +215,10 @@
                     tables.evict_file(file)?;
                 }
                 let Some(stored) = &update.block else { continue };
-                if rows != Rows::Decisions && !block.is_empty() {
+                if scope != WriteScope::Decisions && !block.is_empty() {
                     tables.put_block(stored, block)?;
                 }
-                if rows != Rows::Blocks {
+                if scope != WriteScope::Blocks {
                     self.completions += u64::from(stored.progress.complete);
                     tables.put_progress(stored, block.len() as u64, self.completions)?;
                 }
@@ -243,15 +244,15 @@
         Ok(files)
     }
 
-    /// Hands out the blocks of a file, one after the other, until one can't be read or `each` fails.
+    /// Hands out the blocks of a file, one after the other, until one can't be read or `visit` fails.
     pub fn for_each_block<E: From<StoreError>>(
         &self,
         file: &FileId,
-        mut each: impl FnMut(Vec<u8>) -> Result<(), E>,
+        mut visit: impl FnMut(Vec<u8>) -> Result<(), E>,
     ) -> Result<(), E> {
         for row in self.read_blocks(file).map_err(|e| self.error(e))? {
             let (_, block) = row.map_err(|e| self.error(e.into()))?;
-            each(block.value().to_vec())?;
+            visit(block.value().to_vec())?;
         }
         Ok(())
     }
--- a/crates/trace-store/src/store/tests.rs
+++ b/crates/trace-store/src/store/tests.rs
@@ -6,11 +6,11 @@
 }
 
 #[test]
-fn what_was_committed_is_judged_by_after_a_restart() {
-    let folder = tempfile::tempdir().unwrap();
+fn restores_fence_and_files_after_restart() {
+    let directory = tempfile::tempdir().unwrap();
     let task = Task::new("gather", 3);
-    let (mut store, mut index) = Store::open(folder.path(), 100).unwrap();
-    assert!(matches!(Store::open(folder.path(), 100), Err(StoreError::AlreadyOpen(_))));
+    let (mut store, mut index) = Store::open(directory.path(), 100).unwrap();
+    assert!(matches!(Store::open(directory.path(), 100), Err(StoreError::AlreadyOpen(_))));
     let updates = [index.announce(&task, 7).update.unwrap()];
     index.apply(&updates[0], 0);
     store.commit(&[PendingWrite { update: updates[0].clone(), block: Vec::new() }]).unwrap();
@@ -21,7 +21,7 @@
         store.commit(&[PendingWrite { update, block: vec![position as u8; 40] }]).unwrap();
     }
     drop(store);
-    let (mut store, mut index) = Store::open(folder.path(), 100).unwrap();
+    let (mut store, mut index) = Store::open(directory.path(), 100).unwrap();
     assert_eq!((index.fence_state(&task), index.stored_bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
     assert!(index.put(&task, 6, 1, &block("b", 0, true), 1).update.is_none());
     // The next one needs capacity: the oldest complete file is evicted, also from the disk.
@@ -39,7 +39,7 @@
     }
     assert_eq!(seen, [("b".to_string(), 9)]);
     drop(store);
-    let (_, index) = Store::open(folder.path(), 100).unwrap();
+    let (_, index) = Store::open(directory.path(), 100).unwrap();
     assert!(
         index.files().any(|(file, progress)| file.name == "a" && progress.complete)
             && index.stored_bytes() == 40
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The forms that outlive a process: the folder of a trace store as version 1 wrote it, and the lines that workers and the trace store send each other.
+//! The forms that outlive a process: the directory of a trace store as version 1 wrote it, and the lines that workers and the trace store send each other.
 //! The literals below never change with the code.
 
 use puffinladder_leases::fence::{FenceRecord, Verdict};
@@ -11,26 +11,26 @@
     FileId { server: server.into(), name: name.into() }
 }
 
-/// The stored folder holds: task gather/0 at epoch 7 after 4 effects, gather/3 at epoch 12 after 1; n1/a.trace complete but evicted, n1/b.trace complete
+/// The stored directory holds: task gather/0 at epoch 7 after 4 effects, gather/3 at epoch 12 after 1; n1/a.trace complete but evicted, n1/b.trace complete
 /// with two blocks, n2/c.trace with the first of its blocks.
 #[test]
-fn a_folder_written_by_version_1_is_read() {
-    let folder = tempfile::tempdir().unwrap();
+fn reads_version_1_database() {
+    let directory = tempfile::tempdir().unwrap();
     let stored = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/archive.redb");
-    std::fs::copy(stored, folder.path().join("archive.redb")).unwrap();
-    let (store, index) = Store::open(folder.path(), 100).unwrap();
+    std::fs::copy(stored, directory.path().join("archive.redb")).unwrap();
+    let (store, index) = Store::open(directory.path(), 100).unwrap();
     assert_eq!(index.fence_state(&Task::new("gather", 0)), FenceRecord { epoch: 7, number: 4 });
     assert_eq!(index.fence_state(&Task::new("gather", 3)), FenceRecord { epoch: 12, number: 1 });
     assert_eq!(index.fence_state(&Task::new("gather", 1)), FenceRecord { epoch: 0, number: 0 });
     assert_eq!(index.stored_bytes(), 95);
     let files: Vec<(FileId, FileProgress)> =
         index.files().map(|(file, progress)| (file.clone(), *progress)).collect();
-    let wanted = [
+    let expected = [
         (file("n1", "a.trace"), FileProgress { blocks: 2, complete: true }),
         (file("n1", "b.trace"), FileProgress { blocks: 2, complete: true }),
         (file("n2", "c.trace"), FileProgress { blocks: 1, complete: false }),
     ];
-    assert_eq!(files, wanted);
+    assert_eq!(files, expected);
     assert_eq!(store.files().unwrap(), [file("n1", "b.trace"), file("n2", "c.trace")]);
     let mut blocks = Vec::new();
     for file in store.files().unwrap() {
@@ -45,7 +45,7 @@
 }
 
 /// Reads as that value, and the value is written as that text.
-fn same<T>(text: &str, value: T)
+fn assert_round_trip<T>(text: &str, value: T)
 where
     T: Debug + PartialEq + serde::Serialize + serde::de::DeserializeOwned,
 {
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn every_request_has_its_line() {
-    same(
+fn request_encoding_is_stable() {
+    assert_round_trip(
         r#"{"announce":{"duty":{"name":"gather","part":3},"epoch":7,"parts":4}}"#,
         Request::Announce { task: Task::new("gather", 3), epoch: 7, parts: 4 },
     );
-    same(
+    assert_round_trip(
         r#"{"put":{"duty":{"name":"gather","part":3},"epoch":7,"number":2,"piece":{"source":{"server":"n1","file":"a.trace"},"place":5,"last":true},"block":"AQI="}}"#,
         Request::Put {
             task: Task::new("gather", 3),
@@ -69,12 +69,12 @@
             block: "AQI=".into(),
         },
     );
-    same(r#""status""#, Request::Status);
+    assert_round_trip(r#""status""#, Request::Status);
 }
 
 #[test]
-fn every_response_has_its_line() {
-    same(
+fn response_encoding_is_stable() {
+    assert_round_trip(
         r#"{"begun":{"verdict":"New","number":2,"taken":[[{"server":"n1","file":"a.trace"},{"blocks":5,"done":true}]]}}"#,
         Response::Announced {
             verdict: Verdict::New,
@@ -82,24 +82,24 @@
             progress: vec![(file("n1", "a.trace"), FileProgress { blocks: 5, complete: true })],
         },
     );
-    same(r#"{"put":{"fence":"New"}}"#, Response::Put(PutOutcome::Fence(Verdict::New)));
-    same(r#"{"put":{"fence":"Repeat"}}"#, Response::Put(PutOutcome::Fence(Verdict::Duplicate)));
-    same(
+    assert_round_trip(r#"{"put":{"fence":"New"}}"#, Response::Put(PutOutcome::Fence(Verdict::New)));
+    assert_round_trip(r#"{"put":{"fence":"Repeat"}}"#, Response::Put(PutOutcome::Fence(Verdict::Duplicate)));
+    assert_round_trip(
         r#"{"put":{"fence":{"Late":{"seen":8}}}}"#,
         Response::Put(PutOutcome::Fence(Verdict::Stale { latest: 8 })),
     );
-    same(
+    assert_round_trip(
         r#"{"put":{"fence":{"Gap":{"expected":1}}}}"#,
         Response::Put(PutOutcome::Fence(Verdict::Gap { expected: 1 })),
     );
-    same(
+    assert_round_trip(
         r#"{"put":{"elsewhere":{"blocks":1,"done":false}}}"#,
         Response::Put(PutOutcome::UnexpectedBlock(FileProgress { blocks: 1, complete: false })),
     );
-    same(r#"{"put":"full"}"#, Response::Put(PutOutcome::Full));
-    same(
+    assert_round_trip(r#"{"put":"full"}"#, Response::Put(PutOutcome::Full));
+    assert_round_trip(
         r#"{"status":{"files":3,"done":2,"blocks":9,"bytes":100,"refused":1}}"#,
         Response::Status { files: 3, complete_files: 2, blocks: 9, bytes: 100, rejected: 1 },
     );
-    same(r#"{"failed":"the block: torn"}"#, Response::Failed("the block: torn".into()));
+    assert_round_trip(r#"{"failed":"the block: torn"}"#, Response::Failed("the block: torn".into()));
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -19,23 +19,23 @@
 
 #[derive(Debug)]
 struct Skew {
-    monotonic: Mutex<MonotonicRate>,
+    monotonic: Mutex<RateChange>,
     /// Seconds that the wall clock is ahead of the system's, as the bits of an f64.
     wall_offset: AtomicU64,
 }
 
 /// The time that a skewed clock showed at a moment, and its rate from then on.
 #[derive(Clone, Copy, Debug)]
-struct MonotonicRate {
-    since: Instant,
+struct RateChange {
+    changed_at: Instant,
     /// Seconds.
-    shown: f64,
+    time_at_change: f64,
     /// Seconds of this clock for each second of the system's.
     rate: f64,
 }
 
 impl Skew {
-    fn monotonic(&self) -> MonotonicRate {
+    fn monotonic(&self) -> RateChange {
         *self.monotonic.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -50,7 +50,7 @@
     pub fn skewed(rate: f64, wall_offset: f64) -> Clock {
         let started = Instant::now();
         let skew = Skew {
-            monotonic: Mutex::new(MonotonicRate { since: started, shown: 0.0, rate }),
+            monotonic: Mutex::new(RateChange { changed_at: started, time_at_change: 0.0, rate }),
             wall_offset: AtomicU64::new(wall_offset.to_bits()),
         };
         Clock { started, skew: Some(Arc::new(skew)) }
@@ -61,8 +61,8 @@
         match &self.skew {
             None => self.started.elapsed().as_secs_f64(),
             Some(skew) => {
-                let MonotonicRate { since, shown, rate } = skew.monotonic();
-                shown + rate * since.elapsed().as_secs_f64()
+                let RateChange { changed_at, time_at_change, rate } = skew.monotonic();
+                time_at_change + rate * changed_at.elapsed().as_secs_f64()
             }
         }
     }
@@ -76,10 +76,10 @@
 
     /// Runs at another rate from now on; monotonic time does not step. The system's clock is left as it is.
     pub fn set_rate(&self, rate: f64) {
-        let shown = self.now();
+        let time_at_change = self.now();
         if let Some(skew) = &self.skew {
             *skew.monotonic.lock().unwrap_or_else(PoisonError::into_inner) =
-                MonotonicRate { since: Instant::now(), shown, rate };
+                RateChange { changed_at: Instant::now(), time_at_change, rate };
         }
     }
 
--- a/crates/transport/src/clock/tests.rs
+++ b/crates/transport/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_skewed_clock_runs_at_its_rate_and_never_back_and_the_systems_stays_as_it_is() {
+fn skewed_clock_is_monotonic_and_system_clock_is_unaffected() {
     let clock = Clock::skewed(1000.0, 86_400.0);
     let first = clock.now();
     while clock.now() < first + 10.0 {
@@ -13,11 +13,11 @@
     assert!(clock.unix_time() - Clock::system().unix_time() > 86_000.0);
     clock.set_wall_offset(-5.0);
     assert!(clock.unix_time() < Clock::system().unix_time());
-    let plain = Clock::system();
-    plain.set_rate(7.0);
-    plain.set_wall_offset(7.0);
+    let system = Clock::system();
+    system.set_rate(7.0);
+    system.set_wall_offset(7.0);
     assert!(
-        plain.sleep_duration(1.0) == Duration::from_secs(1)
-            && plain.unix_time() - Clock::system().unix_time() < 1.0
+        system.sleep_duration(1.0) == Duration::from_secs(1)
+            && system.unix_time() - Clock::system().unix_time() < 1.0
     );
 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -93,7 +93,7 @@
     F: Fn(TcpStream, SocketAddr) -> H,
     H: Future<Output = Result<(), TransportError>> + Send + 'static,
 {
-    let capacity = Arc::new(Semaphore::new(max_connections));
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -101,7 +101,7 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                let Ok(permit) = capacity.clone().try_acquire_owned() else {
+                let Ok(permit) = permits.clone().try_acquire_owned() else {
                     tracing::debug!("{name}: {max_connections} connections are open, {peer} is rejected");
                     continue;
                 };
--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     /// Seconds.
-    pause: f64,
+    delay: f64,
     /// By the clock that the caller goes by, in seconds.
-    until: f64,
+    retry_at: f64,
 }
 
 /// What the holder of a part knows of its files.
@@ -110,10 +110,10 @@
 
     /// Notes that a file could not be read: it is retried after a backoff, while others go on. Returns whether it is the first time.
     pub fn back_off(&mut self, now: f64, file: &FileId) -> bool {
-        let before = self.unreadable.get(file).map(|backoff| backoff.pause);
-        let pause = before.map_or(FIRST_BACKOFF, |pause| (2.0 * pause).min(MAX_BACKOFF));
+        let before = self.unreadable.get(file).map(|backoff| backoff.delay);
+        let delay = before.map_or(FIRST_BACKOFF, |delay| (2.0 * delay).min(MAX_BACKOFF));
         if before.is_some() || self.unreadable.len() < MAX_UNREADABLE {
-            self.unreadable.insert(file.clone(), Backoff { pause, until: now + pause });
+            self.unreadable.insert(file.clone(), Backoff { delay, retry_at: now + delay });
         } else if let Some(files) = self.remaining.get_mut(&file.server) {
             files.retain(|other| other != file);
         }
@@ -127,7 +127,7 @@
 
     /// Whether a file may be read: it was not found unreadable, or its backoff is over.
     fn is_ready(&self, now: f64, file: &FileId) -> bool {
-        self.unreadable.get(file).is_none_or(|backoff| backoff.until <= now)
+        self.unreadable.get(file).is_none_or(|backoff| backoff.retry_at <= now)
     }
 }
 
--- a/crates/worker/src/collection/tests.rs
+++ b/crates/worker/src/collection/tests.rs
@@ -11,7 +11,7 @@
 const COMPLETE: FileProgress = FileProgress { blocks: 3, complete: true };
 
 #[test]
-fn servers_take_turns_and_their_oldest_files_come_first() {
+fn alternates_servers_and_collects_oldest_files_first() {
     let mut plan = CollectionPlan::default();
     let all = [finished("n1", &["b", "a", "c"]), finished("n2", &["x"])].concat();
     plan.set_files(all.clone());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_successor_goes_on_after_what_the_trace_store_has() {
+fn resumes_after_blocks_already_stored() {
     let mut plan = CollectionPlan::default();
     plan.reset([(file("n1", "a"), FileProgress { blocks: 2, complete: false }), (file("n1", "b"), COMPLETE)]);
     plan.set_files(finished("n1", &["a", "b"]));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_comes_later_each_time_and_holds_up_no_other() {
+fn backs_off_unreadable_files_without_delaying_others() {
     let mut plan = CollectionPlan::default();
     plan.set_files(finished("n1", &["a", "b"]));
     assert!(plan.back_off(0.0, &file("n1", "a")) && !plan.back_off(1.0, &file("n1", "a")));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_newest_file_is_left_to_its_writer_until_it_is_sealed() {
+fn collects_newest_file_only_once_sealed() {
     let listed = |name: &str, sealed| ListedFile { name: name.into(), sealed };
     let files = vec![listed("n1-2", false), listed("n1-1", false), listed("n1-3", false)];
     let finished_now =
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_server_belongs_to_one_part() {
+fn spreads_servers_evenly_over_parts() {
     let mut counts = [0; 8];
     for at in 0..800 {
         counts[part_for_server(&format!("n{at}"), 8) as usize] += 1;
--- a/crates/worker/src/collection_tasks.rs
+++ b/crates/worker/src/collection_tasks.rs
@@ -14,7 +14,7 @@
 const STEP_SHARE: f64 = 0.8;
 
 /// A step that has ended.
-pub(crate) struct EndedStep {
+pub(crate) struct FinishedStep {
     pub task: Task,
     pub epoch: Epoch,
     pub outcome: StepOutcome,
@@ -35,13 +35,13 @@
 pub(crate) struct CollectionTasks {
     tasks: BTreeMap<Task, CollectionTask>,
     clock: Clock,
-    ended_steps: mpsc::Sender<EndedStep>,
+    finished_steps: mpsc::Sender<FinishedStep>,
 }
 
 impl CollectionTasks {
-    /// Steps that end go to `ended_steps`, to be handed back to [`CollectionTasks::on_step_ended`].
-    pub fn new(clock: Clock, ended_steps: mpsc::Sender<EndedStep>) -> CollectionTasks {
-        CollectionTasks { tasks: BTreeMap::new(), clock, ended_steps }
+    /// Steps that end go to `finished_steps`, to be handed back to [`CollectionTasks::on_step_finished`].
+    pub fn new(clock: Clock, finished_steps: mpsc::Sender<FinishedStep>) -> CollectionTasks {
+        CollectionTasks { tasks: BTreeMap::new(), clock, finished_steps }
     }
 
     /// The worker holds a part under this epoch from now on.
@@ -77,7 +77,7 @@
     }
 
     /// Begins steps where one is due and the lease's term allows it.
-    pub fn begin_steps(&mut self, now: f64, holder: &mut LeaseHolder) {
+    pub fn start_steps(&mut self, now: f64, holder: &mut LeaseHolder) {
         for (task, held) in &mut self.tasks {
             if now < held.due || held.transfer.is_none() {
                 continue;
@@ -86,17 +86,17 @@
             let Some(mut transfer) = held.transfer.take() else { continue };
             let until = now + STEP_SHARE * (valid_until - now);
             let (task, stop_early) = (task.clone(), held.stop_early.clone());
-            let (clock, ended_steps) = (self.clock.clone(), self.ended_steps.clone());
+            let (clock, finished_steps) = (self.clock.clone(), self.finished_steps.clone());
             tokio::spawn(async move {
                 let outcome = transfer.step(&clock, until, &stop_early).await;
-                let _ = ended_steps.send(EndedStep { task, epoch, outcome, transfer }).await;
+                let _ = finished_steps.send(FinishedStep { task, epoch, outcome, transfer }).await;
             });
         }
     }
 
     /// Takes back what a step worked with. With nothing to do, or nothing done, the part rests until the folders are listed again.
-    pub fn on_step_ended(&mut self, now: f64, step: EndedStep) {
-        let EndedStep { task, epoch, outcome, transfer } = step;
+    pub fn on_step_finished(&mut self, now: f64, step: FinishedStep) {
+        let FinishedStep { task, epoch, outcome, transfer } = step;
         let Some(held) = self.tasks.get_mut(&task).filter(|held| held.epoch == epoch) else { return };
         let goes_on = outcome.has_more && outcome.progress;
         held.due = if goes_on { now } else { now + transfer.idle_interval() };
--- a/crates/worker/src/lease_store_client.rs
+++ b/crates/worker/src/lease_store_client.rs
@@ -16,7 +16,7 @@
 pub(crate) struct LeaseStoreClient {
     /// For the log.
     holder_id: HolderId,
-    route: ReplicaSelector<SocketAddr>,
+    selector: ReplicaSelector<SocketAddr>,
     connection: Option<ReplicaConnection>,
     connections_opened: u64,
     /// When the first request was sent that has no response yet.
@@ -37,7 +37,7 @@
         let seed = puffinladder_leases::assignment::rank("route", incarnation, &holder_id.instance);
         LeaseStoreClient {
             holder_id,
-            route: ReplicaSelector::new(replicas, seed),
+            selector: ReplicaSelector::new(replicas, seed),
             connection: None,
             connections_opened: 0,
             unanswered_since: None,
@@ -52,7 +52,7 @@
             let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
             return holder.next_renewal().min(timeout);
         }
-        match self.route.next_action(now) {
+        match self.selector.next_action(now) {
             NextAction::WaitUntil(until) => until,
             NextAction::Connect(_) => now,
         }
@@ -67,7 +67,7 @@
             self.open_connection(now);
             return;
         };
-        if self.route.connected().is_none() {
+        if self.selector.connected().is_none() {
             return;
         }
         let Some(request) = holder.next_request(now) else { return };
@@ -90,20 +90,20 @@
         }
         match event {
             ConnectionEvent::Connected => {
-                self.route.mark_connected();
+                self.selector.mark_connected();
                 // A replica that is new to it has heard nothing yet: the next request is due at once.
                 holder.renew_now();
             }
             ConnectionEvent::Response(ReplicaReply::Lease(response)) => {
                 self.unanswered_since = None;
-                self.route.mark_healthy();
+                self.selector.mark_healthy();
                 self.set_reachable(true);
                 return Some(response);
             }
             ConnectionEvent::Response(ReplicaReply::NotLeader { leader, address }) => {
                 self.close_connection();
                 let address = address.and_then(|text| text.parse().ok());
-                self.route.follow_redirect(now, leader.map(|number| (number, address)));
+                self.selector.follow_redirect(now, leader.map(|number| (number, address)));
             }
             ConnectionEvent::Response(other) => {
                 self.give_up_connection(now, &format!("responds {other:?}"));
@@ -114,8 +114,8 @@
     }
 
     fn open_connection(&mut self, now: f64) {
-        let NextAction::Connect(replica) = self.route.next_action(now) else { return };
-        let Some(address) = self.route.address(replica).copied() else { return };
+        let NextAction::Connect(replica) = self.selector.next_action(now) else { return };
+        let Some(address) = self.selector.address(replica).copied() else { return };
         self.connections_opened += 1;
         let events = self.events.clone();
         self.connection = Some(ReplicaConnection::open(self.connections_opened, address, events));
@@ -131,7 +131,7 @@
     fn give_up_connection(&mut self, now: f64, reason: &str) {
         tracing::debug!("{}: the lease-store replica {reason}", self.holder_id);
         self.close_connection();
-        self.route.mark_failed(now);
+        self.selector.mark_failed(now);
         self.set_reachable(false);
     }
 
--- a/crates/worker/src/report_planner.rs
+++ b/crates/worker/src/report_planner.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether reports are answered for a task.
-    pub fn plans(task: &Task) -> bool {
+    pub fn handles(task: &Task) -> bool {
         [QUOTA_TASK, DRAIN_TASK].contains(&task.name.as_str())
     }
 
@@ -94,11 +94,11 @@
         self.next_round = now + ROUND_INTERVAL;
     }
 
-    pub fn begin(&mut self, now: f64, task: &Task, epoch: Epoch) {
+    pub fn start_lease(&mut self, now: f64, task: &Task, epoch: Epoch) {
         self.coordinator.start_lease(now, task, epoch);
     }
 
-    pub fn end(&mut self, task: &Task, epoch: Epoch) {
+    pub fn end_lease(&mut self, task: &Task, epoch: Epoch) {
         self.coordinator.end_lease(task, epoch);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// One round of answers for a part of a task. Returns whether there were any.
-    pub fn answer(&mut self, now: f64, task: &Task) -> bool {
+    pub fn send_replies(&mut self, now: f64, task: &Task) -> bool {
         let replies = self.coordinator.plan_replies(now, task);
         let progress = !replies.is_empty();
         for reply in replies {
--- a/crates/worker/src/trace_files.rs
+++ b/crates/worker/src/trace_files.rs
@@ -30,7 +30,7 @@
     pub last: bool,
 }
 
-/// The trace files of all servers that belong to a part. A server's folder that can't be read counts as one without files.
+/// The trace files of all servers that belong to a part. A server's directory that can't be read counts as one without files.
 pub(crate) fn list_trace_files(
     traces: &Path,
     parts: u32,
@@ -38,15 +38,15 @@
 ) -> Result<Vec<TraceFile>, TransferError> {
     let failed = |source| TransferError::List { path: traces.into(), source };
     let mut all = Vec::new();
-    for folder in fs::read_dir(traces).map_err(failed)?.filter_map(Result::ok) {
-        let Some(server) = folder.file_name().to_str().map(String::from) else { continue };
+    for directory in fs::read_dir(traces).map_err(failed)?.filter_map(Result::ok) {
+        let Some(server) = directory.file_name().to_str().map(String::from) else { continue };
         if part_for_server(&server, parts) != part || !is_valid_name(&server) {
             continue;
         }
-        let Some(mut files) = list_server(&folder.path()) else { continue };
+        let Some(mut files) = list_server(&directory.path()) else { continue };
         // Only of the newest it matters whether it is sealed.
         if let Some(newest) = files.iter_mut().max() {
-            newest.sealed = is_sealed(&folder.path().join(&newest.name));
+            newest.sealed = is_sealed(&directory.path().join(&newest.name));
         }
         all.extend(mark_finished(&server, files));
     }
@@ -54,9 +54,9 @@
 }
 
 /// One server's trace files, none of them known to be sealed.
-fn list_server(folder: &Path) -> Option<Vec<ListedFile>> {
+fn list_server(directory: &Path) -> Option<Vec<ListedFile>> {
     let mut files = Vec::new();
-    for file in fs::read_dir(folder).ok()?.filter_map(Result::ok) {
+    for file in fs::read_dir(directory).ok()?.filter_map(Result::ok) {
         let Some(name) = file.file_name().to_str().map(String::from) else { continue };
         if name.ends_with(EXTENSION) && is_valid_name(&name) {
             files.push(ListedFile { name, sealed: false });
--- a/crates/worker/src/transfer.rs
+++ b/crates/worker/src/transfer.rs
@@ -123,8 +123,8 @@
                 outcome.has_more = false;
                 return Ok(());
             };
-            let Some((id, block)) = self.read(started, file, position).await? else { continue };
-            let flow = self.put(id, &block, outcome).await?;
+            let Some((id, block)) = self.read_block(started, file, position).await? else { continue };
+            let flow = self.put_block(id, &block, outcome).await?;
             let took = clock.now() - started;
             self.block_time = (BLOCK_TIME_DECAY * self.block_time).max(took);
             if flow == Flow::Stop {
@@ -163,7 +163,7 @@
     }
 
     /// Reads a block; none where its file can't be read, which is then retried later.
-    async fn read(
+    async fn read_block(
         &mut self,
         now: f64,
         file: FileId,
@@ -189,7 +189,7 @@
     }
 
     /// Sends a block and notes what became of it.
-    async fn put(
+    async fn put_block(
         &mut self,
         id: BlockId,
         block: &[u8],
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -2,7 +2,7 @@
 //! whenever anything happens.
 
 use crate::collection;
-use crate::collection_tasks::{CollectionTasks, EndedStep};
+use crate::collection_tasks::{CollectionTasks, FinishedStep};
 use crate::config::WorkerConfig;
 use crate::connection::NumberedEvent;
 use crate::lease_store_client::LeaseStoreClient;
@@ -28,7 +28,7 @@
 /// What the main task waits for, beside reports and the order to stop.
 struct EventReceivers {
     connection_events: mpsc::Receiver<NumberedEvent>,
-    ended_steps: mpsc::Receiver<EndedStep>,
+    finished_steps: mpsc::Receiver<FinishedStep>,
 }
 
 /// The state of the main task.
@@ -50,7 +50,7 @@
         let reporting = config.reporting.iter();
         wanted.extend(reporting.flat_map(ReportPlanner::wanted_tasks).map(String::from));
         let (event_sender, connection_events) = mpsc::channel(MAX_WAITING_EVENTS);
-        let (step_sender, ended_steps) = mpsc::channel(MAX_WAITING_EVENTS);
+        let (step_sender, finished_steps) = mpsc::channel(MAX_WAITING_EVENTS);
         let worker = Worker {
             holder: LeaseHolder::new(holder_id.clone(), &config.zone, wanted, ASSUMED_TERM),
             lease_store: LeaseStoreClient::new(holder_id, config.replicas.clone(), event_sender),
@@ -59,7 +59,7 @@
             drain_deadline: None,
             config,
         };
-        (worker, EventReceivers { connection_events, ended_steps })
+        (worker, EventReceivers { connection_events, finished_steps })
     }
 
     /// Runs until it is stopped and has handed its tasks over, or a later incarnation of it has spoken.
@@ -76,18 +76,18 @@
                 Some(event) = events.connection_events.recv() => {
                     worker.on_connection_event(clock.now(), event);
                 }
-                Some(step) = events.ended_steps.recv() => worker.on_step_ended(clock.now(), step),
+                Some(step) = events.finished_steps.recv() => worker.on_step_finished(clock.now(), step),
                 Some(report) = reports.recv() => worker.on_report(clock.now(), report),
                 _ = stopped.changed(), if worker.drain_deadline.is_none() => worker.drain(clock.now()),
                 _ = tokio::time::sleep(wait) => {}
             }
             let now = clock.now();
             let expired = worker.holder.expire(now);
-            worker.carry_out(now, expired);
+            worker.apply_actions(now, expired);
             worker.lease_store.send_request(now, &mut worker.holder);
-            worker.collection_tasks.begin_steps(now, &mut worker.holder);
-            worker.answer_reports(now);
-            if worker.drain_deadline.is_some_and(|deadline| now >= deadline) || worker.is_done() {
+            worker.collection_tasks.start_steps(now, &mut worker.holder);
+            worker.send_report_replies(now);
+            if worker.drain_deadline.is_some_and(|deadline| now >= deadline) || worker.is_finished() {
                 return;
             }
         }
@@ -100,11 +100,11 @@
         self.holder.start_draining();
         let held = self.holder.leases();
         let actions = held.map(|(task, epoch)| HolderAction::Release(task.clone(), epoch)).collect();
-        self.carry_out(now, actions);
+        self.apply_actions(now, actions);
     }
 
     /// Whether nothing is held any more and the lease store knows, or this incarnation is over.
-    fn is_done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         if self.holder.rejection() == Some(Rejection::Superseded) {
             return true;
         }
@@ -127,35 +127,35 @@
 
     fn on_connection_event(&mut self, now: f64, event: NumberedEvent) {
         if let Some(response) = self.lease_store.on_event(now, event, &mut self.holder) {
-            self.on_leases(now, &response);
+            self.on_lease_response(now, &response);
         }
     }
 
-    fn on_leases(&mut self, now: f64, response: &LeaseResponse) {
+    fn on_lease_response(&mut self, now: f64, response: &LeaseResponse) {
         let actions = self.holder.handle_response(now, response);
         if let Some(rejection) = response.rejection {
             tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.id());
         }
-        self.carry_out(now, actions);
+        self.apply_actions(now, actions);
     }
 
     /// Does what the lease holder asks for.
-    fn carry_out(&mut self, now: f64, actions: Vec<HolderAction>) {
+    fn apply_actions(&mut self, now: f64, actions: Vec<HolderAction>) {
         for action in actions {
             match action {
-                HolderAction::Start(task, epoch) => self.begin(now, task, epoch),
-                HolderAction::Release(task, epoch) => self.hand_over(now, &task, epoch),
-                HolderAction::Stop(task, epoch, reason) => self.stand_down(task, epoch, reason),
+                HolderAction::Start(task, epoch) => self.start_task(now, task, epoch),
+                HolderAction::Release(task, epoch) => self.release_task(now, &task, epoch),
+                HolderAction::Stop(task, epoch, reason) => self.stop_task(task, epoch, reason),
             }
         }
     }
 
-    fn begin(&mut self, now: f64, task: Task, epoch: Epoch) {
+    fn start_task(&mut self, now: f64, task: Task, epoch: Epoch) {
         let holder = self.holder.id().clone();
         tracing::info!("{holder}: begins with {task}, epoch {epoch}");
         self.config.events.emit(&Event::LeaseStarted { holder, task: task.clone(), epoch });
         if let Some(planner) = &mut self.report_planner {
-            planner.begin(now, &task, epoch);
+            planner.start_lease(now, &task, epoch);
         }
         let collection = self.config.collection.clone().filter(|_| task.name == collection::TASK_NAME);
         if let Some(config) = collection {
@@ -164,20 +164,25 @@
     }
 
     /// Hands a task over once no step of it runs.
-    fn hand_over(&mut self, now: f64, task: &Task, epoch: Epoch) {
+    fn release_task(&mut self, now: f64, task: &Task, epoch: Epoch) {
         if self.collection_tasks.stop_early(task) {
             let action = self.holder.release(task, epoch);
-            self.carry_out(now, action.into_iter().collect());
+            self.apply_actions(now, action.into_iter().collect());
         }
     }
 
-    fn stand_down(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
+    fn stop_task(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
         let holder = self.holder.id().clone();
-        let why = reason_text(reason);
-        tracing::info!("{holder}: stands down from {task}, epoch {epoch}: {why}");
-        self.config.events.emit(&Event::LeaseEnded { holder, task: task.clone(), epoch, reason: why.into() });
+        let reason = reason_text(reason);
+        tracing::info!("{holder}: stands down from {task}, epoch {epoch}: {reason}");
+        self.config.events.emit(&Event::LeaseEnded {
+            holder,
+            task: task.clone(),
+            epoch,
+            reason: reason.into(),
+        });
         if let Some(planner) = &mut self.report_planner {
-            planner.end(&task, epoch);
+            planner.end_lease(&task, epoch);
         }
         self.collection_tasks.remove(&task, epoch);
     }
@@ -191,34 +196,34 @@
 
     /// Answers servers' reports: a step for each part of those tasks that is held. The clock is looked at before each, since an answer after the term would
     /// be too much.
-    fn answer_reports(&mut self, now: f64) {
+    fn send_report_replies(&mut self, now: f64) {
         let Some(planner) = self.report_planner.as_mut().filter(|planner| now >= planner.next_round()) else {
             return;
         };
         planner.schedule_round_after(now);
-        let held = self.holder.leases().filter(|(task, _)| ReportPlanner::plans(task));
+        let held = self.holder.leases().filter(|(task, _)| ReportPlanner::handles(task));
         let held: Vec<Task> = held.map(|(task, _)| task.clone()).collect();
         let mut actions = Vec::new();
         for task in held {
             let now = self.config.clock.now();
             let Some(StepPermit { epoch, .. }) = self.holder.begin_step(now, &task) else { continue };
-            let progress = planner.answer(now, &task);
+            let progress = planner.send_replies(now, &task);
             actions.extend(self.holder.finish_step(now, &task, epoch, progress, false));
         }
-        self.carry_out(now, actions);
+        self.apply_actions(now, actions);
     }
 
-    fn on_step_ended(&mut self, now: f64, step: EndedStep) {
+    fn on_step_finished(&mut self, now: f64, step: FinishedStep) {
         let (task, epoch, outcome) = (step.task.clone(), step.epoch, step.outcome);
         let mut actions = self.holder.finish_step(now, &task, epoch, outcome.progress, outcome.has_more);
         if outcome.fenced {
             actions.extend(self.holder.handle_fenced(&task, epoch));
         }
-        self.collection_tasks.on_step_ended(now, step);
-        self.carry_out(now, actions);
+        self.collection_tasks.on_step_finished(now, step);
+        self.apply_actions(now, actions);
         let is_held = self.holder.leases().any(|(held, held_epoch)| *held == task && held_epoch == epoch);
         if is_held && self.holder.stage(now, &task) == LeaseStage::Releasing {
-            self.hand_over(now, &task, epoch);
+            self.release_task(now, &task, epoch);
         }
     }
 }
