--- a/crates/settings/src/config_error.rs
+++ b/crates/settings/src/config_error.rs
@@ -1,14 +1,14 @@
-//! Why a JSON configuration can't be used.
+//! Errors of the JSON configuration.
 
 use thiserror::Error;
 
-/// Why a JSON configuration can't be used. Each message names the key by its path, as in `settings.Lanes[0].Promise`.
+/// An error of the JSON configuration. Messages contain the path of the key, as in `settings.Lanes[0].Promise`.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON.
     #[error("start text is not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The text is JSON, but no object.
+    /// The text is JSON, but not an object.
     #[error("start text is not a JSON object")]
     NotAnObject,
     /// A required key is absent or null.
@@ -17,15 +17,15 @@
         /// Path of the key.
         key: String,
     },
-    /// A value has another type than expected, or is out of range.
+    /// A value has the wrong type or is out of range.
     #[error("start text: {key} should be {expected}")]
     Invalid {
         /// Path of the key.
         key: String,
-        /// What would have been accepted.
+        /// Description of the accepted values.
         expected: String,
     },
-    /// A word is none of those that the key accepts.
+    /// A word is not among those that the key accepts.
     #[error("start text: {key} should be one of the wire's: unknown word {word}")]
     UnknownWord {
         /// Path of the key.
@@ -33,7 +33,7 @@
         /// The word that was given.
         word: String,
     },
-    /// Each value is acceptable, but the policy can't work by all of them together.
+    /// The values are valid one by one, but the policy rejects their combination.
     #[error(transparent)]
     Policy(#[from] puffinladder::SettingsError),
 }
--- a/crates/settings/src/json_object.rs
+++ b/crates/settings/src/json_object.rs
@@ -4,16 +4,16 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Milliseconds, the unit of times in the configuration, in a second.
+/// Times in the configuration are in milliseconds.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// What an absent word reads as.
+/// Default of keys whose value is a word.
 const ABSENT_WORD: &str = "silent";
 
-/// The value of an object that is absent.
+/// Value of an absent object.
 const ABSENT_OBJECT: &Value = &Value::Null;
 
-/// Parses a text whose top level has to be an object.
+/// Parses a text whose top level must be an object.
 pub(crate) fn parse_object(text: &[u8]) -> Result<Value, ConfigError> {
     let value: Value = serde_json::from_slice(text)?;
     if !value.is_object() {
@@ -22,20 +22,20 @@
     Ok(value)
 }
 
-/// An object of the configuration, or null where it is absent.
+/// An object of the configuration, or null if it is absent.
 pub(crate) struct JsonObject<'a> {
     value: &'a Value,
-    /// Path from the top, with a dot behind it unless it is empty.
+    /// Path from the top level, empty or with a trailing dot.
     path: String,
 }
 
 impl<'a> JsonObject<'a> {
-    /// The object at the top of a configuration.
+    /// Returns the top-level object of a configuration.
     pub(crate) fn top_level(value: &'a Value) -> JsonObject<'a> {
         JsonObject { value, path: String::new() }
     }
 
-    /// The value of a key; null counts as absent.
+    /// Returns the value of a key; null counts as absent.
     pub(crate) fn get(&self, key: &str) -> Option<&'a Value> {
         self.value.get(key).filter(|value| !value.is_null())
     }
@@ -52,7 +52,7 @@
         ConfigError::Invalid { key: self.key_path(key), expected: expected.into() }
     }
 
-    /// The object under a key. An absent one reads as an object without keys.
+    /// Returns the object of a key. An absent one is treated as empty.
     pub(crate) fn object(&self, key: &str) -> Result<JsonObject<'a>, ConfigError> {
         let value = self.get(key).unwrap_or(ABSENT_OBJECT);
         if !value.is_object() && !value.is_null() {
@@ -66,7 +66,7 @@
         self.object(key)
     }
 
-    /// The values of the list under a key; an absent list has none.
+    /// Returns the values of a key's list; an absent list is empty.
     pub(crate) fn list(&self, key: &str) -> Result<&'a [Value], ConfigError> {
         match self.get(key) {
             None => Ok(&[]),
@@ -75,13 +75,13 @@
         }
     }
 
-    /// The objects of the list under a key.
+    /// Returns the objects of a key's list.
     pub(crate) fn objects(&self, key: &str) -> Result<Vec<JsonObject<'a>>, ConfigError> {
         let object = |(index, value)| JsonObject { value, path: format!("{}[{index}].", self.key_path(key)) };
         Ok(self.list(key)?.iter().enumerate().map(object).collect())
     }
 
-    /// A number that is not negative.
+    /// Returns a required number that is not negative.
     pub(crate) fn number(&self, key: &str) -> Result<f64, ConfigError> {
         let value = self.get(key).ok_or_else(|| self.missing(key))?.as_f64();
         value.filter(|&value| value >= 0.0).ok_or_else(|| self.invalid(key, "a number from 0 up"))
@@ -99,27 +99,27 @@
         Ok(value)
     }
 
-    /// An absent number is 0, as an absent value is anywhere on the wire.
+    /// Returns an optional number, 0 by default.
     pub(crate) fn number_or_zero(&self, key: &str) -> Result<f64, ConfigError> {
         self.get(key).map_or(Ok(0.0), |_| self.number(key))
     }
 
-    /// Seconds from a key in milliseconds; an absent one is 0.
+    /// Returns an optional duration in seconds, 0 by default.
     pub(crate) fn duration_or_zero(&self, key: &str) -> Result<f64, ConfigError> {
         Ok(self.number_or_zero(key)? / MILLISECONDS_PER_SECOND)
     }
 
-    /// Seconds from a key in milliseconds that has to be above 0.
+    /// Returns a required duration in seconds, which must be above 0.
     pub(crate) fn positive_duration(&self, key: &str) -> Result<f64, ConfigError> {
         Ok(self.positive_number(key)? / MILLISECONDS_PER_SECOND)
     }
 
-    /// Seconds from a key in milliseconds that has to lie within bounds, given in milliseconds too.
+    /// Returns a required duration in seconds. The bounds are in milliseconds.
     pub(crate) fn duration_between(&self, key: &str, low: f64, high: f64) -> Result<f64, ConfigError> {
         Ok(self.number_between(key, low, high)? / MILLISECONDS_PER_SECOND)
     }
 
-    /// An absent flag is false.
+    /// Returns an optional flag, false by default.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, ConfigError> {
         match self.get(key) {
             None => Ok(false),
@@ -138,12 +138,12 @@
         Ok(self.text(key)?.unwrap_or(ABSENT_WORD))
     }
 
-    /// The name of this object. The simulator has no use for names, so its configurations may lack them.
+    /// Returns the name of this object, empty by default: configurations of the simulator have no names.
     pub(crate) fn name(&self) -> Result<String, ConfigError> {
         Ok(self.text("Name")?.unwrap_or_default().to_owned())
     }
 
-    /// The value that belongs to the word under a key.
+    /// Returns the value that `choices` maps the key's word to.
     pub(crate) fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
         let word = self.word(key)?;
         let found = choices.iter().find(|(name, _)| *name == word);
@@ -151,7 +151,7 @@
         found.map(|&(_, value)| value).ok_or_else(unknown)
     }
 
-    /// An address; `fallback` stands in where the key is absent.
+    /// Returns an optional address; `fallback` is the default.
     pub(crate) fn address(
         &self,
         key: &str,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,14 @@
-//! Reads, checks and defaults everything that configures a puffinladder process.
+//! Parses and validates the configuration of puffinladder processes and applies its defaults.
 //!
-//! There are two kinds of input, and each has one place here so that all programs agree on what a file means:
+//! There are two kinds of input:
 //!
-//! - The platform's **configuration**, a JSON object whose unknown keys are ignored. [`parse_policy_config`] reads what the
-//!   admission policy works by, [`parse_server_config`] the whole of what a server process needs. A [`ConfigError`] names the
-//!   key that is missing or out of range.
-//! - Our own **settings**, S-expressions with one section for each program or concern. [`parse_settings`] reads them; a
-//!   [`SettingsError`] lists every problem of the file with its line, column and key.
+//! - The platform's **configuration**, a JSON object whose unknown keys are ignored. [`parse_policy_config`] reads the settings
+//!   of the admission policy, [`parse_server_config`] the configuration of a server process. A [`ConfigError`] names the key that
+//!   is missing or invalid.
+//! - **Settings** of puffinladder itself, S-expressions with one section for each program or concern, read by
+//!   [`parse_settings`]. A [`SettingsError`] lists every problem of the file with its line, column and key.
 //!
-//! The S-expression reader in [`sexpr`] is public because schedules, capacity plans and configuration patches use the same
-//! form.
+//! The S-expression reader in [`sexpr`] is public because schedules, capacity plans and configuration patches use the same syntax.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/settings/src/policy_config.rs
+++ b/crates/settings/src/policy_config.rs
@@ -1,4 +1,4 @@
-//! What the admission policy works by: its settings, and the names and gauges by which its host translates.
+//! Configuration of the admission policy: its settings, and the gauges, class names and tenant names that its host needs.
 
 use crate::json_object::{parse_object, JsonObject};
 use crate::ConfigError;
@@ -7,14 +7,14 @@
 };
 use serde_json::Value;
 
-/// Which gauge a value belongs to that comes with a timer.
+/// The gauge that a value reported with a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GaugeKind {
-    /// Share of the cores that is busy.
+    /// Fraction of the cores that is busy.
     Busy,
-    /// Number of threads that want a core.
+    /// Number of runnable threads.
     Runnable,
-    /// Share of the memory in use.
+    /// Fraction of the memory in use.
     Memory,
     /// Open sockets.
     Sockets,
@@ -23,7 +23,7 @@
 }
 
 impl GaugeKind {
-    /// Enters a value of this kind among the gauges.
+    /// Sets the field of `gauges` that belongs to this kind.
     pub fn record(self, value: f64, gauges: &mut Gauges) {
         match self {
             GaugeKind::Busy => gauges.busy = Some(value),
@@ -45,12 +45,12 @@
     }
 }
 
-/// What the policy works by, and the names and gauges by which its host translates.
+/// Configuration of the admission policy and of its host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyConfig {
-    /// What the policy itself is given.
+    /// Settings of the policy itself.
     pub settings: PolicySettings,
-    /// The kind of each gauge, in the order in which a timer's values come.
+    /// The kind of each gauge, in the order of the values reported with a timer.
     pub gauges: Vec<GaugeKind>,
     /// Names of the request classes, in the order of `settings.classes`.
     pub class_names: Vec<String>,
@@ -62,13 +62,13 @@
 ///
 /// # Errors
 ///
-/// Names the first key that is missing or not usable.
+/// Returns an error that names the first key that is missing or invalid.
 pub fn parse_policy_config(text: &[u8]) -> Result<PolicyConfig, ConfigError> {
     let value = parse_object(text)?;
     read_policy_config(&JsonObject::top_level(&value))
 }
 
-/// Reads the policy's configuration from an object that is parsed already.
+/// Reads the policy's configuration from a parsed object.
 pub(crate) fn read_policy_config(top: &JsonObject) -> Result<PolicyConfig, ConfigError> {
     let info = top.object("FamilyInfo")?;
     let contract = top.object("Contract")?;
@@ -108,7 +108,7 @@
     Ok(PolicyConfig { settings, gauges, class_names, tenant_names })
 }
 
-/// Names and settings of the request classes. What concerns their calls stands in lists of the server's information.
+/// Reads the names and settings of the request classes. The settings of their calls are lists in `info`, indexed by class.
 fn read_classes(
     top: &JsonObject,
     info: &JsonObject,
@@ -143,7 +143,7 @@
     Ok((names, tenants))
 }
 
-/// Seconds; 0 where callers are not told when to retry.
+/// Returns the longest Retry-After in seconds, 0 if it is not sent.
 fn read_max_retry_after(limits: &JsonObject) -> Result<f64, ConfigError> {
     if !limits.flag("RetryAfter")? {
         return Ok(0.0);
@@ -152,35 +152,35 @@
 }
 
 fn read_idempotency(class: &JsonObject) -> Result<Idempotency, ConfigError> {
-    let kinds = [
+    let choices = [
         ("safe", Idempotency::Idempotent),
         ("keyed", Idempotency::Keyed),
         ("unsafe", Idempotency::NonIdempotent),
     ];
-    class.choice("Effect", &kinds)
+    class.choice("Effect", &choices)
 }
 
 fn read_downstream(info: &JsonObject) -> Result<Downstream, ConfigError> {
-    let kinds = [
+    let choices = [
         ("silent", Downstream::None),
         ("common", Downstream::SharedDependency),
         ("next_hop", Downstream::NextTier),
     ];
-    info.choice("Below", &kinds)
+    info.choice("Below", &choices)
 }
 
 fn read_preemption(info: &JsonObject) -> Result<Preemption, ConfigError> {
-    let kinds =
+    let choices =
         [("silent", Preemption::Never), ("drop", Preemption::Discard), ("pause", Preemption::Suspend)];
-    info.choice("Halt", &kinds)
+    info.choice("Halt", &choices)
 }
 
 fn read_load_signal(info: &JsonObject) -> Result<LoadSignal, ConfigError> {
-    let signals = [
+    let choices = [
         ("silent", LoadSignal::None),
         ("min_rank", LoadSignal::MinimumRank),
         ("tokens", LoadSignal::Tokens),
         ("bias", LoadSignal::SelectionBias),
     ];
-    info.choice("Signal", &signals)
+    info.choice("Signal", &choices)
 }
--- a/crates/settings/src/server_config.rs
+++ b/crates/settings/src/server_config.rs
@@ -1,4 +1,4 @@
-//! What a server process is configured with.
+//! Configuration of a server process.
 
 use crate::json_object::{parse_object, JsonObject};
 use crate::policy_config::read_policy_config;
@@ -6,52 +6,51 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Bounds of the time from the notice to leave to the kill, ms.
+/// Range of the time between the shutdown notice and the kill, ms.
 const SHUTDOWN_TIMEOUT_MS: (f64, f64) = (0.0, 3_600_000.0);
-/// Bounds of the memory of a process, MB: from what its buffers need to a terabyte.
+/// Range of the memory limit of a process, MB.
 const MEMORY_MB: (f64, f64) = (16.0, 1_048_576.0);
-/// Bounds of the sockets of a process: from what its own links need to the most that a system hands out.
+/// Range of the socket limit of a process.
 const SOCKETS: (f64, f64) = (64.0, 1_048_576.0);
-/// The seed is a hexadecimal number.
 const SEED_RADIX: u32 = 16;
 
-/// Addresses of the programs that a server speaks with. Nothing else of its configuration may change while it runs.
+/// Addresses of the processes that a server connects to: the only part of its configuration that can change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
     /// The agent that runs requests.
     pub agent: SocketAddr,
-    /// The registry that is told of this server's health.
+    /// The registry that receives this server's health.
     pub registry: SocketAddr,
-    /// The store; absent on the last tier, which calls nothing.
+    /// The store; absent on the last tier, which makes no calls.
     pub store: Option<SocketAddr>,
 }
 
-/// What a server process is configured with.
+/// Configuration of a server process.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     /// Name of the instance: letters, digits, `-`, `_` and `.`.
     pub name: String,
     /// Where the server listens for requests.
     pub listen: SocketAddr,
-    /// The programs that it speaks with.
+    /// The processes that it connects to.
     pub peers: Peers,
     /// Seed of the policy's random draws.
     pub seed: u64,
-    /// Seconds from the notice to leave to the kill.
+    /// Seconds between the shutdown notice and the kill.
     pub shutdown_timeout: f64,
     /// Memory that the process may use, MB.
     pub memory_mb: f64,
-    /// Sockets that the process may have open.
+    /// Number of sockets that the process may have open.
     pub max_sockets: usize,
-    /// What the admission policy works by.
+    /// Configuration of the admission policy.
     pub policy: PolicyConfig,
 }
 
-/// Parses the configuration of a server process; `name` and `listen` stand in where the text lacks these two.
+/// Parses the configuration of a server process; `name` and `listen` are the defaults of these two keys.
 ///
 /// # Errors
 ///
-/// Names the first key that is missing or not usable.
+/// Returns an error that names the first key that is missing or invalid.
 pub fn parse_server_config(
     text: &[u8],
     name: Option<&str>,
@@ -99,7 +98,7 @@
 }
 
 impl ServerConfig {
-    /// Keys in which `new` differs although they hold for as long as the process runs.
+    /// Returns the keys in which `new` differs that cannot change without a restart.
     pub fn changes_needing_restart(&self, new: &ServerConfig) -> Vec<&'static str> {
         let unchanged = [
             ("name", self.name == new.name),
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,5 +1,4 @@
-//! Our own settings: everything that the platform's configuration does not say. Each section is optional, and without a file
-//! all of them are off.
+//! Settings beyond the platform's configuration. Each section is optional; without its section a feature is off.
 
 mod control;
 mod fields;
@@ -23,26 +22,26 @@
 use std::fmt;
 use thiserror::Error;
 
-/// All sections of a settings file. It displays as settings that parse to the same, defaults included.
+/// All sections of a settings file. The displayed text includes defaults and parses to an equal value.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Settings {
-    /// What is logged, and how. Section `log`.
+    /// Format and filter of the log. Section `log`.
     pub log: LogSettings,
-    /// What the server records of each request. Section `trace`.
+    /// The recorder of request traces. Section `trace`.
     pub trace: Option<TraceSettings>,
-    /// Where the server reports its state. Section `publish`.
+    /// The server's reports to the control services. Section `publish`.
     pub publish: Option<PublishSettings>,
     /// The control service. Section `control`.
     pub control: Option<ControlSettings>,
     /// A replica of the lease store. Section `keeper`.
     pub lease_store: Option<LeaseStoreSettings>,
-    /// An instance that runs leased tasks. Section `steward`.
+    /// A worker, which runs leased tasks. Section `steward`.
     pub worker: Option<WorkerSettings>,
     /// The store of collected traces. Section `archive`.
     pub trace_store: Option<TraceStoreSettings>,
 }
 
-/// Everything that is wrong with a settings file. It displays as one line for each problem.
+/// All problems of a settings file. It displays as one line for each problem.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join_lines(.diagnostics))]
 pub struct SettingsError {
@@ -50,7 +49,7 @@
 }
 
 impl SettingsError {
-    /// The problems in the order of the file; there is at least one.
+    /// Returns the problems in the order of the file; there is at least one.
     pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.diagnostics
     }
@@ -61,11 +60,11 @@
     lines.join("\n")
 }
 
-/// Parses a settings file; `file` is the name by which problems refer to it.
+/// Parses a settings file; `file` is its name in diagnostics.
 ///
 /// # Errors
 ///
-/// Lists every problem of the file, not only the first.
+/// Returns all problems of the file, not only the first.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let reader = Reader::new(file, text);
     let forms = reader.parse();
@@ -103,7 +102,7 @@
             None => f.write_str("; control: off\n")?,
             Some(control) => writeln!(f, "{control}")?,
         }
-        // The sections of other processes are shown only where they are given.
+        // Sections of other processes are displayed only if present.
         if let Some(lease_store) = &self.lease_store {
             writeln!(f, "{lease_store}")?;
         }
--- a/crates/settings/src/settings/control.rs
+++ b/crates/settings/src/settings/control.rs
@@ -9,45 +9,46 @@
 /// The control service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Where proxies subscribe over xDS. Key `xds`.
+    /// Address for proxies that subscribe over xDS. Key `xds`.
     pub xds_listen: SocketAddr,
-    /// Where servers report their state. Key `reports`.
+    /// Address for reports of servers. Key `reports`.
     pub report_listen: SocketAddr,
-    /// Where the debug view is served over HTTP. Key `debug`.
+    /// Address of the HTTP debug view. Key `debug`.
     pub debug_listen: Option<SocketAddr>,
-    /// Age of the oldest decision that a proxy may use, in seconds. Key `bound`, default 2 s.
+    /// Maximum age of a decision that a proxy may use, in seconds. Key `bound`, default 2 s.
     pub max_staleness: f64,
-    /// Seconds between two heartbeats to a proxy. Key `heartbeat`, default 500 ms.
+    /// Seconds between heartbeats to a proxy. Key `heartbeat`, default 500 ms.
     pub heartbeat_interval: f64,
-    /// Seconds between two plans. Key `plan-every`, default 250 ms.
+    /// Seconds between plans. Key `plan-every`, default 250 ms.
     pub plan_interval: f64,
-    /// Seconds for which a report counts in full. Key `fresh`, default 1 s.
+    /// Age in seconds up to which a report has full weight. Key `fresh`, default 1 s.
     pub fresh_for: f64,
-    /// Seconds after which a report no longer counts; between this and `fresh_for` it counts ever less. Key `gone`, default 4 s.
+    /// Age in seconds from which a report has no weight; between `fresh_for` and this its weight decreases. Key `gone`,
+    /// default 4 s.
     pub expired_after: f64,
-    /// Share of the servers that may be silent before the reports are suspected rather than the servers. Key `panic`,
-    /// default 0.5.
+    /// Fraction of silent servers above which the reporting path is assumed to have failed rather than the servers. Key
+    /// `panic`, default 0.5.
     pub panic_threshold: f64,
-    /// Servers that each proxy gets of a service. Key `subset`, default 100.
+    /// Number of servers of a service that each proxy receives. Key `subset`, default 100.
     pub subset_size: usize,
-    /// Proxies that may be connected. Key `most-proxies`, default 10,000.
+    /// Maximum number of connected proxies. Key `most-proxies`, default 10,000.
     pub max_proxies: usize,
-    /// Servers that may report. Key `most-servers`, default 20,000.
+    /// Maximum number of reporting servers. Key `most-servers`, default 20,000.
     pub max_servers: usize,
-    /// File that keeps the state over restarts. Key `snapshot`.
+    /// File that preserves the state across restarts. Key `snapshot`.
     pub snapshot_file: Option<String>,
-    /// Certificates of the xDS listener, which is without TLS otherwise. Key `tls`.
+    /// Certificates of the xDS listener; without them it does not use TLS. Key `tls`.
     pub tls: Option<TlsFiles>,
 }
 
-/// PEM files of a listener with TLS.
+/// PEM files of a TLS listener.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsFiles {
     /// Certificate chain of the listener. Key `certificate`.
     pub certificate: String,
     /// Private key of the certificate. Key `key`.
     pub key: String,
-    /// Authority that the certificates of clients must come from; without it clients need none. Key `clients`.
+    /// Certificate authority of clients; without it client certificates are not required. Key `clients`.
     pub client_authority: Option<String>,
 }
 
--- a/crates/settings/src/settings/fields.rs
+++ b/crates/settings/src/settings/fields.rs
@@ -1,13 +1,13 @@
-//! Fields that several sections read in the same way.
+//! Readers of values shared by several sections.
 
 use crate::sexpr::{Block, Problem};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Stands for a required address that is missing; the settings it lands in are never used.
+/// Value of a required address that is missing; the settings that contain it are discarded.
 const PLACEHOLDER_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
-/// An address, written as text.
+/// Reads an optional address, written as quoted text.
 pub(super) fn read_address(block: &Block, key: &'static str) -> Option<SocketAddr> {
     let text = block.text(key)?;
     let address = text.parse().ok();
@@ -17,20 +17,20 @@
     address
 }
 
-/// An address that has to be given.
+/// Reads a required address.
 pub(super) fn read_required_address(block: &Block, key: &'static str) -> SocketAddr {
     block.require(key);
     read_address(block, key).unwrap_or_else(|| SocketAddr::from(PLACEHOLDER_ADDRESS))
 }
 
-/// Text whose key has to be there.
+/// Reads text whose key is required. An invalid value is reported once, as invalid.
 pub(super) fn read_text_of_required_key(block: &Block, key: &'static str) -> String {
     let text = block.text(key);
     block.require(key);
     text.unwrap_or_default()
 }
 
-/// Text that has to be given: unlike [`read_text_of_required_key`], a value that is no text counts as missing too.
+/// Reads required text. Unlike [`read_text_of_required_key`], it reports an invalid value also as missing.
 pub(super) fn read_required_text(block: &Block, key: &'static str) -> String {
     let text = block.text(key);
     if text.is_none() {
@@ -39,7 +39,7 @@
     text.unwrap_or_default()
 }
 
-/// Addresses of lease-store replicas by number, written as `"1=127.0.0.1:18201"`.
+/// Reads the addresses of lease-store replicas by number, written as `"1=127.0.0.1:18201"`.
 pub(super) fn read_replica_addresses(block: &Block, key: &'static str) -> BTreeMap<u64, SocketAddr> {
     let texts = block.texts(key);
     let mut replicas = BTreeMap::new();
@@ -61,7 +61,7 @@
     replicas
 }
 
-/// The number, which is not 0, and the address of a replica.
+/// Parses the number, which must not be 0, and the address of a replica.
 fn parse_replica_address(text: &str) -> Option<(u64, SocketAddr)> {
     let (number, address) = text.split_once('=')?;
     let number = number.parse().ok().filter(|&number| number > 0)?;
--- a/crates/settings/src/settings/lease_store.rs
+++ b/crates/settings/src/settings/lease_store.rs
@@ -7,54 +7,55 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A task that instances may hold leases for.
+/// A task that the lease store grants leases for.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct TaskSettings {
     /// Name of the task. Key `name`.
     pub name: String,
-    /// Number of parts that are leased one by one. Key `parts`, default 1.
+    /// Number of parts, which are leased separately. Key `parts`, default 1.
     pub parts: usize,
-    /// Zone whose instances are preferred. Key `zone`.
+    /// Preferred zone of holders. Key `zone`.
     pub zone: Option<String>,
 }
 
-/// A replica of the lease store. The rules of leases have to be the same at all replicas.
+/// Settings of a replica of the lease store. Tasks and lease parameters must be the same at all replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseStoreSettings {
-    /// Number of this replica's disk, from 1; never used again once the disk is lost. Key `number`.
+    /// Number of this replica, from 1. It identifies the replica's disk and must not be reused once the disk is lost. Key `number`.
     pub replica_id: u64,
-    /// Where the replica listens. Key `listen`.
+    /// Listen address. Key `listen`.
     pub listen: SocketAddr,
     /// Directory of the replica's database. Key `folder`.
     pub directory: String,
-    /// The first replicas by number, this one among them. Key `peers`.
+    /// Initial replicas by number, this one included. Key `peers`.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// Tasks that are leased out. Key `duty`, any number of times.
+    /// Tasks that leases are granted for. Key `duty`, repeatable.
     pub tasks: Vec<TaskSettings>,
-    /// Seconds for which a lease holds without renewal. Key `term`, default 2 s.
+    /// Seconds for which a lease is valid without renewal. Key `term`, default 2 s.
     pub lease_duration: f64,
-    /// Share by which the clocks of holders and replicas may run apart. Key `drift`, default 0.02.
+    /// Maximum relative drift between the clocks of holders and replicas. Key `drift`, default 0.02.
     pub max_clock_drift: f64,
-    /// Seconds without progress after which a holder with work loses its part. Key `stall`, default 10 s.
+    /// Seconds without progress after which a holder with pending work loses its part. Key `stall`, default 10 s.
     pub stall_timeout: f64,
-    /// Seconds for which a holder that stalled is kept off that part. Key `barred`, default 60 s.
+    /// Seconds for which a stalled holder is excluded from that part. Key `barred`, default 60 s.
     pub exclusion_time: f64,
-    /// Sessions that may run out within `flap_window` before an instance gets nothing for `flap_backoff`. Key `flaps`,
-    /// default 3.
+    /// Number of expired sessions of an instance within `flap_window` above which it gets no leases for `flap_backoff`. Key
+    /// `flaps`, default 3.
     pub flap_limit: usize,
-    /// Seconds in which sessions that ran out are counted. Key `flap-span`, default 60 s.
+    /// Seconds over which expired sessions are counted. Key `flap-span`, default 60 s.
     pub flap_window: f64,
-    /// Seconds for which an instance gets nothing after too many of them. Key `flap-rest`, default 30 s.
+    /// Seconds for which a flapping instance gets no leases. Key `flap-rest`, default 30 s.
     pub flap_backoff: f64,
-    /// While more instances fell silent within so many seconds than are heard, nothing is granted. Key `panic`, default 5 s.
+    /// No lease is granted while more instances became silent within this many seconds than are still reporting. Key `panic`,
+    /// default 5 s.
     pub panic_window: f64,
-    /// Seconds without an instance that comes or goes before parts are moved to even the load. Key `calm`, default 2 s.
+    /// Seconds without a membership change before parts are moved to balance the load. Key `calm`, default 2 s.
     pub rebalance_delay: f64,
-    /// Parts that may be on the move at once. Key `moves`, default 64.
+    /// Maximum number of concurrent moves of parts. Key `moves`, default 64.
     pub max_moves: usize,
-    /// Seconds of a tick; ten ticks without a leader begin an election. Key `tick`, default 30 ms.
+    /// Tick interval in seconds; ten ticks without a leader start an election. Key `tick`, default 30 ms.
     pub tick_interval: f64,
-    /// Connections that may be open. Key `most-connections`, default 2000.
+    /// Maximum number of open connections. Key `most-connections`, default 2000.
     pub max_connections: usize,
 }
 
--- a/crates/settings/src/settings/log.rs
+++ b/crates/settings/src/settings/log.rs
@@ -1,23 +1,23 @@
-//! Section `log`: what is logged, and how.
+//! Section `log`: format and filter of the log.
 
 use super::format::write_optional;
 use crate::sexpr::Block;
 use std::fmt;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LogFormat {
-    /// Text, for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line, for programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged, and how.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct LogSettings {
-    /// The form of log lines. Key `format`.
+    /// Format of log lines. Key `format`.
     pub format: LogFormat,
     /// Levels by target, as in `RUST_LOG`, which takes precedence. Key `filter`.
     pub filter: Option<String>,
--- a/crates/settings/src/settings/publish.rs
+++ b/crates/settings/src/settings/publish.rs
@@ -1,4 +1,4 @@
-//! Section `publish`: where a server reports its state.
+//! Section `publish`: a server's reports to the control services.
 
 use super::fields::read_address;
 use super::format::{quoted, write_optional};
@@ -6,16 +6,16 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Where a server reports its state.
+/// Settings of a server's reports to the control services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishSettings {
-    /// Control services; each gets every report. Key `control`.
+    /// Addresses of the control services; each receives every report. Key `control`.
     pub control_addresses: Vec<SocketAddr>,
-    /// Zone that the server belongs to. Key `zone`, default `default`.
+    /// Zone of the server. Key `zone`, default `default`.
     pub zone: String,
-    /// Seconds between two reports. Key `every`, default 250 ms.
+    /// Seconds between reports. Key `every`, default 250 ms.
     pub interval: f64,
-    /// Where proxies reach this server, if that is not where it listens. Key `address`.
+    /// Address at which proxies reach this server, if it differs from the listen address. Key `address`.
     pub advertised_address: Option<SocketAddr>,
 }
 
--- a/crates/settings/src/settings/tests.rs
+++ b/crates/settings/src/settings/tests.rs
@@ -23,8 +23,8 @@
     assert_eq!(settings.control.as_ref().unwrap().max_staleness, 3.0);
     assert_eq!(settings.publish.as_ref().unwrap().control_addresses.len(), 2);
     assert_eq!(parse_settings("shown", &settings.to_string()).unwrap(), settings);
-    let wrong = "(control (xds \"here\") (heartbeat 2s) (gone 500ms)) (publish (control 5))";
-    let reported: Vec<String> = parse_settings("f", wrong)
+    let invalid = "(control (xds \"here\") (heartbeat 2s) (gone 500ms)) (publish (control 5))";
+    let reported: Vec<String> = parse_settings("f", invalid)
         .unwrap_err()
         .diagnostics()
         .iter()
@@ -62,13 +62,13 @@
 
 #[test]
 fn reports_position_of_syntax_errors() {
-    for (text, place) in [("(log", "1:5"), ("(a))", "1:4"), ("(a \"x", "1:6"), ("(a \"\\q\")", "1:6")] {
+    for (text, position) in [("(log", "1:5"), ("(a))", "1:4"), ("(a \"x", "1:6"), ("(a \"\\q\")", "1:6")] {
         let error = parse_settings("f", text).unwrap_err();
         assert!(
             error
                 .diagnostics()
                 .iter()
-                .any(|diagnostic| diagnostic.to_string().starts_with(&format!("f:{place}: "))),
+                .any(|diagnostic| diagnostic.to_string().starts_with(&format!("f:{position}: "))),
             "{text}: {error:?}"
         );
     }
@@ -93,10 +93,10 @@
 
 #[test]
 fn reports_missing_and_duplicate_keys() {
-    let wrong =
+    let invalid =
         "(keeper (listen \"127.0.0.1:0\") (peers \"one\" \"2=127.0.0.2:1\" \"2=127.0.0.3:1\") (stall 1s)
             (duty (name \"a\")) (duty (name \"a\"))) (steward (gather (parts 0)) (quota (customer (name \"a\"))))";
-    let reported: Vec<String> = parse_settings("f", wrong)
+    let reported: Vec<String> = parse_settings("f", invalid)
         .unwrap_err()
         .diagnostics()
         .iter()
@@ -112,7 +112,7 @@
         "steward.folder",
         "steward.keepers",
     ] {
-        assert!(reported.iter().any(|one| one == key), "{key}: {reported:?}");
+        assert!(reported.iter().any(|reported_key| reported_key == key), "{key}: {reported:?}");
     }
     for key in [
         "steward.gather.traces",
@@ -122,6 +122,6 @@
         "steward.quota.servers",
         "steward.quota.customer.rate",
     ] {
-        assert!(reported.iter().any(|one| one == key), "{key}: {reported:?}");
+        assert!(reported.iter().any(|reported_key| reported_key == key), "{key}: {reported:?}");
     }
 }
--- a/crates/settings/src/settings/trace.rs
+++ b/crates/settings/src/settings/trace.rs
@@ -1,30 +1,30 @@
-//! Section `trace`: what the recorder of requests writes, and where.
+//! Section `trace`: the recorder of request traces.
 
 use super::fields::read_text_of_required_key;
 use super::format::{quoted, write_optional};
 use crate::sexpr::Block;
 use std::fmt;
 
-/// What the recorder of requests writes, and where.
+/// Settings of the recorder of request traces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceSettings {
     /// Directory of the trace files. Key `folder`.
     pub directory: String,
     /// Rows of a full block. Key `block-rows`, default 4096.
     pub block_rows: usize,
-    /// Seconds that a row waits for its block to fill up, which is what a kill loses. Key `block-span`, default 5 s.
+    /// Seconds after which a block is written though it is not full; a kill loses the unwritten block. Key `block-span`, default 5 s.
     pub block_duration: f64,
     /// Size past which a file is sealed, in bytes. Key `file-bytes`, default 64 MB.
     pub file_bytes: u64,
     /// Age past which a file is sealed, in seconds. Key `file-span`, default 1 h.
     pub file_duration: f64,
-    /// Bytes of all files together; the oldest are removed first. Key `most-bytes`, default 1 GB.
+    /// Total size of all files, in bytes; the oldest are removed first. Key `most-bytes`, default 1 GB.
     pub max_bytes: u64,
-    /// Number of files. Key `most-files`, default 200.
+    /// Maximum number of files. Key `most-files`, default 200.
     pub max_files: usize,
-    /// One request of so many is recorded; 1 records all. Key `sample`, default 1.
+    /// Every n-th request is recorded; 1 records all. Key `sample`, default 1.
     pub sample_interval: u32,
-    /// File with the 32 bytes in hex by which names and keys are hashed; without it each start draws new ones.
+    /// File with the 32-byte key, in hex, for hashing names and keys; without it a random key is generated at each start.
     /// Key `key-file`.
     pub key_file: Option<String>,
 }
--- a/crates/settings/src/settings/trace_store.rs
+++ b/crates/settings/src/settings/trace_store.rs
@@ -9,13 +9,13 @@
 /// The store of collected traces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceStoreSettings {
-    /// Where workers send traces. Key `listen`.
+    /// Address for workers. Key `listen`.
     pub listen: SocketAddr,
     /// Directory of the collected traces. Key `folder`.
     pub directory: String,
-    /// Bytes past which the oldest complete files are removed. Key `most-bytes`, default 10 GB.
+    /// Total size in bytes above which the oldest complete files are evicted. Key `most-bytes`, default 10 GB.
     pub max_bytes: u64,
-    /// Connections that may be open. Key `most-connections`, default 500.
+    /// Maximum number of open connections. Key `most-connections`, default 500.
     pub max_connections: usize,
 }
 
--- a/crates/settings/src/settings/worker.rs
+++ b/crates/settings/src/settings/worker.rs
@@ -1,4 +1,4 @@
-//! Section `steward`: an instance that runs the tasks it holds leases for.
+//! Section `steward`: a worker, which runs the tasks that it holds leases for.
 
 use super::fields::{read_address, read_replica_addresses, read_required_address, read_required_text};
 use super::format::{self, quoted};
@@ -7,67 +7,67 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// An instance that runs the tasks it holds leases for.
+/// Settings of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerSettings {
     /// Name of the instance. Key `name`.
     pub name: String,
     /// Zone of the instance. Key `zone`, default `default`.
     pub zone: String,
-    /// Directory of the incarnation number, which must not be lost. Key `folder`.
+    /// Directory of the incarnation number, which must survive restarts. Key `folder`.
     pub directory: String,
     /// Replicas of the lease store by number. Key `keepers`.
     pub lease_store_replicas: BTreeMap<u64, SocketAddr>,
-    /// Tasks that it holds leases for without doing anything: other programs ask the lease store who holds them. Key `holds`.
+    /// Tasks that are leased without any work: other programs query the lease store for the holder. Key `holds`.
     pub idle_tasks: Vec<String>,
-    /// The task of collecting traces. Key `gather`.
+    /// Task of collecting traces. Key `gather`.
     pub trace_collection: Option<TraceCollectionSettings>,
-    /// Where servers report; required by the two tasks that follow. Key `listen`.
+    /// Address for reports of servers; required by `quota` and `turns`. Key `listen`.
     pub report_listen: Option<SocketAddr>,
-    /// The task of splitting customers' quotas. Key `quota`.
+    /// Task of dividing tenants' quotas. Key `quota`.
     pub quota: Option<QuotaSettings>,
-    /// The task of limiting how many servers drain at once. Key `turns`.
+    /// Task of limiting concurrent drains. Key `turns`.
     pub drain_slots: Option<DrainSlotSettings>,
 }
 
-/// The task of splitting customers' quotas among servers.
+/// Settings of the task that divides tenants' quotas among servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// Parts of the task, as the lease store declares it. Key `parts`, default 1.
+    /// Number of parts of the task, equal to the lease store's setting. Key `parts`, default 1.
     pub parts: usize,
-    /// Servers that the equal share is calculated for. Key `servers`.
+    /// Number of servers that an equal share is calculated for. Key `servers`.
     pub servers: usize,
-    /// Seconds for which a share of a quota holds. Key `span`, default 2 s.
+    /// Seconds for which a share of a quota is valid. Key `span`, default 2 s.
     pub quota_validity: f64,
-    /// Each customer's quota over the whole fleet, requests a second. Key `customer`, any number of times.
+    /// Fleet-wide quota of each tenant, in requests per second. Key `customer`, repeatable.
     pub customer_rates: BTreeMap<String, f64>,
 }
 
-/// The task of limiting how many servers drain at once.
+/// Settings of the task that limits concurrent drains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainSlotSettings {
-    /// Servers of the fleet that may be away at once. Key `most`, default 10.
+    /// Maximum number of unavailable servers of the fleet. Key `most`, default 10.
     pub max_unavailable: usize,
-    /// Share of a zone's servers that may be away at once; one of a zone always may. Key `zone-share`, default 0.1.
+    /// Maximum fraction of unavailable servers of a zone; one server is always allowed. Key `zone-share`, default 0.1.
     pub max_zone_fraction: f64,
-    /// Seconds that a slot lasts: drain, restart and slow start. Key `span`, default 30 s.
+    /// Seconds that a slot covers: drain, restart and slow start. Key `span`, default 30 s.
     pub slot_duration: f64,
-    /// Seconds without a report after which a server counts as away. Key `silent`, default 5 s.
+    /// Seconds without a report after which a server counts as unavailable. Key `silent`, default 5 s.
     pub report_timeout: f64,
 }
 
-/// The task of collecting sealed trace files.
+/// Settings of the task that collects sealed trace files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceCollectionSettings {
-    /// Directory that holds a directory of traces for each server. Key `traces`.
+    /// Directory with one subdirectory of trace files for each server. Key `traces`.
     pub traces_directory: String,
-    /// The trace store. Key `archive`.
+    /// Address of the trace store. Key `archive`.
     pub trace_store: SocketAddr,
-    /// Parts of the task, as the lease store declares it. Key `parts`, default 1.
+    /// Number of parts of the task, equal to the lease store's setting. Key `parts`, default 1.
     pub parts: usize,
-    /// Seconds between two scans for files that were sealed meanwhile. Key `every`, default 1 s.
+    /// Seconds between scans for newly sealed files. Key `every`, default 1 s.
     pub scan_interval: f64,
-    /// Seconds that a step may take. Key `step`, default 500 ms.
+    /// Maximum duration of a step, in seconds. Key `step`, default 500 ms.
     pub max_step_duration: f64,
 }
 
--- a/crates/settings/src/sexpr/block.rs
+++ b/crates/settings/src/sexpr/block.rs
@@ -1,4 +1,4 @@
-//! Lists of `(key value ...)` entries, read key by key.
+//! Typed access to lists of `(key value ...)` entries.
 
 use super::quantity::{format_quantity, parse_quantity, Unit, BYTES, DURATION, UNITLESS};
 use super::spelling::edit_distance;
@@ -6,31 +6,30 @@
 use std::cell::{Cell, RefCell};
 use std::ops::RangeInclusive;
 
-/// Most letters in which an unknown key may differ from a known one to be taken for a misspelling of it.
+/// Largest edit distance at which an unknown key is reported as a misspelling of a known one.
 const MISSPELLING_DISTANCE: usize = 2;
 
 /// One entry of a block.
 struct Entry<'r> {
     key: &'r str,
-    /// First byte of the entry.
+    /// Byte offset of the entry.
     position: usize,
-    /// What follows the key.
+    /// The expressions after the key.
     values: &'r [Node],
-    /// Whether the key was requested.
     requested: Cell<bool>,
 }
 
-/// A list of `(key value ...)` entries. Values are checked as they are requested for; a key that nobody requested for by
-/// [`Block::finish`] is unknown. All problems go to the reader.
+/// A list of `(key value ...)` entries. Each value is validated when it is read; keys that were not read before
+/// [`Block::finish`] are reported as unknown. Problems are reported to the [`Reader`].
 ///
-/// The functions that take a default return it where the key is absent and where its value is not usable: the caller
-/// discards what it has read once the reader has any diagnostics.
+/// Functions with a default return it if the key is absent and also if its value is invalid: the caller must discard the
+/// result if the reader has diagnostics.
 pub struct Block<'r> {
     reader: &'r Reader<'r>,
     path: String,
     position: usize,
     entries: Vec<Entry<'r>>,
-    /// Keys that were requested for, to suggest one in place of an unknown key.
+    /// Keys that were read, listed or suggested when an unknown key is reported.
     requested_keys: RefCell<Vec<&'static str>>,
 }
 
@@ -54,26 +53,26 @@
         }
     }
 
-    /// Adds a problem at a key of this block, or at the block where it has no such key.
+    /// Reports a problem at the position of a key, or of the block if the key is absent.
     pub fn report(&self, key: &str, problem: impl Into<Problem>) {
         let entry = self.entries.iter().find(|entry| entry.key == key);
         let position = entry.map_or(self.position, |entry| entry.position);
         self.reader.report(position, &self.key_path(key), problem);
     }
 
-    /// Whether the key is given.
+    /// Returns whether the key is present.
     pub fn has(&self, key: &str) -> bool {
         self.entries.iter().any(|entry| entry.key == key)
     }
 
-    /// Reports the key as missing unless it is given.
+    /// Reports the key as missing if it is absent.
     pub fn require(&self, key: &str) {
         if !self.has(key) {
             self.report(key, Problem::Missing);
         }
     }
 
-    /// All entries under a key that may be given any number of times.
+    /// Returns all entries of a key that may be repeated.
     fn entries(&self, key: &'static str) -> Vec<&Entry<'r>> {
         self.requested_keys.borrow_mut().push(key);
         let found: Vec<&Entry> = self.entries.iter().filter(|entry| entry.key == key).collect();
@@ -81,7 +80,7 @@
         found
     }
 
-    /// The entry of a key that may be given once.
+    /// Returns the entry of a key, and reports its repetitions.
     fn entry(&self, key: &'static str) -> Option<&Entry<'r>> {
         let found = self.entries(key);
         for duplicate in found.iter().skip(1) {
@@ -90,7 +89,7 @@
         found.first().copied()
     }
 
-    /// The one value under a key, as `read` takes it.
+    /// Returns the single value of a key, converted by `read`; `expected` describes the values that `read` accepts.
     fn value<T>(&self, key: &'static str, expected: &str, read: impl Fn(&Form) -> Option<T>) -> Option<T> {
         let entry = self.entry(key)?;
         let value = match entry.values {
@@ -108,22 +107,22 @@
         Block::new(self.reader, self.key_path(key), entry.position, entry.values)
     }
 
-    /// The block under a key.
+    /// Returns the nested block of a key.
     pub fn block(&self, key: &'static str) -> Option<Block<'r>> {
         self.entry(key).map(|entry| self.child(key, entry))
     }
 
-    /// The blocks under a key that may be given any number of times.
+    /// Returns the nested blocks of a key that may be repeated.
     pub fn blocks(&self, key: &'static str) -> Vec<Block<'r>> {
         self.entries(key).into_iter().map(|entry| self.child(key, entry)).collect()
     }
 
-    /// Text in quotes that is not empty.
+    /// Returns a quoted text that is not empty.
     pub fn text(&self, key: &'static str) -> Option<String> {
         self.value(key, "text in quotes", |form| non_empty_text(form).map(str::to_owned))
     }
 
-    /// Texts under one key, any number of them.
+    /// Returns the quoted texts of a key; none of them may be empty.
     pub fn texts(&self, key: &'static str) -> Vec<String> {
         let Some(entry) = self.entry(key) else { return Vec::new() };
         let mut texts = Vec::new();
@@ -139,7 +138,7 @@
         texts
     }
 
-    /// The value that belongs to a word, one of a few.
+    /// Returns the value that `choices` maps the key's word to.
     pub fn choice<T: Copy>(&self, key: &'static str, default: T, choices: &[(&str, T)]) -> T {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -156,30 +155,30 @@
         self.value(key, &format!("from {low} to {high}"), read).unwrap_or(default)
     }
 
-    /// A number without a unit.
+    /// Returns a number without a unit.
     pub fn number(&self, key: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
         self.quantity(key, default, range, UNITLESS)
     }
 
-    /// A whole number.
+    /// Returns a whole number.
     pub fn count(&self, key: &'static str, default: usize, range: RangeInclusive<usize>) -> usize {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         let read = |form: &Form| atom(form)?.parse().ok().filter(|count| range.contains(count));
         self.value(key, &expected, read).unwrap_or(default)
     }
 
-    /// A duration in seconds. A number without a unit is rejected, since nobody knows which was meant.
+    /// Returns a duration in seconds. A number without a unit is rejected as ambiguous.
     pub fn duration(&self, key: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
         self.quantity(key, default, range, DURATION)
     }
 
-    /// A size in bytes, written with its unit.
+    /// Returns a size in bytes, which is written with a unit.
     pub fn bytes(&self, key: &'static str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let range = *range.start() as f64..=*range.end() as f64;
         self.quantity(key, default as f64, range, BYTES) as u64
     }
 
-    /// Reports the keys that nobody requested for.
+    /// Reports all keys that were not read as unknown.
     pub fn finish(&self) {
         let known = self.requested_keys.borrow();
         for entry in self.entries.iter().filter(|entry| !entry.requested.get()) {
--- a/crates/settings/src/sexpr/diagnostic.rs
+++ b/crates/settings/src/sexpr/diagnostic.rs
@@ -1,42 +1,42 @@
-//! What is wrong with a text, and where.
+//! Problems of a text and their positions.
 
 use std::fmt;
 use thiserror::Error;
 
-/// What is wrong. It displays as the words that follow a position and a key.
+/// A problem of a text. It displays as the message without position and key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// The text is too long, or its lists are nested too deeply, to be parsed at all.
+    /// The text is longer or nested deeper than the parser's limits.
     #[error("too long, or lists nested too deeply")]
     TooLarge,
-    /// A parenthesis closes no list.
+    /// A closing parenthesis has no opening one.
     #[error("a ')' that closes nothing")]
     UnmatchedParenthesis,
-    /// The text can't be parsed from here on.
+    /// A syntax error without further detail.
     #[error("can't be read")]
     Unreadable,
-    /// The text can't be parsed from here on, and the parser says what it expected.
+    /// A syntax error, with the parser's expectation.
     #[error("{0}")]
     Syntax(String),
-    /// An entry of a block is no list, or one without a key.
+    /// An entry of a block is not a list that begins with a key.
     #[error("should be a list that begins with a key")]
     NotAnEntry,
-    /// A key that may be given once is given again.
+    /// A key is repeated that may be given only once.
     #[error("stands here a second time")]
     Duplicate,
     /// A required key is absent.
     #[error("should be given")]
     Missing,
-    /// A value has another form than expected, or is out of range.
+    /// A value has the wrong type or is out of range.
     #[error("should be {0}")]
     Expected(String),
-    /// An unknown key that differs little from a known one.
+    /// An unknown key that is close to this known one.
     #[error("is not known; {0} may be meant")]
     Misspelled(&'static str),
-    /// An unknown key, and those that are known.
+    /// An unknown key, with the list of known ones.
     #[error("is not known; there are {}", .0.join(", "))]
     Unknown(Vec<&'static str>),
-    /// A value that contradicts another, or breaks a rule of its program.
+    /// A value that is inconsistent with others or violates a constraint of the program.
     #[error("{0}")]
     Invalid(String),
 }
@@ -56,15 +56,15 @@
 /// One problem and its position. It displays as `file:line:column: key: problem`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Diagnostic {
-    /// Name of the file, as the reader was given it.
+    /// Name of the file, as passed to the reader.
     pub file: String,
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// Path of the key, as in `trace.file-span`; empty where the text itself can't be parsed.
+    /// Path of the key, as in `trace.file-span`; empty for syntax errors.
     pub key: String,
-    /// What is wrong there.
+    /// The problem at this position.
     pub problem: Problem,
 }
 
--- a/crates/settings/src/sexpr/quantity.rs
+++ b/crates/settings/src/sexpr/quantity.rs
@@ -1,11 +1,11 @@
-//! Numbers with units.
+//! Parsing and formatting of numbers with units.
 
 /// A unit of a quantity.
 #[derive(Clone, Copy)]
 pub(super) struct Unit {
-    /// How it is written behind a number.
+    /// Suffix of the number.
     name: &'static str,
-    /// Its size in the base unit, which is the first of its list.
+    /// Size in the base unit, which is the first of its list.
     size: f64,
 }
 
@@ -22,7 +22,7 @@
 pub(super) const BYTES: &[Unit] =
     &[unit("B", 1.0), unit("KB", 1024.0), unit("MB", 1_048_576.0), unit("GB", 1_073_741_824.0)];
 
-/// A number and its unit, in the base unit.
+/// Parses a number with its unit and returns its value in the base unit.
 pub(super) fn parse_quantity(word: &str, units: &[Unit]) -> Option<f64> {
     let end = word.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(word.len());
     let (number, name) = word.split_at(end);
@@ -31,7 +31,7 @@
     value.is_finite().then_some(value)
 }
 
-/// A value in the largest unit that it fills at least once. The base unit always fits.
+/// Formats a value in the largest unit that does not exceed it, or else in the base unit.
 pub(super) fn format_quantity(value: f64, units: &[Unit]) -> String {
     let base = units[0];
     let fits = |unit: &&Unit| value >= unit.size || unit.size == base.size;
--- a/crates/settings/src/sexpr/spelling.rs
+++ b/crates/settings/src/sexpr/spelling.rs
@@ -1,12 +1,12 @@
-//! How far one word is from another, to suggest a known key in place of an unknown one.
+//! Edit distance of words, to suggest a known key in place of an unknown one.
 
-/// Letters of a word that are compared.
+/// Letters of a word that are compared, a bound on the run time.
 const MAX_LETTERS: usize = 64;
 
-/// How many letters have to be inserted, removed or changed to make one word of the other (Levenshtein distance).
+/// Returns the Levenshtein distance of two words.
 pub(super) fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().take(MAX_LETTERS).collect();
-    // Distances from the letters of `left` so far to each beginning of `right`.
+    // Distances between the current prefix of `left` and each prefix of `right`.
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, left_letter) in left.chars().take(MAX_LETTERS).enumerate() {
         let mut diagonal = std::mem::replace(&mut row[0], i + 1);
--- a/crates/settings/src/sexpr/syntax.rs
+++ b/crates/settings/src/sexpr/syntax.rs
@@ -20,23 +20,23 @@
     List(Vec<Node>),
 }
 
-/// An S-expression and the bytes that it takes in its text.
+/// An S-expression and its position in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// The expression.
     pub form: Form,
-    /// Its first byte, and the one behind its last.
+    /// Byte range of the expression.
     pub span: Range<usize>,
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// How deep lists may nest: the parser recurses once for each level.
+/// Largest nesting depth of lists: the parser recurses once for each level.
 const MAX_DEPTH: usize = 64;
-/// Bytes of a text; nothing that is written by hand comes near it.
+/// Largest length of a text, in bytes.
 const MAX_TEXT_BYTES: usize = 4 << 20;
 
-/// The first byte where a text is longer or nested deeper than the parser takes.
+/// Returns the byte offset at which a text exceeds the parser's limits: 0 if it is too long.
 pub(super) fn find_limit_violation(text: &str) -> Option<usize> {
     find_excess_depth(text).or((text.len() > MAX_TEXT_BYTES).then_some(0))
 }
@@ -56,7 +56,7 @@
     None
 }
 
-/// Parses expressions up to the end of the text or the first that can't be parsed: the position of that, and the problem.
+/// Parses expressions up to the end of the text or the first syntax error, which is returned with its byte offset.
 pub(super) fn parse_forms(text: &str) -> (Vec<Node>, Option<(usize, Problem)>) {
     let mut input = LocatingSlice::new(text);
     let mut forms = Vec::new();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Why the expression that `input` begins with can't be parsed.
+/// Converts the parser's error for the expression at the start of `input`.
 fn describe_error(error: ErrMode<ContextError>, input: &mut Input) -> Problem {
     if any::<_, ContextError>.parse_next(input).ok() == Some(')') {
         return Problem::UnmatchedParenthesis;
--- a/crates/settings/tests/golden_config.rs
+++ b/crates/settings/tests/golden_config.rs
@@ -1,9 +1,9 @@
-//! Configurations as the platform writes them, and the literal values and messages that they come to.
+//! Checks configurations in the platform's format against literal values and messages.
 
 use puffinladder::{Downstream, Idempotency, LoadSignal, PolicySettings, Preemption, RequestClass, Tenant};
 use puffinladder_settings::{parse_policy_config, parse_server_config, GaugeKind, Peers, PolicyConfig};
 
-/// All keys that are read, each with a value of its own.
+/// Every key that is read, each with a distinct value.
 const FULL: &str = r#"{
   "name": "edge-7.a_b", "listen": "127.0.0.1:4100", "agent": "127.0.0.2:6100", "roster": "[::1]:8500",
   "store": "127.0.0.3:7700", "seed": "8c1f30d27a5be964", "stop_ms": 1500, "unknown": [1],
@@ -29,12 +29,12 @@
   }
 }"#;
 
-/// The fewest keys that are enough.
-const LEAST: &str = r#"{"Servers": 1, "Lanes": [{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}],
+/// Only the required keys.
+const MINIMAL: &str = r#"{"Servers": 1, "Lanes": [{"Promise": 1000, "GiveUp": 2000, "Importance": 1, "Effect": "safe"}],
   "FamilyInfo": {"Cpus": 2, "RamKb": 1000, "RunFactor": 2}, "Contract": {"FallMultiple": 4}}"#;
 
 fn full_policy_config() -> PolicyConfig {
-    let product = RequestClass::default();
+    let class = RequestClass::default();
     PolicyConfig {
         settings: PolicySettings {
             servers: 730.0,
@@ -51,7 +51,7 @@
                     idempotency: Idempotency::Idempotent,
                     makes_calls: true,
                     degraded_weight_fraction: 0.5,
-                    ..product.clone()
+                    ..class.clone()
                 },
                 RequestClass {
                     latency_objective: 0.25,
@@ -70,14 +70,14 @@
                     priority_weight: 0.0,
                     idempotency: Idempotency::NonIdempotent,
                     makes_calls: true,
-                    ..product.clone()
+                    ..class.clone()
                 },
                 RequestClass {
                     latency_objective: 0.001,
                     timeout: 0.002,
                     priority_weight: 7.0,
                     idempotency: Idempotency::Idempotent,
-                    ..product
+                    ..class
                 },
             ],
             tenants: vec![Tenant { quota: 100.0 }, Tenant { quota: 0.0 }],
@@ -132,8 +132,8 @@
 
 #[test]
 fn applies_defaults_to_absent_keys() {
-    let policy = parse_policy_config(LEAST.as_bytes()).unwrap();
-    let product = RequestClass {
+    let policy = parse_policy_config(MINIMAL.as_bytes()).unwrap();
+    let class = RequestClass {
         latency_objective: 1.0,
         timeout: 2.0,
         priority_weight: 1.0,
@@ -144,19 +144,16 @@
         cores: 2.0,
         memory: 1000.0,
         running_memory_factor: 2.0,
-        classes: vec![product],
+        classes: vec![class],
         overload_multiple: 4.0,
         ..PolicySettings::default()
     };
-    let products = vec![String::new()];
-    assert_eq!(
-        policy,
-        PolicyConfig { settings, gauges: Vec::new(), class_names: products, tenant_names: Vec::new() }
-    );
+    let class_names = vec![String::new()];
+    assert_eq!(policy, PolicyConfig { settings, gauges: Vec::new(), class_names, tenant_names: Vec::new() });
 
     let text = format!(
         r#"{{"agent": "127.0.0.1:1", "roster": "127.0.0.1:2", "seed": "7", "stop_ms": 0, "store": null,
-            "limits": {{"memory_mb": 16, "sockets": 64}}, "settings": {LEAST}}}"#
+            "limits": {{"memory_mb": 16, "sockets": 64}}, "settings": {MINIMAL}}}"#
     );
     let config = parse_server_config(text.as_bytes(), Some("other"), Some("127.0.0.9:9")).unwrap();
     assert_eq!((config.name.as_str(), config.listen.to_string().as_str()), ("other", "127.0.0.9:9"));
@@ -166,20 +163,20 @@
 #[test]
 fn parses_each_configuration_word() {
     let read = |key: &str, word: &str| {
-        let text = LEAST.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
+        let text = MINIMAL.replace(r#""Cpus""#, &format!(r#""{key}": "{word}", "Cpus""#));
         parse_policy_config(text.as_bytes()).unwrap().settings
     };
-    for (word, below) in [
+    for (word, downstream) in [
         ("silent", Downstream::None),
         ("common", Downstream::SharedDependency),
         ("next_hop", Downstream::NextTier),
     ] {
-        assert_eq!(read("Below", word).downstream, below);
+        assert_eq!(read("Below", word).downstream, downstream);
     }
-    for (word, halt) in
+    for (word, preemption) in
         [("silent", Preemption::Never), ("drop", Preemption::Discard), ("pause", Preemption::Suspend)]
     {
-        assert_eq!(read("Halt", word).preemption, halt);
+        assert_eq!(read("Halt", word).preemption, preemption);
     }
     let signals = [
         ("silent", LoadSignal::None),
@@ -190,9 +187,9 @@
     for (word, signal) in signals {
         assert_eq!(read("Signal", word).load_signal, signal);
     }
-    // Without the flag no time is heeded, and another word than "work" counts by txn.
+    // MaxRetryAfter is ignored without the RetryAfter flag, and WorthBy other than "work" weighs by request.
     let limits =
-        LEAST.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
+        MINIMAL.replace(r#""Servers""#, r#""Limits": {"MaxRetryAfter": 500}, "WorthBy": "x", "Servers""#);
     let settings = parse_policy_config(limits.as_bytes()).unwrap().settings;
     assert_eq!((settings.max_retry_after, settings.weight_per_work), (0.0, false));
 }
@@ -241,11 +238,11 @@
             "",
             "start text: Lanes[0].Effect should be one of the wire's: unknown word silent",
         ),
-        (LEAST, "[]", "start text is not a JSON object"),
-        (LEAST, "{", "start text is not JSON: EOF while parsing an object at line 1 column 1"),
+        (MINIMAL, "[]", "start text is not a JSON object"),
+        (MINIMAL, "{", "start text is not JSON: EOF while parsing an object at line 1 column 1"),
     ];
     for (old, new, message) in cases {
-        let text = LEAST.replace(old, new);
+        let text = MINIMAL.replace(old, new);
         assert_eq!(parse_policy_config(text.as_bytes()).unwrap_err().to_string(), message, "{text}");
     }
 }
@@ -313,9 +310,11 @@
     let read = |text: &str| parse_server_config(text.as_bytes(), None, None).unwrap();
     let old = read(FULL);
     assert!(old.changes_needing_restart(&old).is_empty());
-    let moved = FULL.replace("127.0.0.2:6100", "127.0.0.5:1").replace("[::1]:8500", "127.0.0.5:2");
-    assert!(old.changes_needing_restart(&read(&moved.replace("127.0.0.3:7700", "127.0.0.5:3"))).is_empty());
-    let other = FULL
+    let peers_changed = FULL.replace("127.0.0.2:6100", "127.0.0.5:1").replace("[::1]:8500", "127.0.0.5:2");
+    assert!(old
+        .changes_needing_restart(&read(&peers_changed.replace("127.0.0.3:7700", "127.0.0.5:3")))
+        .is_empty());
+    let all_changed = FULL
         .replace("edge-7.a_b", "x")
         .replace("127.0.0.1:4100", "127.0.0.1:1")
         .replace("8c1f30d27a5be964", "1")
@@ -323,7 +322,7 @@
         .replace("192.5", "193")
         .replace("730", "731");
     assert_eq!(
-        old.changes_needing_restart(&read(&other)),
+        old.changes_needing_restart(&read(&all_changed)),
         ["name", "listen", "seed", "stop_ms", "limits", "settings"]
     );
 }
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,9 +1,9 @@
-//! Settings files, and the literal values, texts and messages that they come to.
+//! Checks settings files against literal values, displayed texts and messages.
 
 use puffinladder_settings::*;
 use std::collections::BTreeMap;
 
-/// Every key there is, each with a value that is not its default.
+/// Every settings key, each with a value other than its default.
 const FULL: &str = r#"; every key
 (log (format json) (filter "debug,may=warn"))
 (trace (folder "/tr\\a\"ces\n\t") (block-rows 512) (block-span 2500ms) (file-bytes 1MB) (file-span 2h) (most-bytes 3GB)
@@ -23,8 +23,8 @@
 (archive (listen "127.0.0.9:18211") (folder "af") (most-bytes 1GB) (most-connections 501))
 "#;
 
-/// How the settings above are shown.
-const SHOWN: &str = r#"(log (format json) (filter "debug,may=warn"))
+/// Displayed text of [`FULL`].
+const DISPLAYED: &str = r#"(log (format json) (filter "debug,may=warn"))
 (trace
   (folder "/tr\\a\"ces\n\t")
   (block-rows 512)
@@ -67,15 +67,16 @@
   (most-bytes 1073741824B) (most-connections 501))
 "#;
 
-/// The sections with only what has to be there, and how their defaults are shown.
-const LEAST: &str = r#"(trace (folder "t")) (publish (control "127.0.0.1:1"))
+/// The sections with only their required keys.
+const MINIMAL: &str = r#"(trace (folder "t")) (publish (control "127.0.0.1:1"))
 (control (xds "127.0.0.1:1") (reports "127.0.0.1:2"))
 (keeper (number 1) (listen "127.0.0.1:1") (folder "k") (peers "1=127.0.0.1:1"))
 (steward (name "s") (folder "s") (keepers "1=127.0.0.1:1") (listen "127.0.0.1:5")
   (gather (traces "t") (archive "127.0.0.1:9")) (quota (servers 9)) (turns))
 (archive (listen "127.0.0.1:9") (folder "a"))"#;
 
-const DEFAULTS_SHOWN: &str = r#"(log (format text))
+/// Displayed text of [`MINIMAL`], with its defaults.
+const MINIMAL_DISPLAYED: &str = r#"(log (format text))
 (trace
   (folder "t")
   (block-rows 4096)
@@ -217,9 +218,9 @@
 
 #[test]
 fn displays_settings_verbatim() {
-    assert_eq!(full().to_string(), SHOWN);
-    assert_eq!(parse_settings("shown", SHOWN).unwrap(), full());
-    assert_eq!(parse_settings("f", LEAST).unwrap().to_string(), DEFAULTS_SHOWN);
+    assert_eq!(full().to_string(), DISPLAYED);
+    assert_eq!(parse_settings("shown", DISPLAYED).unwrap(), full());
+    assert_eq!(parse_settings("f", MINIMAL).unwrap().to_string(), MINIMAL_DISPLAYED);
     let off = "(log (format text))\n; trace: off\n; publish: off\n; control: off\n";
     assert_eq!(Settings::default().to_string(), off);
 }
