--- a/crates/settings/src/sexpr/syntax.rs
+++ b/crates/settings/src/sexpr/syntax.rs
@@ -88,8 +88,8 @@
     Problem::Syntax(message.replace('\n', ", "))
 }
 
-fn expected(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+fn expected(description: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(description))
 }
 
 fn blank(input: &mut Input) -> ModalResult<()> {
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: connections that open within a bound, and requests on a connection of their own.
+//! Client side: connecting with a timeout, and single requests on a new connection.
 
 use crate::lines::{write_line, LineReader, TransportError};
 use serde::{de::DeserializeOwned, Serialize};
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a connection may take to open: processes of one fleet reach each other well within it, and a client has another server to turn to.
+/// Time limit of opening a connection. It is short because clients can fall back to another server.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Opens a connection without Nagle's delay, within [`CONNECT_TIMEOUT`].
+/// Opens a connection within [`CONNECT_TIMEOUT`] and disables Nagle's algorithm.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = opened.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -18,8 +18,8 @@
     Ok(stream)
 }
 
-/// Sends one request on a connection of its own and reads the response, which is at most `max_response_bytes` long. Writing the request and waiting for the
-/// response may take `timeout` each. None is returned where the server closed the connection without a response.
+/// Sends one request on a new connection and reads the response, of at most `max_response_bytes`. `timeout` applies to writing
+/// the request and to reading the response, each. Returns `None` if the server closes the connection without a response.
 pub async fn request<Request: Serialize, Response: DeserializeOwned>(
     address: SocketAddr,
     request: &Request,
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,13 +1,12 @@
-//! The clock of a process, handed in where the process starts. Ordinarily it is the system's; fault tests hand in one that can be made fast, slow or
-//! stepped while the process runs.
+//! The clock of a process: the system's clock, or in fault tests one whose rate and wall-clock offset can be changed at run time.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The slowest rate that [`Clock::sleep_duration`] goes by, so that no sleep becomes endless.
+/// Lowest rate that [`Clock::sleep_duration`] divides by.
 const MIN_RATE: f64 = 1e-3;
-/// The longest sleep, in seconds: a day.
+/// Longest sleep, in seconds.
 const MAX_SLEEP: f64 = 86_400.0;
 
 /// Monotonic time and wall-clock time of one process. Clones share their state.
@@ -20,17 +19,17 @@
 #[derive(Debug)]
 struct Skew {
     monotonic: Mutex<RateChange>,
-    /// Seconds that the wall clock is ahead of the system's, as the bits of an f64.
+    /// Offset of the wall clock from the system's, in seconds, as the bits of an f64.
     wall_offset: AtomicU64,
 }
 
-/// The time that a skewed clock showed at a moment, and its rate from then on.
+/// A change of a skewed clock's rate.
 #[derive(Clone, Copy, Debug)]
 struct RateChange {
     changed_at: Instant,
-    /// Seconds.
+    /// Monotonic time of the skewed clock at the change, in seconds.
     time_at_change: f64,
-    /// Seconds of this clock for each second of the system's.
+    /// Seconds of the skewed clock per second of the system's clock.
     rate: f64,
 }
 
@@ -41,12 +40,12 @@
 }
 
 impl Clock {
-    /// The system's clock.
+    /// Creates a clock that follows the system's clock.
     pub fn system() -> Clock {
         Clock { started: Instant::now(), skew: None }
     }
 
-    /// A clock for tests: its monotonic time runs at `rate`, its wall clock is `wall_offset` seconds ahead of the system's.
+    /// Creates a clock for tests: its monotonic time runs at `rate`, its wall clock is `wall_offset` seconds ahead of the system's.
     pub fn skewed(rate: f64, wall_offset: f64) -> Clock {
         let started = Instant::now();
         let skew = Skew {
@@ -56,7 +55,7 @@
         Clock { started, skew: Some(Arc::new(skew)) }
     }
 
-    /// Monotonic time, in seconds since the clock was made.
+    /// Returns the monotonic time in seconds since the clock was created.
     pub fn now(&self) -> f64 {
         match &self.skew {
             None => self.started.elapsed().as_secs_f64(),
@@ -67,14 +66,14 @@
         }
     }
 
-    /// Seconds since 1970 by the wall clock, which may be wrong and may step.
+    /// Returns the wall-clock time in seconds since 1970. It can step.
     pub fn unix_time(&self) -> f64 {
         let offset =
             self.skew.as_ref().map_or(0.0, |skew| f64::from_bits(skew.wall_offset.load(Ordering::Relaxed)));
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64()) + offset
     }
 
-    /// Runs at another rate from now on; monotonic time does not step. The system's clock is left as it is.
+    /// Changes the rate without a step of the monotonic time. Has no effect on a system clock.
     pub fn set_rate(&self, rate: f64) {
         let time_at_change = self.now();
         if let Some(skew) = &self.skew {
@@ -83,14 +82,14 @@
         }
     }
 
-    /// Steps the wall clock to `wall_offset` seconds ahead of the system's, whose own clock is left as it is.
+    /// Steps the wall clock to `wall_offset` seconds ahead of the system's. Has no effect on a system clock.
     pub fn set_wall_offset(&self, wall_offset: f64) {
         if let Some(skew) = &self.skew {
             skew.wall_offset.store(wall_offset.to_bits(), Ordering::Relaxed);
         }
     }
 
-    /// How long to sleep by the system's clock for `seconds` of this one, at its present rate.
+    /// Returns the duration by the system's clock of `seconds` by this clock, at its current rate.
     pub fn sleep_duration(&self, seconds: f64) -> Duration {
         let rate = self.skew.as_ref().map_or(1.0, |skew| skew.monotonic().rate);
         let seconds = (seconds / rate.max(MIN_RATE)).clamp(0.0, MAX_SLEEP);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,6 +1,5 @@
-//! What the processes beside the servers have in common on the network: bounded lines of JSON over TCP ([`lines`]), clients
-//! ([`client`]), a loop that accepts connections up to a bound ([`service`]), and the clock that a process goes by ([`clock`]). No
-//! decision is made here.
+//! Networking shared by the control-plane processes: length-limited lines of JSON over TCP ([`lines`]), clients ([`client`]),
+//! listeners with a connection limit ([`service`]), and the clock of a process ([`clock`]).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/transport/src/lines.rs
+++ b/crates/transport/src/lines.rs
@@ -1,20 +1,20 @@
-//! Messages as lines of JSON: read with a bound on their length, written with a bound on the time.
+//! Messages as lines of JSON: reads limit the length of a line, writes have a timeout.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::time::Duration;
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, BufReader};
 
-/// Why a connection is of no further use.
+/// An error after which a connection must be closed.
 #[derive(Debug, Error)]
 pub enum TransportError {
-    /// The other side sent a line that is longer than the bound, in bytes.
-    #[error("a line of more than {0} bytes")]
+    /// The peer sent a line longer than this limit, in bytes.
+    #[error("received a line longer than {0} bytes")]
     LineTooLong(usize),
-    /// The other side sent a line that is not JSON, or not of the expected type.
+    /// The peer sent a line that is not JSON or not of the expected type.
     #[error("invalid message: {0}")]
     InvalidMessage(serde_json::Error),
-    /// The other side neither sent nor read anything for too long.
+    /// The peer did not send or read a message within the timeout.
     #[error("timed out")]
     TimedOut,
     /// The connection failed.
@@ -22,7 +22,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Reads one line after the other, none longer than a bound. A read whose future was dropped half way is resumed by the next one.
+/// Reader of lines of limited length. Reads are cancel-safe: the next one resumes where a dropped future stopped.
 pub struct LineReader<R> {
     reader: BufReader<R>,
     max_line_bytes: usize,
@@ -31,19 +31,19 @@
 }
 
 impl<R: AsyncRead + Unpin> LineReader<R> {
-    /// A reader of lines of at most `max_line_bytes` each, their line feed included.
+    /// Creates a reader of lines of at most `max_line_bytes` each, including the line feed.
     pub fn new(reader: R, max_line_bytes: usize) -> LineReader<R> {
         LineReader { reader: BufReader::new(reader), max_line_bytes, line: Vec::new(), bytes_read: 0 }
     }
 
-    /// Bytes of all complete lines that were read so far.
+    /// Returns the number of bytes of all complete lines read so far.
     pub fn bytes_read(&self) -> u64 {
         self.bytes_read
     }
 
-    /// The next message; none once the other side has closed the connection, also in the middle of a line.
+    /// Reads the next message. Returns `None` if the peer closed the connection, even in the middle of a line.
     pub async fn read<T: DeserializeOwned>(&mut self) -> Result<Option<T>, TransportError> {
-        // One byte more than may be there tells a line that is too long from one that ended early.
+        // The additional byte distinguishes a line that is too long from a truncated one.
         let remaining = (self.max_line_bytes + 1).saturating_sub(self.line.len()) as u64;
         (&mut self.reader).take(remaining).read_until(b'\n', &mut self.line).await?;
         if self.line.last() != Some(&b'\n') {
@@ -59,7 +59,7 @@
         message.map(Some)
     }
 
-    /// The next message, which has to come within `timeout`.
+    /// Reads the next message as [`LineReader::read`] does, within `timeout`.
     pub async fn read_within<T: DeserializeOwned>(
         &mut self,
         timeout: Duration,
@@ -68,14 +68,14 @@
     }
 }
 
-/// A message as a line, with its line feed.
+/// Encodes a message as a line, including the line feed.
 pub fn encode_line<T: Serialize>(message: &T) -> std::io::Result<Vec<u8>> {
     let mut bytes = serde_json::to_vec(message)?;
     bytes.push(b'\n');
     Ok(bytes)
 }
 
-/// Writes a message as a line and returns its bytes; fails where the other side has not read enough of it within `timeout`.
+/// Writes a message as a line within `timeout` and returns its length in bytes.
 pub async fn write_line<T: Serialize>(
     writer: &mut (impl AsyncWrite + Unpin),
     message: &T,
--- a/crates/transport/src/lines/tests.rs
+++ b/crates/transport/src/lines/tests.rs
@@ -5,7 +5,7 @@
     let mut lines = LineReader::new(&b"[1,2]\n\"x\"\n[3"[..], 16);
     assert_eq!(lines.read::<Vec<u8>>().await.unwrap(), Some(vec![1, 2]));
     assert!(matches!(lines.read::<Vec<u8>>().await, Err(TransportError::InvalidMessage(_))));
-    assert_eq!(lines.read::<Vec<u8>>().await.unwrap(), None, "the other side ended in the middle");
+    assert_eq!(lines.read::<Vec<u8>>().await.unwrap(), None, "connection closed in the middle of a line");
     let long = [b'1'; 17];
     let read = LineReader::new(&long[..], 16).read::<u8>().await;
     assert!(matches!(read, Err(TransportError::LineTooLong(16))));
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -1,4 +1,4 @@
-//! The server's side: a listener, a bounded number of connections, and a handle on the task that does the service's work.
+//! Server side: listeners with a connection limit, and the handle of a running service.
 
 use crate::lines::TransportError;
 use std::fmt::Display;
@@ -12,30 +12,31 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::{JoinError, JoinHandle};
 
-/// How long no connection is accepted after accepting one failed: descriptors may have run out, and other connections end soon.
+/// Pause after a failed accept, in which other connections can release file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why a service ended.
+/// The reason why a service ended.
 #[derive(Debug, Error)]
 pub enum ServiceError<E: Display> {
-    /// The service can't go on.
+    /// The main task returned an error.
     #[error("{0}")]
     Failed(E),
-    /// Its main task panicked.
-    #[error("its task: {0}")]
+    /// The main task panicked.
+    #[error("main task did not finish: {0}")]
     Panicked(#[from] JoinError),
 }
 
-/// A service that runs; `E` says why its main task can't go on.
+/// Handle of a running service; `E` is the error of its main task.
 pub struct RunningService<E> {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     main_task: JoinHandle<Result<(), E>>,
 }
 
 impl<E: Display> RunningService<E> {
-    /// A handle on a service that listens. Its tasks watch the receivers of `stop`; `main_task` works until it is stopped or can't go on.
+    /// Creates the handle of a listening service. Its tasks watch the receivers of `stop`; `main_task` runs until the service is
+    /// stopped or fails.
     pub fn new(
         address: SocketAddr,
         stop: watch::Sender<bool>,
@@ -44,19 +45,20 @@
         RunningService { address, stop, main_task }
     }
 
-    /// Waits until it ends by itself, which only a fault makes it do.
+    /// Waits until the main task ends, which it does only on failure unless the service is stopped.
     pub async fn wait(&mut self) -> Result<(), ServiceError<E>> {
         (&mut self.main_task).await?.map_err(ServiceError::Failed)
     }
 
-    /// Stops it and waits until everything that it has acknowledged is on disk.
+    /// Stops the service and waits until all acknowledged writes are durable.
     pub async fn stop(mut self) -> Result<(), ServiceError<E>> {
         let _ = self.stop.send(true);
         self.wait().await
     }
 }
 
-/// Binds a listener and returns it with its address: the system chooses a port in place of port 0. Errors carry the service's name.
+/// Binds a listener and returns it with its actual address, since port 0 lets the system choose one. Errors contain the
+/// service's name and the address.
 pub async fn bind(name: &str, address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let named = |e: io::Error| io::Error::other(format!("{name} {address}: {e}"));
     let listener = TcpListener::bind(address).await.map_err(named)?;
@@ -64,7 +66,7 @@
     Ok((listener, address))
 }
 
-/// Binds a listener, serves its connections in a task of its own as [`serve_connections`] does, and returns the address.
+/// Binds a listener, spawns a task that runs [`serve_connections`], and returns the address.
 pub async fn listen<F, H>(
     name: &'static str,
     address: SocketAddr,
@@ -81,8 +83,8 @@
     Ok(address)
 }
 
-/// Accepts connections until `stopped` changes, and hands each to `handle` in a task of its own. At most `max_connections` are open at once; one more is
-/// closed as soon as it is accepted.
+/// Accepts connections until `stopped` changes, and runs `handle` for each in a task of its own. At most `max_connections` are
+/// open at once; further ones are closed immediately.
 pub async fn serve_connections<F, H>(
     listener: TcpListener,
     name: &'static str,
@@ -102,7 +104,9 @@
         match accepted {
             Ok((stream, peer)) => {
                 let Ok(permit) = permits.clone().try_acquire_owned() else {
-                    tracing::debug!("{name}: {max_connections} connections are open, {peer} is rejected");
+                    tracing::debug!(
+                        "{name}: rejected connection from {peer}: limit of {max_connections} reached"
+                    );
                     continue;
                 };
                 let _ = stream.set_nodelay(true);
@@ -111,14 +115,14 @@
                     let _permit = permit;
                     tokio::select! {
                         result = handled => if let Err(error) = result {
-                            tracing::debug!("{name}: {peer}: {error}");
+                            tracing::debug!("{name}: connection from {peer} failed: {error}");
                         },
                         _ = stopped.changed() => {}
                     }
                 });
             }
             Err(error) => {
-                tracing::warn!("{name}: {error}");
+                tracing::warn!("{name}: accepting a connection failed: {error}");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
