--- a/crates/worker/src/collection.rs
+++ b/crates/worker/src/collection.rs
@@ -1,71 +1,71 @@
-//! Which block of which trace file comes next, for the holder of one part of the task that collects traces. Decided without I/O: from the files that there
-//! are, what the trace store has of them, and which could not be read before.
+//! Selects the next block that the holder of one part of the trace-collection task transfers, without I/O: from the existing
+//! files, their progress in the trace store, and earlier read failures.
 
 use puffinladder_leases::assignment;
 use puffinladder_trace_store::protocol::{FileId, FileProgress};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The task's name.
+/// Name of the trace-collection task.
 pub const TASK_NAME: &str = "gather";
-/// Seconds until a file that could not be read is retried; doubled with each attempt, up to the longest.
+/// Seconds before the first retry of an unreadable file; doubled with each attempt up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: f64 = 1.0;
-/// The longest backoff, in seconds.
+/// Longest backoff, in seconds.
 const MAX_BACKOFF: f64 = 300.0;
-/// Unreadable files that are remembered, a bound on memory; past that a file is left until the next listing.
+/// Maximum number of files in backoff, which bounds memory; further ones are skipped until the next scan.
 const MAX_UNREADABLE: usize = 10_000;
 
-/// Which part of so many a server's files belong to.
+/// Returns the part, out of `parts`, that a server's files belong to.
 pub fn part_for_server(server: &str, parts: u32) -> u32 {
     assignment::part_for_key(TASK_NAME, server, parts)
 }
 
-/// A file in a server's folder.
+/// A trace file of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceFile {
-    /// Which file it is.
+    /// Identity of the file.
     pub id: FileId,
-    /// Its writer has sealed it, or has begun another since.
+    /// Whether its writer has sealed it or started a newer one.
     pub finished: bool,
 }
 
-/// A file's name in the listing of a server's folder, and whether its writer has sealed it. The order is that of the names.
+/// An entry in the listing of a server's directory, ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedFile {
-    /// The file's name, without a folder.
+    /// File name without a directory.
     pub name: String,
-    /// Nothing will be written to it any more.
+    /// Whether its writer has sealed it.
     pub sealed: bool,
 }
 
-/// When a file that could not be read may be retried.
+/// Retry state of an unreadable file.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// Seconds.
+    /// Current backoff, in seconds.
     delay: f64,
-    /// By the clock that the caller goes by, in seconds.
+    /// Time of the next attempt, in seconds by the caller's clock.
     retry_at: f64,
 }
 
-/// What the holder of a part knows of its files.
+/// Progress and remaining files of one part.
 #[derive(Clone, Debug, Default)]
 pub struct CollectionPlan {
     progress: BTreeMap<FileId, FileProgress>,
-    /// Finished files that are not completely stored, by server, the oldest first.
+    /// Finished files that are not completely stored, by server, oldest first.
     remaining: BTreeMap<String, Vec<FileId>>,
     unreadable: BTreeMap<FileId, Backoff>,
-    /// The server whose turn it was last.
+    /// Server of the last selected block.
     last_server: String,
 }
 
 impl CollectionPlan {
-    /// Starts over from what the trace store says that it has.
+    /// Replaces the progress with that reported by the trace store, and clears the remaining files.
     pub fn reset(&mut self, progress: impl IntoIterator<Item = (FileId, FileProgress)>) {
         self.progress = progress.into_iter().collect();
         self.remaining.clear();
     }
 
-    /// Takes over a listing of all files of this part's servers.
+    /// Replaces the remaining files with those of a scan of this part's servers.
     pub fn set_files(&mut self, files: impl IntoIterator<Item = TraceFile>) {
         self.remaining.clear();
         for TraceFile { id, finished } in files {
@@ -82,7 +82,7 @@
             .retain(|file, _| remaining.get(&file.server).is_some_and(|files| files.contains(file)));
     }
 
-    /// The next file, and the position of its next block. Servers take turns, so that one with many files holds up no other.
+    /// Returns the next file and the position of its next block. Servers alternate, so that none delays the others.
     pub fn next_block(&mut self, now: f64) -> Option<(FileId, u64)> {
         let after_last = (Bound::Excluded(self.last_server.as_str()), Bound::Unbounded);
         let servers = self.remaining.range::<str, _>(after_last).chain(&self.remaining);
@@ -96,7 +96,7 @@
         Some((file, position))
     }
 
-    /// Notes how much of a file the trace store has.
+    /// Records how much of a file is stored.
     pub fn record_progress(&mut self, file: &FileId, progress: FileProgress) {
         self.progress.insert(file.clone(), progress);
         self.unreadable.remove(file);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Notes that a file could not be read: it is retried after a backoff, while others go on. Returns whether it is the first time.
+    /// Schedules a retry of an unreadable file after a backoff. Returns whether this is its first failure.
     pub fn back_off(&mut self, now: f64, file: &FileId) -> bool {
         let before = self.unreadable.get(file).map(|backoff| backoff.delay);
         let delay = before.map_or(FIRST_BACKOFF, |delay| (2.0 * delay).min(MAX_BACKOFF));
@@ -120,19 +120,19 @@
         before.is_none()
     }
 
-    /// Whether there is something to do now.
+    /// Returns whether a file is ready to be read.
     pub fn has_work(&self, now: f64) -> bool {
         self.remaining.values().flatten().any(|file| self.is_ready(now, file))
     }
 
-    /// Whether a file may be read: it was not found unreadable, or its backoff is over.
+    /// Returns whether a file is not in backoff.
     fn is_ready(&self, now: f64, file: &FileId) -> bool {
         self.unreadable.get(file).is_none_or(|backoff| backoff.retry_at <= now)
     }
 }
 
-/// Which files of one server are finished: all but the newest, and that one too once it is sealed. Names rise
-/// with time, as the recorder gives them.
+/// Marks the files of one server as finished: all but the newest, and the newest if it is sealed. The recorder's file names
+/// increase with time.
 pub fn mark_finished(server: &str, mut files: Vec<ListedFile>) -> Vec<TraceFile> {
     files.sort();
     let count = files.len();
--- a/crates/worker/src/collection/tests.rs
+++ b/crates/worker/src/collection/tests.rs
@@ -13,8 +13,8 @@
 #[test]
 fn alternates_servers_and_collects_oldest_files_first() {
     let mut plan = CollectionPlan::default();
-    let all = [finished("n1", &["b", "a", "c"]), finished("n2", &["x"])].concat();
-    plan.set_files(all.clone());
+    let files = [finished("n1", &["b", "a", "c"]), finished("n2", &["x"])].concat();
+    plan.set_files(files.clone());
     let mut order = Vec::new();
     while let Some((next, position)) = plan.next_block(0.0) {
         assert_eq!(position, 0);
@@ -22,8 +22,8 @@
         plan.record_progress(&next, COMPLETE);
     }
     assert_eq!(order, ["n1a", "n2x", "n1b", "n1c"]);
-    plan.set_files(all);
-    assert!(!plan.has_work(0.0), "all of it is stored");
+    plan.set_files(files);
+    assert!(!plan.has_work(0.0), "all files are stored");
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let files = vec![listed("n1-2", false), listed("n1-1", false), listed("n1-3", false)];
     let finished_now =
         |files: Vec<ListedFile>| mark_finished("n1", files).iter().filter(|file| file.finished).count();
-    assert_eq!(finished_now(files.clone()), 2, "its writer was killed, and began others since");
+    assert_eq!(finished_now(files.clone()), 2, "older files are finished even if they are not sealed");
     let sealed = files.iter().map(|file| listed(&file.name, true)).collect();
     assert_eq!(finished_now(sealed), 3);
 }
@@ -65,9 +65,9 @@
 #[test]
 fn spreads_servers_evenly_over_parts() {
     let mut counts = [0; 8];
-    for at in 0..800 {
-        counts[part_for_server(&format!("n{at}"), 8) as usize] += 1;
+    for index in 0..800 {
+        counts[part_for_server(&format!("n{index}"), 8) as usize] += 1;
     }
-    assert!(counts.iter().all(|n| (60..140).contains(n)), "{counts:?}");
+    assert!(counts.iter().all(|count| (60..140).contains(count)), "{counts:?}");
     assert_eq!(part_for_server("n1", 0), 0);
 }
--- a/crates/worker/src/collection_tasks.rs
+++ b/crates/worker/src/collection_tasks.rs
@@ -1,4 +1,4 @@
-//! The parts of the task that collects traces that a worker holds, and their steps, which run beside the main task.
+//! The held parts of the trace-collection task. Their steps run concurrently with the worker's main task.
 
 use crate::config::CollectionConfig;
 use crate::transfer::{StepOutcome, Transfer};
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Share of what is left of a term that a step may take: its last effect has to arrive too.
+/// Fraction of the remaining lease term that a step may take, so that its last effect arrives within the term.
 const STEP_SHARE: f64 = 0.8;
 
-/// A step that has ended.
+/// The outcome of a finished step, with the state to continue from.
 pub(crate) struct FinishedStep {
     pub task: Task,
     pub epoch: Epoch,
@@ -21,14 +21,14 @@
     transfer: Transfer,
 }
 
-/// The work on one part of the task.
+/// State of one held part.
 struct CollectionTask {
     epoch: Epoch,
-    /// Away while a step runs.
+    /// `None` while a step runs.
     transfer: Option<Transfer>,
-    /// Set when the running step is to end early: the task is to be handed over.
+    /// Tells the running step to end early because the part is to be released.
     stop_early: Arc<AtomicBool>,
-    /// No step begins before then, since there was nothing to do.
+    /// Earliest time of the next step.
     due: f64,
 }
 
@@ -39,44 +39,45 @@
 }
 
 impl CollectionTasks {
-    /// Steps that end go to `finished_steps`, to be handed back to [`CollectionTasks::on_step_finished`].
+    /// Creates an empty set. Steps are sent to `finished_steps`; the caller passes them to
+    /// [`CollectionTasks::on_step_finished`].
     pub fn new(clock: Clock, finished_steps: mpsc::Sender<FinishedStep>) -> CollectionTasks {
         CollectionTasks { tasks: BTreeMap::new(), clock, finished_steps }
     }
 
-    /// The worker holds a part under this epoch from now on.
+    /// Adds a part that the worker holds under this epoch.
     pub fn insert(&mut self, config: CollectionConfig, task: Task, epoch: Epoch, now: f64) {
         let transfer = Some(Transfer::new(config, task.clone(), epoch));
         let stop_early = Arc::default();
         self.tasks.insert(task, CollectionTask { epoch, transfer, stop_early, due: now });
     }
 
-    /// The worker no longer holds a part under this epoch. A step that runs is reported to the lease holder alone when it ends.
+    /// Removes a part unless it is held under another epoch. The result of a running step is discarded.
     pub fn remove(&mut self, task: &Task, epoch: Epoch) {
         if self.tasks.get(task).is_some_and(|held| held.epoch == epoch) {
             self.tasks.remove(task);
         }
     }
 
-    /// Ends the running step of a part after the block in transfer. Returns whether no step runs.
+    /// Ends the running step of a part after its current block. Returns whether no step runs.
     pub fn stop_early(&mut self, task: &Task) -> bool {
         let Some(held) = self.tasks.get(task) else { return true };
         held.stop_early.store(true, Ordering::Relaxed);
         held.transfer.is_some()
     }
 
-    /// Whether no step runs.
+    /// Returns whether no step runs.
     pub fn is_idle(&self) -> bool {
         self.tasks.values().all(|held| held.transfer.is_some())
     }
 
-    /// When the next step is due, if any.
+    /// Returns the time of the next step, if any.
     pub fn next_due(&self) -> Option<f64> {
         let idle = self.tasks.values().filter(|held| held.transfer.is_some());
         idle.map(|held| held.due).reduce(f64::min)
     }
 
-    /// Begins steps where one is due and the lease's term allows it.
+    /// Starts due steps of parts whose lease permits one.
     pub fn start_steps(&mut self, now: f64, holder: &mut LeaseHolder) {
         for (task, held) in &mut self.tasks {
             if now < held.due || held.transfer.is_none() {
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Takes back what a step worked with. With nothing to do, or nothing done, the part rests until the folders are listed again.
+    /// Restores the state of a finished step. A step without progress or remaining work delays the next one by the scan interval.
     pub fn on_step_finished(&mut self, now: f64, step: FinishedStep) {
         let FinishedStep { task, epoch, outcome, transfer } = step;
         let Some(held) = self.tasks.get_mut(&task).filter(|held| held.epoch == epoch) else { return };
-        let goes_on = outcome.has_more && outcome.progress;
-        held.due = if goes_on { now } else { now + transfer.idle_interval() };
+        let continues = outcome.has_more && outcome.progress;
+        held.due = if continues { now } else { now + transfer.idle_interval() };
         held.transfer = Some(transfer);
     }
 }
--- a/crates/worker/src/config.rs
+++ b/crates/worker/src/config.rs
@@ -1,4 +1,4 @@
-//! How a worker is set up.
+//! Configuration of a worker.
 
 use puffinladder_leases::coordination;
 use puffinladder_leases::protocol::EventSink;
@@ -7,55 +7,55 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How a worker is set up.
+/// Configuration of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerConfig {
-    /// The instance's name, which no other has.
+    /// Unique name of the instance.
     pub name: String,
-    /// The zone that it runs in.
+    /// Zone of the instance.
     pub zone: String,
-    /// Rises with every start.
+    /// Incarnation number, which increases with every start.
     pub incarnation: u64,
-    /// The replicas of the lease store by their numbers.
+    /// Addresses of the lease-store replicas by number.
     pub replicas: BTreeMap<u64, SocketAddr>,
-    /// The task to collect traces, if it may hold it.
+    /// Task of collecting traces, if enabled.
     pub collection: Option<CollectionConfig>,
-    /// The tasks that answer servers' reports, if it may hold any.
+    /// Tasks that reply to servers' reports, if any is enabled.
     pub reporting: Option<ReportingConfig>,
-    /// Further tasks that it holds without doing anything: whoever asks the lease store learns who holds them.
+    /// Tasks that are leased without any work: other programs query the lease store for the holder.
     pub idle_tasks: Vec<String>,
-    /// The clock that terms are measured by.
+    /// Clock that lease terms are measured by.
     pub clock: Clock,
-    /// Where it tells what it does.
+    /// Receiver of the worker's events.
     pub events: EventSink,
 }
 
-/// How the tasks that answer servers' reports are set up.
+/// Configuration of the tasks that reply to servers' reports.
 #[derive(Clone, Debug)]
 pub struct ReportingConfig {
-    /// Where servers report.
+    /// Listen address for servers' reports.
     pub listen: SocketAddr,
-    /// What the answers are made by.
+    /// Settings of the coordinator that plans the replies.
     pub coordinator: coordination::CoordinatorSettings,
-    /// Whether the worker may hold the task that divides quotas.
+    /// Whether the task that divides quotas is enabled.
     pub quota: bool,
-    /// Whether the worker may hold the task that lets servers drain.
+    /// Whether the task that limits concurrent drains is enabled.
     pub drain_slots: bool,
-    /// Servers that may report at once.
+    /// Maximum number of connections of servers.
     pub max_connections: usize,
 }
 
-/// How traces are collected.
+/// Configuration of trace collection.
 #[derive(Clone, Debug)]
 pub struct CollectionConfig {
-    /// The folder that holds a folder of trace files for each server.
+    /// Directory with one subdirectory of trace files for each server.
     pub traces_directory: PathBuf,
-    /// Where the trace store listens.
+    /// Address of the trace store.
     pub trace_store: SocketAddr,
-    /// How many parts the task has.
+    /// Number of parts of the task.
     pub parts: u32,
-    /// Seconds between two listings of the folders.
+    /// Seconds between scans of the directories.
     pub scan_interval: f64,
-    /// Seconds that a step may take at the most.
+    /// Maximum duration of a step, in seconds.
     pub max_step_duration: f64,
 }
--- a/crates/worker/src/connection.rs
+++ b/crates/worker/src/connection.rs
@@ -1,5 +1,5 @@
-//! The connection to a replica of the lease store: a task that connects, sends requests and reads responses. What happens on it comes to the worker as events,
-//! each with the number of the connection, so that a late event of an earlier connection is told from those of the present one.
+//! The connection to a replica of the lease store: a task that connects, sends requests and reads responses. It reports events
+//! with the number of the connection, so that the worker can ignore late events of an earlier connection.
 
 use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, MAX_LINE_BYTES};
 use puffinladder_transport::{connect, write_line, LineReader, TransportError};
@@ -9,55 +9,55 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Requests that wait for a replica that does not read: few, since the next request repeats all that this one says.
+/// Queued requests per connection; few, since each request supersedes the previous ones.
 const MAX_WAITING_REQUESTS: usize = 4;
-/// A replica that does not read a request for so long is given up.
+/// Time limit of writing a request.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happened on a connection.
+/// An event of a connection.
 #[derive(Debug)]
 pub enum ConnectionEvent {
-    /// It is open.
+    /// The connection was opened.
     Connected,
     /// The replica sent a response.
     Response(ReplicaReply),
-    /// It is over.
+    /// The connection failed or was closed.
     Closed(ConnectionError),
 }
 
-/// Why a connection is over.
+/// The reason why a connection ended.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// The replica can't be reached.
-    #[error("can't be reached: {0}")]
+    /// Connecting failed.
+    #[error("connecting failed: {0}")]
     Connect(#[from] std::io::Error),
-    /// The replica closed it.
-    #[error("closed the connection")]
+    /// The replica closed the connection.
+    #[error("closed by the replica")]
     ClosedByReplica,
     /// Reading or writing failed.
     #[error("{0}")]
     Transport(#[from] TransportError),
 }
 
-/// An event, and the connection that it happened on.
+/// An event with the number of its connection.
 #[derive(Debug)]
 pub struct NumberedEvent {
-    /// The connection's number.
+    /// Number of the connection.
     pub connection: u64,
-    /// What happened.
+    /// The event.
     pub event: ConnectionEvent,
 }
 
-/// A connection, or the attempt at one. It ends when this is dropped.
+/// Handle of a connection or a connection attempt, which is aborted when the handle is dropped.
 pub struct ReplicaConnection {
-    /// Each connection of a worker has a higher one.
+    /// Number of the connection; increases with each connection of a worker.
     pub number: u64,
     requests: mpsc::Sender<ReplicaRequest>,
     task: JoinHandle<()>,
 }
 
 impl ReplicaConnection {
-    /// Begins to connect; all that happens goes to `events`.
+    /// Spawns a task that connects to a replica and sends its events to `events`.
     pub fn open(number: u64, address: SocketAddr, events: mpsc::Sender<NumberedEvent>) -> ReplicaConnection {
         let (requests, queue) = mpsc::channel(MAX_WAITING_REQUESTS);
         let task = tokio::spawn(async move {
@@ -69,7 +69,7 @@
         ReplicaConnection { number, requests, task }
     }
 
-    /// Hands over a request to be sent at once, and returns whether it was taken: too many may be waiting.
+    /// Queues a request. Returns false if the queue is full or the connection has ended.
     pub fn send(&self, request: ReplicaRequest) -> bool {
         self.requests.try_send(request).is_ok()
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Carries requests and responses until the connection fails, or the worker is gone.
+/// Transfers requests and responses until the connection fails or the worker drops its handle.
 async fn run(
     number: u64,
     address: SocketAddr,
--- a/crates/worker/src/incarnation.rs
+++ b/crates/worker/src/incarnation.rs
@@ -1,35 +1,35 @@
-//! The number of a worker's incarnation: it rises with every start, whatever the wall clock says by then.
+//! The incarnation number of a worker, which increases with every start regardless of the wall clock.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The file that holds the number of the last incarnation.
+/// File with the number of the last incarnation.
 const INCARNATION_FILE: &str = "life";
-/// The next number is written here first, and moved over [`INCARNATION_FILE`] once it is durable.
+/// File that the next number is written to before it replaces [`INCARNATION_FILE`].
 const TEMPORARY_FILE: &str = "life.new";
-/// Numbers start from the wall clock, in us since 1970.
+/// Numbers are at least the wall-clock time in us since 1970.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Why a worker has no number to start under.
+/// The reason why no incarnation number is available.
 #[derive(Debug, Error)]
 pub enum IncarnationError {
-    /// The file is damaged. Without it the number comes from the wall clock, which is above the last one once the worker has been down for a while.
-    #[error("{0}: not a number; remove it if this worker has not run for ten minutes")]
+    /// The file is damaged. Without it the number is the wall-clock time, which exceeds the last number after some downtime.
+    #[error("{0}: not a number; remove the file if this worker has not run for ten minutes")]
     NotANumber(PathBuf),
-    /// The file can't be read or written.
+    /// The file could not be read or written.
     #[error("{path}: {source}")]
     Io {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// The number of the incarnation that starts now, durable before it is returned: above all earlier ones and, where they are lost, above what the wall clock
-/// gave them. `unix_time` is in seconds since 1970.
+/// Returns the number of a new incarnation once it is durable. It exceeds the last stored number and is at least `unix_time`,
+/// given in seconds since 1970, so that it also increases if the file was lost.
 pub fn next(directory: &Path, unix_time: f64) -> Result<u64, IncarnationError> {
     let path = directory.join(INCARNATION_FILE);
     let failed = |source| IncarnationError::Io { path: path.clone(), source };
--- a/crates/worker/src/lease_store_client.rs
+++ b/crates/worker/src/lease_store_client.rs
@@ -1,4 +1,4 @@
-//! The worker's side of the lease store: which replica it is connected to, when a request is due, and when another replica is tried.
+//! Client of the lease store: keeps a connection to one replica, sends renewals when due, and fails over to other replicas.
 
 use crate::connection::{ConnectionEvent, NumberedEvent, ReplicaConnection};
 use puffinladder_leases::holder::LeaseHolder;
@@ -10,24 +10,23 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// Seconds without a response to any request after which another replica is tried.
+/// Seconds without a response after which another replica is tried.
 const RESPONSE_TIMEOUT: f64 = 0.5;
 
 pub(crate) struct LeaseStoreClient {
-    /// For the log.
     holder_id: HolderId,
     selector: ReplicaSelector<SocketAddr>,
     connection: Option<ReplicaConnection>,
     connections_opened: u64,
-    /// When the first request was sent that has no response yet.
+    /// Time of the first request since the last response.
     unanswered_since: Option<f64>,
     events: mpsc::Sender<NumberedEvent>,
-    /// The lease store responds: logged when it changes.
+    /// Whether the lease store responds; changes are logged.
     reachable: bool,
 }
 
 impl LeaseStoreClient {
-    /// What happens on the connections goes to `events`, to be handed back to [`LeaseStoreClient::on_event`].
+    /// Creates a client. Its connections send events to `events`; the caller passes them to [`LeaseStoreClient::on_event`].
     pub fn new(
         holder_id: HolderId,
         replicas: BTreeMap<u64, SocketAddr>,
@@ -46,7 +45,7 @@
         }
     }
 
-    /// When there is something to be done here.
+    /// Returns the time at which [`LeaseStoreClient::send_request`] must be called next.
     pub fn due(&self, now: f64, holder: &LeaseHolder) -> f64 {
         if self.connection.is_some() {
             let timeout = self.unanswered_since.map_or(f64::MAX, |since| since + RESPONSE_TIMEOUT);
@@ -58,10 +57,10 @@
         }
     }
 
-    /// Sends the request that is due, and turns to another replica where this one is silent.
+    /// Sends a due request, and fails over to another replica if the current one does not respond.
     pub fn send_request(&mut self, now: f64, holder: &mut LeaseHolder) {
         if self.unanswered_since.is_some_and(|since| now - since >= RESPONSE_TIMEOUT) {
-            self.give_up_connection(now, "does not respond");
+            self.abandon_connection(now, "no response");
         }
         let Some(connection) = &self.connection else {
             self.open_connection(now);
@@ -74,11 +73,11 @@
         if connection.send(ReplicaRequest::Renew(request)) {
             self.unanswered_since.get_or_insert(now);
         } else {
-            self.give_up_connection(now, "does not read");
+            self.abandon_connection(now, "does not accept requests");
         }
     }
 
-    /// Takes in what happened on a connection; a response about leases is returned.
+    /// Handles an event of a connection. Returns a response about leases, if the event is one.
     pub fn on_event(
         &mut self,
         now: f64,
@@ -86,12 +85,12 @@
         holder: &mut LeaseHolder,
     ) -> Option<LeaseResponse> {
         if self.connection.as_ref().is_none_or(|connection| connection.number != number) {
-            return None; // of a connection that was given up
+            return None; // Event of an abandoned connection.
         }
         match event {
             ConnectionEvent::Connected => {
                 self.selector.mark_connected();
-                // A replica that is new to it has heard nothing yet: the next request is due at once.
+                // A new connection has sent nothing yet, so a renewal is due.
                 holder.renew_now();
             }
             ConnectionEvent::Response(ReplicaReply::Lease(response)) => {
@@ -106,9 +105,9 @@
                 self.selector.follow_redirect(now, leader.map(|number| (number, address)));
             }
             ConnectionEvent::Response(other) => {
-                self.give_up_connection(now, &format!("responds {other:?}"));
+                self.abandon_connection(now, &format!("unexpected response {other:?}"));
             }
-            ConnectionEvent::Closed(error) => self.give_up_connection(now, &error.to_string()),
+            ConnectionEvent::Closed(error) => self.abandon_connection(now, &error.to_string()),
         }
         None
     }
@@ -119,7 +118,7 @@
         self.connections_opened += 1;
         let events = self.events.clone();
         self.connection = Some(ReplicaConnection::open(self.connections_opened, address, events));
-        // Connecting has a bound of its own.
+        // Connecting has its own timeout.
         self.unanswered_since = None;
     }
 
@@ -128,14 +127,14 @@
         self.unanswered_since = None;
     }
 
-    fn give_up_connection(&mut self, now: f64, reason: &str) {
-        tracing::debug!("{}: the lease-store replica {reason}", self.holder_id);
+    fn abandon_connection(&mut self, now: f64, reason: &str) {
+        tracing::debug!("{}: abandoned the connection to the lease-store replica: {reason}", self.holder_id);
         self.close_connection();
         self.selector.mark_failed(now);
         self.set_reachable(false);
     }
 
-    /// Logs a change once, not with every attempt.
+    /// Records whether the lease store responds, and logs changes.
     fn set_reachable(&mut self, reachable: bool) {
         if reachable == self.reachable {
             return;
@@ -143,7 +142,7 @@
         self.reachable = reachable;
         let change = match reachable {
             true => "the lease store responds again",
-            false => "no lease-store replica responds, goes on while its term lasts",
+            false => "no lease-store replica responds; tasks continue until their leases expire",
         };
         tracing::info!("{}: {change}", self.holder_id);
     }
--- a/crates/worker/src/lib.rs
+++ b/crates/worker/src/lib.rs
@@ -1,7 +1,9 @@
-//! Workers: processes that run tasks of the fleet for as long as the lease store grants them (`docs/leases.md`). [`service`] is the process: it renews its
-//! leases over a [`connection`] to a replica of the lease store, looks at their terms before every step, and stands down when one is over. For the task
-//! `gather`, [`collection`] decides which block of which trace file comes next, and [`transfer`] reads it and sends it to the trace store. For the tasks that
-//! answer servers' reports, a step is one round of answers. [`incarnation`] numbers the starts of a worker, and [`config`] is what it is told at its start.
+//! Workers: processes that run tasks of the fleet while they hold leases for them (`docs/leases.md`).
+//!
+//! [`service`] starts a worker. It renews its leases over a [`connection`] to a replica of the lease store, checks their terms
+//! before every step, and stops a task when its lease expires. For the task `gather`, [`collection`] selects the next block of a
+//! trace file, and [`transfer`] reads it and sends it to the trace store. For the tasks that reply to servers' reports, a step
+//! is one round of replies. [`incarnation`] numbers the starts of a worker, and [`config`] holds its configuration.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/worker/src/report_planner.rs
+++ b/crates/worker/src/report_planner.rs
@@ -1,4 +1,4 @@
-//! The tasks that answer servers' reports: who reported last over which connection, and rounds of answers to them.
+//! Tasks that reply to servers' reports: the connection of each reporting server, and periodic rounds of replies.
 
 use crate::config::ReportingConfig;
 use puffinladder_leases::coordination::{
@@ -12,32 +12,32 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{self, error::TrySendError};
 
-/// Seconds between two rounds of answers.
+/// Seconds between rounds of replies.
 const ROUND_INTERVAL: f64 = 0.1;
-/// Answers that wait for one server that does not read: it reports again and gets newer ones.
+/// Queued replies per connection; further ones are dropped, since the next round replaces them.
 const MAX_WAITING_REPLIES: usize = 8;
 /// Longest report, in bytes.
 const MAX_REPORT_BYTES: usize = 4 << 20;
-/// A server that reports nothing for so long is disconnected.
+/// Time without a report after which a server is disconnected.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A server that does not read an answer for so long is disconnected.
+/// Time limit of writing a reply, after which a server is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A server's report, and the way back to it.
+/// A server's report, and the queue of replies on its connection.
 pub(crate) struct ReceivedReport {
     pub report: ServerReport,
     pub reply_to: mpsc::Sender<CoordinatorReply>,
 }
 
-/// A report that is not used. Its server's name may be of any length, and is cut.
+/// A rejected report. Its server's name is of any length and is truncated in the message.
 #[derive(Debug, Error)]
-#[error("a report of {server:.64} is rejected: {reason}")]
+#[error("rejected report from server {server:.64}: {reason}")]
 pub(crate) struct RejectedReport {
     server: String,
     reason: ReportError,
 }
 
-/// One server's connection: reports come in, answers go out as they are made.
+/// Serves one server's connection: forwards its reports to `reports` and writes the replies.
 pub(crate) async fn handle_connection(
     stream: TcpStream,
     reports: mpsc::Sender<ReceivedReport>,
@@ -63,9 +63,9 @@
 
 pub(crate) struct ReportPlanner {
     coordinator: QuotaCoordinator,
-    /// Over which connection each server reported last.
+    /// Reply queue of each server's latest report.
     servers: BTreeMap<String, mpsc::Sender<CoordinatorReply>>,
-    /// When the next round is due, in seconds by the worker's clock.
+    /// Time of the next round, in seconds by the worker's clock.
     next_round: f64,
 }
 
@@ -75,13 +75,13 @@
         ReportPlanner { coordinator, servers: BTreeMap::new(), next_round: 0.0 }
     }
 
-    /// The names of the tasks that the worker may hold.
+    /// Returns the names of the enabled tasks.
     pub fn wanted_tasks(config: &ReportingConfig) -> impl Iterator<Item = &'static str> {
         let quota = config.quota.then_some(QUOTA_TASK);
         quota.into_iter().chain(config.drain_slots.then_some(DRAIN_TASK))
     }
 
-    /// Whether reports are answered for a task.
+    /// Returns whether a task replies to reports.
     pub fn handles(task: &Task) -> bool {
         [QUOTA_TASK, DRAIN_TASK].contains(&task.name.as_str())
     }
@@ -102,7 +102,7 @@
         self.coordinator.end_lease(task, epoch);
     }
 
-    /// Takes a report in.
+    /// Passes a report to the coordinator and remembers its connection.
     pub fn receive(&mut self, now: f64, received: ReceivedReport) -> Result<(), RejectedReport> {
         let ReceivedReport { report, reply_to } = received;
         match self.coordinator.handle_report(now, &report) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// One round of answers for a part of a task. Returns whether there were any.
+    /// Sends one round of replies for a part of a task. Returns whether there were any.
     pub fn send_replies(&mut self, now: f64, task: &Task) -> bool {
         let replies = self.coordinator.plan_replies(now, task);
         let progress = !replies.is_empty();
--- a/crates/worker/src/service.rs
+++ b/crates/worker/src/service.rs
@@ -1,4 +1,4 @@
-//! A worker as a process: a listener for servers' reports, where it answers any, and a main task.
+//! Starts and stops a worker: its main task and, if enabled, its listener for servers' reports.
 
 use crate::config::WorkerConfig;
 use crate::report_planner::handle_connection;
@@ -9,36 +9,36 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Reports that wait for the main task; past them connections are read no further.
+/// Queued reports; connections are not read while the queue is full.
 const MAX_WAITING_REPORTS: usize = 4096;
 
-/// A worker that runs.
+/// Handle of a running worker.
 pub struct RunningWorker {
-    /// Where servers report, if anywhere.
+    /// Address that servers report to, if any.
     pub report_address: Option<SocketAddr>,
     stop: watch::Sender<bool>,
     main_task: JoinHandle<()>,
 }
 
 impl RunningWorker {
-    /// Hands all tasks over, then ends.
+    /// Releases all tasks and waits until the worker ends.
     pub async fn stop(self) {
         let _ = self.stop.send(true);
         let _ = self.main_task.await;
     }
 
-    /// Waits until it ends by itself, which only a later incarnation of it makes it do.
+    /// Waits until the main task ends, which it does only when a later incarnation supersedes it, unless the worker is stopped.
     pub async fn wait(&mut self) {
         let _ = (&mut self.main_task).await;
     }
 
-    /// Ends it at once: nothing is handed over.
+    /// Aborts the worker without releasing its tasks.
     pub fn kill(self) {
         self.main_task.abort();
     }
 }
 
-/// Starts a worker. Where it answers reports it listens when this returns.
+/// Starts a worker. Its listener for reports, if enabled, is bound when this function returns.
 pub async fn start(config: WorkerConfig) -> io::Result<RunningWorker> {
     let (stop, stopped) = watch::channel(false);
     let (reports, received) = mpsc::channel(MAX_WAITING_REPORTS);
--- a/crates/worker/src/store_connection.rs
+++ b/crates/worker/src/store_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the trace store: one request at a time.
+//! The connection to the trace store, with one request at a time.
 
 use crate::transfer_error::TransferError;
 use puffinladder_trace_store::protocol::{Request, Response};
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Longest response, in bytes: the progress of a million files.
+/// Longest response, in bytes: sufficient for the progress of a million files.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// A trace store that does not read a request for so long is given up. Steps have a shorter bound of their own as a rule.
+/// Time limit of writing a request. Steps usually have a shorter one.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(crate) struct StoreConnection {
@@ -24,7 +24,7 @@
         Ok(StoreConnection { lines: LineReader::new(reader, MAX_RESPONSE_BYTES), writer })
     }
 
-    /// Sends a request and waits for its response, without a bound on the time.
+    /// Sends a request and waits for its response without a timeout.
     pub async fn request(&mut self, request: &Request) -> Result<Response, TransferError> {
         write_line(&mut self.writer, request, WRITE_TIMEOUT).await?;
         self.lines.read().await?.ok_or(TransferError::ClosedByStore)
--- a/crates/worker/src/trace_files.rs
+++ b/crates/worker/src/trace_files.rs
@@ -1,4 +1,4 @@
-//! The trace files in the servers' folders: which there are, and the blocks that they hold.
+//! Lists the trace files of servers and reads their blocks.
 
 use crate::collection::{mark_finished, part_for_server, ListedFile, TraceFile};
 use crate::transfer_error::TransferError;
@@ -10,50 +10,50 @@
 use std::io::BufReader;
 use std::path::Path;
 
-/// The ending of a trace file's name.
+/// Extension of trace files.
 const EXTENSION: &str = ".trace";
-/// Longest block that is collected, in bytes: it fits into a request as base64, with space for the rest of the request.
+/// Longest block that is collected, in bytes, so that its base64 form fits into a request.
 const MAX_BLOCK_BYTES: usize = MAX_LINE_BYTES / 2;
 
-/// A trace file that is being read.
+/// An open trace file.
 pub(crate) struct OpenFile {
     pub id: FileId,
     trace: Trace<BufReader<File>>,
 }
 
-/// A block that was read. Its bytes are empty where it can't be read, or is too long: the rest of the file goes on.
+/// A block of a file. Its bytes are empty if it is unreadable or too long, so that the rest of the file is still collected.
 pub(crate) struct ReadBlock {
-    /// Its file, to be handed in for the next block.
+    /// Its file, reused for the next block.
     pub file: OpenFile,
     pub bytes: Vec<u8>,
-    /// Whether it is the file's last.
+    /// Whether it is the last block of the file.
     pub last: bool,
 }
 
-/// The trace files of all servers that belong to a part. A server's directory that can't be read counts as one without files.
+/// Lists the trace files of all servers that belong to a part. Unreadable directories of servers are skipped.
 pub(crate) fn list_trace_files(
     traces: &Path,
     parts: u32,
     part: u32,
 ) -> Result<Vec<TraceFile>, TransferError> {
     let failed = |source| TransferError::List { path: traces.into(), source };
-    let mut all = Vec::new();
+    let mut trace_files = Vec::new();
     for directory in fs::read_dir(traces).map_err(failed)?.filter_map(Result::ok) {
         let Some(server) = directory.file_name().to_str().map(String::from) else { continue };
         if part_for_server(&server, parts) != part || !is_valid_name(&server) {
             continue;
         }
         let Some(mut files) = list_server(&directory.path()) else { continue };
-        // Only of the newest it matters whether it is sealed.
+        // Older files are finished even if they are not sealed.
         if let Some(newest) = files.iter_mut().max() {
             newest.sealed = is_sealed(&directory.path().join(&newest.name));
         }
-        all.extend(mark_finished(&server, files));
+        trace_files.extend(mark_finished(&server, files));
     }
-    Ok(all)
+    Ok(trace_files)
 }
 
-/// One server's trace files, none of them known to be sealed.
+/// Lists one server's trace files, without checking whether they are sealed.
 fn list_server(directory: &Path) -> Option<Vec<ListedFile>> {
     let mut files = Vec::new();
     for file in fs::read_dir(directory).ok()?.filter_map(Result::ok) {
@@ -70,7 +70,7 @@
     file.is_ok_and(|file| Trace::open(file).is_ok_and(|trace| trace.sealed))
 }
 
-/// Reads the block at a position of a file, which is opened unless it is open already. A file without any block has one without bytes.
+/// Reads the block at a position of a file, which is opened if `open` is `None`. A file without blocks yields one empty block.
 pub(crate) fn read_block(
     open: Option<OpenFile>,
     id: FileId,
@@ -90,18 +90,22 @@
     let bytes = match packed_block(&mut trace, &entry) {
         Ok(block) if block.bytes.len() < MAX_BLOCK_BYTES => block.bytes,
         Ok(_) => {
-            tracing::warn!("{}/{}: block {position} is too long to be collected", id.server, id.name);
+            tracing::warn!(
+                "{}/{}: skipped block {position} longer than {MAX_BLOCK_BYTES} bytes",
+                id.server,
+                id.name
+            );
             Vec::new()
         }
         Err(error) => {
-            tracing::warn!("{}/{}: block {position}: {error}", id.server, id.name);
+            tracing::warn!("{}/{}: skipped unreadable block {position}: {error}", id.server, id.name);
             Vec::new()
         }
     };
     Ok(ReadBlock { file: OpenFile { id, trace }, bytes, last: position + 1 >= count })
 }
 
-/// A block as it stands in its file. Files of the first version have no blocks: they are made here.
+/// Returns a block in its packed form. Files of version 1 have no packed blocks, so their rows are packed here.
 fn packed_block(trace: &mut Trace<BufReader<File>>, entry: &Entry) -> Result<Packed, Fault> {
     if trace.major != puffinladder_trace::v1::MAJOR {
         return trace.raw(entry);
--- a/crates/worker/src/transfer.rs
+++ b/crates/worker/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Steps of collecting traces: each reads blocks and sends them to the trace store until its time is over.
+//! Steps of trace collection: each reads blocks and sends them to the trace store until its deadline.
 
 use crate::collection::CollectionPlan;
 use crate::config::CollectionConfig;
@@ -12,49 +12,49 @@
 use puffinladder_transport::Clock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// How much of the longest time of a block remains after each block, as a share: the disk of the trace store is slow now and then.
+/// Factor by which the expected time of a block decays with each faster block, so that occasional slow writes are remembered.
 const BLOCK_TIME_DECAY: f64 = 0.9;
-/// A block is begun only while so many times its expected time is left of the step.
+/// A block is started only if this multiple of its expected time remains in the step.
 const BLOCK_TIME_MARGIN: f64 = 2.0;
 
-/// How a step ended.
+/// The outcome of a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StepOutcome {
-    /// The trace store has stored a block.
+    /// Whether the trace store has stored a block.
     pub progress: bool,
-    /// There may be more to do.
+    /// Whether there may be more blocks.
     pub has_more: bool,
-    /// The trace store's fence has seen a later epoch.
+    /// Whether the trace store rejected the epoch as superseded.
     pub fenced: bool,
 }
 
-/// Whether a step may go on after a request to the trace store.
+/// Whether a step continues after a request to the trace store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flow {
     Continue,
     Stop,
 }
 
-/// What the holder of one part of the task knows from step to step.
+/// State of one held part that persists between steps.
 pub struct Transfer {
     config: CollectionConfig,
     task: Task,
     epoch: Epoch,
     plan: CollectionPlan,
     connection: Option<StoreConnection>,
-    /// The number of the last effect that the trace store is known to have.
+    /// Number of the last effect that the trace store has confirmed.
     last_effect: u64,
-    /// When the folders were listed last, by the step's clock.
+    /// Time of the last scan, by the step's clock.
     listed_at: f64,
-    /// Seconds that a block is expected to take.
+    /// Expected time of a block, in seconds.
     block_time: f64,
     open_file: Option<OpenFile>,
-    /// The last step failed: logged once, not with every attempt.
+    /// Whether the last step failed; only changes are logged.
     failing: bool,
 }
 
 impl Transfer {
-    /// For the holder of a part of the task under an epoch.
+    /// Creates the state of a part held under an epoch.
     pub fn new(config: CollectionConfig, task: Task, epoch: Epoch) -> Transfer {
         Transfer {
             config,
@@ -70,29 +70,30 @@
         }
     }
 
-    /// Seconds until there may be something to do, where a step has found nothing.
+    /// Returns the delay, in seconds, after a step without work.
     pub fn idle_interval(&self) -> f64 {
         self.config.scan_interval
     }
 
-    /// Works until `until` by this clock, until there is nothing to do, or until `stop_early` is set: then the block in transfer is the last.
+    /// Transfers blocks until `until` by this clock, until there are none, or until `stop_early` is set, which lets the current
+    /// block finish.
     pub async fn step(&mut self, clock: &Clock, until: f64, stop_early: &AtomicBool) -> StepOutcome {
         let mut outcome = StepOutcome { has_more: true, ..StepOutcome::default() };
         let until = until.min(clock.now() + self.config.max_step_duration);
         let timeout = clock.sleep_duration((until - clock.now()).max(0.0));
         let work = self.transfer_blocks(clock, until, stop_early, &mut outcome);
         let result = tokio::time::timeout(timeout, work).await;
-        // After a timeout it is not known whether the block in transfer was stored: the next step asks.
+        // After a timeout the current block may have been stored: the next step announces its epoch again to find out.
         match result.unwrap_or(Err(TransferError::TimedOut)) {
             Ok(()) => {
                 if std::mem::take(&mut self.failing) {
-                    tracing::info!("{}: goes on", self.task);
+                    tracing::info!("{}: collection resumed", self.task);
                 }
             }
             Err(error) => {
                 self.connection = None;
                 if !std::mem::replace(&mut self.failing, true) {
-                    tracing::warn!("{}: {error}; retried", self.task);
+                    tracing::warn!("{}: collection step failed, will be retried: {error}", self.task);
                 }
             }
         }
@@ -111,7 +112,7 @@
                 return Ok(());
             }
             let started = clock.now();
-            // No block is begun whose response would come after the step, unless the step would do nothing at all.
+            // A block that would probably exceed the step is not started, unless it is the first one.
             let expected = started + BLOCK_TIME_MARGIN * self.block_time;
             if started >= until || (outcome.progress && expected >= until) {
                 return Ok(());
@@ -125,8 +126,8 @@
             };
             let Some((id, block)) = self.read_block(started, file, position).await? else { continue };
             let flow = self.put_block(id, &block, outcome).await?;
-            let took = clock.now() - started;
-            self.block_time = (BLOCK_TIME_DECAY * self.block_time).max(took);
+            let elapsed = clock.now() - started;
+            self.block_time = (BLOCK_TIME_DECAY * self.block_time).max(elapsed);
             if flow == Flow::Stop {
                 return Ok(());
             }
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Opens a connection, shows the epoch and learns where to go on.
+    /// Opens a connection and announces the epoch. The response contains the progress to resume from.
     async fn announce(&mut self, outcome: &mut StepOutcome) -> Result<Flow, TransferError> {
         let mut connection = StoreConnection::open(self.config.trace_store).await?;
         let (task, epoch, parts) = (self.task.clone(), self.epoch, self.config.parts);
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    /// Reads a block; none where its file can't be read, which is then retried later.
+    /// Reads a block. Returns `None` if its file is unreadable, and schedules a retry.
     async fn read_block(
         &mut self,
         now: f64,
@@ -181,14 +182,14 @@
             Err(error) => {
                 if self.plan.back_off(now, &file) {
                     let (task, FileId { server, name }) = (&self.task, file);
-                    tracing::warn!("{task}: {server}/{name}: {error}; retried later");
+                    tracing::warn!("{task}: can't read {server}/{name}, will be retried: {error}");
                 }
                 Ok(None)
             }
         }
     }
 
-    /// Sends a block and notes what became of it.
+    /// Sends a block and records its outcome.
     async fn put_block(
         &mut self,
         id: BlockId,
@@ -219,7 +220,7 @@
                 self.plan.record_progress(&id.file, progress);
                 Ok(Flow::Continue)
             }
-            // The trace store knows more of this epoch than this worker does, or less: a new announcement tells.
+            // The effect number is out of step with the trace store: announcing the epoch again resynchronizes it.
             Response::Put(PutOutcome::Fence(_)) => {
                 self.connection = None;
                 Ok(Flow::Continue)
--- a/crates/worker/src/transfer_error.rs
+++ b/crates/worker/src/transfer_error.rs
@@ -1,4 +1,4 @@
-//! Why a transfer of traces ended before its time.
+//! Errors of transferring traces.
 
 use puffinladder_trace_store::protocol::Response;
 use puffinladder_transport::TransportError;
@@ -8,44 +8,44 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why a step ended before its time.
+/// An error that ends a transfer step.
 #[derive(Debug, Error)]
 pub enum TransferError {
-    /// The trace store can't be reached.
-    #[error("the trace store at {address}: {source}")]
+    /// Connecting to the trace store failed.
+    #[error("can't connect to the trace store at {address}: {source}")]
     Connect {
-        /// Where it should listen.
+        /// Address of the trace store.
         address: SocketAddr,
-        /// What failed.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The connection to the trace store failed.
-    #[error("the trace store: {0}")]
+    #[error("connection to the trace store failed: {0}")]
     Transport(#[from] TransportError),
     /// The trace store closed the connection.
     #[error("the trace store closed the connection")]
     ClosedByStore,
-    /// No connection to the trace store is open.
+    /// There is no open connection to the trace store.
     #[error("not connected to the trace store")]
     NotConnected,
     /// The trace store did not respond within the step.
-    #[error("the trace store does not respond within the step")]
+    #[error("the trace store did not respond within the step")]
     TimedOut,
-    /// The trace store has no capacity left.
+    /// The trace store has reached its capacity.
     #[error("the trace store is full")]
     StoreFull,
-    /// The response does not fit the request.
-    #[error("the trace store responds {0:?}")]
+    /// The response does not match the request.
+    #[error("unexpected response from the trace store: {0:?}")]
     UnexpectedResponse(Response),
-    /// The servers' folders can't be listed.
-    #[error("{path}: {source}")]
+    /// The servers' directories could not be listed.
+    #[error("can't list {path}: {source}")]
     List {
-        /// The folder that holds them.
+        /// The directory that contains them.
         path: PathBuf,
-        /// What failed.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A task that reads files panicked.
-    #[error("{0}")]
+    #[error("reading trace files failed: {0}")]
     ReaderPanicked(#[from] JoinError),
 }
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -1,5 +1,5 @@
-//! A worker's main task. It owns the lease holder; steps run beside it and come back with what they got done. The clock is looked at before every step and
-//! whenever anything happens.
+//! The main task of a worker. It owns the lease holder, and checks lease terms before each step and after each event. Steps of
+//! trace collection run in tasks of their own.
 
 use crate::collection;
 use crate::collection_tasks::{CollectionTasks, FinishedStep};
@@ -14,18 +14,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The term of a lease until the lease store tells it, in seconds.
+/// Lease term in seconds, until the lease store's first response.
 const ASSUMED_TERM: f64 = 2.0;
-/// Longest time between two looks at the clock, in seconds.
+/// Longest wait between checks of the clock, in seconds.
 const MAX_WAIT: f64 = 0.25;
-/// Shortest sleep, in seconds, so that what is overdue does not keep the main task from its other events.
+/// Shortest wait, in seconds, so that overdue work does not starve other events.
 const MIN_WAIT: f64 = 0.001;
-/// Seconds that a draining worker waits until all is handed over.
+/// Seconds that a draining worker waits for its leases to be released.
 const DRAIN_TIMEOUT: f64 = 5.0;
-/// Events of connections, and ended steps, that wait for the main task.
+/// Capacity of the queues of connection events and finished steps.
 const MAX_WAITING_EVENTS: usize = 256;
 
-/// What the main task waits for, beside reports and the order to stop.
+/// Queues of connection events and finished steps.
 struct EventReceivers {
     connection_events: mpsc::Receiver<NumberedEvent>,
     finished_steps: mpsc::Receiver<FinishedStep>,
@@ -38,7 +38,7 @@
     lease_store: LeaseStoreClient,
     collection_tasks: CollectionTasks,
     report_planner: Option<ReportPlanner>,
-    /// When a draining worker ends though not all is handed over.
+    /// Time at which a draining worker ends even if it still holds leases.
     drain_deadline: Option<f64>,
 }
 
@@ -62,7 +62,7 @@
         (worker, EventReceivers { connection_events, finished_steps })
     }
 
-    /// Runs until it is stopped and has handed its tasks over, or a later incarnation of it has spoken.
+    /// Runs until the worker is stopped and has released its tasks, or is superseded by a later incarnation.
     pub async fn run(
         config: WorkerConfig,
         mut reports: mpsc::Receiver<ReceivedReport>,
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Begins to hand everything over.
+    /// Starts to release all leases.
     fn drain(&mut self, now: f64) {
-        tracing::info!("{}: draining, hands over", self.holder.id());
+        tracing::info!("{}: draining, releases its leases", self.holder.id());
         self.drain_deadline = Some(now + DRAIN_TIMEOUT);
         self.holder.start_draining();
         let held = self.holder.leases();
@@ -103,7 +103,7 @@
         self.apply_actions(now, actions);
     }
 
-    /// Whether nothing is held any more and the lease store knows, or this incarnation is over.
+    /// Returns whether the worker is drained and the lease store knows it, or this incarnation is superseded.
     fn is_finished(&self) -> bool {
         if self.holder.rejection() == Some(Rejection::Superseded) {
             return true;
@@ -113,7 +113,7 @@
         self.drain_deadline.is_some() && holds_nothing && is_idle && !self.holder.has_pending_releases()
     }
 
-    /// How long nothing is due.
+    /// Returns the duration until the next action is due.
     fn time_until_due(&self, now: f64) -> Duration {
         let mut due = (now + MAX_WAIT).min(self.lease_store.due(now, &self.holder));
         if let Some(planner) = &self.report_planner {
@@ -134,12 +134,12 @@
     fn on_lease_response(&mut self, now: f64, response: &LeaseResponse) {
         let actions = self.holder.handle_response(now, response);
         if let Some(rejection) = response.rejection {
-            tracing::warn!("{}: the lease store rejects it: {rejection:?}", self.holder.id());
+            tracing::warn!("{}: rejected by the lease store: {rejection:?}", self.holder.id());
         }
         self.apply_actions(now, actions);
     }
 
-    /// Does what the lease holder asks for.
+    /// Performs the actions that the lease holder requests.
     fn apply_actions(&mut self, now: f64, actions: Vec<HolderAction>) {
         for action in actions {
             match action {
@@ -152,7 +152,7 @@
 
     fn start_task(&mut self, now: f64, task: Task, epoch: Epoch) {
         let holder = self.holder.id().clone();
-        tracing::info!("{holder}: begins with {task}, epoch {epoch}");
+        tracing::info!("{holder}: started {task}, epoch {epoch}");
         self.config.events.emit(&Event::LeaseStarted { holder, task: task.clone(), epoch });
         if let Some(planner) = &mut self.report_planner {
             planner.start_lease(now, &task, epoch);
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Hands a task over once no step of it runs.
+    /// Releases a task, or tells its running step to end first.
     fn release_task(&mut self, now: f64, task: &Task, epoch: Epoch) {
         if self.collection_tasks.stop_early(task) {
             let action = self.holder.release(task, epoch);
@@ -174,7 +174,7 @@
     fn stop_task(&mut self, task: Task, epoch: Epoch, reason: EndReason) {
         let holder = self.holder.id().clone();
         let reason = reason_text(reason);
-        tracing::info!("{holder}: stands down from {task}, epoch {epoch}: {reason}");
+        tracing::info!("{holder}: stopped {task}, epoch {epoch}: {reason}");
         self.config.events.emit(&Event::LeaseEnded {
             holder,
             task: task.clone(),
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Answers servers' reports: a step for each part of those tasks that is held. The clock is looked at before each, since an answer after the term would
-    /// be too much.
+    /// Replies to servers' reports, with one step for each held part. The clock is read again before each step, since no reply
+    /// may be sent after the lease term.
     fn send_report_replies(&mut self, now: f64) {
         let Some(planner) = self.report_planner.as_mut().filter(|planner| now >= planner.next_round()) else {
             return;
@@ -228,7 +228,7 @@
     }
 }
 
-/// As events give it to whoever reads them.
+/// Returns the text of a reason in [`Event::LeaseEnded`]; tools that read events match it.
 fn reason_text(reason: EndReason) -> &'static str {
     match reason {
         EndReason::TermExpired => "its term is over",
--- a/crates/worker/tests/golden.rs
+++ b/crates/worker/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The forms that outlive a worker: the file of its incarnation, as version 1 wrote it. The literals below never change with the code.
+//! Checks compatibility with the stored incarnation file of version 1. The literals must not change.
 
 use puffinladder_worker::incarnation;
 use std::fs;
