--- a/crates/trace-store/src/export.rs
+++ b/crates/trace-store/src/export.rs
@@ -1,4 +1,4 @@
-//! Writes what was collected as one trace, in the order of time.
+//! Export of all stored files as one trace, ordered by time.
 
 use crate::protocol::FileId;
 use crate::store::{Store, StoreError};
@@ -11,43 +11,43 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The server that the merged trace names as its own.
+/// Server name in the metadata of the merged trace.
 const MERGED_SERVER: &str = "merged";
 
-/// Why nothing was exported.
+/// An error that aborts an export.
 #[derive(Debug, Error)]
 pub enum ExportError {
-    /// The store can't be read.
+    /// Reading the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// A stored block is damaged.
-    #[error("{}/{}: {reason}", .file.server, .file.name)]
+    #[error("damaged block of {}/{}: {reason}", .file.server, .file.name)]
     DamagedBlock {
-        /// The block's file.
+        /// File of the block.
         file: FileId,
-        /// What is wrong with the block.
+        /// The defect of the block.
         reason: &'static str,
     },
-    /// The exported trace, or one of the traces that it is merged of, can't be written.
-    #[error("{path}: {source}")]
+    /// The exported trace, or a temporary trace beside it, could not be written.
+    #[error("can't write {path}: {source}")]
     Write {
-        /// Where the exported trace is to be.
+        /// Destination of the exported trace.
         path: PathBuf,
-        /// What failed.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The traces that were written can't be merged.
-    #[error("{path}: {source}")]
+    /// The temporary traces could not be merged.
+    #[error("can't merge traces into {path}: {source}")]
     Merge {
-        /// Where the exported trace is to be.
+        /// Destination of the exported trace.
         path: PathBuf,
-        /// What failed.
+        /// Error of reading or merging.
         source: puffinladder_trace::Fault,
     },
 }
 
-/// Merges all stored files into one trace at `destination`, which appears there once it is complete. `made` is the time that the trace names, in us since 1970;
-/// `progress` is told how many rows of how many are written.
+/// Merges all stored files into one trace, which is moved to `destination` once it is complete. `made` is the creation time in
+/// the trace's metadata, in us since 1970; `progress` is called with the written and the total number of rows.
 pub fn export(
     store: &Store,
     destination: &Path,
@@ -56,7 +56,7 @@
 ) -> Result<Met, ExportError> {
     let write_error = |source| ExportError::Write { path: destination.into(), source };
     let merge_error = |source| ExportError::Merge { path: destination.into(), source };
-    // Beside the trace itself, so that there is space for both or for none.
+    // Temporary files are on the file system of the destination, so that the final rename is atomic.
     let directory =
         destination.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let parts = tempfile::tempdir_in(directory).map_err(write_error)?;
@@ -67,7 +67,7 @@
         let reader = BufReader::new(File::open(&path).map_err(write_error)?);
         traces.push((Trace::open(reader).map_err(merge_error)?, 0));
     }
-    let temporary = parts.path().join("whole");
+    let temporary = parts.path().join("merged");
     let out = BufWriter::new(File::create(&temporary).map_err(write_error)?);
     let meta = Meta { node: MERGED_SERVER.into(), made };
     let mut writer = Writer::new(out, &meta).map_err(write_error)?;
@@ -77,7 +77,7 @@
     Ok(merged)
 }
 
-/// Writes the stored blocks of one file as a trace at `path`. Errors name the exported trace.
+/// Writes the stored blocks of one file as a trace at `path`. Errors contain `destination`.
 fn write_stored_file(
     store: &Store,
     file: &FileId,
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -1,50 +1,50 @@
-//! What the trace store knows of tasks and files, and its decisions on announcements and blocks, without I/O. A decision takes effect here only when
-//! [`TraceIndex::apply`] is called with what was written for it, so that nothing is acknowledged that a crash would undo.
+//! In-memory index of tasks and files, which decides on announcements and blocks without I/O. A decision takes effect only when
+//! [`TraceIndex::apply`] is called with its update, so that the index does not get ahead of pending writes.
 
 use crate::protocol::{BlockId, FileId, FileProgress, PutOutcome};
 use puffinladder_leases::fence::{Fence, FenceRecord, Verdict};
 use puffinladder_leases::{Epoch, Task};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Files that the index knows at the most, a bound on its memory.
+/// Maximum number of files in the index, which bounds its memory.
 pub const MAX_FILES: usize = 1_000_000;
-/// Longest name of a server, file or task, in bytes.
+/// Maximum length of the name of a server, file or task, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Parts of tasks that the fence knows at the most, a bound on its memory.
+/// Maximum number of task parts in the fence, which bounds its memory.
 const MAX_TASK_PARTS: usize = 100_000;
 
-/// What is to be written in one transaction.
+/// Changes that are written in one transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexUpdate {
-    /// The part of the task whose lease holder asked for it.
+    /// Task part of the lease holder that made the request.
     pub task: Task,
-    /// The fence's state of that part after the write.
+    /// Fence state of that part after the write.
     pub fence: FenceRecord,
-    /// The block that is stored, unless the write is for an announcement.
+    /// The stored block; `None` for an announcement.
     pub block: Option<StoredBlock>,
-    /// Files whose blocks are removed to free capacity; what is known of them stays.
+    /// Files whose blocks are removed to free capacity. Their progress is kept.
     pub evicted: Vec<FileId>,
-    /// A file that is removed with all that is known of it, since no more files may be known: the one that was completed first.
+    /// File that is removed with its progress because the index is full: the one that was completed first.
     pub dropped: Option<FileId>,
 }
 
-/// A block that is to be stored.
+/// A block to be stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredBlock {
-    /// Its file.
+    /// File of the block.
     pub file: FileId,
-    /// How many blocks of the file come before it.
+    /// Index of the block in the file, from 0.
     pub position: u64,
-    /// How much of the file is stored with it.
+    /// Progress of the file including this block.
     pub progress: FileProgress,
 }
 
-/// The outcome of a request, and what is to be written before it is answered.
+/// The outcome of a request, and the changes to be written before its response is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision<T> {
-    /// What to answer.
+    /// Outcome for the response.
     pub outcome: T,
-    /// What to write, unless the request changes nothing.
+    /// Changes to be written, if any.
     pub update: Option<IndexUpdate>,
 }
 
@@ -54,27 +54,27 @@
     }
 }
 
-/// A file as it is found on disk.
+/// A file as read from disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexedFile {
-    /// Which file it is.
+    /// Identity of the file.
     pub id: FileId,
-    /// How much of it was stored.
+    /// How much of the file was stored.
     pub progress: FileProgress,
-    /// Bytes of its blocks that are stored now: 0 once it was evicted.
+    /// Bytes of its stored blocks; 0 after eviction.
     pub bytes: u64,
 }
 
-/// Which epoch has been seen of each task, and how much of each file is stored.
+/// Latest epoch of each task part, and stored progress of each file.
 #[derive(Clone, Debug, Default)]
 pub struct TraceIndex {
     fence: Fence,
     progress: BTreeMap<FileId, FileProgress>,
-    /// Bytes of a file's blocks that are stored now.
+    /// Bytes of each file's stored blocks.
     sizes: BTreeMap<FileId, u64>,
-    /// Complete files that have blocks, in the order in which they were completed.
+    /// Complete files that have blocks, in order of completion.
     evictable: VecDeque<FileId>,
-    /// All complete files in that order, with blocks or without.
+    /// All complete files, with or without blocks, in order of completion.
     complete: VecDeque<FileId>,
     bytes: u64,
     max_bytes: u64,
@@ -82,23 +82,24 @@
     rejected: u64,
 }
 
-/// What has to go before a block is stored.
+/// Files to remove before a block is stored.
 struct Removals {
     evicted: Vec<FileId>,
     dropped: Option<FileId>,
 }
 
-/// There is no capacity for a block, even with all evicted that may be.
+/// A block does not fit even after evicting all evictable files, or its file can't be indexed.
 struct CapacityExceeded;
 
-/// Whether a name may become part of a path where traces are exported.
+/// Returns whether a name is safe as a component of a path.
 pub fn is_valid_name(name: &str) -> bool {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "._-+:".contains(c);
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.starts_with('.') && name.chars().all(is_plain)
 }
 
 impl TraceIndex {
-    /// An index of what is on disk: the fence's state, and the files in the order in which they were completed. Blocks may take `max_bytes`.
+    /// Creates an index from the stored state: the fence's records, and the files in order of completion. Blocks may occupy
+    /// `max_bytes`.
     pub fn new(
         max_bytes: u64,
         fence: impl IntoIterator<Item = (Task, FenceRecord)>,
@@ -120,27 +121,28 @@
         index
     }
 
-    /// Bytes of all blocks that are stored.
+    /// Returns the total size of all stored blocks, in bytes.
     pub fn stored_bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Effects of superseded epochs that were rejected since the process started.
+    /// Returns the number of effects of superseded epochs that were rejected since the process started.
     pub fn rejected_effects(&self) -> u64 {
         self.rejected
     }
 
-    /// All known files in the order of their names, and how much of each is stored.
+    /// Returns all indexed files, ordered by name, with their progress.
     pub fn files(&self) -> impl Iterator<Item = (&FileId, &FileProgress)> {
         self.progress.iter()
     }
 
-    /// The highest epoch that was seen of a task's part, and the number of its last effect.
+    /// Returns the latest epoch of a task part, and the number of its last effect.
     pub fn fence_state(&self, task: &Task) -> FenceRecord {
         self.fence.record(task)
     }
 
-    /// A lease holder shows its epoch. Names that are not valid and parts past the bound get an epoch for an answer that none can follow.
+    /// Decides on a lease holder's announcement of its epoch. Invalid names, and new parts when the fence is full, are rejected
+    /// as superseded by the highest possible epoch.
     pub fn announce(&self, task: &Task, epoch: Epoch) -> Decision<Verdict> {
         let is_new_task = self.fence_state(task).epoch == 0;
         let too_many_parts = is_new_task && self.fence.records().count() >= MAX_TASK_PARTS;
@@ -161,7 +163,7 @@
         Decision { outcome: verdict, update: Some(update) }
     }
 
-    /// A lease holder's effect of that number under its epoch: the block `id` of so many bytes.
+    /// Decides on a lease holder's effect `number` under its epoch: to store block `id` of `bytes` bytes.
     pub fn put(
         &mut self,
         task: &Task,
@@ -175,7 +177,7 @@
             self.rejected += u64::from(matches!(verdict, Verdict::Stale { .. }));
             return Decision::unchanged(PutOutcome::Fence(verdict));
         }
-        // An epoch begins with its announcement, whose response says where to go on.
+        // An epoch must be announced first: the response contains the progress to resume from.
         if self.fence_state(task).epoch != epoch {
             return Decision::unchanged(PutOutcome::Fence(Verdict::Gap { expected: 0 }));
         }
@@ -197,7 +199,7 @@
         Decision { outcome: PutOutcome::Fence(Verdict::New), update: Some(update) }
     }
 
-    /// What has to go before so many bytes of a file are stored.
+    /// Returns the files to remove before `bytes` bytes of a file are stored.
     fn plan_removals(&self, file: &FileId, bytes: u64) -> Result<Removals, CapacityExceeded> {
         if !is_valid_name(&file.server) || !is_valid_name(&file.name) {
             return Err(CapacityExceeded);
@@ -209,7 +211,7 @@
         if self.progress.contains_key(file) || self.progress.len() < self.max_files {
             return Ok(None);
         }
-        // Its server has long removed it by then: a recorder keeps some hundred files.
+        // The server has removed this file long before: a recorder keeps a few hundred files.
         self.complete.front().cloned().map(Some).ok_or(CapacityExceeded)
     }
 
@@ -229,7 +231,7 @@
         Ok(evicted)
     }
 
-    /// Takes over what is written, with a block of so many bytes.
+    /// Applies an update whose block has `bytes` bytes.
     pub fn apply(&mut self, update: &IndexUpdate, bytes: u64) {
         self.fence.insert(&update.task, update.fence);
         for file in &update.evicted {
--- a/crates/trace-store/src/index/tests.rs
+++ b/crates/trace-store/src/index/tests.rs
@@ -8,7 +8,7 @@
     BlockId { file: FileId { server: "n1".into(), name: file.into() }, position, last }
 }
 
-/// Decides, and takes it for written.
+/// Decides on a block and applies the update, as after a successful write.
 fn put(index: &mut TraceIndex, epoch: Epoch, number: u64, id: &BlockId, bytes: u64) -> PutOutcome {
     let Decision { outcome, update } = index.put(&task(), epoch, number, id, bytes);
     update.iter().for_each(|update| index.apply(update, bytes));
@@ -39,7 +39,7 @@
         PutOutcome::Fence(Verdict::Stale { latest: 6 })
     );
     assert_eq!(announce(&mut index, 5), Verdict::Stale { latest: 6 });
-    // Its successor thinks that nothing was stored yet.
+    // The successor does not know of the stored block yet.
     let stored = FileProgress { blocks: 1, complete: false };
     assert_eq!(put(&mut index, 6, 1, &block("a", 0, false), 10), PutOutcome::UnexpectedBlock(stored));
     assert_eq!(put(&mut index, 6, 1, &block("a", 1, true), 10), NEW);
@@ -53,7 +53,11 @@
     let mut index = TraceIndex::new(1000, [], []);
     announce(&mut index, 5);
     assert_eq!(index.put(&task(), 5, 1, &block("a", 0, true), 10).outcome, NEW);
-    assert_eq!(index.put(&task(), 5, 1, &block("a", 0, true), 10).outcome, NEW, "the disk failed in between");
+    assert_eq!(
+        index.put(&task(), 5, 1, &block("a", 0, true), 10).outcome,
+        NEW,
+        "the first update was not applied"
+    );
     assert_eq!(index.fence_state(&task()).number, 0);
     assert_eq!(index.announce(&task(), 6).outcome, Verdict::New);
     assert_eq!(index.fence_state(&task()).epoch, 5);
@@ -106,7 +110,7 @@
         index.announce(&Task::new("a/b", 0), 9),
         Decision { outcome: Verdict::Stale { .. }, update: None }
     ));
-    // A file without blocks, or with one that can't be read, has a piece without bytes in that place.
+    // A file without blocks is stored as one empty block.
     assert_eq!(put(&mut index, 5, 1, &block("empty", 0, true), 0), NEW);
     assert_eq!(index.files().next().unwrap().1, &FileProgress { blocks: 1, complete: true });
 }
--- a/crates/trace-store/src/injected_bug.rs
+++ b/crates/trace-store/src/injected_bug.rs
@@ -1,19 +1,19 @@
-//! Bugs that the fault tests inject into a trace store, to show that their checkers find them.
+//! Bugs that fault tests inject into a trace store to verify that their checkers detect them.
 
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A bug to be injected.
+/// An injected bug.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// Epochs are held in memory only, and lost with the process.
+    /// Epochs are kept only in memory and lost on restart.
     ForgetsEpochs,
-    /// A decision and its block are written in two transactions.
+    /// A decision and its block are committed in separate transactions.
     TwoSteps,
 }
 
-/// A text names no [`InjectedBug`].
+/// The error of parsing an unknown [`InjectedBug`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("should be forgets-epochs or two-steps")]
 pub struct UnknownBug;
--- a/crates/trace-store/src/lib.rs
+++ b/crates/trace-store/src/lib.rs
@@ -1,7 +1,8 @@
-//! The trace store: where collected traces are kept. Workers that hold a part of the task `gather` bring sealed files of the servers block by block; the store
-//! takes each block once, in order, and nothing from a worker whose epoch has been superseded. [`index`] decides without I/O; [`store`] writes what was decided
-//! together with the block, in one transaction; [`serve`] listens and answers; [`export`] merges what is stored into one trace. [`protocol`] is
-//! what workers and the store send each other.
+//! The trace store, a server that stores collected traces. Workers that hold a part of the task `gather` send sealed files of the
+//! servers block by block. The store accepts each block once, in order, and rejects workers whose epoch is superseded.
+//!
+//! [`index`] decides without I/O; [`store`] writes each decision together with its block in one transaction; [`serve`] is the
+//! network service; [`export`] merges the stored files into one trace; [`protocol`] defines the messages.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/trace-store/src/protocol.rs
+++ b/crates/trace-store/src/protocol.rs
@@ -1,32 +1,33 @@
-//! The messages between workers and the trace store, a line of JSON each. The names on the wire are older than the names here.
+//! Messages between workers and the trace store, one line of JSON each. Names on the wire differ from those in the code for
+//! compatibility.
 
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::{Epoch, Task};
 use serde::{Deserialize, Serialize};
 
-/// Longest line, in bytes: a block of a trace as base64.
+/// Maximum length of a line, in bytes; a block is sent as base64.
 pub const MAX_LINE_BYTES: usize = 12 << 20;
 
-/// A trace file of one server, by the name that the server's recorder gave it.
+/// Identity of a trace file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FileId {
-    /// The server that wrote the file.
+    /// Server that recorded the file.
     pub server: String,
-    /// The file's name, without a folder.
+    /// File name without a directory.
     #[serde(rename = "file")]
     pub name: String,
 }
 
-/// A block of a trace file.
+/// Identity of a block of a trace file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockId {
-    /// The file that it stands in.
+    /// File of the block.
     #[serde(rename = "source")]
     pub file: FileId,
-    /// How many blocks of the file come before it.
+    /// Index of the block in the file, from 0.
     #[serde(rename = "place")]
     pub position: u64,
-    /// No block of the file comes after it.
+    /// Whether it is the last block of the file.
     pub last: bool,
 }
 
@@ -34,32 +35,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// A lease holder shows its epoch before its first effect, and the number of parts that its own is one of: the response names the files of that part alone.
+    /// Announces a lease holder's epoch before its first effect. The response contains the progress of the files of its part.
     Announce {
         /// The task's part that the worker holds.
         #[serde(rename = "duty")]
         task: Task,
         /// The fencing token of its lease.
         epoch: Epoch,
-        /// How many parts the task has.
+        /// Number of parts of the task.
         parts: u32,
     },
-    /// The next block of a file.
+    /// Stores the next block of a file.
     Put {
         /// The task's part that the worker holds.
         #[serde(rename = "duty")]
         task: Task,
         /// The fencing token of its lease.
         epoch: Epoch,
-        /// Of this effect under the epoch, from 1.
+        /// Number of this effect under the epoch, from 1.
         number: u64,
-        /// Which block it is.
+        /// Identity of the block.
         #[serde(rename = "piece")]
         id: BlockId,
-        /// The block as it stands in its file, base64; empty for one that can't be read, and for a file without any.
+        /// The packed block in base64; empty if it is unreadable, or if the file has no blocks.
         block: String,
     },
-    /// What the store holds.
+    /// Requests statistics of the store.
     Status,
 }
 
@@ -67,57 +68,58 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Response {
-    /// To an announcement. Where the verdict stands, the worker goes on after the last effect of its epoch, and from there in each file.
+    /// Response to an announcement. If the epoch is accepted, the worker continues after the last effect and from each file's
+    /// progress.
     #[serde(rename = "begun")]
     Announced {
-        /// Whether the worker may go on.
+        /// Whether the epoch is accepted.
         verdict: Verdict,
-        /// Of the last effect under the epoch.
+        /// Number of the last effect under the epoch.
         number: u64,
-        /// How much is stored of each file of the worker's part.
+        /// Stored progress of each file of the worker's part.
         #[serde(rename = "taken")]
         progress: Vec<(FileId, FileProgress)>,
     },
-    /// To a block.
+    /// Response to a block.
     Put(PutOutcome),
-    /// What the store holds.
+    /// Statistics of the store.
     Status {
-        /// Files that are known, evicted ones included.
+        /// Number of indexed files, including evicted ones.
         files: usize,
-        /// Files that were stored to their last block.
+        /// Number of files stored completely.
         #[serde(rename = "done")]
         complete_files: usize,
-        /// Blocks that were stored, evicted ones included.
+        /// Number of stored blocks, including evicted ones.
         blocks: u64,
-        /// Bytes of all blocks that are stored now.
+        /// Total size of the stored blocks, in bytes.
         bytes: u64,
-        /// Effects of superseded epochs that were rejected since the process started.
+        /// Number of effects of superseded epochs that were rejected since the process started.
         #[serde(rename = "refused")]
         rejected: u64,
     },
-    /// The request is invalid, for this reason.
+    /// The request is invalid, with the reason.
     Failed(String),
 }
 
 /// How much of a file is stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileProgress {
-    /// The number of its blocks, from the first.
+    /// Number of consecutive blocks stored, from the first.
     pub blocks: u64,
-    /// The last of them is the file's last.
+    /// Whether the last block of the file is stored.
     #[serde(rename = "done")]
     pub complete: bool,
 }
 
-/// What became of a block.
+/// Outcome of storing a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PutOutcome {
-    /// The fence decided: stored where the verdict is `New`, else rejected.
+    /// Verdict of the fence: the block was stored if it is `New`, and rejected otherwise.
     Fence(Verdict),
-    /// The file's next block is another one: the worker's view of the file is out of date.
+    /// Another block of the file is expected next, after this progress.
     #[serde(rename = "elsewhere")]
     UnexpectedBlock(FileProgress),
-    /// No capacity is left. Nothing is lost: the worker is to retry later.
+    /// The store has reached its capacity: the worker should retry later.
     Full,
 }
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -1,5 +1,5 @@
-//! Answers to requests. What a request changes is applied to the index at once, so that the next request is judged by it, and collected to be committed; no
-//! response may be sent before that.
+//! Handling of requests. Updates are applied to the index immediately, so that they affect the next request, and collected for
+//! one commit. No response may be sent before that commit.
 
 use crate::index::{Decision, TraceIndex};
 use crate::protocol::{BlockId, FileId, PutOutcome, Request, Response};
@@ -10,7 +10,7 @@
 use puffinladder_leases::protocol::Event;
 use puffinladder_leases::{Epoch, Task};
 
-/// A response, and the event that goes with it.
+/// A response, and the event that is emitted with it.
 pub(crate) struct Reply {
     pub response: Response,
     pub event: Option<Event>,
@@ -22,10 +22,10 @@
     }
 }
 
-/// Handles requests one by one.
+/// Handler of requests, in sequence.
 pub(crate) struct RequestHandler {
     index: TraceIndex,
-    /// Blocks that were stored, evicted ones included.
+    /// Number of stored blocks, including evicted ones.
     stored_blocks: u64,
     pending_writes: Vec<PendingWrite>,
 }
@@ -36,12 +36,12 @@
         RequestHandler { index, stored_blocks, pending_writes: Vec::new() }
     }
 
-    /// Files that are known, evicted ones included.
+    /// Returns the number of indexed files, including evicted ones.
     pub fn file_count(&self) -> usize {
         self.index.files().count()
     }
 
-    /// What is to be committed before the requests handled so far are answered.
+    /// Returns the writes to be committed before the responses so far are sent.
     pub fn take_pending_writes(&mut self) -> Vec<PendingWrite> {
         std::mem::take(&mut self.pending_writes)
     }
@@ -61,7 +61,7 @@
         let Decision { outcome: verdict, update } = self.index.announce(&task, epoch);
         if let Some(update) = update {
             self.index.apply(&update, 0);
-            tracing::info!("{task}: epoch {epoch} begins");
+            tracing::info!("{task}: announced epoch {epoch}");
             self.pending_writes.push(PendingWrite { update, block: Vec::new() });
         }
         let number = self.index.fence_state(&task).number;
@@ -85,9 +85,7 @@
             self.pending_writes.push(PendingWrite { update, block });
         }
         if let PutOutcome::Fence(Verdict::Stale { latest }) = outcome {
-            tracing::warn!(
-                "{task}: rejected an effect of epoch {epoch}, which epoch {latest} has superseded"
-            );
+            tracing::warn!("{task}: rejected an effect of epoch {epoch}, superseded by epoch {latest}");
         }
         let event = match outcome {
             PutOutcome::Fence(verdict) => {
@@ -110,7 +108,7 @@
     }
 }
 
-/// The bytes of a block, which has to be complete and unchanged. One without bytes stands for one that its server can't read.
+/// Decodes a block and validates its checksum. An empty block represents one that the worker could not read.
 fn decode_block(text: &str) -> Result<Vec<u8>, InvalidBlock> {
     let block = BASE64_STANDARD.decode(text)?;
     if !block.is_empty() {
@@ -119,7 +117,7 @@
     Ok(block)
 }
 
-/// Why a block is rejected before it is judged.
+/// The reason why a block can't be decoded.
 #[derive(Debug, thiserror::Error)]
 enum InvalidBlock {
     #[error("{0}")]
--- a/crates/trace-store/src/serve.rs
+++ b/crates/trace-store/src/serve.rs
@@ -1,5 +1,5 @@
-//! The trace store as a process. One thread owns index and database: all requests that wait are judged one by one, written with one sync, and only then
-//! answered. A disk that fails ends the process, since its index is then ahead of what is stored.
+//! The trace-store service. One thread owns index and database: it handles a batch of queued requests, commits their writes with
+//! one sync, and then sends the responses. A storage failure ends the service, since the index is then ahead of the database.
 
 use crate::index::TraceIndex;
 use crate::injected_bug::InjectedBug;
@@ -15,59 +15,59 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// How a trace store is set up.
+/// Configuration of a trace store.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
-    /// Where it listens; port 0 lets the system choose one.
+    /// Listen address; port 0 lets the system choose one.
     pub listen: SocketAddr,
-    /// The folder of its database.
+    /// Directory of the database.
     pub directory: PathBuf,
-    /// Bytes that the stored blocks may take.
+    /// Maximum total size of stored blocks, in bytes.
     pub max_bytes: u64,
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Where it tells what it does.
+    /// Receiver of the store's events.
     pub events: EventSink,
-    /// For tests: a bug that the checkers must find.
+    /// Bug that fault tests inject.
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// Why a trace store can't start.
+/// An error at the start of a trace store.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub enum StartError {
-    /// Its database can't be opened.
+    /// The database could not be opened.
     Store(#[from] StoreError),
-    /// It can't listen.
+    /// The listener could not be bound.
     Listen(#[from] std::io::Error),
 }
 
-/// Requests that wait for the database; past them connections are read no further.
+/// Queued requests; connections are not read while the queue is full.
 const MAX_WAITING_REQUESTS: usize = 256;
-/// Requests that one sync covers: a bound on how long the first of them waits.
+/// Maximum number of requests per sync, which bounds the wait of the first one.
 const MAX_BATCH: usize = 64;
-/// A connection without a request for so long is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// A connection that does not read a response for so long is closed.
+/// Time limit of writing a response, after which a connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A request, and the connection that waits for its response.
+/// A request, and the channel for its response.
 struct PendingRequest {
     request: Request,
     respond_to: oneshot::Sender<Response>,
 }
 
-/// Starts a trace store; it listens when this returns.
+/// Starts a trace store, which is listening when this function returns.
 pub async fn start(config: ServiceConfig) -> Result<RunningService<StoreError>, StartError> {
     let (mut store, index) = Store::open(&config.directory, config.max_bytes)?;
     store.inject_bug(config.injected_bug);
     let (stop, stopped) = watch::channel(false);
     let (requests, queue) = mpsc::channel(MAX_WAITING_REQUESTS);
-    // The main task ends once no connection can send a request any more.
+    // The main task ends when the listener and all connections have dropped their senders.
     let handle = move |stream, _| handle_connection(stream, requests.clone());
     let address = listen("trace store", config.listen, config.max_connections, stopped, handle).await?;
     config.events.emit(&Event::Ready { listen: address.to_string() });
-    tracing::info!("trace store listens on {address}, {} files known", index.files().count());
+    tracing::info!("trace store listens on {address}, {} files indexed", index.files().count());
     let main_task = tokio::task::spawn_blocking(move || process_requests(index, store, queue, config.events));
     Ok(RunningService::new(address, stop, main_task))
 }
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Answers requests until no connection can send one any more, or the database fails.
+/// Processes requests until all senders are dropped or the database fails.
 fn process_requests(
     index: TraceIndex,
     mut store: Store,
@@ -113,11 +113,11 @@
             let _ = respond_to.send(reply.response);
         }
     }
-    tracing::info!("ends with {} files", handler.file_count());
+    tracing::info!("trace store stopped, {} files indexed", handler.file_count());
     Ok(())
 }
 
-/// The first request, and those that wait behind it already.
+/// Returns the first request and those queued behind it, up to [`MAX_BATCH`].
 fn collect_batch(first: PendingRequest, queue: &mut mpsc::Receiver<PendingRequest>) -> Vec<PendingRequest> {
     let mut batch = vec![first];
     while batch.len() < MAX_BATCH {
--- a/crates/trace-store/src/store.rs
+++ b/crates/trace-store/src/store.rs
@@ -1,5 +1,5 @@
-//! The trace store's database. A block, the progress of its file and the epoch that it came under are written in one transaction, so that no crash leaves one of
-//! them without the others. The names of the database, its tables and its keys are older than the names here.
+//! The trace store's database. A block, the progress of its file and the fence record are written in one transaction, so that a
+//! crash can't separate them. Stored names differ from those in the code for compatibility.
 
 use crate::index::{IndexUpdate, IndexedFile, StoredBlock, TraceIndex};
 use crate::injected_bug::InjectedBug;
@@ -15,21 +15,21 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The database's name in the store's directory.
+/// File name of the database in the store's directory.
 pub const DATABASE_FILE: &str = "archive.redb";
-/// The version of the stored form, kept under [`SCHEMA_KEY`].
+/// Version of the stored format, stored under [`SCHEMA_KEY`].
 const SCHEMA_VERSION: u32 = 1;
 const SCHEMA_KEY: &str = "schema";
-/// A small cache, in bytes: blocks are written once and read by an export alone.
+/// Size of the database cache, in bytes. It is small because blocks are only read by exports.
 const CACHE_BYTES: usize = 16 << 20;
-/// Between the two transactions of [`InjectedBug::TwoSteps`]: long enough for a kill to fall between them.
+/// Pause between the transactions of [`InjectedBug::TwoSteps`], long enough for a kill between them.
 const TWO_STEPS_PAUSE: Duration = Duration::from_millis(20);
 
 /// A task's name and part.
 type TaskKey = (&'static str, u32);
 /// A file's server and name.
 type FileKey = (&'static str, &'static str);
-/// A file's server and name, and the position of a block in it.
+/// A file's server and name, and the index of a block.
 type BlockKey = (&'static str, &'static str, u64);
 
 const METADATA: TableDefinition<&str, u32> = TableDefinition::new("facts");
@@ -37,76 +37,76 @@
 const FILES: TableDefinition<FileKey, &[u8]> = TableDefinition::new("files");
 const BLOCKS: TableDefinition<BlockKey, &[u8]> = TableDefinition::new("blocks");
 
-/// Why a trace store can't be opened, read or written.
+/// An error of opening, reading or writing the database.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has the database open.
     #[error("{0}: another process has it open")]
     AlreadyOpen(PathBuf),
-    /// Another version of this program has written the database.
+    /// The database has another version of the stored format.
     #[error("{path}: written as version {found}, this program reads version {SCHEMA_VERSION}")]
     UnsupportedSchema {
-        /// The database.
+        /// Path of the database.
         path: PathBuf,
-        /// Its version.
+        /// Version of the database.
         found: u32,
     },
     /// The database or its disk failed.
     #[error("{path}: {source}")]
     Storage {
-        /// The database.
+        /// Path of the database.
         path: PathBuf,
-        /// What failed.
+        /// The failed operation and its cause.
         source: Box<StorageFailure>,
     },
 }
 
-/// What failed in the database.
+/// A failed operation of the database.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub enum StorageFailure {
-    /// The store's directory can't be created.
+    /// The store's directory could not be created.
     Directory(std::io::Error),
-    /// The database can't be opened.
+    /// The database could not be opened.
     Open(DatabaseError),
-    /// No transaction can be begun.
+    /// A transaction could not be started.
     Transaction(#[from] redb::TransactionError),
-    /// A table can't be opened.
+    /// A table could not be opened.
     Table(#[from] redb::TableError),
-    /// Rows can't be read or written.
+    /// Rows could not be read or written.
     Rows(#[from] redb::StorageError),
-    /// A transaction can't be made durable.
+    /// A transaction could not be committed.
     Commit(#[from] redb::CommitError),
-    /// A stored value can't be read, or a value can't be written in the stored form.
+    /// A value could not be encoded or decoded.
     Encoding(#[from] postcard::Error),
 }
 
-/// An update of the index, with the block that belongs to it: empty for an announcement and for a block without bytes.
+/// An update of the index with its block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingWrite {
     /// The update.
     pub update: IndexUpdate,
-    /// The block as it stands in its file.
+    /// The packed block; empty for an announcement and for an unreadable block.
     pub block: Vec<u8>,
 }
 
-/// The stored form of what is known of a file. It is positional: fields are never added, removed or reordered.
+/// Stored state of a file. The encoding is positional: fields must not be added, removed or reordered.
 #[derive(Default, Serialize, Deserialize)]
 struct StoredFile {
     progress: FileProgress,
-    /// Of its blocks that are stored now.
+    /// Bytes of its stored blocks.
     bytes: u64,
-    /// How many files were complete with this one, 0 until it is.
+    /// Position of the file in the order of completion, from 1; 0 while it is incomplete.
     completion: u64,
 }
 
-/// Which rows of a [`PendingWrite`] a transaction writes.
+/// The rows of a [`PendingWrite`] that a transaction writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteScope {
     All,
-    /// The fence and the files' progress: half of [`InjectedBug::TwoSteps`].
+    /// Fence and progress, in the first transaction of [`InjectedBug::TwoSteps`].
     Decisions,
-    /// The blocks: the other half.
+    /// Blocks, in the second transaction of [`InjectedBug::TwoSteps`].
     Blocks,
 }
 
@@ -114,13 +114,13 @@
 pub struct Store {
     database: Database,
     path: PathBuf,
-    /// How many files were completed so far.
+    /// Number of files completed so far.
     completions: u64,
     injected_bug: Option<InjectedBug>,
 }
 
 impl Store {
-    /// Opens the store in a directory, which is created where there is none, and reads its index. Blocks may take `max_bytes`.
+    /// Opens the store in a directory, which is created if it is missing, and reads its index. Blocks may occupy `max_bytes`.
     pub fn open(directory: &Path, max_bytes: u64) -> Result<(Store, TraceIndex), StoreError> {
         let path = directory.join(DATABASE_FILE);
         std::fs::create_dir_all(directory).map_err(|e| storage_error(&path, StorageFailure::Directory(e)))?;
@@ -139,7 +139,7 @@
         Ok((store, index))
     }
 
-    /// Makes it misbehave, for tests of the checkers that must notice.
+    /// Injects a bug, for tests of the checkers that must detect it.
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
         self.injected_bug = bug;
     }
@@ -148,7 +148,7 @@
         storage_error(&self.path, failure)
     }
 
-    /// Creates what is missing of the tables, and returns the version of the stored form.
+    /// Creates missing tables, and returns the version of the stored format.
     fn ensure_schema(&self) -> Result<u32, StorageFailure> {
         let transaction = self.database.begin_write()?;
         let found = {
@@ -183,7 +183,7 @@
         Ok(TraceIndex::new(max_bytes, fence, files.into_iter().map(|(_, file)| file)))
     }
 
-    /// Makes these durable together, with one sync. After a failure none of them may be taken for written.
+    /// Commits the writes in one transaction with one sync. After an error none of them may be acknowledged.
     pub fn commit(&mut self, writes: &[PendingWrite]) -> Result<(), StoreError> {
         let written = match self.injected_bug {
             Some(InjectedBug::TwoSteps) => self.write_in_two_steps(writes),
@@ -227,7 +227,7 @@
         Ok(transaction.commit()?)
     }
 
-    /// All files that have blocks, in the order of their names.
+    /// Returns all files that have blocks, ordered by name.
     pub fn files(&self) -> Result<Vec<FileId>, StoreError> {
         self.read_files().map_err(|e| self.error(e))
     }
@@ -244,7 +244,7 @@
         Ok(files)
     }
 
-    /// Hands out the blocks of a file, one after the other, until one can't be read or `visit` fails.
+    /// Calls `visit` with each block of a file, until a read or `visit` fails.
     pub fn for_each_block<E: From<StoreError>>(
         &self,
         file: &FileId,
@@ -287,14 +287,14 @@
         Ok(())
     }
 
-    /// Removes a file's blocks and all that is known of it.
+    /// Removes a file's blocks and its progress.
     fn drop_file(&mut self, file: &FileId) -> Result<(), StorageFailure> {
         self.remove_blocks(file)?;
         self.files.remove(file_key(file))?;
         Ok(())
     }
 
-    /// Removes a file's blocks; its progress stays known.
+    /// Removes a file's blocks and keeps its progress.
     fn evict_file(&mut self, file: &FileId) -> Result<(), StorageFailure> {
         self.remove_blocks(file)?;
         let stored = self.file(file)?.unwrap_or_default();
@@ -313,7 +313,8 @@
         Ok(())
     }
 
-    /// Notes that a file has a block of so many bytes more. `completions` counts the complete files, this one included where it is complete.
+    /// Updates a file's progress and size after a block of `block_bytes` bytes. `completions` is the number of complete files,
+    /// including this one if it is complete.
     fn put_progress(
         &mut self,
         stored: &StoredBlock,
--- a/crates/trace-store/src/store/tests.rs
+++ b/crates/trace-store/src/store/tests.rs
@@ -24,20 +24,20 @@
     let (mut store, mut index) = Store::open(directory.path(), 100).unwrap();
     assert_eq!((index.fence_state(&task), index.stored_bytes()), (FenceRecord { epoch: 7, number: 2 }, 80));
     assert!(index.put(&task, 6, 1, &block("b", 0, true), 1).update.is_none());
-    // The next one needs capacity: the oldest complete file is evicted, also from the disk.
+    // The next block exceeds the capacity, so the oldest complete file is evicted.
     let update = index.put(&task, 7, 3, &block("b", 0, true), 40).update.unwrap();
     index.apply(&update, 40);
     store.commit(&[PendingWrite { update, block: vec![9; 40] }]).unwrap();
-    let mut seen = Vec::new();
+    let mut blocks = Vec::new();
     for file in store.files().unwrap() {
         store
             .for_each_block(&file, |block| {
-                seen.push((file.name.clone(), block[0]));
+                blocks.push((file.name.clone(), block[0]));
                 Ok::<(), StoreError>(())
             })
             .unwrap();
     }
-    assert_eq!(seen, [("b".to_string(), 9)]);
+    assert_eq!(blocks, [("b".to_string(), 9)]);
     drop(store);
     let (_, index) = Store::open(directory.path(), 100).unwrap();
     assert!(
--- a/crates/trace-store/tests/golden.rs
+++ b/crates/trace-store/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The forms that outlive a process: the directory of a trace store as version 1 wrote it, and the lines that workers and the trace store send each other.
-//! The literals below never change with the code.
+//! Checks compatibility with the stored database of version 1 and with the messages between workers and the trace store.
+//! The literals must not change.
 
 use puffinladder_leases::fence::{FenceRecord, Verdict};
 use puffinladder_leases::Task;
@@ -11,8 +11,8 @@
     FileId { server: server.into(), name: name.into() }
 }
 
-/// The stored directory holds: task gather/0 at epoch 7 after 4 effects, gather/3 at epoch 12 after 1; n1/a.trace complete but evicted, n1/b.trace complete
-/// with two blocks, n2/c.trace with the first of its blocks.
+/// The stored database contains task gather/0 at epoch 7 after 4 effects and gather/3 at epoch 12 after 1. File n1/a.trace is
+/// complete but evicted, n1/b.trace is complete with two blocks, n2/c.trace has its first block.
 #[test]
 fn reads_version_1_database() {
     let directory = tempfile::tempdir().unwrap();
@@ -44,7 +44,7 @@
     assert_eq!(blocks, [vec![3; 30], vec![4; 35], vec![5; 30]]);
 }
 
-/// Reads as that value, and the value is written as that text.
+/// Checks that the text decodes to the value and the value encodes to the text.
 fn assert_round_trip<T>(text: &str, value: T)
 where
     T: Debug + PartialEq + serde::Serialize + serde::de::DeserializeOwned,
