--- a/crates/cli/src/fleet/worker.rs
+++ b/crates/cli/src/fleet/worker.rs
@@ -87,7 +87,7 @@
         max_clock_drift: MAX_CLOCK_DRIFT,
     });
     let coordinator = coordination::CoordinatorSettings {
-        tenant_quotas: quota.map(|quota| quota.customer_rates.clone()).unwrap_or_default(),
+        tenant_quotas: quota.map(|quota| quota.tenant_quotas.clone()).unwrap_or_default(),
         server_count: quota.map_or(1, |quota| quota.servers),
         quota_parts: quota.map_or(1, |quota| quota.parts as u32),
         quota_validity: quota.map_or(UNUSED_SPAN, |quota| quota.quota_validity),
--- a/crates/settings/src/settings/worker.rs
+++ b/crates/settings/src/settings/worker.rs
@@ -40,7 +40,7 @@
     /// Seconds for which a share of a quota is valid. Key `span`, default 2 s.
     pub quota_validity: f64,
     /// Fleet-wide quota of each tenant, in requests per second. Key `customer`, repeatable.
-    pub customer_rates: BTreeMap<String, f64>,
+    pub tenant_quotas: BTreeMap<String, f64>,
 }
 
 /// Settings of the task that limits concurrent drains.
@@ -97,12 +97,12 @@
 
 impl QuotaSettings {
     fn read(block: &Block) -> QuotaSettings {
-        let customer_rates = read_customer_rates(block);
+        let tenant_quotas = read_tenant_quotas(block);
         let quota = QuotaSettings {
             parts: block.count("parts", 1, 1..=10_000),
             servers: block.count("servers", 1, 1..=10_000),
             quota_validity: block.duration("span", 2.0, 0.1..=600.0),
-            customer_rates,
+            tenant_quotas,
         };
         block.require("servers");
         block.finish();
@@ -110,18 +110,18 @@
     }
 }
 
-fn read_customer_rates(block: &Block) -> BTreeMap<String, f64> {
-    let mut rates = BTreeMap::new();
-    for customer in block.blocks("customer") {
-        let name = read_required_text(&customer, "name");
-        let rate = customer.number("rate", 0.0, 0.001..=1e9);
-        customer.require("rate");
-        if rates.insert(name.clone(), rate).is_some() {
-            customer.report("name", format!("{name:?} stands here twice"));
+fn read_tenant_quotas(block: &Block) -> BTreeMap<String, f64> {
+    let mut quotas = BTreeMap::new();
+    for tenant in block.blocks("customer") {
+        let name = read_required_text(&tenant, "name");
+        let quota = tenant.number("rate", 0.0, 0.001..=1e9);
+        tenant.require("rate");
+        if quotas.insert(name.clone(), quota).is_some() {
+            tenant.report("name", format!("{name:?} stands here twice"));
         }
-        customer.finish();
+        tenant.finish();
     }
-    rates
+    quotas
 }
 
 impl DrainSlotSettings {
@@ -180,7 +180,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "(quota (parts {}) (servers {})", self.parts, self.servers)?;
         write!(f, " (span {}s)", self.quota_validity)?;
-        for (name, rate) in &self.customer_rates {
+        for (name, rate) in &self.tenant_quotas {
             write!(f, "\n    (customer (name {}) (rate {rate}))", quoted(name))?;
         }
         f.write_str(")")
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -193,7 +193,7 @@
                 parts: 2,
                 servers: 300,
                 quota_validity: 3.0,
-                customer_rates: BTreeMap::from([("k001".into(), 120.0), ("k002".into(), 7.5)]),
+                tenant_quotas: BTreeMap::from([("k001".into(), 120.0), ("k002".into(), 7.5)]),
             }),
             drain_slots: Some(DrainSlotSettings {
                 max_unavailable: 11,
