--- a/crates/lease-store/src/durable.rs
+++ b/crates/lease-store/src/durable.rs
@@ -15,7 +15,7 @@
     /// Raft term that the entry was proposed in.
     pub term: u64,
     /// The `raft` crate's number of the entry's type.
-    pub kind: i32,
+    pub entry_type: i32,
     /// The proposal itself.
     pub data: Vec<u8>,
     /// What the proposer attached: the token of an operator's command, or nothing.
@@ -45,7 +45,7 @@
     /// Replicas that receive the log without a vote.
     pub learners: Vec<u64>,
     /// The lease table and the members, serialized; empty in the snapshot that a cluster starts from.
-    pub table: Vec<u8>,
+    pub data: Vec<u8>,
 }
 
 /// What must be on disk as a whole before the messages that depend on it may be sent.
@@ -99,12 +99,12 @@
         commit: u64,
     },
     /// An entry's type is not one of raft's.
-    #[error("entry {index} is of a kind that is not known, {kind}")]
-    UnknownKind {
+    #[error("entry {index} has unknown type {entry_type}")]
+    UnknownEntryType {
         /// The entry's index.
         index: u64,
         /// The stored number of its type.
-        kind: i32,
+        entry_type: i32,
     },
     /// There is a log or a snapshot, and nobody who votes.
     #[error("the snapshot names no voters")]
@@ -153,8 +153,11 @@
             if entry.index != expected {
                 return Err(CorruptState::Gap { expected, found: entry.index });
             }
-            if EntryType::from_i32(entry.kind).is_none() {
-                return Err(CorruptState::UnknownKind { index: entry.index, kind: entry.kind });
+            if EntryType::from_i32(entry.entry_type).is_none() {
+                return Err(CorruptState::UnknownEntryType {
+                    index: entry.index,
+                    entry_type: entry.entry_type,
+                });
             }
         }
         let last = self.snapshot.index + self.entries.len() as u64;
@@ -182,7 +185,7 @@
         StoredEntry {
             index: entry.index,
             term: entry.term,
-            kind: entry.get_entry_type().value(),
+            entry_type: entry.get_entry_type().value(),
             data: entry.data.to_vec(),
             context: entry.context.to_vec(),
         }
@@ -192,7 +195,7 @@
 impl From<&StoredEntry> for Entry {
     fn from(stored: &StoredEntry) -> Entry {
         Entry {
-            entry_type: EntryType::from_i32(stored.kind).unwrap_or_default(),
+            entry_type: EntryType::from_i32(stored.entry_type).unwrap_or_default(),
             term: stored.term,
             index: stored.index,
             data: stored.data.clone().into(),
@@ -211,14 +214,14 @@
             term: metadata.term,
             voters: membership.voters.clone(),
             learners: membership.learners.clone(),
-            table: snapshot.data.to_vec(),
+            data: snapshot.data.to_vec(),
         }
     }
 }
 
 impl From<&StoredSnapshot> for Snapshot {
     fn from(stored: &StoredSnapshot) -> Snapshot {
-        let mut snapshot = Snapshot { data: stored.table.clone().into(), ..Snapshot::default() };
+        let mut snapshot = Snapshot { data: stored.data.clone().into(), ..Snapshot::default() };
         let metadata = snapshot.mut_metadata();
         metadata.index = stored.index;
         metadata.term = stored.term;
--- a/crates/lease-store/src/log.rs
+++ b/crates/lease-store/src/log.rs
@@ -79,7 +79,7 @@
     }
 
     /// Replaces the entries up to `index` by a snapshot of this replica's own. None if there is nothing to compact.
-    pub fn compact(&mut self, index: u64, table: Vec<u8>) -> Option<StoredSnapshot> {
+    pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<StoredSnapshot> {
         if index <= self.snapshot.index || index > self.last() {
             return None;
         }
@@ -87,7 +87,7 @@
         self.entries.drain(..(index - self.snapshot.index) as usize);
         let voters = self.conf_state.voters.clone();
         let learners = self.conf_state.learners.clone();
-        self.snapshot = StoredSnapshot { index, term, voters, learners, table };
+        self.snapshot = StoredSnapshot { index, term, voters, learners, data };
         Some(self.snapshot.clone())
     }
 }
--- a/crates/lease-store/src/log/tests.rs
+++ b/crates/lease-store/src/log/tests.rs
@@ -2,11 +2,11 @@
 use crate::durable::{PendingWrite, StoredEntry, StoredSnapshot};
 
 fn entry(index: u64, term: u64) -> StoredEntry {
-    StoredEntry { index, term, kind: 0, data: vec![index as u8], context: Vec::new() }
+    StoredEntry { index, term, entry_type: 0, data: vec![index as u8], context: Vec::new() }
 }
 
 #[test]
-fn entries_replace_what_stood_from_their_first_on_and_a_snapshot_what_stood_before_it() {
+fn apply_overwrites_entries_and_truncates_at_snapshot() {
     let mut durable = DurableState::bootstrap(&[1, 2, 3]);
     durable.apply(&PendingWrite {
         entries: vec![entry(2, 1), entry(3, 1), entry(4, 1)],
--- a/crates/lease-store/src/membership.rs
+++ b/crates/lease-store/src/membership.rs
@@ -44,11 +44,11 @@
     /// The replica's number.
     pub number: u64,
     /// Whether it votes; a learner does not.
-    pub votes: bool,
+    pub is_voter: bool,
     /// Whether the leader heard from it lately; the leader itself always counts as heard.
-    pub active: bool,
+    pub is_active: bool,
     /// The highest index up to which it is known to have the leader's log.
-    pub matched: u64,
+    pub matched_index: u64,
 }
 
 /// Why a change of the members is rejected.
@@ -65,7 +65,7 @@
     NotMember(u64),
     /// There are [`MAX_REPLICAS`] already.
     #[error("{0} replicas are the maximum")]
-    TooMany(usize),
+    TooManyReplicas(usize),
     /// The number is 0, or the address is not one.
     #[error("a replica's number is not 0, and its address is such as \"127.0.0.1:18201\"")]
     InvalidAddress,
@@ -124,7 +124,7 @@
             return Err(MembershipError::AlreadyMember(number));
         }
         if progress.len() >= MAX_REPLICAS {
-            return Err(MembershipError::TooMany(MAX_REPLICAS));
+            return Err(MembershipError::TooManyReplicas(MAX_REPLICAS));
         }
         Ok(())
     }
@@ -132,8 +132,9 @@
     /// The change that the leader makes by itself: a learner that has nearly the whole log is promoted. `last_index` is the leader's.
     pub fn next_promotion(&self, progress: &[MemberProgress], last_index: u64) -> Option<MembershipChange> {
         let is_ready = |member: &&MemberProgress| {
-            let caught_up = member.matched > 0 && member.matched + MAX_PROMOTION_LAG >= last_index;
-            !member.votes && member.active && caught_up
+            let caught_up =
+                member.matched_index > 0 && member.matched_index + MAX_PROMOTION_LAG >= last_index;
+            !member.is_voter && member.is_active && caught_up
         };
         progress.iter().find(is_ready).map(|member| MembershipChange::Promote(member.number))
     }
@@ -154,7 +155,7 @@
 }
 
 fn check_promote(number: u64, progress: &[MemberProgress]) -> Result<(), MembershipError> {
-    let is_learner = progress.iter().any(|member| member.number == number && !member.votes);
+    let is_learner = progress.iter().any(|member| member.number == number && !member.is_voter);
     is_learner.then_some(()).ok_or(MembershipError::NotMember(number))
 }
 
@@ -165,10 +166,10 @@
     if number == leader {
         return Err(MembershipError::IsLeader(number));
     }
-    let rest = progress.iter().filter(|member| member.votes && member.number != number);
+    let rest = progress.iter().filter(|member| member.is_voter && member.number != number);
     let voters = rest.clone().count();
-    let healthy = rest.filter(|member| member.active).count();
-    if member.votes && 2 * healthy <= voters {
+    let healthy = rest.filter(|member| member.is_active).count();
+    if member.is_voter && 2 * healthy <= voters {
         return Err(MembershipError::NoMajority { number, healthy, voters });
     }
     Ok(())
--- a/crates/lease-store/src/replica.rs
+++ b/crates/lease-store/src/replica.rs
@@ -162,7 +162,7 @@
     /// Whether a write takes so long that a leader's answers from here would come too late for the lease term.
     pub fn has_slow_disk(&self, now: f64) -> bool {
         let limit = MAX_WRITE_TERM_FRACTION * self.config.rules.term;
-        self.unpersisted.front().is_some_and(|write| now - write.since > limit)
+        self.unpersisted.front().is_some_and(|write| now - write.handed_out_at > limit)
     }
 
     /// All replicas as the leader sees them, by number.
@@ -170,9 +170,9 @@
         let voters = self.voters();
         let progress = |(number, progress): (&u64, &raft::Progress)| MemberProgress {
             number: *number,
-            votes: voters.contains(number),
-            active: *number == self.id || progress.recent_active,
-            matched: progress.matched,
+            is_voter: voters.contains(number),
+            is_active: *number == self.id || progress.recent_active,
+            matched_index: progress.matched,
         };
         let mut all: Vec<MemberProgress> = self.node.raft.prs().iter().map(progress).collect();
         all.sort_by_key(|member| member.number);
@@ -190,7 +190,7 @@
             self.handle_ready(now)?;
         }
         self.compact_log();
-        self.release_reads();
+        self.complete_reads();
         Ok(std::mem::take(&mut self.output))
     }
 }
--- a/crates/lease-store/src/replica/apply.rs
+++ b/crates/lease-store/src/replica/apply.rs
@@ -13,7 +13,7 @@
     pub(super) fn apply(&mut self, now: f64, entry: &Entry) -> Result<(), ReplicaError> {
         self.applied = entry.index;
         match entry.get_entry_type() {
-            EntryType::EntryNormal if entry.data.is_empty() => self.apply_first_of_term(now, entry),
+            EntryType::EntryNormal if entry.data.is_empty() => self.start_leadership(now, entry),
             EntryType::EntryNormal => self.apply_command(entry),
             EntryType::EntryConfChange => return self.apply_conf_change(entry),
             EntryType::EntryConfChangeV2 => return self.apply_conf_change_v2(entry),
@@ -22,7 +22,7 @@
     }
 
     /// A leader's term starts with an empty entry: once it is applied, all that was committed before is too.
-    fn apply_first_of_term(&mut self, now: f64, entry: &Entry) {
+    fn start_leadership(&mut self, now: f64, entry: &Entry) {
         if entry.term != self.term() || self.node.raft.state != StateRole::Leader {
             return;
         }
@@ -32,11 +32,11 @@
             next_time_entry: now,
             inflight_proposals: 0,
         });
-        self.declare_settings(now);
+        self.propose_configured_settings(now);
     }
 
     /// Proposes the leader's own settings where the table goes by others.
-    fn declare_settings(&mut self, now: f64) {
+    fn propose_configured_settings(&mut self, now: f64) {
         let rules = &self.config.rules;
         let tasks = &self.config.tasks;
         let mut sorted = tasks.clone();
@@ -48,9 +48,9 @@
     }
 
     fn apply_command(&mut self, entry: &Entry) {
-        let own = self.leadership.as_mut().filter(|leadership| leadership.term == entry.term);
-        let is_own = own.is_some();
-        if let Some(leadership) = own {
+        let own_leadership = self.leadership.as_mut().filter(|leadership| leadership.term == entry.term);
+        let is_own = own_leadership.is_some();
+        if let Some(leadership) = own_leadership {
             leadership.inflight_proposals = leadership.inflight_proposals.saturating_sub(1);
         }
         // An entry that can't be decoded changes nothing, at all replicas alike.
@@ -58,12 +58,12 @@
         let mut outcome = self.table.apply(&decoded);
         self.output.lease_changes.append(&mut outcome.changes);
         if is_own {
-            self.answer(entry, outcome);
+            self.emit_outcome(entry, outcome);
         }
     }
 
     /// Hands out the responses that an entry of this leader's led to, and the outcome where it was an operator's command.
-    fn answer(&mut self, entry: &Entry, outcome: Outcome) {
+    fn emit_outcome(&mut self, entry: &Entry, outcome: Outcome) {
         self.output.responses.extend(outcome.responses);
         let Ok(token) = entry.context[..].try_into() else { return };
         let result = outcome.error.map_or(Ok(()), |error| Err(error.into()));
--- a/crates/lease-store/src/replica/leadership.rs
+++ b/crates/lease-store/src/replica/leadership.rs
@@ -54,15 +54,16 @@
 
     /// Drops what belongs to a leadership that is over: a former leader answers nothing more.
     pub(super) fn check_leadership(&mut self) {
-        let leads = self.node.raft.state == StateRole::Leader;
+        let is_raft_leader = self.node.raft.state == StateRole::Leader;
         let term = self.term();
-        if self.leadership.as_ref().is_some_and(|leadership| !leads || leadership.term != term) {
+        if self.leadership.as_ref().is_some_and(|leadership| !is_raft_leader || leadership.term != term) {
             self.leadership = None;
             self.lease_requests.clear();
         }
-        let lost = self.pending_commands.extract_if(.., |command| !leads || command.term != term);
-        let unknown = |token| CommandOutcome { token, result: Err(CommandFailure::OutcomeUnknown) };
-        self.output.outcomes.extend(lost.map(|command| unknown(command.token)));
+        let lost_commands =
+            self.pending_commands.extract_if(.., |command| !is_raft_leader || command.term != term);
+        let unknown_outcome = |token| CommandOutcome { token, result: Err(CommandFailure::OutcomeUnknown) };
+        self.output.outcomes.extend(lost_commands.map(|command| unknown_outcome(command.token)));
     }
 
     /// Sends lost snapshots again, and promotes learners that have caught up.
@@ -102,10 +103,10 @@
 
     /// Proposes an entry that only advances the table's time, by which leases run out.
     fn propose_time(&mut self, now: f64) {
-        let has_unread = !self.lease_requests.is_empty();
+        let has_waiting_requests = !self.lease_requests.is_empty();
         let Some(leadership) = &mut self.leadership else { return };
         // Checked before time advances: after a pause of this process the requests that waited come first.
-        let may_advance = leadership.clock.may_advance(now, has_unread);
+        let may_advance = leadership.clock.may_advance(now, has_waiting_requests);
         let is_due = now >= leadership.next_time_entry;
         if may_advance && is_due && leadership.inflight_proposals < MAX_INFLIGHT_PROPOSALS {
             leadership.next_time_entry = now + self.config.time_interval;
--- a/crates/lease-store/src/replica/persistence.rs
+++ b/crates/lease-store/src/replica/persistence.rs
@@ -12,7 +12,7 @@
     /// The write's number.
     pub number: u64,
     /// When it was handed out, on the host's clock, s.
-    pub since: f64,
+    pub handed_out_at: f64,
     /// Index of the leader's snapshot in it, if there is one.
     pub snapshot_index: Option<u64>,
     /// Messages that may be sent once it is durable.
@@ -35,14 +35,14 @@
     /// Takes one `Ready` of raft's: keeps what is new in the log, hands it out to be written, and applies what is committed.
     pub(super) fn handle_ready(&mut self, now: f64) -> Result<(), ReplicaError> {
         let mut ready = self.node.ready();
-        let immediate = ready.take_messages();
+        let immediate_messages = ready.take_messages();
         let write = self.pending_write(&mut ready)?;
         let committed = ready.take_committed_entries();
-        let after_write = ready.take_persisted_messages();
+        let messages_after_write = ready.take_persisted_messages();
         self.take_read_states(ready.take_read_states());
         self.node.advance_append_async(ready);
-        self.send(immediate);
-        self.hand_out(now, write, after_write);
+        self.send(immediate_messages);
+        self.queue_write(now, write, messages_after_write);
         for entry in &committed {
             self.apply(now, entry)?;
         }
@@ -79,7 +79,7 @@
     }
 
     /// Hands out a write with the messages that wait for it; an empty one counts as durable if no other is under way.
-    fn hand_out(&mut self, now: f64, write: PendingWrite, messages: Vec<Message>) {
+    fn queue_write(&mut self, now: f64, write: PendingWrite, messages: Vec<Message>) {
         if write.is_empty() && self.unpersisted.is_empty() {
             self.node.on_persist_ready(write.number);
             self.send(messages);
@@ -87,7 +87,7 @@
         }
         self.unpersisted.push_back(UnpersistedWrite {
             number: write.number,
-            since: now,
+            handed_out_at: now,
             snapshot_index: write.snapshot.as_ref().map(|snapshot| snapshot.index),
             messages,
         });
--- a/crates/lease-store/src/replica/requests.rs
+++ b/crates/lease-store/src/replica/requests.rs
@@ -8,7 +8,7 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, Message};
 
 /// Requests of instances in one log entry.
-const MAX_BATCH: usize = 512;
+const MAX_BATCH_REQUESTS: usize = 512;
 /// Commands of operators that may wait at once.
 const MAX_PENDING_COMMANDS: usize = 64;
 
@@ -55,8 +55,8 @@
         if self.lease_requests.len() >= MAX_INSTANCES {
             return Err(RequestError::Overloaded);
         }
-        let is_outdated = |waiting: &LeaseRequest| waiting.serial >= request.serial;
-        if !self.lease_requests.get(&request.holder).is_some_and(is_outdated) {
+        let supersedes = |waiting: &LeaseRequest| waiting.serial >= request.serial;
+        if !self.lease_requests.get(&request.holder).is_some_and(supersedes) {
             self.lease_requests.insert(request.holder.clone(), request);
         }
         Ok(())
@@ -122,7 +122,7 @@
     pub(super) fn propose_lease_requests(&mut self, now: f64) {
         while !self.lease_requests.is_empty() && self.may_propose_requests() {
             let waiting = std::iter::from_fn(|| self.lease_requests.pop_first());
-            let batch = waiting.take(MAX_BATCH).map(|(_, request)| request).collect();
+            let batch = waiting.take(MAX_BATCH_REQUESTS).map(|(_, request)| request).collect();
             self.propose(now, Command::Renew(batch), Vec::new());
         }
     }
@@ -144,7 +144,7 @@
 
     /// Whether raft accepted the proposal of a change of the members.
     pub(super) fn propose_membership(&mut self, token: u64, change: MembershipChange) -> bool {
-        let (kind, number) = match &change {
+        let (change_type, number) = match &change {
             MembershipChange::Add { number, .. } => (ConfChangeType::AddLearnerNode, *number),
             MembershipChange::Promote(number) => (ConfChangeType::AddNode, *number),
             MembershipChange::Remove(number) => (ConfChangeType::RemoveNode, *number),
@@ -152,14 +152,14 @@
         let Ok(context) = postcard::to_allocvec(&(token, change)) else { return false };
         let mut conf_change =
             ConfChange { node_id: number, context: context.clone().into(), ..ConfChange::default() };
-        conf_change.set_change_type(kind);
+        conf_change.set_change_type(change_type);
         self.node.propose_conf_change(context, conf_change).is_ok()
     }
 
     /// Hands out the reads whose entry is applied.
-    pub(super) fn release_reads(&mut self) {
+    pub(super) fn complete_reads(&mut self) {
         let applied = self.applied;
-        let due = self.pending_reads.extract_if(.., |read| read.index <= applied);
-        self.output.reads.extend(due.map(|read| read.token));
+        let ready = self.pending_reads.extract_if(.., |read| read.index <= applied);
+        self.output.reads.extend(ready.map(|read| read.token));
     }
 }
--- a/crates/lease-store/src/replica/snapshot.rs
+++ b/crates/lease-store/src/replica/snapshot.rs
@@ -15,10 +15,10 @@
 
 /// The contents of a snapshot; the one that a cluster starts from is empty.
 pub(super) fn decode(snapshot: &StoredSnapshot) -> Result<ReplicatedState, ReplicaError> {
-    if snapshot.table.is_empty() {
+    if snapshot.data.is_empty() {
         return Ok(ReplicatedState::default());
     }
-    postcard::from_bytes(&snapshot.table).map_err(ReplicaError::Snapshot)
+    postcard::from_bytes(&snapshot.data).map_err(ReplicaError::Snapshot)
 }
 
 impl Replica {
--- a/crates/lease-store/src/server/connection.rs
+++ b/crates/lease-store/src/server/connection.rs
@@ -29,10 +29,10 @@
     let (reader, writer) = stream.into_split();
     let (reply_to, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
     let writer_task = tokio::spawn(write_replies(writer, replies));
-    let ended = read_requests(LineReader::new(reader, MAX_LINE_BYTES), requests, reply_to).await;
+    let result = read_requests(LineReader::new(reader, MAX_LINE_BYTES), requests, reply_to).await;
     // Replies may still be queued; whoever closed the connection gets none of them.
     writer_task.abort();
-    ended
+    result
 }
 
 async fn read_requests(
--- a/crates/lease-store/src/server/counters/tests.rs
+++ b/crates/lease-store/src/server/counters/tests.rs
@@ -2,8 +2,8 @@
 use puffinladder_leases::{HolderId, Task};
 
 #[test]
-fn changes_are_counted_under_the_names_that_programs_read() {
-    let named = [
+fn change_counters_keep_their_names() {
+    let expected_names = [
         (ChangeKind::Granted, Cause::Vacant, "changes-given-vacant"),
         (ChangeKind::Ended, Cause::Expired, "changes-ended-expired"),
         (ChangeKind::Ended, Cause::Released, "changes-ended-handedover"),
@@ -15,7 +15,7 @@
         (ChangeKind::Revoked, Cause::Paused, "changes-takenback-paused"),
         (ChangeKind::Revoked, Cause::Undeclared, "changes-takenback-dropped"),
     ];
-    for (kind, cause, name) in named {
+    for (kind, cause, name) in expected_names {
         let change = Change {
             at: 1.0,
             task: Task::new("gather", 0),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_count_is_there_once_it_was_counted() {
+fn counter_exists_after_first_add() {
     let mut counters = Counters::default();
     counters.increment(LEASE_REQUESTS);
     counters.add(PEER_BYTES, 0);
--- a/crates/lease-store/src/server/disk.rs
+++ b/crates/lease-store/src/server/disk.rs
@@ -26,10 +26,10 @@
         syncs: Arc<AtomicU64>,
     ) -> Result<DiskThread, ServerError> {
         let (writes, queue) = blocking::channel();
-        let (done, persisted) = mpsc::unbounded_channel();
+        let (persisted_sender, persisted) = mpsc::unbounded_channel();
         let handle = std::thread::Builder::new()
             .name("disk".into())
-            .spawn(move || write_all(&store, &queue, &done, &sync_delay, &syncs))
+            .spawn(move || run_disk_thread(&store, &queue, &persisted_sender, &sync_delay, &syncs))
             .map_err(ServerError::DiskThread)?;
         Ok(DiskThread { writes, persisted, handle })
     }
@@ -52,7 +52,7 @@
     }
 }
 
-fn write_all(
+fn run_disk_thread(
     store: &Store,
     queue: &blocking::Receiver<Vec<PendingWrite>>,
     persisted: &mpsc::UnboundedSender<u64>,
--- a/crates/lease-store/src/server/event_loop.rs
+++ b/crates/lease-store/src/server/event_loop.rs
@@ -20,7 +20,7 @@
 use tokio::time::{interval, MissedTickBehavior};
 
 /// Requests that are handled before their output is carried out.
-const MAX_BATCH: usize = 512;
+const MAX_BATCH_REQUESTS: usize = 512;
 
 /// The replica with all that it is connected to.
 pub(super) struct EventLoop {
@@ -61,10 +61,10 @@
         let mut disk = DiskThread::start(store, self.options.sync_delay.clone(), self.syncs.clone())?;
         let mut ticks = interval(self.options.clock.sleep_duration(self.options.tick_interval));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(MAX_BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH_REQUESTS);
         loop {
             tokio::select! {
-                count = requests.recv_many(&mut batch, MAX_BATCH) => {
+                count = requests.recv_many(&mut batch, MAX_BATCH_REQUESTS) => {
                     if count == 0 {
                         return Ok(());
                     }
--- a/crates/lease-store/src/server/event_loop/output.rs
+++ b/crates/lease-store/src/server/event_loop/output.rs
@@ -25,7 +25,7 @@
         output.outcomes.into_iter().for_each(|outcome| self.reply_outcome(outcome));
         output.reads.into_iter().for_each(|token| self.reply_read(token));
         output.lease_changes.into_iter().for_each(|change| self.record_change(change));
-        self.follow_leadership();
+        self.report_leadership_change();
     }
 
     /// Keeps a sender for each replica that is a member by now.
@@ -83,18 +83,18 @@
     }
 
     /// Tells of a leadership that began or ended since the last output.
-    fn follow_leadership(&mut self) {
+    fn report_leadership_change(&mut self) {
         let is_leader = self.replica.is_leader();
         if is_leader && !self.was_leader {
-            self.announce_leadership();
+            self.report_leadership_gained();
         }
         if self.was_leader && !is_leader {
-            self.release_clients();
+            self.redirect_clients();
         }
         self.was_leader = is_leader;
     }
 
-    fn announce_leadership(&mut self) {
+    fn report_leadership_gained(&mut self) {
         let replica = self.replica.id();
         let term = self.replica.term();
         tracing::info!("replica {replica} became the leader, term {term}");
@@ -103,7 +103,7 @@
     }
 
     /// Tells instances and waiting operators that this replica leads no more: they find the next leader sooner than by a timeout.
-    fn release_clients(&mut self) {
+    fn redirect_clients(&mut self) {
         let id = self.replica.id();
         tracing::info!("replica {id} is the leader no more");
         let leader = self.replica.leader().filter(|leader| *leader != id);
--- a/crates/lease-store/src/server/event_loop/requests.rs
+++ b/crates/lease-store/src/server/event_loop/requests.rs
@@ -34,12 +34,12 @@
             ReplicaRequest::Tasks => {
                 let token = self.pending_replies.next_token();
                 let accepted = self.replica.request_read(token);
-                self.await_outcome(token, accepted, reply_to);
+                self.register_reply(token, accepted, reply_to);
             }
             ReplicaRequest::Command(command) => {
                 let token = self.pending_replies.next_token();
                 let accepted = self.replica.propose_command(now, token, command);
-                self.await_outcome(token, accepted, reply_to);
+                self.register_reply(token, accepted, reply_to);
             }
             ReplicaRequest::AddReplica { number, address } => {
                 self.change_membership(MembershipChange::Add { number, address }, reply_to);
@@ -81,12 +81,12 @@
     fn change_membership(&mut self, change: MembershipChange, reply_to: ReplySender) {
         let token = self.pending_replies.next_token();
         let accepted = self.replica.change_membership(token, change);
-        self.await_outcome(token, accepted, reply_to);
+        self.register_reply(token, accepted, reply_to);
         self.update_peers();
     }
 
     /// Remembers who waits for a command that was accepted; rejects the others at once.
-    fn await_outcome(&mut self, token: u64, accepted: Result<(), RequestError>, reply_to: ReplySender) {
+    fn register_reply(&mut self, token: u64, accepted: Result<(), RequestError>, reply_to: ReplySender) {
         match accepted {
             Ok(()) => self.pending_replies.insert(token, reply_to),
             Err(error) => self.reject(error, &reply_to),
--- a/crates/lease-store/src/store.rs
+++ b/crates/lease-store/src/store.rs
@@ -9,14 +9,14 @@
 use thiserror::Error;
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Keys in the table of facts. They are part of the format.
+const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+/// Keys in the table of metadata. They are part of the format.
 const SCHEMA_KEY: &str = "schema";
-const NUMBER_KEY: &str = "keeper";
+const REPLICA_NUMBER_KEY: &str = "keeper";
 const HARD_STATE_KEY: &str = "vote";
 const SNAPSHOT_KEY: &str = "shot";
 /// Version of what is written in the two tables.
-const SCHEMA: u32 = 1;
+const SCHEMA_VERSION: u32 = 1;
 /// Bytes of the file that are cached in memory: far more than the log between two snapshots.
 const CACHE_BYTES: usize = 8 << 20;
 
@@ -44,8 +44,8 @@
         path: PathBuf,
     },
     /// Another version of this program wrote the file.
-    #[error("{path}: written as version {found}, this program reads version {SCHEMA}")]
-    Schema {
+    #[error("{path}: written as version {found}, this program reads version {SCHEMA_VERSION}")]
+    UnsupportedSchema {
         /// The file.
         path: PathBuf,
         /// The version in the file.
@@ -57,7 +57,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        source: ContentError,
+        source: StoreContentError,
     },
     /// A write failed.
     #[error("{path}: {source}")]
@@ -65,13 +65,13 @@
         /// The file.
         path: PathBuf,
         /// What failed.
-        source: ContentError,
+        source: StoreContentError,
     },
 }
 
 /// What can go wrong inside the file.
 #[derive(Debug, Error)]
-pub enum ContentError {
+pub enum StoreContentError {
     /// The embedded store failed.
     #[error("{0}")]
     Database(#[from] redb::Error),
@@ -83,10 +83,10 @@
     Encode(postcard::Error),
     /// A fact is missing.
     #[error("{0} is missing")]
-    MissingFact(&'static str),
+    MissingValue(&'static str),
     /// A fact can't be read.
     #[error("{key}: {source}")]
-    Fact {
+    Value {
         /// The fact's key.
         key: &'static str,
         /// Why it can't be read.
@@ -105,12 +105,12 @@
     Corrupt(#[from] CorruptState),
 }
 
-/// The errors of each step in the embedded store, all of which are a [`ContentError::Database`].
+/// The errors of each step in the embedded store, all of which are a [`StoreContentError::Database`].
 macro_rules! database_errors {
     ($($error:ty),*) => {
-        $(impl From<$error> for ContentError {
-            fn from(error: $error) -> ContentError {
-                ContentError::Database(error.into())
+        $(impl From<$error> for StoreContentError {
+            fn from(error: $error) -> StoreContentError {
+                StoreContentError::Database(error.into())
             }
         })*
     };
@@ -156,18 +156,18 @@
         let _ = std::fs::remove_file(&temporary);
         let store = Store { database: open_database(&temporary, true)?, path: path.into(), id };
         store.transact(|transaction| {
-            let mut facts = transaction.open_table(FACTS)?;
-            put_fact(&mut facts, SCHEMA_KEY, &SCHEMA)?;
-            put_fact(&mut facts, NUMBER_KEY, &id)?;
-            put_fact(&mut facts, HARD_STATE_KEY, &durable.hard_state)?;
-            put_fact(&mut facts, SNAPSHOT_KEY, &durable.snapshot)?;
+            let mut metadata = transaction.open_table(METADATA)?;
+            put_value(&mut metadata, SCHEMA_KEY, &SCHEMA_VERSION)?;
+            put_value(&mut metadata, REPLICA_NUMBER_KEY, &id)?;
+            put_value(&mut metadata, HARD_STATE_KEY, &durable.hard_state)?;
+            put_value(&mut metadata, SNAPSHOT_KEY, &durable.snapshot)?;
             transaction.open_table(ENTRIES)?;
             Ok(())
         })?;
         drop(store);
         let failed = |error: std::io::Error| StoreError::Write { path: path.into(), source: error.into() };
         std::fs::rename(&temporary, path).map_err(failed)?;
-        sync_folder_of(path).map_err(failed)?;
+        sync_parent_directory(path).map_err(failed)?;
         Store::open(path)
     }
 
@@ -180,12 +180,12 @@
             return Err(StoreError::Missing { path: path.into() });
         }
         let database = open_database(path, false)?;
-        let unreadable = |source: ContentError| StoreError::Unreadable { path: path.into(), source };
-        let found = read_schema(&database).map_err(unreadable)?;
-        if found != SCHEMA {
-            return Err(StoreError::Schema { path: path.into(), found });
+        let unreadable = |source: StoreContentError| StoreError::Unreadable { path: path.into(), source };
+        let found = read_schema_version(&database).map_err(unreadable)?;
+        if found != SCHEMA_VERSION {
+            return Err(StoreError::UnsupportedSchema { path: path.into(), found });
         }
-        let (id, durable) = read_all(&database).map_err(unreadable)?;
+        let (id, durable) = read_state(&database).map_err(unreadable)?;
         Ok((Store { database, path: path.into(), id }, durable))
     }
 
@@ -204,9 +204,9 @@
         }
         self.transact(|transaction| {
             let mut entries = transaction.open_table(ENTRIES)?;
-            let mut facts = transaction.open_table(FACTS)?;
+            let mut metadata = transaction.open_table(METADATA)?;
             for write in writes {
-                put_write(&mut entries, &mut facts, write)?;
+                apply_write(&mut entries, &mut metadata, write)?;
             }
             Ok(())
         })
@@ -215,9 +215,9 @@
     /// Runs a change as one transaction, with a sync at its end.
     fn transact(
         &self,
-        change: impl FnOnce(&redb::WriteTransaction) -> Result<(), ContentError>,
+        change: impl FnOnce(&redb::WriteTransaction) -> Result<(), StoreContentError>,
     ) -> Result<(), StoreError> {
-        let committed = || -> Result<(), ContentError> {
+        let committed = || -> Result<(), StoreContentError> {
             let transaction = self.database.begin_write()?;
             change(&transaction)?;
             Ok(transaction.commit()?)
@@ -232,28 +232,29 @@
     PathBuf::from(name)
 }
 
-/// Makes a rename in the folder of this path durable.
-fn sync_folder_of(path: &Path) -> std::io::Result<()> {
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    std::fs::File::open(folder).and_then(|folder| folder.sync_all())
+/// Makes a rename in the directory of this path durable.
+fn sync_parent_directory(path: &Path) -> std::io::Result<()> {
+    let directory =
+        path.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    std::fs::File::open(directory).and_then(|directory| directory.sync_all())
 }
 
 /// The version that a file was written as; the rest is read only if it is ours.
-fn read_schema(database: &Database) -> Result<u32, ContentError> {
-    get_fact(&database.begin_read()?.open_table(FACTS)?, SCHEMA_KEY)
+fn read_schema_version(database: &Database) -> Result<u32, StoreContentError> {
+    read_value(&database.begin_read()?.open_table(METADATA)?, SCHEMA_KEY)
 }
 
-fn read_all(database: &Database) -> Result<(u64, DurableState), ContentError> {
+fn read_state(database: &Database) -> Result<(u64, DurableState), StoreContentError> {
     let transaction = database.begin_read()?;
-    let facts = transaction.open_table(FACTS)?;
-    let id = get_fact(&facts, NUMBER_KEY)?;
-    let hard_state = get_fact(&facts, HARD_STATE_KEY)?;
-    let snapshot = get_fact(&facts, SNAPSHOT_KEY)?;
+    let metadata = transaction.open_table(METADATA)?;
+    let id = read_value(&metadata, REPLICA_NUMBER_KEY)?;
+    let hard_state = read_value(&metadata, HARD_STATE_KEY)?;
+    let snapshot = read_value(&metadata, SNAPSHOT_KEY)?;
     let mut entries: Vec<StoredEntry> = Vec::new();
     for row in transaction.open_table(ENTRIES)?.iter()? {
         let (index, value) = row?;
         let entry = postcard::from_bytes(value.value())
-            .map_err(|source| ContentError::Entry { index: index.value(), source })?;
+            .map_err(|source| StoreContentError::Entry { index: index.value(), source })?;
         entries.push(entry);
     }
     let durable = DurableState { hard_state, snapshot, entries };
@@ -271,42 +272,42 @@
     })
 }
 
-fn get_fact<T: DeserializeOwned>(
-    facts: &impl ReadableTable<&'static str, &'static [u8]>,
+fn read_value<T: DeserializeOwned>(
+    metadata: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &'static str,
-) -> Result<T, ContentError> {
-    let value = facts.get(key)?.ok_or(ContentError::MissingFact(key))?;
-    postcard::from_bytes(value.value()).map_err(|source| ContentError::Fact { key, source })
+) -> Result<T, StoreContentError> {
+    let value = metadata.get(key)?.ok_or(StoreContentError::MissingValue(key))?;
+    postcard::from_bytes(value.value()).map_err(|source| StoreContentError::Value { key, source })
 }
 
-fn put_fact<T: Serialize>(
-    facts: &mut redb::Table<&'static str, &'static [u8]>,
+fn put_value<T: Serialize>(
+    metadata: &mut redb::Table<&'static str, &'static [u8]>,
     key: &'static str,
     value: &T,
-) -> Result<(), ContentError> {
-    let bytes = postcard::to_allocvec(value).map_err(ContentError::Encode)?;
-    facts.insert(key, bytes.as_slice())?;
+) -> Result<(), StoreContentError> {
+    let bytes = postcard::to_allocvec(value).map_err(StoreContentError::Encode)?;
+    metadata.insert(key, bytes.as_slice())?;
     Ok(())
 }
 
-fn put_write(
+fn apply_write(
     entries: &mut redb::Table<u64, &'static [u8]>,
-    facts: &mut redb::Table<&'static str, &'static [u8]>,
+    metadata: &mut redb::Table<&'static str, &'static [u8]>,
     write: &PendingWrite,
-) -> Result<(), ContentError> {
+) -> Result<(), StoreContentError> {
     if let Some(snapshot) = &write.snapshot {
-        put_fact(facts, SNAPSHOT_KEY, snapshot)?;
+        put_value(metadata, SNAPSHOT_KEY, snapshot)?;
         entries.retain_in(..=snapshot.index, |_, _| false)?;
     }
     if let Some(first) = write.entries.first() {
         entries.retain_in(first.index.., |_, _| false)?;
     }
     for entry in &write.entries {
-        let bytes = postcard::to_allocvec(entry).map_err(ContentError::Encode)?;
+        let bytes = postcard::to_allocvec(entry).map_err(StoreContentError::Encode)?;
         entries.insert(entry.index, bytes.as_slice())?;
     }
     if let Some(hard_state) = &write.hard_state {
-        put_fact(facts, HARD_STATE_KEY, hard_state)?;
+        put_value(metadata, HARD_STATE_KEY, hard_state)?;
     }
     Ok(())
 }
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -22,7 +22,7 @@
     000000004052b81e85ebd1094002066761746865720571756f7461000403066761746865720006676174686572010571756f74610001027331010000000000\
     0000000000000000000000f33f00000000000000f33f00000000000000000001020f3132372e302e302e323a313832303100";
 
-/// Index, term, kind, data and context of each entry behind the snapshot: time, an instance's line, a pause, a move, the removal of replica 2.
+/// Index, term, type, data and context of each entry behind the snapshot: time, an instance's line, a pause, a move, the removal of replica 2.
 const ENTRIES: [(u64, u64, i32, &str, &str); 9] = [
     (21, 2, 0, "000000000000fd3f00", ""),
     (22, 2, 0, "000000000000ff3f00", ""),
@@ -42,23 +42,23 @@
 ];
 
 /// The table once all of these entries are applied.
-const ROWS: &str = concat!(
+const LEASE_ROWS: &str = concat!(
     r#"[{"duty":{"name":"gather","part":0},"owner":{"instance":"s1","incarnation":1},"epoch":1,"since":1.1875,"back":true,"paused":false},"#,
     r#"{"duty":{"name":"gather","part":1},"owner":{"instance":"s1","incarnation":1},"epoch":2,"since":1.1875,"back":false,"paused":false},"#,
     r#"{"duty":{"name":"quota","part":0},"owner":{"instance":"s1","incarnation":1},"epoch":3,"since":1.1875,"back":true,"paused":true}]"#
 );
 
-fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+fn decode_hex(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|index| u8::from_str_radix(&hex[index..index + 2], 16).unwrap()).collect()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// A copy of the stored file, since opening a file writes to it.
-fn copy(folder: &tempfile::TempDir) -> PathBuf {
-    let path = folder.path().join("keeper.redb");
+fn copy_stored_file(directory: &tempfile::TempDir) -> PathBuf {
+    let path = directory.path().join("keeper.redb");
     std::fs::copy(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/keeper.redb"), &path).unwrap();
     path
 }
@@ -71,83 +71,90 @@
     ReplicaConfig { tasks, snapshot_entries: 1000, ..ReplicaConfig::default() }
 }
 
-fn stored() -> DurableState {
-    let snapshot =
-        StoredSnapshot { index: 20, term: 2, voters: vec![1, 2], learners: vec![], table: bytes(SNAPSHOT) };
-    let entry = |(index, term, kind, data, context): (u64, u64, i32, &str, &str)| StoredEntry {
+fn stored_state() -> DurableState {
+    let snapshot = StoredSnapshot {
+        index: 20,
+        term: 2,
+        voters: vec![1, 2],
+        learners: vec![],
+        data: decode_hex(SNAPSHOT),
+    };
+    let entry = |(index, term, entry_type, data, context): (u64, u64, i32, &str, &str)| StoredEntry {
         index,
         term,
-        kind,
-        data: bytes(data),
-        context: bytes(context),
+        entry_type,
+        data: decode_hex(data),
+        context: decode_hex(context),
     };
     let entries = ENTRIES.into_iter().map(entry).collect();
     DurableState { hard_state: StoredHardState { term: 2, vote: 1, commit: 29 }, snapshot, entries }
 }
 
 #[test]
-fn a_stored_file_reads_back_to_the_state_it_was_written_with() {
-    let folder = tempfile::tempdir().unwrap();
-    let (store, durable) = Store::open(&copy(&folder)).unwrap();
+fn reads_stored_file() {
+    let directory = tempfile::tempdir().unwrap();
+    let (store, durable) = Store::open(&copy_stored_file(&directory)).unwrap();
     assert_eq!(store.id(), 1);
-    assert_eq!(durable, stored());
+    assert_eq!(durable, stored_state());
 }
 
 #[test]
-fn snapshot_and_entries_give_the_table_and_the_members() {
-    let mut replica = Replica::new(1, config(), &stored()).unwrap();
+fn restores_table_and_members_from_snapshot_and_entries() {
+    let mut replica = Replica::new(1, config(), &stored_state()).unwrap();
     assert_eq!((replica.applied(), replica.term(), replica.voters()), (20, 2, vec![1, 2]));
     assert_eq!(
         serde_json::to_string(replica.members()).unwrap(),
         r#"{"joined":{"2":"127.0.0.2:18201"},"retired":[]}"#
     );
     let written = postcard::to_allocvec(&(replica.table(), replica.members())).unwrap();
-    assert_eq!(hex(&written), hex(&bytes(SNAPSHOT)));
+    assert_eq!(encode_hex(&written), encode_hex(&decode_hex(SNAPSHOT)));
     replica.process(100.0).unwrap();
     assert_eq!((replica.applied(), replica.term(), replica.voters()), (29, 2, vec![1]));
-    assert_eq!(serde_json::to_string(&replica.table().lease_rows()).unwrap(), ROWS);
+    assert_eq!(serde_json::to_string(&replica.table().lease_rows()).unwrap(), LEASE_ROWS);
     assert_eq!(replica.table().last_epoch(), 3);
     assert_eq!(serde_json::to_string(replica.members()).unwrap(), r#"{"joined":{},"retired":[2]}"#);
 }
 
 #[test]
-fn changes_of_the_members_are_stored_as_they_were() {
+fn membership_change_encoding_is_unchanged() {
     let add = MembershipChange::Add { number: 2, address: "127.0.0.2:18201".into() };
-    let all = [
+    let encodings = [
         (70_u64, add, "4600020f3132372e302e302e323a3138323031"),
         (0, MembershipChange::Promote(2), "000102"),
         (73, MembershipChange::Remove(2), "490202"),
     ];
-    for (token, change, stored) in all {
-        assert_eq!(hex(&postcard::to_allocvec(&(token, change.clone())).unwrap()), stored);
-        assert_eq!(postcard::from_bytes::<(u64, MembershipChange)>(&bytes(stored)).unwrap(), (token, change));
+    for (token, change, stored) in encodings {
+        assert_eq!(encode_hex(&postcard::to_allocvec(&(token, change.clone())).unwrap()), stored);
+        assert_eq!(
+            postcard::from_bytes::<(u64, MembershipChange)>(&decode_hex(stored)).unwrap(),
+            (token, change)
+        );
     }
     let members = Members { joined: [(4, "a:1".into())].into(), retired: [2, 3].into() };
-    assert_eq!(hex(&postcard::to_allocvec(&members).unwrap()), "010403613a31020203");
+    assert_eq!(encode_hex(&postcard::to_allocvec(&members).unwrap()), "010403613a31020203");
 }
 
 #[test]
-fn votes_entries_and_snapshots_are_stored_as_they_were() {
+fn raft_state_encoding_is_unchanged() {
     let hard_state = StoredHardState { term: 300, vote: 2, commit: 7 };
-    assert_eq!(hex(&postcard::to_allocvec(&hard_state).unwrap()), "ac020207");
-    let entry = StoredEntry { index: 7, term: 3, kind: 2, data: vec![1, 2], context: vec![9] };
-    assert_eq!(hex(&postcard::to_allocvec(&entry).unwrap()), "070304020102010".to_owned() + "9");
-    let snapshot =
-        StoredSnapshot { index: 6, term: 3, voters: vec![1, 2], learners: vec![4], table: vec![5] };
-    assert_eq!(hex(&postcard::to_allocvec(&snapshot).unwrap()), "060302010201040105");
+    assert_eq!(encode_hex(&postcard::to_allocvec(&hard_state).unwrap()), "ac020207");
+    let entry = StoredEntry { index: 7, term: 3, entry_type: 2, data: vec![1, 2], context: vec![9] };
+    assert_eq!(encode_hex(&postcard::to_allocvec(&entry).unwrap()), "070304020102010".to_owned() + "9");
+    let snapshot = StoredSnapshot { index: 6, term: 3, voters: vec![1, 2], learners: vec![4], data: vec![5] };
+    assert_eq!(encode_hex(&postcard::to_allocvec(&snapshot).unwrap()), "060302010201040105");
 }
 
 /// Each line reads as a message of this type, and is written the same again.
-fn lines<T: Serialize + DeserializeOwned>(all: &[&str]) {
-    for line in all {
-        let read: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
+fn assert_lines_unchanged<T: Serialize + DeserializeOwned>(lines: &[&str]) {
+    for line in lines {
+        let read: T = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
         assert_eq!(serde_json::to_string(&read).unwrap(), *line);
     }
 }
 
 #[test]
-fn every_line_to_a_replica_reads_as_it_did() {
-    lines::<ReplicaRequest>(&[
+fn request_lines_are_unchanged() {
+    assert_lines_unchanged::<ReplicaRequest>(&[
         concat!(
             r#"{"say":{"owner":{"instance":"s1","incarnation":2},"zone":"z1","serial":3,"wants":["gather"],"leaving":true,"#,
             r#""marks":[{"duty":{"name":"gather","part":1},"epoch":4,"done":5,"work":true}],"#,
@@ -170,8 +177,8 @@
 }
 
 #[test]
-fn every_line_from_a_replica_reads_as_it_did() {
-    lines::<ReplicaReply>(&[
+fn reply_lines_are_unchanged() {
+    assert_lines_unchanged::<ReplicaReply>(&[
         concat!(
             r#"{"told":{"owner":{"instance":"s1","incarnation":1},"serial":3,"term":2.0,"version":4,"#,
             r#""grants":[{"duty":{"name":"gather","part":0},"epoch":1,"back":false}],"refused":null}}"#
@@ -193,8 +200,8 @@
 }
 
 #[test]
-fn every_event_of_a_replica_reads_as_it_did() {
-    lines::<Event>(&[
+fn event_lines_are_unchanged() {
+    assert_lines_unchanged::<Event>(&[
         r#"{"ready":{"listen":"127.0.0.1:18201"}}"#,
         concat!(
             r#"{"change":{"at":1.5,"duty":{"name":"gather","part":0},"owner":{"instance":"s1","incarnation":1},"#,
@@ -205,23 +212,23 @@
 }
 
 /// A connection to a replica that was started from the stored file.
-struct Session {
+struct Connection {
     stream: BufReader<tokio::net::TcpStream>,
 }
 
-impl Session {
-    async fn ask(&mut self, line: &str) -> String {
+impl Connection {
+    async fn send(&mut self, line: &str) -> String {
         self.stream.get_mut().write_all(format!("{line}\n").as_bytes()).await.unwrap();
-        let mut answer = String::new();
-        self.stream.read_line(&mut answer).await.unwrap();
-        answer.trim_end().to_string()
+        let mut reply = String::new();
+        self.stream.read_line(&mut reply).await.unwrap();
+        reply.trim_end().to_string()
     }
 }
 
 #[tokio::test]
-async fn a_replica_started_from_a_stored_file_answers_as_it_did() {
-    let folder = tempfile::tempdir().unwrap();
-    let (store, durable) = Store::open(&copy(&folder)).unwrap();
+async fn replica_started_from_stored_file_keeps_its_replies() {
+    let directory = tempfile::tempdir().unwrap();
+    let (store, durable) = Store::open(&copy_stored_file(&directory)).unwrap();
     let options = ServerOptions {
         replica: config(),
         listen: "127.0.0.1:0".parse().unwrap(),
@@ -234,38 +241,38 @@
     };
     let running = start(options, store, &durable).await.unwrap();
     let stream = connect(running.address).await.unwrap();
-    let mut session = Session { stream: BufReader::new(stream) };
+    let mut connection = Connection { stream: BufReader::new(stream) };
     // Nobody leads at first: then it says who may.
-    let mut duties = session.ask(r#""duties""#).await;
-    while duties.starts_with(r#"{"elsewhere""#) {
-        assert_eq!(duties, r#"{"elsewhere":{"leader":null,"address":null}}"#);
+    let mut reply = connection.send(r#""duties""#).await;
+    while reply.starts_with(r#"{"elsewhere""#) {
+        assert_eq!(reply, r#"{"elsewhere":{"leader":null,"address":null}}"#);
         tokio::time::sleep(Duration::from_millis(10)).await;
-        duties = session.ask(r#""duties""#).await;
+        reply = connection.send(r#""duties""#).await;
     }
-    assert!(duties.starts_with(&format!(r#"{{"duties":{{"rows":{ROWS},"seats":[{{"#)), "{duties}");
-    let seat = r#""owner":{"instance":"s1","incarnation":1},"zone":"z1","has":3,"leaving":false,"#;
-    assert!(duties.contains(seat), "{duties}");
+    assert!(reply.starts_with(&format!(r#"{{"duties":{{"rows":{LEASE_ROWS},"seats":[{{"#)), "{reply}");
+    let instance_row = r#""owner":{"instance":"s1","incarnation":1},"zone":"z1","has":3,"leaving":false,"#;
+    assert!(reply.contains(instance_row), "{reply}");
     let pause = r#"{"command":{"Pause":{"duty":"gather","paused":true}}}"#;
-    assert_eq!(session.ask(pause).await, r#""done""#);
+    assert_eq!(connection.send(pause).await, r#""done""#);
     // Why something is rejected is text for people; that it is, and how that is written, is not.
-    for rejected in [
+    for command in [
         r#"{"command":{"Pause":{"duty":"none","paused":true}}}"#,
         r#"{"remove":{"number":1}}"#,
         r#"{"remove":{"number":9}}"#,
         r#"{"add":{"number":2,"address":"127.0.0.2:1"}}"#,
     ] {
-        let answer = session.ask(rejected).await;
-        assert!(answer.starts_with(r#"{"failed":""#), "{rejected}: {answer}");
+        let reply = connection.send(command).await;
+        assert!(reply.starts_with(r#"{"failed":""#), "{command}: {reply}");
     }
-    let status = session.ask(r#""status""#).await;
-    let start = r#"{"status":{"number":1,"leader":1,"leads":true,"term":3,"applied":"#;
-    assert!(status.starts_with(start), "{status}");
-    for part in [
+    let status = connection.send(r#""status""#).await;
+    let prefix = r#"{"status":{"number":1,"leader":1,"leads":true,"term":3,"applied":"#;
+    assert!(status.starts_with(prefix), "{status}");
+    for field in [
         r#""voters":[1],"learners":[],"retired":[2],"last_epoch":3,"instances":2,"slow":false,"up":"#,
         r#""led":1"#,
         r#""syncs":"#,
     ] {
-        assert!(status.contains(part), "{part}: {status}");
+        assert!(status.contains(field), "{field}: {status}");
     }
     running.stop().await.unwrap();
 }
