--- a/crates/cli/tests/line.rs
+++ b/crates/cli/tests/line.rs
@@ -165,7 +165,10 @@
     assert!(said.contains("wrong.scm:2:2: keeper.listen: should be an address"), "{said}");
     write("k.scm", "(keeper (number 1) (listen \"127.0.0.1:0\") (folder \"k\") (peers \"1=127.0.0.1:1\"))");
     let said = fails(at, "keeper --settings k.scm", 1);
-    assert!(said.contains("there is no keeper's disk here; found it, or join"), "{said}");
+    assert!(
+        said.contains("replica file not found; start with --found for a new cluster, or with --join"),
+        "{said}"
+    );
     write("2.scm", "(keeper (number 2) (listen \"127.0.0.1:0\") (folder \"k\") (peers \"1=127.0.0.1:1\"))");
     assert!(fails(at, "keeper --settings 2.scm --found", 2).contains("should name keeper 2 itself"));
     assert!(fails(at, "duties list", 2).contains("--at should name keepers"));
--- a/crates/lease-store/src/durable.rs
+++ b/crates/lease-store/src/durable.rs
@@ -1,118 +1,118 @@
-//! What a replica must have on disk: the raft hard state, the log entries and the last snapshot, in the forms in which they are written.
+//! Durable state of a replica: the raft hard state, the log entries and the last snapshot, as they are stored.
 //!
-//! All types here are stored with postcard, by position: fields are never reordered, added or removed.
+//! The types here are stored with postcard, which encodes fields by position: never reorder, add or remove fields.
 
 use protobuf::ProtobufEnum;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One log entry as it is stored.
+/// Stored log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredEntry {
-    /// Position in the log.
+    /// Index in the log.
     pub index: u64,
-    /// Raft term that the entry was proposed in.
+    /// Raft term in which the entry was proposed.
     pub term: u64,
-    /// The `raft` crate's number of the entry's type.
+    /// Entry type, as the `raft` crate numbers it.
     pub entry_type: i32,
-    /// The proposal itself.
+    /// Encoded proposal.
     pub data: Vec<u8>,
-    /// What the proposer attached: the token of an operator's command, or nothing.
+    /// Token of the operator command that proposed the entry, or empty.
     pub context: Vec<u8>,
 }
 
-/// Raft's hard state: the current term, the vote given in it, and the commit index. It must never be forgotten.
+/// Raft hard state: the current term, the vote cast in it, and the commit index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredHardState {
-    /// The current raft term.
+    /// Current raft term.
     pub term: u64,
-    /// The replica that was voted for in this term, 0 for none.
+    /// Replica voted for in this term, 0 if none.
     pub vote: u64,
-    /// Index of the last entry that is known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: u64,
 }
 
-/// The replicated state up to an entry, in place of all entries up to it.
+/// Replicated state as of a log entry, which replaces the log up to and including that entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSnapshot {
-    /// Index of the last entry that the snapshot contains.
+    /// Index of the last entry included in the snapshot.
     pub index: u64,
-    /// Raft term of that entry.
+    /// Raft term of the last included entry.
     pub term: u64,
-    /// Replicas that vote.
+    /// Voting replicas.
     pub voters: Vec<u64>,
-    /// Replicas that receive the log without a vote.
+    /// Replicas that receive the log but do not vote.
     pub learners: Vec<u64>,
-    /// The lease table and the members, serialized; empty in the snapshot that a cluster starts from.
+    /// Encoded lease table and members; empty in the bootstrap snapshot.
     pub data: Vec<u8>,
 }
 
-/// What must be on disk as a whole before the messages that depend on it may be sent.
+/// Changes to write atomically, before the messages that depend on them may be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// Rises with each write of one process; [`crate::replica::Replica::persisted`] takes it back. 0 where nothing waits for the write.
+    /// Sequence number to pass to [`crate::replica::Replica::persisted`]; 0 if no message depends on the write.
     pub number: u64,
-    /// The hard state, if it changed.
+    /// Hard state, if it changed.
     pub hard_state: Option<StoredHardState>,
-    /// New entries. Stored entries from the first one's index on are replaced by these.
+    /// New entries. They replace all stored entries from the index of the first one on.
     pub entries: Vec<StoredEntry>,
-    /// A new snapshot. Stored entries up to its index are removed.
+    /// New snapshot. Stored entries up to its index are removed.
     pub snapshot: Option<StoredSnapshot>,
 }
 
 impl PendingWrite {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none() && self.entries.is_empty() && self.snapshot.is_none()
     }
 }
 
-/// All that a replica has on disk.
+/// Everything a replica has on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// Raft's hard state.
+    /// Raft hard state.
     pub hard_state: StoredHardState,
-    /// The last snapshot.
+    /// Last snapshot.
     pub snapshot: StoredSnapshot,
-    /// The entries after the snapshot, by index.
+    /// Entries after the snapshot, in index order.
     pub entries: Vec<StoredEntry>,
 }
 
-/// Why a durable state can't have been written by a replica as a whole.
+/// Inconsistency in a durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CorruptState {
     /// An entry is missing or out of order.
-    #[error("entry {found} stands where {expected} is due")]
+    #[error("log entry missing or out of order: expected index {expected}, got {found}")]
     Gap {
-        /// The index that should be there.
+        /// Expected index.
         expected: u64,
-        /// The index that is there.
+        /// Actual index.
         found: u64,
     },
     /// Committed entries are missing at the end.
-    #[error("the log ends at {last}, before what was known to be committed, {commit}")]
+    #[error("log truncated: it ends at index {last}, expected at least the commit index {commit}")]
     Truncated {
         /// Index of the last entry.
         last: u64,
-        /// The commit index of the hard state.
+        /// Commit index of the hard state.
         commit: u64,
     },
-    /// An entry's type is not one of raft's.
-    #[error("entry {index} has unknown type {entry_type}")]
+    /// An entry has a type that raft does not define.
+    #[error("log entry {index} has unknown type {entry_type}")]
     UnknownEntryType {
-        /// The entry's index.
+        /// Index of the entry.
         index: u64,
-        /// The stored number of its type.
+        /// Stored entry type.
         entry_type: i32,
     },
-    /// There is a log or a snapshot, and nobody who votes.
-    #[error("the snapshot names no voters")]
+    /// The log or the snapshot is not empty, but the snapshot lists no voters.
+    #[error("the snapshot lists no voters, expected at least one")]
     NoVoters,
 }
 
 impl DurableState {
-    /// The first state of a replica in a new cluster of these voters, all of which start with the same.
+    /// Returns the initial state of a new cluster, the same at each of its voters.
     pub fn bootstrap(voters: &[u64]) -> DurableState {
         let snapshot =
             StoredSnapshot { index: 1, term: 1, voters: voters.to_vec(), ..StoredSnapshot::default() };
@@ -120,12 +120,12 @@
         DurableState { hard_state, snapshot, entries: Vec::new() }
     }
 
-    /// The first state of a replica that joins a running cluster: it knows nobody, and learns from the leader.
+    /// Returns the initial state of a replica that joins a running cluster. It learns the members from the leader.
     pub fn join() -> DurableState {
         DurableState::default()
     }
 
-    /// Applies a write in memory. [`crate::store::Store::write`] does the same on disk.
+    /// Applies a write in memory, as [`crate::store::Store::write`] does on disk.
     pub fn apply(&mut self, write: &PendingWrite) {
         if let Some(snapshot) = &write.snapshot {
             self.snapshot = snapshot.clone();
@@ -141,10 +141,10 @@
         }
     }
 
-    /// Checks that the state is whole: a replica must not vote with a part of what it once knew.
+    /// Checks that the state is complete. A replica that lost part of its state must not vote.
     ///
     /// # Errors
-    /// The first inconsistency found.
+    /// Returns the first inconsistency found.
     pub fn check(&self) -> Result<(), CorruptState> {
         if self.snapshot.voters.is_empty() && (self.snapshot.index > 0 || !self.entries.is_empty()) {
             return Err(CorruptState::NoVoters);
@@ -231,7 +231,7 @@
 }
 
 impl StoredSnapshot {
-    /// The voters and learners in raft's form.
+    /// Returns the voters and learners as raft represents them.
     pub(crate) fn conf_state(&self) -> ConfState {
         ConfState { voters: self.voters.clone(), learners: self.learners.clone(), ..ConfState::default() }
     }
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -1,8 +1,11 @@
-//! Replicated lease store: three or five replicas, a majority of which agrees on the lease table (`docs/leases.md`).
+//! Replicated lease store: three or five replicas keep the lease table in agreement by majority (`docs/leases.md`).
 //!
-//! [`replica`] is one replica without I/O and clock: messages, requests and ticks go in; writes, messages and replies come out. Consensus is
-//! the `raft` crate's. [`durable`] holds the forms that are written to disk, [`store`] the file they are in, [`membership`] the rules for
-//! adding and removing replicas, and [`server`] the process on sockets.
+//! - [`replica`]: one replica without I/O or clock, on top of the `raft` crate. Input is messages, requests and ticks;
+//!   output is writes, messages and replies.
+//! - [`durable`]: the types that are written to disk.
+//! - [`store`]: the file that holds them.
+//! - [`membership`]: the rules for adding and removing replicas.
+//! - [`server`]: the replica process on sockets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/lease-store/src/log.rs
+++ b/crates/lease-store/src/log.rs
@@ -1,11 +1,11 @@
-//! The log in memory, as the `raft` crate reads it: the last snapshot and all entries after it. Snapshots bound its length.
+//! In-memory raft log: the last snapshot and all entries after it, as the `raft` crate reads them.
 
 use crate::durable::{CorruptState, DurableState, StoredSnapshot};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::collections::VecDeque;
 
-/// The last snapshot, the entries after it, and the state that raft starts from.
+/// Last snapshot, the entries after it, and the initial state for raft.
 #[derive(Debug)]
 pub(crate) struct ReplicaLog {
     hard_state: HardState,
@@ -15,7 +15,7 @@
 }
 
 impl ReplicaLog {
-    /// The log that a replica left on disk.
+    /// Creates the log from a durable state, or returns the inconsistency found in it.
     pub fn new(durable: &DurableState) -> Result<ReplicaLog, CorruptState> {
         durable.check()?;
         let mut hard_state = HardState::from(&durable.hard_state);
@@ -28,17 +28,17 @@
         })
     }
 
-    /// Voters and learners as of the last applied change.
+    /// Returns the voters and learners as of the last applied change.
     pub fn conf_state(&self) -> &ConfState {
         &self.conf_state
     }
 
-    /// Index of the last entry that the snapshot contains.
+    /// Returns the index of the last entry included in the snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.index
     }
 
-    /// Number of entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -59,7 +59,7 @@
         self.conf_state = conf_state;
     }
 
-    /// Replaces all entries from the first one's index on. Entries that leave a gap are ignored; raft never gives such.
+    /// Replaces all entries from the index of the first given entry on. Ignores entries that would leave a gap.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         if first.index <= self.snapshot.index || first.index > self.last() + 1 {
@@ -69,7 +69,7 @@
         self.entries.extend(entries.iter().cloned());
     }
 
-    /// Replaces the whole log by a snapshot of the leader's.
+    /// Replaces the whole log with a snapshot from the leader.
     pub fn restore(&mut self, snapshot: StoredSnapshot) {
         self.conf_state = snapshot.conf_state();
         self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
@@ -78,7 +78,7 @@
         self.entries.clear();
     }
 
-    /// Replaces the entries up to `index` by a snapshot of this replica's own. None if there is nothing to compact.
+    /// Replaces the entries up to `index` with a local snapshot. Returns `None` if there is nothing to compact.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<StoredSnapshot> {
         if index <= self.snapshot.index || index > self.last() {
             return None;
--- a/crates/lease-store/src/membership.rs
+++ b/crates/lease-store/src/membership.rs
@@ -1,99 +1,101 @@
-//! Who the replicas are, and which change of that is allowed now. A replica is a number and a disk that remembers its votes: a number whose
-//! disk is lost is never used again, and no change may leave the rest without a healthy majority.
+//! Replicas of a cluster and the checks on membership changes.
+//!
+//! A replica number stands for the disk that stores the votes cast under it, so the number of a removed replica is
+//! never reused. No change may leave the cluster without a healthy majority.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Most replicas of one cluster, learners included: more make each commit slower and nothing safer.
+/// Maximum number of replicas in a cluster, learners included.
 pub const MAX_REPLICAS: usize = 9;
-/// Entries that a learner may be behind the leader to be promoted: few enough to catch up within a few messages.
+/// Maximum number of entries by which a learner may lag behind the leader when it is promoted.
 const MAX_PROMOTION_LAG: u64 = 64;
-/// Longest address, in bytes: room for any IPv6 address with a scope and a port.
+/// Maximum length of an address, enough for an IPv6 address with a scope and a port.
 const MAX_ADDRESS_BYTES: usize = 128;
 
-/// What is replicated about the members beside raft's own list. Part of the stored snapshot: fields keep their order.
+/// Replicated state of the members beyond raft's own list. Part of the stored snapshot: never reorder fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Addresses of the replicas that were added after the bootstrap, by number.
+    /// Addresses of the replicas added after the bootstrap, by number.
     pub joined: BTreeMap<u64, String>,
-    /// Numbers that must never vote again.
+    /// Numbers of removed replicas, which must never vote again.
     pub retired: BTreeSet<u64>,
 }
 
-/// A change of the members. Part of stored log entries: variants keep their order.
+/// Membership change. Part of stored log entries: never reorder variants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a replica as a learner; it is promoted once it has nearly the whole log.
+    /// Adds a replica as a learner. It is promoted once it has nearly the whole log.
     Add {
-        /// A number that was never used.
+        /// Replica number, never used before.
         number: u64,
-        /// Where it listens.
+        /// Listen address, `IP:PORT`.
         address: String,
     },
-    /// Gives a learner its vote.
+    /// Promotes a learner to a voter.
     Promote(u64),
-    /// Removes a replica for good.
+    /// Removes a replica and retires its number.
     Remove(u64),
 }
 
-/// A replica as the leader sees it.
+/// Replica as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
-    /// The replica's number.
+    /// Replica number.
     pub number: u64,
-    /// Whether it votes; a learner does not.
+    /// Whether the replica votes; learners do not.
     pub is_voter: bool,
-    /// Whether the leader heard from it lately; the leader itself always counts as heard.
+    /// Whether the leader received a message from it recently; always true for the leader itself.
     pub is_active: bool,
-    /// The highest index up to which it is known to have the leader's log.
+    /// Highest index up to which its log is known to match the leader's.
     pub matched_index: u64,
 }
 
-/// Why a change of the members is rejected.
+/// Reason why a membership change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipError {
     /// The number belongs to a replica that was removed.
-    #[error("number {0} has been used before: a replica that lost its disk joins under a new one")]
+    #[error("replica number {0} is retired: a replica that lost its disk must join under a number never used before")]
     Retired(u64),
-    /// The replica to add is a member.
-    #[error("replica {0} is one of them already")]
+    /// The replica to add is already a member.
+    #[error("replica {0} is already a member")]
     AlreadyMember(u64),
-    /// The replica to promote or remove is not a member, or not a learner where one is needed.
-    #[error("replica {0} is none of them")]
+    /// The replica to remove is not a member, or the replica to promote is not a learner.
+    #[error("replica {0} is not a member, or not a learner to promote")]
     NotMember(u64),
-    /// There are [`MAX_REPLICAS`] already.
-    #[error("{0} replicas are the maximum")]
+    /// The cluster already has [`MAX_REPLICAS`] replicas.
+    #[error("the cluster already has the maximum of {0} replicas")]
     TooManyReplicas(usize),
-    /// The number is 0, or the address is not one.
-    #[error("a replica's number is not 0, and its address is such as \"127.0.0.1:18201\"")]
+    /// The number is 0 or the address is invalid.
+    #[error("invalid replica: expected a number above 0 and an address such as \"127.0.0.1:18201\"")]
     InvalidAddress,
     /// The replica to remove is the leader.
-    #[error("replica {0} is the leader: ask again once another is")]
+    #[error("replica {0} is the leader and can't be removed: retry once another replica leads")]
     IsLeader(u64),
-    /// Removing the replica would leave less than a majority of healthy voters.
+    /// Removing the replica would leave the cluster without a healthy majority.
     #[error(
-        "without replica {number} only {healthy} of {voters} voters are healthy: no majority; add one first"
+        "without replica {number} only {healthy} of {voters} voters are healthy, expected a majority: add a replica first"
     )]
     NoMajority {
-        /// The replica to remove.
+        /// Replica to remove.
         number: u64,
-        /// Healthy voters without it.
+        /// Number of healthy voters without it.
         healthy: usize,
-        /// Voters without it.
+        /// Number of voters without it.
         voters: usize,
     },
-    /// An earlier change is not applied yet.
-    #[error("another change of the members is in progress")]
+    /// An earlier membership change is not applied yet.
+    #[error("another membership change is in progress")]
     InProgress,
 }
 
 impl Members {
-    /// Checks whether a change is allowed now, by the leader's view of all members.
+    /// Checks whether a change is allowed, given the leader's view of all members.
     ///
     /// # Errors
-    /// Why it is not.
+    /// Returns why the change is rejected.
     pub fn check(
         &self,
         change: &MembershipChange,
@@ -129,7 +131,8 @@
         Ok(())
     }
 
-    /// The change that the leader makes by itself: a learner that has nearly the whole log is promoted. `last_index` is the leader's.
+    /// Returns the promotion of a learner that has nearly the whole log, if there is one. `last_index` is the index of
+    /// the leader's last entry.
     pub fn next_promotion(&self, progress: &[MemberProgress], last_index: u64) -> Option<MembershipChange> {
         let is_ready = |member: &&MemberProgress| {
             let caught_up =
--- a/crates/lease-store/src/membership/tests.rs
+++ b/crates/lease-store/src/membership/tests.rs
@@ -24,14 +24,14 @@
     members.apply(&add_replica(4));
     let mut progress = three_voters(false);
     progress.push(MemberProgress { matched_index: 0, ..member(4, false, true) });
-    assert_eq!(members.next_promotion(&progress, 100), None, "it knows nothing yet");
+    assert_eq!(members.next_promotion(&progress, 100), None, "learner has no log yet");
     progress[3].matched_index = 80;
     assert_eq!(members.next_promotion(&progress, 100), Some(MembershipChange::Promote(4)));
-    assert_eq!(members.next_promotion(&progress, 900), None, "it is far behind");
+    assert_eq!(members.next_promotion(&progress, 900), None, "learner lags too far behind");
     assert_eq!(
         members.check(&MembershipChange::Promote(2), &progress, 1),
         Err(MembershipError::NotMember(2)),
-        "it votes already"
+        "replica 2 is a voter already"
     );
     members.apply(&MembershipChange::Remove(3));
     assert_eq!(members.check(&add_replica(3), &progress[..2], 1), Err(MembershipError::Retired(3)));
@@ -44,13 +44,13 @@
     assert_eq!(
         members.check(&MembershipChange::Remove(3), &three_voters(false), 1),
         Ok(()),
-        "the dead one may go"
+        "inactive replica can be removed"
     );
     let no_majority = Err(MembershipError::NoMajority { number: 2, healthy: 1, voters: 2 });
     assert_eq!(
         members.check(&MembershipChange::Remove(2), &three_voters(false), 1),
         no_majority,
-        "the well one may not"
+        "active replica is needed for a majority"
     );
     assert_eq!(
         members.check(&MembershipChange::Remove(1), &three_voters(true), 1),
@@ -62,7 +62,11 @@
     );
     let mut progress = three_voters(false);
     progress.push(member(4, false, false));
-    assert_eq!(members.check(&MembershipChange::Remove(4), &progress, 1), Ok(()), "a learner may always go");
+    assert_eq!(
+        members.check(&MembershipChange::Remove(4), &progress, 1),
+        Ok(()),
+        "learners can always be removed"
+    );
     let full_cluster: Vec<MemberProgress> =
         (1..=MAX_REPLICAS as u64).map(|number| member(number, true, true)).collect();
     assert_eq!(
--- a/crates/lease-store/src/replica.rs
+++ b/crates/lease-store/src/replica.rs
@@ -1,6 +1,8 @@
-//! One replica without I/O and clock. Its host hands in ticks, messages of peers, requests of instances and commands of operators, then calls
-//! [`Replica::process`] and carries out what comes: write, send, reply. Messages that depend on a write go out with [`Replica::persisted`],
-//! so that a slow disk delays answers and never makes them untrue.
+//! One replica without I/O or clock.
+//!
+//! The host passes in ticks, peer messages, instance requests and operator commands, then calls [`Replica::process`]
+//! and performs the returned output: writes, messages and replies. Messages that depend on a write are held back until
+//! [`Replica::persisted`] confirms it.
 
 mod apply;
 mod config;
@@ -28,38 +30,38 @@
 use snapshot::ReplicatedState;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Share of the lease term that a write to disk may take. With slower ones a leader's answers come too late for the leases.
+/// Fraction of the lease term that a disk write may take before responses are too late to renew leases.
 const MAX_WRITE_TERM_FRACTION: f64 = 0.2;
 
-/// A replica of the lease store.
+/// Replica of the lease store.
 pub struct Replica {
     id: u64,
     config: ReplicaConfig,
     node: RawNode<ReplicaLog>,
     table: LeaseTable,
     members: Members,
-    /// Index of the last entry that `table` and `members` contain.
+    /// Index of the last entry applied to `table` and `members`.
     applied: u64,
-    /// While it leads and has applied all that was committed before.
+    /// Set while the replica leads and has applied all entries of earlier terms.
     leadership: Option<Leadership>,
-    /// Requests of instances that are not proposed yet; the latest of each.
+    /// Latest request of each instance that is not proposed yet.
     lease_requests: BTreeMap<HolderId, LeaseRequest>,
-    /// Writes that were handed out and not yet reported as persisted, in order.
+    /// Writes handed to the host and not yet reported as persisted, in order.
     unpersisted: VecDeque<UnpersistedWrite>,
     pending_commands: Vec<PendingCommand>,
     pending_reads: Vec<PendingRead>,
-    /// The members changed: the log's snapshot must name them, or whoever joins could not take it.
+    /// Whether the members changed since the last snapshot. A replica that joins needs a snapshot that lists it.
     snapshot_due: bool,
-    /// Followers that a snapshot is on its way to, and ticks since.
+    /// Ticks since a snapshot was sent, by follower.
     snapshots_in_flight: BTreeMap<u64, usize>,
     output: Output,
 }
 
 impl Replica {
-    /// A replica from what its disk holds. `id` must never have voted with another disk.
+    /// Creates a replica from its durable state. `id` must never have been used with another disk.
     ///
     /// # Errors
-    /// The durable state is corrupt, or raft rejects it.
+    /// Returns an error if the durable state is corrupt or raft rejects it.
     pub fn new(id: u64, config: ReplicaConfig, durable: &DurableState) -> Result<Replica, ReplicaError> {
         let log = ReplicaLog::new(durable)?;
         let ReplicatedState { table, members } = snapshot::decode(&durable.snapshot)?;
@@ -83,64 +85,64 @@
         })
     }
 
-    /// Its number.
+    /// Returns the replica number.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The lease table as of the last applied entry.
+    /// Returns the lease table as of the last applied entry.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// Index of the last applied entry.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The current raft term.
+    /// Returns the current raft term.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// The leader, as far as it knows.
+    /// Returns the leader, if it is known.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// Whether it leads and has applied all that was committed before.
+    /// Returns whether the replica leads and has applied all entries of earlier terms.
     pub fn is_leader(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// Addresses of the members that were added, and numbers that are retired.
+    /// Returns the addresses of the replicas added after the bootstrap, and the retired numbers.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Numbers of the replicas that vote.
+    /// Returns the numbers of the voting replicas.
     pub fn voters(&self) -> Vec<u64> {
         self.node.store().conf_state().voters.clone()
     }
 
-    /// Numbers of the replicas that receive the log without a vote.
+    /// Returns the numbers of the replicas that receive the log but do not vote.
     pub fn learners(&self) -> Vec<u64> {
         self.node.store().conf_state().learners.clone()
     }
 
-    /// Numbers of all replicas that it sends to.
+    /// Returns the numbers of all other replicas.
     pub fn peers(&self) -> Vec<u64> {
         let conf_state = self.node.store().conf_state();
         let members = conf_state.voters.iter().chain(&conf_state.learners);
         members.copied().filter(|peer| *peer != self.id).collect()
     }
 
-    /// Number of log entries after the last snapshot.
+    /// Returns the number of log entries after the last snapshot.
     pub fn log_len(&self) -> usize {
         self.node.store().len()
     }
 
-    /// Its status, without the uptime and the counters that only its host knows. `now` is the host's clock, s.
+    /// Returns the status, without the uptime and the counters, which the host adds. `now` is the host's clock (s).
     pub fn status(&self, now: f64) -> ReplicaStatus {
         ReplicaStatus {
             number: self.id,
@@ -159,13 +161,13 @@
         }
     }
 
-    /// Whether a write takes so long that a leader's answers from here would come too late for the lease term.
+    /// Returns whether a pending write has taken too long for responses to renew leases. `now` is the host's clock (s).
     pub fn has_slow_disk(&self, now: f64) -> bool {
         let limit = MAX_WRITE_TERM_FRACTION * self.config.rules.term;
         self.unpersisted.front().is_some_and(|write| now - write.handed_out_at > limit)
     }
 
-    /// All replicas as the leader sees them, by number.
+    /// Returns all replicas as seen by the leader, sorted by number.
     fn member_progress(&self) -> Vec<MemberProgress> {
         let voters = self.voters();
         let progress = |(number, progress): (&u64, &raft::Progress)| MemberProgress {
@@ -179,10 +181,10 @@
         all
     }
 
-    /// Proposes the requests that wait, and hands out what is to be done. `now` is the host's clock, s.
+    /// Proposes the waiting requests, and returns the output that the host must perform. `now` is the host's clock (s).
     ///
     /// # Errors
-    /// A snapshot or a change of the members can't be applied. The replica must stop then.
+    /// Returns an error if a snapshot or a membership change can't be applied. The replica must stop then.
     pub fn process(&mut self, now: f64) -> Result<Output, ReplicaError> {
         self.check_leadership();
         self.propose_lease_requests(now);
--- a/crates/lease-store/src/replica/apply.rs
+++ b/crates/lease-store/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries: the same at all replicas, in the order of the log.
+//! Application of committed entries, in log order and with the same result at all replicas.
 
 use super::leadership::Leadership;
 use super::{CommandFailure, CommandOutcome, Replica, ReplicaError};
@@ -21,7 +21,7 @@
         Ok(())
     }
 
-    /// A leader's term starts with an empty entry: once it is applied, all that was committed before is too.
+    /// Starts the leadership once the empty first entry of the term is applied, and with it all earlier entries.
     fn start_leadership(&mut self, now: f64, entry: &Entry) {
         if entry.term != self.term() || self.node.raft.state != StateRole::Leader {
             return;
@@ -35,7 +35,7 @@
         self.propose_configured_settings(now);
     }
 
-    /// Proposes the leader's own settings where the table goes by others.
+    /// Proposes the leader's configured rules and tasks if those of the table differ.
     fn propose_configured_settings(&mut self, now: f64) {
         let rules = &self.config.rules;
         let tasks = &self.config.tasks;
@@ -53,7 +53,7 @@
         if let Some(leadership) = own_leadership {
             leadership.inflight_proposals = leadership.inflight_proposals.saturating_sub(1);
         }
-        // An entry that can't be decoded changes nothing, at all replicas alike.
+        // All replicas skip an entry that can't be decoded.
         let Ok(decoded) = postcard::from_bytes::<LogEntry>(&entry.data) else { return };
         let mut outcome = self.table.apply(&decoded);
         self.output.lease_changes.append(&mut outcome.changes);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Hands out the responses that an entry of this leader's led to, and the outcome where it was an operator's command.
+    /// Adds the responses to an entry of this leader to the output, and the result if it was an operator command.
     fn emit_outcome(&mut self, entry: &Entry, outcome: Outcome) {
         self.output.responses.extend(outcome.responses);
         let Ok(token) = entry.context[..].try_into() else { return };
--- a/crates/lease-store/src/replica/config.rs
+++ b/crates/lease-store/src/replica/config.rs
@@ -1,34 +1,34 @@
-//! Settings of a replica, and raft's settings that follow from them.
+//! Configuration of a replica, and the raft configuration derived from it.
 
 use crate::durable::StoredSnapshot;
 use puffinladder_leases::table::{LeaseRules, TaskDeclaration};
 use raft::Config;
 
-/// Largest message between replicas, in bytes, unless a single entry is larger.
+/// Maximum size of a message between replicas, unless a single entry is larger.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// Appends to one follower that may be unanswered.
+/// Maximum number of unacknowledged append messages per follower.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Ticks by which the election timeouts of neighbouring positions differ, so that two replicas seldom stand at once.
+/// Difference of the election timeouts of neighbouring positions (ticks), to avoid split votes.
 const POSITION_TICKS: usize = 3;
-/// Positions that replicas which joined later are spread over.
+/// Number of positions among which replicas that joined later are distributed.
 const POSITIONS: u64 = 9;
-/// Fewest ticks of an election timeout: raft needs it longer than a heartbeat.
+/// Minimum election timeout (ticks); raft requires it to exceed the heartbeat interval.
 const MIN_ELECTION_TICKS: usize = 4;
-/// Heartbeats within one election timeout, so that a few lost ones do not start an election.
+/// Heartbeats per election timeout, so that a few lost heartbeats do not start an election.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: usize = 5;
 
-/// Settings that are the same at all replicas.
+/// Configuration shared by all replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaConfig {
-    /// Times and limits of the leases.
+    /// Timing and limits of leases.
     pub rules: LeaseRules,
-    /// The tasks that leases are granted for.
+    /// Tasks for which leases are granted.
     pub tasks: Vec<TaskDeclaration>,
-    /// Shortest election timeout, in ticks. Each replica adds three ticks for its position.
+    /// Shortest election timeout (ticks). Each replica adds three ticks per position.
     pub election_ticks: usize,
-    /// s between entries that only advance the table's time.
+    /// Interval between entries that only advance the table's time (s).
     pub time_interval: f64,
-    /// Entries in the log after which a snapshot replaces them.
+    /// Number of log entries at which a snapshot replaces them.
     pub snapshot_entries: usize,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ReplicaConfig {
-    /// Raft's settings for replica `id`, which starts from this snapshot.
+    /// Returns the raft configuration of replica `id`, which starts from this snapshot.
     pub(super) fn raft_config(&self, id: u64, snapshot: &StoredSnapshot) -> Config {
         let election_tick = self.election_ticks.max(MIN_ELECTION_TICKS);
         let election_timeout = election_tick + POSITION_TICKS * position(id, &snapshot.voters);
@@ -53,7 +53,7 @@
             id,
             election_tick,
             heartbeat_tick: (election_tick / HEARTBEATS_PER_ELECTION_TIMEOUT).max(1),
-            // A range of one value each, so that the same schedule gives the same elections.
+            // A range of a single value keeps elections deterministic.
             min_election_tick: election_timeout,
             max_election_tick: election_timeout + 1,
             applied: snapshot.index,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The replica's position among the voters, by which its election timeout differs from the others'.
+/// Returns the replica's position, which determines its election timeout.
 fn position(id: u64, voters: &[u64]) -> usize {
     let mut sorted = voters.to_vec();
     sorted.sort_unstable();
--- a/crates/lease-store/src/replica/error.rs
+++ b/crates/lease-store/src/replica/error.rs
@@ -1,64 +1,64 @@
-//! Why a replica must stop, and why it rejects messages, requests and commands.
+//! Errors of a replica, and of the messages, requests and commands that it rejects.
 
 use crate::durable::CorruptState;
 use crate::membership::MembershipError;
 use puffinladder_leases::table::CommandError;
 use thiserror::Error;
 
-/// Why a replica can't start or can't go on.
+/// Fatal error of a replica.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// Its durable state is not whole.
-    #[error("disk: {0}")]
+    /// The durable state is inconsistent.
+    #[error("durable state: {0}")]
     Corrupt(#[from] CorruptState),
-    /// Raft rejects a step.
-    #[error("consensus: {0}")]
+    /// Raft failed.
+    #[error("raft: {0}")]
     Raft(#[from] raft::Error),
     /// A snapshot can't be decoded.
-    #[error("a snapshot's table can't be read: {0}")]
+    #[error("can't decode the lease table of the snapshot: {0}")]
     Snapshot(postcard::Error),
 }
 
-/// Why a peer's message is ignored.
+/// Reason why a peer message is ignored.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// It can't be decoded.
-    #[error("not a message: {0}")]
+    /// The message can't be decoded.
+    #[error("can't decode the raft message: {0}")]
     Decode(#[from] protobuf::ProtobufError),
-    /// It is addressed to another replica, or comes from one that is not a member.
-    #[error("a message of {from} to {to} is not for this replica")]
+    /// The message is addressed to another replica, or its sender is not a member.
+    #[error("message from replica {from} to replica {to}: expected a member as sender and this replica as recipient")]
     Misdirected {
-        /// Number of the sender.
+        /// Replica number of the sender.
         from: u64,
-        /// Number of the addressee.
+        /// Replica number of the recipient.
         to: u64,
     },
-    /// Raft rejects it.
-    #[error("{0}")]
+    /// Raft rejected the message.
+    #[error("raft: {0}")]
     Raft(#[from] raft::Error),
 }
 
-/// Why a request or a command is not accepted.
+/// Reason why a request or command is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// This replica is not the leader; the one named may be.
-    #[error("this replica does not lead; replica {0:?} may")]
+    /// This replica is not the leader. Names the leader, if it is known.
+    #[error("this replica is not the leader; last known leader: {0:?}")]
     NotLeader(Option<u64>),
-    /// Too many requests or commands wait.
-    #[error("too many requests wait")]
+    /// Too many requests or commands are pending.
+    #[error("too many pending requests")]
     Overloaded,
-    /// A change of the members is not allowed now.
+    /// The membership change is not allowed.
     #[error("{0}")]
     Membership(#[from] MembershipError),
 }
 
-/// Why an accepted command did not succeed.
+/// Reason why an accepted command did not succeed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommandFailure {
-    /// The replica lost its leadership before the command was committed: it may be applied later, or never.
-    #[error("whether it was carried out is not known")]
+    /// The replica lost its leadership before the command was committed. The command may still be applied later.
+    #[error("outcome unknown: the replica lost its leadership before the command was committed")]
     OutcomeUnknown,
-    /// The lease table rejected it.
+    /// The lease table rejected the command.
     #[error("{0}")]
     Rejected(#[from] CommandError),
 }
--- a/crates/lease-store/src/replica/leadership.rs
+++ b/crates/lease-store/src/replica/leadership.rs
@@ -1,30 +1,31 @@
-//! What a leader does with each tick: it advances the table's time, looks after followers, and gives up its role where it can't fulfil it.
+//! Periodic work of the leader: advancing the table's time, maintaining followers, and transferring the leadership
+//! when its disk is slow.
 
 use super::{CommandFailure, CommandOutcome, Replica};
 use puffinladder_leases::table::Command;
 use puffinladder_leases::table_clock::TableClock;
 use raft::{ProgressState, SnapshotStatus, StateRole};
 
-/// Entries of the leader's own that may be uncommitted; above that, requests wait and are batched.
+/// Maximum number of unapplied entries proposed by the leader; beyond it, requests wait and are batched.
 pub(super) const MAX_INFLIGHT_PROPOSALS: usize = 8;
-/// Ticks after which a snapshot that was sent and not acknowledged counts as lost: about 2 s at the default tick.
+/// Ticks after which an unacknowledged snapshot counts as lost, about 2 s at the default tick interval.
 const SNAPSHOT_TIMEOUT_TICKS: usize = 66;
 
-/// The state of a leader that has applied all entries of earlier terms.
+/// State of a leader that has applied all entries of earlier terms.
 pub(super) struct Leadership {
-    /// The raft term that it leads in.
+    /// Raft term of the leadership.
     pub term: u64,
-    /// The table's time.
+    /// Clock of the lease table.
     pub clock: TableClock,
-    /// When the next entry that only advances time is due, on the host's clock, s.
+    /// Time on the host's clock at which the next entry that only advances the table's time is due (s).
     pub next_time_entry: f64,
-    /// Entries of its own that are proposed and not yet applied.
+    /// Number of entries proposed in this leadership and not yet applied.
     pub inflight_proposals: usize,
 }
 
 impl Replica {
-    /// Advances raft's timers by one tick; ticks are evenly spaced, by how much is the host's choice. `now` is the host's clock, s. With a
-    /// slow disk the replica neither stands for election nor stays leader: what it applies comes as late as its writes.
+    /// Advances raft's timers by one tick. The host calls it at even intervals; `now` is its clock (s). A replica with
+    /// a slow disk transfers its leadership and does not stand for election, since its responses would be too late.
     pub fn tick(&mut self, now: f64) {
         let has_slow_disk = self.has_slow_disk(now);
         if has_slow_disk && self.node.raft.state == StateRole::Leader {
@@ -38,7 +39,7 @@
         self.propose_time(now);
     }
 
-    /// Hands the leadership to the active follower that has most of the log.
+    /// Transfers the leadership, by preference to the active follower with the longest matching log.
     fn transfer_leadership(&mut self) {
         if self.node.raft.lead_transferee.is_some() {
             return;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Drops what belongs to a leadership that is over: a former leader answers nothing more.
+    /// Discards the requests and fails the commands of a leadership that was lost.
     pub(super) fn check_leadership(&mut self) {
         let is_raft_leader = self.node.raft.state == StateRole::Leader;
         let term = self.term();
@@ -66,7 +67,7 @@
         self.output.outcomes.extend(lost_commands.map(|command| unknown_outcome(command.token)));
     }
 
-    /// Sends lost snapshots again, and promotes learners that have caught up.
+    /// Resends lost snapshots and promotes learners that have caught up.
     fn maintain_followers(&mut self) {
         if self.leadership.is_none() {
             return self.snapshots_in_flight.clear();
@@ -101,11 +102,11 @@
         }
     }
 
-    /// Proposes an entry that only advances the table's time, by which leases run out.
+    /// Proposes an entry that only advances the table's time, so that leases expire.
     fn propose_time(&mut self, now: f64) {
         let has_waiting_requests = !self.lease_requests.is_empty();
         let Some(leadership) = &mut self.leadership else { return };
-        // Checked before time advances: after a pause of this process the requests that waited come first.
+        // Requests that arrived during a pause of this process are handled before leases expire.
         let may_advance = leadership.clock.may_advance(now, has_waiting_requests);
         let is_due = now >= leadership.next_time_entry;
         if may_advance && is_due && leadership.inflight_proposals < MAX_INFLIGHT_PROPOSALS {
--- a/crates/lease-store/src/replica/output.rs
+++ b/crates/lease-store/src/replica/output.rs
@@ -1,43 +1,43 @@
-//! What a replica hands to its host.
+//! Output of a replica, to be performed by its host.
 
 use super::CommandFailure;
 use crate::durable::PendingWrite;
 use crate::membership::MembershipChange;
 use puffinladder_leases::table::{Change, LeaseResponse};
 
-/// What the host is to do, in the order of the fields.
+/// Actions for the host, to be performed in the order of the fields.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages to peers that depend on no write.
+    /// Peer messages that can be sent at once.
     pub messages: Vec<PeerMessage>,
-    /// Writes to be made durable in this order, each of which is then reported with [`super::Replica::persisted`].
+    /// Writes to make durable in this order, and then to report with [`super::Replica::persisted`].
     pub writes: Vec<PendingWrite>,
-    /// Responses to instances, only from the leader.
+    /// Responses to instances. Only the leader sends them.
     pub responses: Vec<LeaseResponse>,
-    /// Commands of operators that are decided.
+    /// Results of operator commands.
     pub outcomes: Vec<CommandOutcome>,
-    /// Tokens of the reads that may be answered from the table now.
+    /// Tokens of the reads that can now be served from the table.
     pub reads: Vec<u64>,
-    /// Changes of the lease table that were applied, for log and metrics; the same at all replicas.
+    /// Applied changes of the lease table, for logs and counters; the same at all replicas.
     pub lease_changes: Vec<Change>,
-    /// Changes of the members that were applied.
+    /// Applied membership changes.
     pub membership_changes: Vec<MembershipChange>,
 }
 
-/// A message to a peer.
+/// Message to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// Number of the replica it is for.
+    /// Replica number of the recipient.
     pub to: u64,
-    /// The encoded raft message.
+    /// Encoded raft message.
     pub bytes: Vec<u8>,
 }
 
-/// What became of an operator's command.
+/// Result of an operator command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandOutcome {
-    /// The token that the host gave the command.
+    /// Token that the host assigned to the command.
     pub token: u64,
-    /// Whether it was applied.
+    /// `Ok` if the command was applied.
     pub result: Result<(), CommandFailure>,
 }
--- a/crates/lease-store/src/replica/persistence.rs
+++ b/crates/lease-store/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! From raft's `Ready` to writes and messages: what must be durable first, and what waits for it.
+//! Conversion of raft's `Ready` into writes and the messages that depend on them.
 
 use super::requests::PendingRead;
 use super::{PeerMessage, Replica, ReplicaError};
@@ -7,20 +7,20 @@
 use raft::eraftpb::Message;
 use raft::{ReadState, Ready};
 
-/// A write that was handed out, and what waits for it.
+/// Write handed to the host, with the messages that depend on it.
 pub(super) struct UnpersistedWrite {
-    /// The write's number.
+    /// Sequence number of the write.
     pub number: u64,
-    /// When it was handed out, on the host's clock, s.
+    /// Time on the host's clock at which it was handed out (s).
     pub handed_out_at: f64,
-    /// Index of the leader's snapshot in it, if there is one.
+    /// Index of the leader's snapshot that the write contains, if any.
     pub snapshot_index: Option<u64>,
-    /// Messages that may be sent once it is durable.
+    /// Messages to send once the write is durable.
     pub messages: Vec<Message>,
 }
 
 impl Replica {
-    /// The write with this number is durable, and all before it.
+    /// Records that the write with this number and all earlier ones are durable.
     pub fn persisted(&mut self, number: u64) {
         while self.unpersisted.front().is_some_and(|write| write.number <= number) {
             let Some(write) = self.unpersisted.pop_front() else { return };
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes one `Ready` of raft's: keeps what is new in the log, hands it out to be written, and applies what is committed.
+    /// Handles one `Ready`: updates the log, queues the write and applies committed entries.
     pub(super) fn handle_ready(&mut self, now: f64) -> Result<(), ReplicaError> {
         let mut ready = self.node.ready();
         let immediate_messages = ready.take_messages();
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Takes a `Ready`'s snapshot, entries and hard state into the log in memory, and returns them as the write to be made.
+    /// Adds the snapshot, entries and hard state of a `Ready` to the log in memory, and returns them as a write.
     fn pending_write(&mut self, ready: &mut Ready) -> Result<PendingWrite, ReplicaError> {
         let mut write = PendingWrite { number: ready.number(), ..PendingWrite::default() };
         if ready.snapshot().get_metadata().index > 0 {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Hands out a write with the messages that wait for it; an empty one counts as durable if no other is under way.
+    /// Queues a write with the messages that depend on it. An empty write is durable at once if none is pending.
     fn queue_write(&mut self, now: f64, write: PendingWrite, messages: Vec<Message>) {
         if write.is_empty() && self.unpersisted.is_empty() {
             self.node.on_persist_ready(write.number);
--- a/crates/lease-store/src/replica/requests.rs
+++ b/crates/lease-store/src/replica/requests.rs
@@ -1,4 +1,4 @@
-//! What instances, operators and peers ask of a replica, up to the proposal in the log.
+//! Requests of instances, operators and peers, up to their proposal to raft.
 
 use super::leadership::MAX_INFLIGHT_PROPOSALS;
 use super::{MessageError, Replica, RequestError};
@@ -7,38 +7,38 @@
 use puffinladder_leases::table::{Command, LeaseRequest, LogEntry, MAX_INSTANCES};
 use raft::eraftpb::{ConfChange, ConfChangeType, Message};
 
-/// Requests of instances in one log entry.
+/// Maximum number of instance requests in one log entry.
 const MAX_BATCH_REQUESTS: usize = 512;
-/// Commands of operators that may wait at once.
+/// Maximum number of pending operator commands.
 const MAX_PENDING_COMMANDS: usize = 64;
 
-/// A command that was proposed and is not applied yet.
+/// Command that is proposed and not applied yet.
 pub(super) struct PendingCommand {
-    /// The host's token.
+    /// Token assigned by the host.
     pub token: u64,
-    /// The raft term that it was proposed in.
+    /// Raft term in which the command was proposed.
     pub term: u64,
 }
 
-/// A read that may be answered once the entry at `index` is applied.
+/// Read that can be served once the entry at `index` is applied.
 pub(super) struct PendingRead {
-    /// The commit index when the read was confirmed.
+    /// Commit index at which the read was confirmed.
     pub index: u64,
-    /// The host's token.
+    /// Token assigned by the host.
     pub token: u64,
 }
 
 impl Replica {
-    /// The token of changes that no operator waits for.
+    /// Token of changes that no operator requested.
     pub(super) const NO_TOKEN: u64 = 0;
 
-    /// Takes a peer's encoded message.
+    /// Handles an encoded message from a peer.
     ///
     /// # Errors
-    /// Why it is ignored; the replica goes on.
+    /// Returns why the message is ignored. The replica stays usable.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         let message = Message::parse_from_bytes(bytes)?;
-        // A replica that joins knows nobody yet.
+        // A replica that joins has no members to check against yet.
         let is_known = self.voters().is_empty() || self.node.raft.prs().get(message.from).is_some();
         if message.to != self.id || !is_known {
             return Err(MessageError::Misdirected { from: message.from, to: message.to });
@@ -46,10 +46,10 @@
         Ok(self.node.step(message)?)
     }
 
-    /// Takes an instance's request. A later one of the same incarnation replaces it: it contains all that the earlier one said.
+    /// Queues a request of an instance. It replaces an earlier one of the same incarnation, as it repeats its contents.
     ///
     /// # Errors
-    /// This replica does not lead, or too many requests wait.
+    /// Returns an error if this replica is not the leader or too many requests are pending.
     pub fn request_lease(&mut self, request: LeaseRequest) -> Result<(), RequestError> {
         self.require_leadership()?;
         if self.lease_requests.len() >= MAX_INSTANCES {
@@ -62,10 +62,10 @@
         Ok(())
     }
 
-    /// Proposes an operator's command; its outcome comes under its token.
+    /// Proposes an operator command. Its result is reported under the token. `now` is the host's clock (s).
     ///
     /// # Errors
-    /// This replica does not lead, or too much waits.
+    /// Returns an error if this replica is not the leader or too many commands are pending.
     pub fn propose_command(&mut self, now: f64, token: u64, command: Command) -> Result<(), RequestError> {
         self.require_leadership()?;
         if self.pending_commands.len() >= MAX_PENDING_COMMANDS {
@@ -79,10 +79,10 @@
         Ok(())
     }
 
-    /// Proposes an operator's change of the members; its outcome comes under its token.
+    /// Proposes a membership change of an operator. Its result is reported under the token.
     ///
     /// # Errors
-    /// This replica does not lead, too much waits, or the change is not allowed now.
+    /// Returns an error if this replica is not the leader, too many commands are pending, or the change is not allowed.
     pub fn change_membership(&mut self, token: u64, change: MembershipChange) -> Result<(), RequestError> {
         self.require_leadership()?;
         if self.node.raft.has_pending_conf() {
@@ -100,10 +100,10 @@
         Ok(())
     }
 
-    /// Asks for a linearizable read: its token comes once the table holds all that was answered before now.
+    /// Requests a linearizable read. Its token is returned once the table reflects all replies sent before the call.
     ///
     /// # Errors
-    /// This replica does not lead.
+    /// Returns an error if this replica is not the leader.
     pub fn request_read(&mut self, token: u64) -> Result<(), RequestError> {
         self.require_leadership()?;
         self.node.read_index(token.to_le_bytes().to_vec());
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Proposes the waiting requests of instances in batches, as many as may be in flight.
+    /// Proposes the queued instance requests in batches, up to the limit of proposals in flight.
     pub(super) fn propose_lease_requests(&mut self, now: f64) {
         while !self.lease_requests.is_empty() && self.may_propose_requests() {
             let waiting = std::iter::from_fn(|| self.lease_requests.pop_first());
@@ -132,7 +132,7 @@
         self.leadership.as_ref().is_some_and(|leadership| has_room(leadership.inflight_proposals))
     }
 
-    /// Whether raft accepted the proposal; it does not where too much is uncommitted. Requests and time come again.
+    /// Proposes a command, and returns whether raft accepted it. Raft rejects proposals if too much is uncommitted.
     pub(super) fn propose(&mut self, now: f64, command: Command, context: Vec<u8>) -> bool {
         let Some(leadership) = &mut self.leadership else { return false };
         let entry = LogEntry { at: leadership.clock.stamp(now), command };
@@ -142,7 +142,7 @@
         accepted
     }
 
-    /// Whether raft accepted the proposal of a change of the members.
+    /// Proposes a membership change, and returns whether raft accepted it.
     pub(super) fn propose_membership(&mut self, token: u64, change: MembershipChange) -> bool {
         let (change_type, number) = match &change {
             MembershipChange::Add { number, .. } => (ConfChangeType::AddLearnerNode, *number),
@@ -156,7 +156,7 @@
         self.node.propose_conf_change(context, conf_change).is_ok()
     }
 
-    /// Hands out the reads whose entry is applied.
+    /// Adds the reads that can now be served to the output.
     pub(super) fn complete_reads(&mut self) {
         let applied = self.applied;
         let ready = self.pending_reads.extract_if(.., |read| read.index <= applied);
--- a/crates/lease-store/src/replica/snapshot.rs
+++ b/crates/lease-store/src/replica/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the replicated state that takes the place of a long log.
+//! Snapshots of the replicated state, which replace the log entries before them.
 
 use super::{Replica, ReplicaError};
 use crate::durable::{PendingWrite, StoredSnapshot};
@@ -6,14 +6,14 @@
 use puffinladder_leases::table::LeaseTable;
 use serde::{Deserialize, Serialize};
 
-/// What a snapshot contains. Stored: fields keep their order.
+/// Contents of a snapshot. Stored: never reorder fields.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct ReplicatedState {
     pub table: LeaseTable,
     pub members: Members,
 }
 
-/// The contents of a snapshot; the one that a cluster starts from is empty.
+/// Decodes a snapshot. The bootstrap snapshot has no data and gives the default state.
 pub(super) fn decode(snapshot: &StoredSnapshot) -> Result<ReplicatedState, ReplicaError> {
     if snapshot.data.is_empty() {
         return Ok(ReplicatedState::default());
@@ -22,7 +22,7 @@
 }
 
 impl Replica {
-    /// Replaces the whole state by a snapshot of the leader's.
+    /// Replaces the whole state with a snapshot from the leader.
     pub(super) fn restore(&mut self, snapshot: &StoredSnapshot) -> Result<(), ReplicaError> {
         let state = decode(snapshot)?;
         self.table = state.table;
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// Replaces a long log by a snapshot, once no write is under way.
+    /// Replaces the applied log entries with a snapshot if one is due and no write is pending.
     pub(super) fn compact_log(&mut self) {
         let log = self.node.store();
         let is_due = log.len() >= self.config.snapshot_entries || self.snapshot_due;
@@ -43,12 +43,12 @@
         let applied = self.applied;
         self.snapshot_due = false;
         if let Some(snapshot) = self.node.mut_store().compact(applied, encoded) {
-            // Nothing waits for this write, so that it needs no number.
+            // No message depends on this write, so it needs no number.
             self.output.writes.push(PendingWrite { snapshot: Some(snapshot), ..PendingWrite::default() });
         }
     }
 
-    /// The replicated state as a snapshot's contents. The table is moved out and back, since a copy of a large one takes long.
+    /// Encodes the replicated state. The table is moved out and back to avoid copying it.
     fn encode(&mut self) -> postcard::Result<Vec<u8>> {
         let table = std::mem::take(&mut self.table);
         let state = ReplicatedState { table, members: self.members.clone() };
--- a/crates/lease-store/src/server.rs
+++ b/crates/lease-store/src/server.rs
@@ -1,6 +1,8 @@
-//! A replica as a process on sockets. One task, the event loop, owns the [`Replica`]. A thread makes all writes that wait durable with one sync.
-//! Each peer has a task that sends to it and drops what it can't send; each connection has one that reads, and one that writes. Only
-//! connections wait for the others: they read no further while too many requests are unhandled.
+//! Replica process on sockets.
+//!
+//! The event loop owns the [`Replica`]. A disk thread makes all queued writes durable with one sync. Each peer has a
+//! task that sends messages and drops those it can't send. Each connection has a task that reads requests and one that
+//! writes replies; reading pauses while too many requests are unhandled.
 
 mod connection;
 mod counters;
@@ -25,34 +27,34 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// Requests that were read from connections and not yet handled: enough for one from each instance of a large fleet.
+/// Maximum number of requests that were read and not yet handled: one for each instance of a large fleet.
 const MAX_UNHANDLED_REQUESTS: usize = 4096;
 
-/// Settings of the process.
+/// Options of the replica process.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// Settings that all replicas share.
+    /// Configuration shared by all replicas.
     pub replica: ReplicaConfig,
-    /// Where it listens; port 0 lets the system choose one.
+    /// Listen address; port 0 lets the system choose a port.
     pub listen: SocketAddr,
-    /// Addresses of the other replicas by number. Members that are not named here are reached where the log says.
+    /// Addresses of the other replicas by number. They take precedence over the addresses in the log.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// s between ticks.
+    /// Interval between ticks (s).
     pub tick_interval: f64,
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// The clock that leases are timed by.
+    /// Clock for lease times.
     pub clock: Clock,
-    /// Where events of its history go.
+    /// Destination of events.
     pub events: EventSink,
-    /// ms that each sync is delayed: for tests.
+    /// Delay of each sync (ms), for tests.
     pub sync_delay: Arc<AtomicU64>,
 }
 
-/// Starts a replica from its disk; it listens when this returns.
+/// Starts a replica from its durable state. It is listening when this function returns.
 ///
 /// # Errors
-/// The durable state can't be used, or the address can't be listened on.
+/// Returns an error if the durable state can't be used or the listen address can't be bound.
 pub async fn start(
     options: ServerOptions,
     store: Store,
--- a/crates/lease-store/src/server/connection.rs
+++ b/crates/lease-store/src/server/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of an instance, an operator or a peer: requests go to the event loop, replies come back over a queue of their own.
+//! Connection of an instance, an operator or a peer. Requests go to the event loop; replies return through a queue
+//! per connection.
 
 use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, MAX_LINE_BYTES};
 use puffinladder_transport::{write_line, LineReader, TransportError};
@@ -7,21 +8,21 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Replies that wait for one connection; beyond that they are dropped, and an instance asks again.
+/// Maximum number of queued replies per connection. Further replies are dropped, and instances retry.
 const MAX_QUEUED_REPLIES: usize = 256;
-/// How long a connection may be silent: many renewals of the longest usual term.
+/// Time without a request after which a connection is closed; well above the renewal interval.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long the other side may leave data unread.
+/// Maximum duration of a write to a connection.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request as it came over a connection.
+/// Request received on a connection.
 pub(super) struct IncomingRequest {
     pub request: ReplicaRequest,
-    /// Where its reply goes.
+    /// Queue for its reply.
     pub reply_to: mpsc::Sender<ReplicaReply>,
 }
 
-/// Reads requests until the other side closes, is silent for too long or sends what is not one.
+/// Reads requests until the connection is closed, idle for too long, or receives an invalid line.
 pub(super) async fn handle_connection(
     stream: TcpStream,
     requests: mpsc::Sender<IncomingRequest>,
@@ -30,7 +31,7 @@
     let (reply_to, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
     let writer_task = tokio::spawn(write_replies(writer, replies));
     let result = read_requests(LineReader::new(reader, MAX_LINE_BYTES), requests, reply_to).await;
-    // Replies may still be queued; whoever closed the connection gets none of them.
+    // Queued replies are discarded, as the connection is closed.
     writer_task.abort();
     result
 }
--- a/crates/lease-store/src/server/counters.rs
+++ b/crates/lease-store/src/server/counters.rs
@@ -1,9 +1,9 @@
-//! What the process counts since its start; the names are part of the status that operators' programs read.
+//! Counters since the start of the process. Their names are part of the status that operators' tools read.
 
 use puffinladder_leases::table::{Cause, Change, ChangeKind};
 use std::collections::BTreeMap;
 
-/// Requests of instances.
+/// Requests from instances.
 pub(super) const LEASE_REQUESTS: &str = "lines";
 /// Responses to instances.
 pub(super) const LEASE_RESPONSES: &str = "told";
@@ -17,12 +17,12 @@
 pub(super) const DROPPED_PEER_MESSAGES: &str = "messages-dropped";
 /// Requests and commands that were rejected.
 pub(super) const REJECTED: &str = "refused";
-/// Times that the replica became the leader.
+/// Number of times that the replica became the leader.
 pub(super) const LEADERSHIPS: &str = "led";
-/// Syncs of the disk.
+/// Disk syncs.
 pub(super) const SYNCS: &str = "syncs";
 
-/// Counts by name; a name is there once it was counted.
+/// Counters by name. A counter exists once it was first added to.
 #[derive(Default)]
 pub(super) struct Counters {
     by_name: BTreeMap<String, u64>,
@@ -40,7 +40,7 @@
         self.add(name, 1);
     }
 
-    /// All counts, with those of the disk's thread.
+    /// Returns all counters, including the number of syncs.
     pub fn snapshot(&self, syncs: u64) -> BTreeMap<String, u64> {
         let mut all = self.by_name.clone();
         all.insert(SYNCS.to_string(), syncs);
@@ -48,7 +48,7 @@
     }
 }
 
-/// The name that changes of this kind and cause are counted under.
+/// Returns the counter name of a lease change.
 pub(super) fn change_counter(change: &Change) -> String {
     format!("changes-{}-{}", kind_name(change.kind), cause_name(change.cause))
 }
--- a/crates/lease-store/src/server/disk.rs
+++ b/crates/lease-store/src/server/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to disk: all writes that wait become durable with one sync.
+//! Disk thread: makes all queued writes durable with one sync.
 
 use super::ServerError;
 use crate::durable::PendingWrite;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The event loop's side of the thread.
+/// Handle of the disk thread.
 pub(super) struct DiskThread {
-    /// Writes to be made durable, in order.
+    /// Queue of writes, in order.
     pub writes: blocking::Sender<Vec<PendingWrite>>,
-    /// Numbers of writes that are durable, with all before them. Ends when the thread does.
+    /// Sequence numbers of durable writes; all earlier writes are durable too. Closed when the thread ends.
     pub persisted: mpsc::UnboundedReceiver<u64>,
     handle: JoinHandle<Result<(), StoreError>>,
 }
 
 impl DiskThread {
-    /// Starts the thread. `sync_delay` is in ms and for tests; `syncs` counts the syncs.
+    /// Starts the thread. `sync_delay` delays each sync (ms, for tests); `syncs` counts the syncs.
     pub fn start(
         store: Store,
         sync_delay: Arc<AtomicU64>,
@@ -34,7 +34,7 @@
         Ok(DiskThread { writes, persisted, handle })
     }
 
-    /// Why the thread ended by itself.
+    /// Returns the reason why the thread ended.
     pub fn failure(self) -> ServerError {
         match self.handle.join() {
             Ok(Ok(())) => ServerError::DiskThreadEnded,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Lets the thread finish the writes that it has, and waits for that.
+    /// Closes the queue and waits until the thread has finished the queued writes.
     pub async fn finish(self) -> Result<(), ServerError> {
         drop(self.writes);
         let handle = self.handle;
--- a/crates/lease-store/src/server/error.rs
+++ b/crates/lease-store/src/server/error.rs
@@ -1,31 +1,31 @@
-//! Why the process can't start or can't go on.
+//! Fatal errors of the replica process.
 
 use crate::replica::ReplicaError;
 use crate::store::StoreError;
 use thiserror::Error;
 
-/// Why a replica's process ends.
+/// Fatal error of the replica process.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The replica can't start or can't go on.
+    /// The replica failed.
     #[error("{0}")]
     Replica(#[from] ReplicaError),
-    /// The address can't be listened on.
-    #[error("{0}")]
+    /// The listen address can't be bound.
+    #[error("can't listen: {0}")]
     Listen(std::io::Error),
-    /// A write failed: no answer may say any more that something is on disk.
+    /// A write failed, so nothing more may be reported as durable.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// The system gives no thread for the disk.
-    #[error("no thread for the disk: {0}")]
+    /// The disk thread can't be started.
+    #[error("can't start the disk thread: {0}")]
     DiskThread(std::io::Error),
-    /// The disk's thread panicked.
-    #[error("the disk's thread panicked")]
+    /// The disk thread panicked.
+    #[error("the disk thread panicked")]
     DiskThreadPanicked,
-    /// The disk's thread ended while it was needed.
-    #[error("the disk's thread ended")]
+    /// The disk thread ended unexpectedly.
+    #[error("the disk thread ended unexpectedly")]
     DiskThreadEnded,
-    /// Waiting for the disk's thread failed.
-    #[error("{0}")]
+    /// Waiting for the disk thread failed.
+    #[error("waiting for the disk thread failed: {0}")]
     Join(#[from] tokio::task::JoinError),
 }
--- a/crates/lease-store/src/server/event_loop.rs
+++ b/crates/lease-store/src/server/event_loop.rs
@@ -1,4 +1,5 @@
-//! The task that owns the replica: it feeds requests, ticks and durable writes to it, and carries out what comes.
+//! Event loop: the task that owns the replica, passes requests, ticks and durable writes to it, and performs its
+//! output.
 
 mod output;
 mod requests;
@@ -19,20 +20,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Requests that are handled before their output is carried out.
+/// Maximum number of requests handled before their output is performed.
 const MAX_BATCH_REQUESTS: usize = 512;
 
-/// The replica with all that it is connected to.
+/// Replica with its connections, counters and pending replies.
 pub(super) struct EventLoop {
     options: ServerOptions,
     replica: Replica,
     peers: Peers,
-    /// The connection that each instance last sent a request on.
+    /// Connection on which each instance sent its last request.
     instances: BTreeMap<HolderId, mpsc::Sender<ReplicaReply>>,
     pending_replies: PendingReplies,
     was_leader: bool,
     counters: Counters,
-    /// Raised by the disk's thread with each sync.
+    /// Number of syncs, incremented by the disk thread.
     syncs: Arc<AtomicU64>,
 }
 
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Runs until the process is stopped or can't go on.
+    /// Runs until the process is stopped or a fatal error occurs.
     pub async fn run(
         mut self,
         store: Store,
@@ -77,7 +78,7 @@
                 },
                 _ = stopped.changed() => {
                     let finished = disk.finish().await;
-                    tracing::info!("stopped at log index {}", self.replica.applied());
+                    tracing::info!("lease-store replica {} stopped at log index {}", self.replica.id(), self.replica.applied());
                     return finished;
                 }
             }
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Requests that were read before a pause of this process are handled before time advances.
+    /// Advances the replica by one tick. Requests read before a pause of this process are handled first, so that their
+    /// leases do not expire.
     fn handle_tick(&mut self, requests: &mut mpsc::Receiver<IncomingRequest>) {
         let now = self.options.clock.now();
         while let Ok(incoming) = requests.try_recv() {
--- a/crates/lease-store/src/server/event_loop/output.rs
+++ b/crates/lease-store/src/server/event_loop/output.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the replica hands out: writes, messages, replies, events and log lines.
+//! Performing the output of the replica: writes, messages, replies, events and log lines.
 
 use super::EventLoop;
 use crate::replica::{CommandOutcome, Output, PeerMessage};
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::error::TrySendError;
 
 impl EventLoop {
-    /// Carries out an output. Nothing else of it is done where the disk's thread has ended; its error ends the process next.
+    /// Performs an output. If the disk thread has ended, the rest is skipped, as its error stops the process next.
     pub(super) fn carry_out(&mut self, output: Output, disk: &DiskThread) {
         if !output.writes.is_empty() && disk.writes.send(output.writes).is_err() {
             return;
@@ -28,7 +28,7 @@
         self.report_leadership_change();
     }
 
-    /// Keeps a sender for each replica that is a member by now.
+    /// Updates the senders to match the current members.
     pub(super) fn update_peers(&mut self) {
         self.peers.update(&self.replica.peers(), &self.replica.members().joined);
     }
@@ -82,7 +82,7 @@
         self.options.events.emit(&Event::Change(change));
     }
 
-    /// Tells of a leadership that began or ended since the last output.
+    /// Reports a leadership that began or ended since the last output.
     fn report_leadership_change(&mut self) {
         let is_leader = self.replica.is_leader();
         if is_leader && !self.was_leader {
@@ -102,12 +102,13 @@
         self.counters.increment(counters::LEADERSHIPS);
     }
 
-    /// Tells instances and waiting operators that this replica leads no more: they find the next leader sooner than by a timeout.
+    /// Notifies instances and waiting operators that this replica is no longer the leader, so that they look for the
+    /// next one without waiting for a timeout.
     fn redirect_clients(&mut self) {
         let id = self.replica.id();
-        tracing::info!("replica {id} is the leader no more");
+        tracing::info!("replica {id} is no longer the leader");
         let leader = self.replica.leader().filter(|leader| *leader != id);
-        // Commands have been answered before; what still waits are reads.
+        // Commands have been answered already; the pending replies left are reads.
         let instances = std::mem::take(&mut self.instances).into_values();
         for reply_to in instances.chain(self.pending_replies.take_all()) {
             let _ = reply_to.try_send(ReplicaReply::NotLeader { leader, address: None });
--- a/crates/lease-store/src/server/event_loop/requests.rs
+++ b/crates/lease-store/src/server/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of instances, peers and operators.
+//! Handling of requests from instances, peers and operators.
 
 use super::EventLoop;
 use crate::membership::MembershipChange;
@@ -14,17 +14,17 @@
 
 type ReplySender = mpsc::Sender<ReplicaReply>;
 
-/// Why a line of a peer's is ignored.
+/// Reason why a peer message is ignored.
 #[derive(Debug, Error)]
 enum PeerMessageError {
-    #[error("{0}")]
+    #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
     #[error("{0}")]
     Message(#[from] MessageError),
 }
 
 impl EventLoop {
-    /// Handles one request. `now` is the host's clock, s.
+    /// Handles one request. `now` is the host's clock (s).
     pub(super) fn handle(&mut self, now: f64, incoming: IncomingRequest) {
         let IncomingRequest { request, reply_to } = incoming;
         match request {
@@ -63,7 +63,7 @@
         self.counters.increment(counters::PEER_MESSAGES);
         if let Err(error) = self.receive(text) {
             self.counters.increment(counters::INVALID_PEER_MESSAGES);
-            tracing::debug!("message of a peer ignored: {error}");
+            tracing::debug!("peer message ignored: {error}");
         }
     }
 
@@ -85,7 +85,7 @@
         self.update_peers();
     }
 
-    /// Remembers who waits for a command that was accepted; rejects the others at once.
+    /// Registers the connection for the result of an accepted request, or replies with the rejection.
     fn register_reply(&mut self, token: u64, accepted: Result<(), RequestError>, reply_to: ReplySender) {
         match accepted {
             Ok(()) => self.pending_replies.insert(token, reply_to),
--- a/crates/lease-store/src/server/peers.rs
+++ b/crates/lease-store/src/server/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other replicas. Raft repeats what is lost, so that a message that can't be sent is dropped.
+//! Connections to the other replicas. Messages that can't be sent are dropped, as raft retransmits them.
 
 use super::connection::WRITE_TIMEOUT;
 use base64::prelude::{Engine as _, BASE64_STANDARD};
@@ -11,20 +11,20 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// Messages that wait for one peer.
+/// Maximum number of queued messages per peer.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Pause after a peer could not be reached: short, since an election may wait for it.
+/// Delay before reconnecting to an unreachable peer; short, since an election may need it.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// The queue to one peer's sender task.
+/// Handle of the task that sends to one peer.
 struct PeerSender {
     messages: mpsc::Sender<Vec<u8>>,
     address: watch::Sender<Option<SocketAddr>>,
 }
 
-/// A sender for each other member.
+/// Senders to all other members.
 pub(super) struct Peers {
-    /// Addresses in the settings; they win over those in the log.
+    /// Addresses from the settings, which take precedence over those in the log.
     configured: BTreeMap<u64, SocketAddr>,
     senders: BTreeMap<u64, PeerSender>,
     stopped: watch::Receiver<bool>,
@@ -39,7 +39,7 @@
         self.senders.contains_key(&number)
     }
 
-    /// Follows the members: `numbers` are all other replicas, `joined` the addresses that the log names.
+    /// Updates the senders: `numbers` are all other replicas, `joined` the addresses from the log.
     pub fn update(&mut self, numbers: &[u64], joined: &BTreeMap<u64, String>) {
         for number in numbers {
             let replicated = joined.get(number).and_then(|text| text.parse().ok());
@@ -60,13 +60,13 @@
         self.senders.insert(number, PeerSender { messages, address });
     }
 
-    /// Whether the message was queued; it is dropped where the queue is full.
+    /// Queues a message, and returns whether there was room for it.
     pub fn send(&self, number: u64, bytes: Vec<u8>) -> bool {
         self.senders.get(&number).is_some_and(|sender| sender.messages.try_send(bytes).is_ok())
     }
 }
 
-/// Sends to one peer until its sender is dropped or the process stops, and connects again where that fails.
+/// Sends messages to one peer until its sender is dropped or the process stops. Reconnects after a failure.
 async fn send_messages(
     mut address: watch::Receiver<Option<SocketAddr>>,
     mut messages: mpsc::Receiver<Vec<u8>>,
@@ -88,7 +88,7 @@
         }
         let Some(open) = &mut connection else {
             tokio::time::sleep(RECONNECT_DELAY).await;
-            // What was queued meanwhile is outdated by now.
+            // Messages queued during the delay are outdated.
             while messages.try_recv().is_ok() {}
             continue;
         };
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether the connection can be used further.
+/// Sends one message, and returns whether the connection is still usable.
 async fn send_message(connection: &mut TcpStream, message: &[u8]) -> bool {
     let request = ReplicaRequest::PeerMessage(BASE64_STANDARD.encode(message));
     let Ok(line) = encode_line(&request) else { return true };
--- a/crates/lease-store/src/server/pending_replies.rs
+++ b/crates/lease-store/src/server/pending_replies.rs
@@ -1,10 +1,10 @@
-//! Operators that wait for the outcome of a command or for a read, by the token that the replica knows it under.
+//! Connections that wait for the result of a command or read, by its token.
 
 use puffinladder_leases::protocol::ReplicaReply;
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// Connections that wait for a reply, by token.
+/// Connections waiting for a reply, by token.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     waiting: BTreeMap<u64, mpsc::Sender<ReplicaReply>>,
@@ -12,7 +12,7 @@
 }
 
 impl PendingReplies {
-    /// A new token, never 0. Connections that were closed are forgotten.
+    /// Returns a new token, never 0. Removes closed connections.
     pub fn next_token(&mut self) -> u64 {
         self.waiting.retain(|_, reply_to| !reply_to.is_closed());
         self.last_token += 1;
@@ -23,12 +23,12 @@
         self.waiting.insert(token, reply_to);
     }
 
-    /// The connection that waits under this token, which is used up.
+    /// Removes and returns the connection that waits under this token.
     pub fn take(&mut self, token: u64) -> Option<mpsc::Sender<ReplicaReply>> {
         self.waiting.remove(&token)
     }
 
-    /// All connections that wait.
+    /// Removes and returns all waiting connections.
     pub fn take_all(&mut self) -> impl Iterator<Item = mpsc::Sender<ReplicaReply>> {
         std::mem::take(&mut self.waiting).into_values()
     }
--- a/crates/lease-store/src/store.rs
+++ b/crates/lease-store/src/store.rs
@@ -1,5 +1,6 @@
-//! The replica's file: an embedded key-value store with checksums, in which all writes that wait become durable together. A replica that can't
-//! read its file must not vote: it joins again under another number instead.
+//! File of a replica: an embedded key-value store with checksums, which makes all queued writes durable together.
+//!
+//! A replica that can't read its file must not vote. It joins again under a new number instead.
 
 use crate::durable::{CorruptState, DurableState, PendingWrite, StoredEntry};
 use redb::{Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
@@ -10,102 +11,104 @@
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Keys in the table of metadata. They are part of the format.
+/// Keys of the metadata table. They are part of the file format.
 const SCHEMA_KEY: &str = "schema";
 const REPLICA_NUMBER_KEY: &str = "keeper";
 const HARD_STATE_KEY: &str = "vote";
 const SNAPSHOT_KEY: &str = "shot";
-/// Version of what is written in the two tables.
+/// Version of the file format.
 const SCHEMA_VERSION: u32 = 1;
-/// Bytes of the file that are cached in memory: far more than the log between two snapshots.
+/// Size of the database cache, far above the size of the log between two snapshots.
 const CACHE_BYTES: usize = 8 << 20;
 
-/// Why the file can't be opened or written.
+/// Reason why the file can't be opened or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process has it open.
-    #[error("{path}: another process has it open")]
+    /// Another process has the file open.
+    #[error("{path}: the file is open in another process")]
     InUse {
         /// The file.
         path: PathBuf,
     },
-    /// A file is to be created where there is one.
+    /// The file to create already exists.
     #[error(
-        "{path}: it holds a replica already; start without --found, or remove it and join as a new replica"
+        "{path}: a replica file already exists; start without --found or --join, or remove the file and join under a new number"
     )]
     AlreadyExists {
         /// The file.
         path: PathBuf,
     },
-    /// There is no file to open.
-    #[error("{path}: there is no keeper's disk here; found it, or join the others as a new replica")]
+    /// The file does not exist.
+    #[error("{path}: replica file not found; start with --found for a new cluster, or with --join and a new number")]
     Missing {
         /// The file.
         path: PathBuf,
     },
-    /// Another version of this program wrote the file.
-    #[error("{path}: written as version {found}, this program reads version {SCHEMA_VERSION}")]
+    /// The file has another format version.
+    #[error("{path}: format version {found}, expected {SCHEMA_VERSION}")]
     UnsupportedSchema {
         /// The file.
         path: PathBuf,
-        /// The version in the file.
+        /// Version of the file.
         found: u32,
     },
-    /// The file is not as a replica left it.
-    #[error("{path}: {source}; this replica must not vote with it, join the others as a new replica")]
+    /// The file is damaged or incomplete.
+    #[error(
+        "{path}: can't open the replica file: {source}; the replica must not vote, join under a new number"
+    )]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause of the failure.
         source: StoreContentError,
     },
     /// A write failed.
-    #[error("{path}: {source}")]
+    #[error("{path}: can't write the replica file: {source}")]
     Write {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// Cause of the failure.
         source: StoreContentError,
     },
 }
 
-/// What can go wrong inside the file.
+/// Failure while reading or writing the contents of the file.
 #[derive(Debug, Error)]
 pub enum StoreContentError {
-    /// The embedded store failed.
+    /// The embedded database failed.
     #[error("{0}")]
     Database(#[from] redb::Error),
     /// The file system failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A value can't be written.
-    #[error("{0}")]
+    /// A value can't be encoded.
+    #[error("can't encode: {0}")]
     Encode(postcard::Error),
-    /// A fact is missing.
-    #[error("{0} is missing")]
+    /// A metadata value is missing.
+    #[error("metadata value {0} is missing")]
     MissingValue(&'static str),
-    /// A fact can't be read.
-    #[error("{key}: {source}")]
+    /// A metadata value can't be decoded.
+    #[error("can't decode metadata value {key}: {source}")]
     Value {
-        /// The fact's key.
+        /// Key of the value.
         key: &'static str,
         /// Why it can't be read.
         source: postcard::Error,
     },
-    /// An entry of the log can't be read.
-    #[error("entry {index}: {source}")]
+    /// A log entry can't be decoded.
+    #[error("can't decode log entry {index}: {source}")]
     Entry {
-        /// The entry's key.
+        /// Index of the entry.
         index: u64,
         /// Why it can't be read.
         source: postcard::Error,
     },
-    /// Everything can be read, and does not fit together.
+    /// All values can be decoded, but are inconsistent.
     #[error("{0}")]
     Corrupt(#[from] CorruptState),
 }
 
-/// The errors of each step in the embedded store, all of which are a [`StoreContentError::Database`].
+/// Converts the error types of the embedded database to [`StoreContentError::Database`].
 macro_rules! database_errors {
     ($($error:ty),*) => {
         $(impl From<$error> for StoreContentError {
@@ -123,7 +126,7 @@
     redb::DatabaseError
 );
 
-/// A replica's open file.
+/// Open file of a replica.
 pub struct Store {
     database: Database,
     path: PathBuf,
@@ -131,18 +134,18 @@
 }
 
 impl Store {
-    /// Creates the file of replica `id` in a new cluster of these voters, and opens it.
+    /// Creates and opens the file of replica `id` in a new cluster of these voters.
     ///
     /// # Errors
-    /// There is a file at this path, or it can't be written.
+    /// Returns an error if the file exists already or can't be written.
     pub fn bootstrap(path: &Path, id: u64, voters: &[u64]) -> Result<(Store, DurableState), StoreError> {
         Store::create(path, id, DurableState::bootstrap(voters))
     }
 
-    /// Creates the file of a replica that joins a running cluster under a number that was never used, and opens it.
+    /// Creates and opens the file of a replica that joins a running cluster under a number never used before.
     ///
     /// # Errors
-    /// There is a file at this path, or it can't be written.
+    /// Returns an error if the file exists already or can't be written.
     pub fn join(path: &Path, id: u64) -> Result<(Store, DurableState), StoreError> {
         Store::create(path, id, DurableState::join())
     }
@@ -151,7 +154,7 @@
         if path.exists() {
             return Err(StoreError::AlreadyExists { path: path.into() });
         }
-        // Written under another name first, so that a crash leaves no file or a complete one.
+        // Written under a temporary name first, so that a crash leaves either no file or a complete one.
         let temporary = temporary_path(path);
         let _ = std::fs::remove_file(&temporary);
         let store = Store { database: open_database(&temporary, true)?, path: path.into(), id };
@@ -171,10 +174,10 @@
         Store::open(path)
     }
 
-    /// Opens the file as its process left it, however that ended.
+    /// Opens the file, also after a crash of its process.
     ///
     /// # Errors
-    /// There is no file, another process has it open, or it can't be read as a whole.
+    /// Returns an error if the file does not exist, is open in another process, or can't be read completely.
     pub fn open(path: &Path) -> Result<(Store, DurableState), StoreError> {
         if !path.exists() {
             return Err(StoreError::Missing { path: path.into() });
@@ -189,15 +192,15 @@
         Ok((Store { database, path: path.into(), id }, durable))
     }
 
-    /// Number of the replica that the file belongs to.
+    /// Returns the number of the replica that the file belongs to.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Makes these writes durable, in their order and with one sync.
+    /// Makes these writes durable in the given order, with one sync.
     ///
     /// # Errors
-    /// The file can't be written; then none of the writes may be taken for durable.
+    /// Returns an error if the file can't be written. None of the writes counts as durable then.
     pub fn write(&self, writes: &[PendingWrite]) -> Result<(), StoreError> {
         if writes.iter().all(PendingWrite::is_empty) {
             return Ok(());
@@ -212,7 +215,7 @@
         })
     }
 
-    /// Runs a change as one transaction, with a sync at its end.
+    /// Runs a change as one transaction and syncs it.
     fn transact(
         &self,
         change: impl FnOnce(&redb::WriteTransaction) -> Result<(), StoreContentError>,
@@ -232,14 +235,14 @@
     PathBuf::from(name)
 }
 
-/// Makes a rename in the directory of this path durable.
+/// Syncs the parent directory of a path, to make a rename durable.
 fn sync_parent_directory(path: &Path) -> std::io::Result<()> {
     let directory =
         path.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
     std::fs::File::open(directory).and_then(|directory| directory.sync_all())
 }
 
-/// The version that a file was written as; the rest is read only if it is ours.
+/// Reads the format version, which is checked before the other contents are read.
 fn read_schema_version(database: &Database) -> Result<u32, StoreContentError> {
     read_value(&database.begin_read()?.open_table(METADATA)?, SCHEMA_KEY)
 }
--- a/crates/lease-store/src/store/tests.rs
+++ b/crates/lease-store/src/store/tests.rs
@@ -40,7 +40,7 @@
         assert_eq!((reopened.id(), &read), (2, &durable));
         store = reopened;
     }
-    // The same in one sync.
+    // All writes in one sync.
     let batched_path = directory.path().join("other");
     let (store, _) = Store::bootstrap(&batched_path, 2, &[1, 2, 3]).unwrap();
     store.write(&writes()).unwrap();
@@ -53,7 +53,7 @@
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("keeper");
     let missing = Store::open(&path).err().unwrap().to_string();
-    assert!(missing.contains("no keeper's disk") && missing.contains("keeper"), "{missing}");
+    assert!(missing.contains("replica file not found") && missing.contains("keeper"), "{missing}");
     let open_store = Store::bootstrap(&path, 1, &[1, 2, 3]).unwrap();
     assert!(matches!(Store::open(&path), Err(StoreError::InUse { .. })));
     assert!(matches!(Store::bootstrap(&path, 1, &[1, 2, 3]), Err(StoreError::AlreadyExists { .. })));
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -1,6 +1,5 @@
-//! Compatibility with what earlier versions wrote: the store's file as it lies on disk (`tests/data/keeper.redb`), the log entries and snapshot
-//! inside it, and every line on the TCP connections. The literals here never change; a failing test means that data of a running
-//! installation can no longer be read.
+//! Compatibility of the stored file (`tests/data/keeper.redb`), its log entries and snapshot, and the lines on TCP
+//! connections. The literals never change: a failing test means that data of a running installation can't be read.
 
 use puffinladder_lease_store::durable::{DurableState, StoredEntry, StoredHardState, StoredSnapshot};
 use puffinladder_lease_store::membership::{Members, MembershipChange};
@@ -15,14 +14,15 @@
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
-/// The snapshot's contents: the table and the members.
+/// Contents of the snapshot: the table and the members.
 const SNAPSHOT: &str = "00000000000000407b14ae47e17a943f00000000000024400000000000004e40030000000000004e400000000000003e400000000000001440\
     000000000000004040000000000000fb3f030402066761746865720667617468657202000002010273310101000000000000f33f0000000000010273310102\
     000000000000f33f00000000000571756f74610571756f74610101027a310001010273310103000000000000f33f00000000000102733101027a3101000000\
     000000004052b81e85ebd1094002066761746865720571756f7461000403066761746865720006676174686572010571756f74610001027331010000000000\
     0000000000000000000000f33f00000000000000f33f00000000000000000001020f3132372e302e302e323a313832303100";
 
-/// Index, term, type, data and context of each entry behind the snapshot: time, an instance's line, a pause, a move, the removal of replica 2.
+/// Index, term, type, data and context of each entry after the snapshot: time, a lease request, a pause, a move,
+/// and the removal of replica 2.
 const ENTRIES: [(u64, u64, i32, &str, &str); 9] = [
     (21, 2, 0, "000000000000fd3f00", ""),
     (22, 2, 0, "000000000000ff3f00", ""),
@@ -41,7 +41,7 @@
     (29, 2, 1, "100118022203490202", "490202"),
 ];
 
-/// The table once all of these entries are applied.
+/// Rows of the table once all entries are applied.
 const LEASE_ROWS: &str = concat!(
     r#"[{"duty":{"name":"gather","part":0},"owner":{"instance":"s1","incarnation":1},"epoch":1,"since":1.1875,"back":true,"paused":false},"#,
     r#"{"duty":{"name":"gather","part":1},"owner":{"instance":"s1","incarnation":1},"epoch":2,"since":1.1875,"back":false,"paused":false},"#,
@@ -144,7 +144,7 @@
     assert_eq!(encode_hex(&postcard::to_allocvec(&snapshot).unwrap()), "060302010201040105");
 }
 
-/// Each line reads as a message of this type, and is written the same again.
+/// Checks that each line decodes as this type and encodes to the same line.
 fn assert_lines_unchanged<T: Serialize + DeserializeOwned>(lines: &[&str]) {
     for line in lines {
         let read: T = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
@@ -211,7 +211,7 @@
     ]);
 }
 
-/// A connection to a replica that was started from the stored file.
+/// Connection to a replica started from the stored file.
 struct Connection {
     stream: BufReader<tokio::net::TcpStream>,
 }
@@ -242,7 +242,7 @@
     let running = start(options, store, &durable).await.unwrap();
     let stream = connect(running.address).await.unwrap();
     let mut connection = Connection { stream: BufReader::new(stream) };
-    // Nobody leads at first: then it says who may.
+    // No leader is elected at first.
     let mut reply = connection.send(r#""duties""#).await;
     while reply.starts_with(r#"{"elsewhere""#) {
         assert_eq!(reply, r#"{"elsewhere":{"leader":null,"address":null}}"#);
@@ -254,7 +254,7 @@
     assert!(reply.contains(instance_row), "{reply}");
     let pause = r#"{"command":{"Pause":{"duty":"gather","paused":true}}}"#;
     assert_eq!(connection.send(pause).await, r#""done""#);
-    // Why something is rejected is text for people; that it is, and how that is written, is not.
+    // The reason of a rejection may change; its encoding may not.
     for command in [
         r#"{"command":{"Pause":{"duty":"none","paused":true}}}"#,
         r#"{"remove":{"number":1}}"#,
--- a/crates/lease-store/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -1,6 +1,8 @@
-//! Three or five replicas in simulated time: messages late, lost, in another order; replicas killed with what their disk had synced, paused,
-//! cut off one way or both; disks of 2 s a sync; instances that ask all the while. Whoever has applied an entry has applied the same
-//! as all others, no epoch is granted twice, nobody believes in what another believes in, and with a majority well there is an owner.
+//! Three or five replicas in simulated time, with message loss and reordering, crashes, pauses, partitions
+//! and slow disks.
+//!
+//! All replicas apply the same changes, no epoch is granted twice, no two instances hold the same lease, and every task
+//! has a holder once a majority is healthy.
 
 use puffinladder_lease_store::durable::{DurableState, PendingWrite};
 use puffinladder_lease_store::replica::{Output, PeerMessage, Replica, ReplicaConfig, RequestError};
@@ -20,8 +22,9 @@
 struct SimulatedReplica {
     replica: Option<Replica>,
     durable: DurableState,
-    /// Writes that wait, and those that one sync makes durable together, at that time.
+    /// Writes not yet being synced.
     queued_writes: Vec<PendingWrite>,
+    /// Writes that become durable together at `sync_ends`.
     syncing_writes: Vec<PendingWrite>,
     sync_ends: f64,
     sync_duration: f64,
@@ -41,7 +44,7 @@
     clock_offset: f64,
     clock_rate: f64,
     paused_until: f64,
-    /// The replica it speaks with.
+    /// Index of the replica that it sends requests to.
     target: usize,
     last_response_at: f64,
 }
@@ -60,7 +63,7 @@
     instances: Vec<Instance>,
     in_flight: Vec<(f64, u64, InFlightMessage)>,
     sent_messages: u64,
-    /// Each change as the first replica to apply it saw it.
+    /// Each change as applied by the first replica.
     history: Vec<Change>,
     granted: BTreeMap<Epoch, (Task, HolderId)>,
     leaders: BTreeMap<u64, usize>,
@@ -135,7 +138,7 @@
 
     fn send(&mut self, message: InFlightMessage) {
         let delay = match self.rng.random_range(0..200) {
-            0 => return, // lost: a connection broke
+            0 => return, // lost
             1..6 => self.rng.random_range(0.05..1.0),
             _ => self.rng.random_range(0.0005..0.01),
         };
@@ -176,11 +179,11 @@
                 })
             };
             let states: Vec<_> = self.replicas.iter().map(state).collect();
-            return Err(format!("nobody leads after calm: {states:?}"));
+            return Err(format!("no leader after the fault phase: {states:?}"));
         };
         if let Some(row) = leader.table().lease_rows().iter().find(|row| row.holder.is_none()) {
             return Err(format!(
-                "{} has no owner after calm: {:?}",
+                "{} has no holder after the fault phase: {:?}",
                 row.task,
                 leader.table().instance_rows()
             ));
@@ -192,7 +195,7 @@
             .map(Replica::log_len)
             .max();
         if longest > Some(600) {
-            return Err(format!("a log of {longest:?} entries"));
+            return Err(format!("log of {longest:?} entries, expected at most 600"));
         }
         Ok(())
     }
@@ -207,7 +210,7 @@
         match self.rng.random_range(0..9) {
             0 => self.crash(index, duration),
             1 => {
-                // The leader is the one that is hit.
+                // Crashes the leader.
                 if let Some(leader) = self
                     .replicas
                     .iter()
@@ -221,7 +224,7 @@
             4 => self.replicas[index].inbound_cut_until = time + duration,
             5 => self.replicas[index].outbound_cut_until = time + duration,
             6 => {
-                // One disk at a time: if most take two seconds a sync no election ends.
+                // Only one slow disk at a time, since elections need a majority of fast ones.
                 self.replicas.iter_mut().for_each(|simulated| simulated.sync_duration = 0.002);
                 self.replicas[index].sync_duration = if self.rng.random_bool(0.5) { 2.0 } else { 0.002 };
             }
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Killed: what was not yet on disk is gone.
+    /// Crashes a replica, which loses all writes that are not durable.
     fn crash(&mut self, index: usize, duration: f64) {
         let simulated = &mut self.replicas[index];
         simulated.replica = None;
@@ -356,7 +359,7 @@
         self.record_changes(index, lease_changes)
     }
 
-    /// What a replica applied must be what the others applied.
+    /// Checks that the changes applied by a replica equal those of the others.
     fn record_changes(&mut self, index: usize, changes: Vec<Change>) -> Result<(), String> {
         for change in changes {
             let key = (change.epoch, change.kind);
@@ -364,15 +367,15 @@
             match position {
                 Some(position) if self.history[position] != change => {
                     return Err(format!(
-                        "replica {index} saw {change:?}, others {:?}",
+                        "replica {index} applied {change:?}, others {:?}",
                         self.history[position]
                     ));
                 }
                 Some(_) => {}
                 None => {
                     if change.kind == ChangeKind::Granted {
-                        let owner = (change.task.clone(), change.holder.clone());
-                        if let Some(other) = self.granted.insert(change.epoch, owner) {
+                        let grant = (change.task.clone(), change.holder.clone());
+                        if let Some(other) = self.granted.insert(change.epoch, grant) {
                             return Err(format!(
                                 "epoch {} was granted twice, first as {other:?}",
                                 change.epoch
@@ -396,7 +399,7 @@
         let now = instance.clock_offset + instance.clock_rate * time;
         instance.holder.expire(now);
         if time - instance.last_response_at > 0.7 {
-            // Nobody answers there: the next one may know better.
+            // No response: tries the next replica.
             (instance.target, instance.last_response_at) = ((instance.target + 1) % replicas, time);
         }
         if let Some(request) = instance.holder.next_request(now) {
@@ -415,13 +418,17 @@
                 }
                 if let Some(other) = holders.insert(task, (index, epoch)) {
                     return Err(format!(
-                        "{:.2}: {task} is believed in by {other:?} and {:?}",
+                        "{:.2}: {task} is held by both {other:?} and {:?}",
                         self.time,
                         (index, epoch)
                     ));
                 }
                 if self.granted.get(&epoch) != Some(&(task.clone(), instance.holder.id().clone())) {
-                    return Err(format!("{:.2}: epoch {epoch} of {task} was not granted so", self.time));
+                    return Err(format!(
+                        "{:.2}: epoch {epoch} of {task} was not granted to {}",
+                        self.time,
+                        instance.holder.id()
+                    ));
                 }
             }
         }
@@ -439,7 +446,7 @@
         }
         (changes, leaders) = (changes + simulation.history.len(), leaders + simulation.leaders.len());
     }
-    println!("{SCHEDULES} schedules: {changes} changes of owners, {leaders} leaders");
+    println!("{SCHEDULES} schedules: {changes} lease changes, {leaders} leaders");
     assert!(leaders > 2 * SCHEDULES as usize, "{leaders}");
 }
 
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -722,7 +722,7 @@
                 Some(ReplicaReply::CommandApplied) => drop(asks.pop()),
                 // A command whose answer was lost may have been carried out.
                 Some(ReplicaReply::CommandFailed(what))
-                    if what.contains("is one of them") || what.contains("is none of them") =>
+                    if what.contains("is already a member") || what.contains("is not a member") =>
                 {
                     asks.pop();
                 }
