--- a/crates/lease-store/src/durable.rs
+++ b/crates/lease-store/src/durable.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PendingWrite {
     /// Sequence number to pass to [`crate::replica::Replica::persisted`]; 0 if no message depends on the write.
-    pub number: u64,
+    pub sequence: u64,
     /// Hard state, if it changed.
     pub hard_state: Option<StoredHardState>,
     /// New entries. They replace all stored entries from the index of the first one on.
--- a/crates/lease-store/src/replica/persistence.rs
+++ b/crates/lease-store/src/replica/persistence.rs
@@ -10,7 +10,7 @@
 /// Write handed to the host, with the messages that depend on it.
 pub(super) struct UnpersistedWrite {
     /// Sequence number of the write.
-    pub number: u64,
+    pub sequence: u64,
     /// Time on the host's clock at which it was handed out (s).
     pub handed_out_at: f64,
     /// Index of the leader's snapshot that the write contains, if any.
@@ -20,11 +20,11 @@
 }
 
 impl Replica {
-    /// Records that the write with this number and all earlier ones are durable.
-    pub fn persisted(&mut self, number: u64) {
-        while self.unpersisted.front().is_some_and(|write| write.number <= number) {
+    /// Records that the write with this sequence number and all earlier ones are durable.
+    pub fn persisted(&mut self, sequence: u64) {
+        while self.unpersisted.front().is_some_and(|write| write.sequence <= sequence) {
             let Some(write) = self.unpersisted.pop_front() else { return };
-            self.node.on_persist_ready(write.number);
+            self.node.on_persist_ready(write.sequence);
             if let Some(index) = write.snapshot_index {
                 self.node.advance_apply_to(index);
             }
@@ -54,7 +54,7 @@
 
     /// Adds the snapshot, entries and hard state of a `Ready` to the log in memory, and returns them as a write.
     fn pending_write(&mut self, ready: &mut Ready) -> Result<PendingWrite, ReplicaError> {
-        let mut write = PendingWrite { number: ready.number(), ..PendingWrite::default() };
+        let mut write = PendingWrite { sequence: ready.number(), ..PendingWrite::default() };
         if ready.snapshot().get_metadata().index > 0 {
             let snapshot = StoredSnapshot::from(ready.snapshot());
             self.restore(&snapshot)?;
@@ -81,12 +81,12 @@
     /// Queues a write with the messages that depend on it. An empty write is durable at once if none is pending.
     fn queue_write(&mut self, now: f64, write: PendingWrite, messages: Vec<Message>) {
         if write.is_empty() && self.unpersisted.is_empty() {
-            self.node.on_persist_ready(write.number);
+            self.node.on_persist_ready(write.sequence);
             self.send(messages);
             return;
         }
         self.unpersisted.push_back(UnpersistedWrite {
-            number: write.number,
+            sequence: write.sequence,
             handed_out_at: now,
             snapshot_index: write.snapshot.as_ref().map(|snapshot| snapshot.index),
             messages,
--- a/crates/lease-store/src/replica/snapshot.rs
+++ b/crates/lease-store/src/replica/snapshot.rs
@@ -43,7 +43,7 @@
         let applied = self.applied;
         self.snapshot_due = false;
         if let Some(snapshot) = self.node.mut_store().compact(applied, encoded) {
-            // No message depends on this write, so it needs no number.
+            // No message depends on this write, so it needs no sequence number.
             self.output.writes.push(PendingWrite { snapshot: Some(snapshot), ..PendingWrite::default() });
         }
     }
--- a/crates/lease-store/src/server/disk.rs
+++ b/crates/lease-store/src/server/disk.rs
@@ -67,8 +67,8 @@
         }
         store.write(&writes)?;
         syncs.fetch_add(1, Ordering::Relaxed);
-        let last = writes.iter().map(|write| write.number).max();
-        if let Some(last) = last.filter(|number| *number > 0) {
+        let last = writes.iter().map(|write| write.sequence).max();
+        if let Some(last) = last.filter(|sequence| *sequence > 0) {
             if persisted.send(last).is_err() {
                 return Ok(());
             }
--- a/crates/lease-store/src/server/event_loop.rs
+++ b/crates/lease-store/src/server/event_loop.rs
@@ -72,8 +72,8 @@
                     self.handle_all(batch.drain(..));
                 }
                 _ = ticks.tick() => self.handle_tick(&mut requests),
-                number = disk.persisted.recv() => match number {
-                    Some(number) => self.replica.persisted(number),
+                sequence = disk.persisted.recv() => match sequence {
+                    Some(sequence) => self.replica.persisted(sequence),
                     None => return Err(disk.failure()),
                 },
                 _ = stopped.changed() => {
--- a/crates/lease-store/src/store/tests.rs
+++ b/crates/lease-store/src/store/tests.rs
@@ -11,19 +11,24 @@
         StoredSnapshot { index: 3, term: 2, voters: vec![1, 2, 3], learners: vec![], data: vec![1; 500] };
     vec![
         PendingWrite {
-            number: 1,
+            sequence: 1,
             hard_state: hard_state(2, 1),
             entries: vec![entry(2, 2), entry(3, 2), entry(4, 2)],
             snapshot: None,
         },
         PendingWrite {
-            number: 2,
+            sequence: 2,
             hard_state: hard_state(3, 3),
             entries: vec![entry(4, 3), entry(5, 3)],
             snapshot: None,
         },
-        PendingWrite { number: 0, hard_state: None, entries: vec![], snapshot: Some(snapshot) },
-        PendingWrite { number: 3, hard_state: hard_state(3, 5), entries: vec![entry(6, 3)], snapshot: None },
+        PendingWrite { sequence: 0, hard_state: None, entries: vec![], snapshot: Some(snapshot) },
+        PendingWrite {
+            sequence: 3,
+            hard_state: hard_state(3, 5),
+            entries: vec![entry(6, 3)],
+            snapshot: None,
+        },
     ]
 }
 
--- a/crates/lease-store/tests/rounds.rs
+++ b/crates/lease-store/tests/rounds.rs
@@ -325,7 +325,7 @@
             for write in simulated.syncing_writes.drain(..) {
                 simulated.durable.apply(&write);
                 if let Some(replica) = &mut simulated.replica {
-                    replica.persisted(write.number);
+                    replica.persisted(write.sequence);
                 }
             }
             std::mem::swap(&mut simulated.syncing_writes, &mut simulated.queued_writes);
