--- a/crates/control/src/serve/ads.rs
+++ b/crates/control/src/serve/ads.rs
@@ -58,9 +58,9 @@
 
 impl StreamSlot {
     /// None where as many streams are open as may be.
-    fn reserve(open: &Arc<AtomicUsize>, most: usize) -> Option<StreamSlot> {
+    fn reserve(open: &Arc<AtomicUsize>, limit: usize) -> Option<StreamSlot> {
         let slot = StreamSlot(open.clone());
-        (open.fetch_add(1, Ordering::Relaxed) < most).then_some(slot)
+        (open.fetch_add(1, Ordering::Relaxed) < limit).then_some(slot)
     }
 }
 
@@ -71,19 +71,19 @@
 }
 
 /// One stream, between its socket and the service's task.
-struct StreamTask<Q, A> {
+struct StreamTask<Req, Resp> {
     id: StreamId,
     service: ServiceHandle,
     /// How this service names itself.
     name: String,
-    requests: Streaming<Q>,
+    requests: Streaming<Req>,
     updates: mpsc::Receiver<Update>,
-    responses: mpsc::Sender<Result<A, Status>>,
-    encode: fn(&Update, &str) -> A,
+    responses: mpsc::Sender<Result<Resp, Status>>,
+    encode: fn(&Update, &str) -> Resp,
     _slot: StreamSlot,
 }
 
-impl<Q: DiscoveryMessage, A: prost::Message + 'static> StreamTask<Q, A> {
+impl<Req: DiscoveryMessage, Resp: prost::Message + 'static> StreamTask<Req, Resp> {
     /// Runs until either side ends the stream.
     async fn run(mut self) {
         loop {
@@ -113,13 +113,13 @@
     /// Sends a response; whether the proxy is still there.
     async fn respond(&self, update: &Update) -> bool {
         let response = (self.encode)(update, &self.name);
-        self.service.traffic.update_sent(update, response.encoded_len());
+        self.service.traffic.record_sent_update(update, response.encoded_len());
         self.responses.send(Ok(response)).await.is_ok()
     }
 }
 
 /// The first request of a stream, which says who the proxy is.
-async fn first_request<Q: DiscoveryMessage>(requests: &mut Streaming<Q>) -> Result<Q, Status> {
+async fn first_request<Req: DiscoveryMessage>(requests: &mut Streaming<Req>) -> Result<Req, Status> {
     let first = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await;
     let first = first.map_err(|_| Status::deadline_exceeded("no first request"))??;
     first.ok_or_else(|| Status::cancelled("no request"))
@@ -139,8 +139,8 @@
 
 /// Rejects a proxy whose certificate does not name its node.
 fn verify_node(chain: Option<&[CertificateDer<'static>]>, node: &Node) -> Result<(), Status> {
-    let own = chain.and_then(|chain| chain.first());
-    if own.is_some_and(|own| certificates::names_node(own, &node.id)) {
+    let leaf = chain.and_then(|chain| chain.first());
+    if leaf.is_some_and(|leaf| certificates::names_node(leaf, &node.id)) {
         return Ok(());
     }
     tracing::warn!("a proxy claims to be node {:.64}, which its certificate does not name", node.id);
@@ -149,12 +149,12 @@
 
 impl DiscoveryService {
     /// Begins one stream: its requests to the service's task, updates back as `encode` writes them.
-    async fn open<Q: DiscoveryMessage, A: prost::Message + 'static>(
+    async fn open<Req: DiscoveryMessage, Resp: prost::Message + 'static>(
         &self,
-        request: tonic::Request<Streaming<Q>>,
+        request: tonic::Request<Streaming<Req>>,
         incremental: bool,
-        encode: fn(&Update, &str) -> A,
-    ) -> Result<ReceiverStream<Result<A, Status>>, Status> {
+        encode: fn(&Update, &str) -> Resp,
+    ) -> Result<ReceiverStream<Result<Resp, Status>>, Status> {
         let chain = request.peer_certs();
         let mut requests = request.into_inner();
         let slot = StreamSlot::reserve(&self.open_streams, self.service.max_proxies)
--- a/crates/control/src/serve/ads/encoding.rs
+++ b/crates/control/src/serve/ads/encoding.rs
@@ -19,7 +19,7 @@
 }
 
 /// What requests of both protocols have in common.
-fn answer(type_url: &str, nonce: String, error: Option<Status>) -> ProxyRequest {
+fn base_request(type_url: &str, nonce: String, error: Option<Status>) -> ProxyRequest {
     let error = error.map(|status| status.message);
     ProxyRequest { resource_type: resource_type_of(type_url), nonce, error, ..ProxyRequest::default() }
 }
@@ -32,7 +32,7 @@
     fn into_request(self) -> ProxyRequest {
         ProxyRequest {
             names: self.resource_names,
-            ..answer(&self.type_url, self.response_nonce, self.error_detail)
+            ..base_request(&self.type_url, self.response_nonce, self.error_detail)
         }
     }
 }
@@ -47,7 +47,7 @@
             names: self.resource_names_subscribe,
             removed_names: self.resource_names_unsubscribe,
             initial_versions: self.initial_resource_versions.into_iter().collect(),
-            ..answer(&self.type_url, self.response_nonce, self.error_detail)
+            ..base_request(&self.type_url, self.response_nonce, self.error_detail)
         }
     }
 }
--- a/crates/control/src/serve/ads/tests.rs
+++ b/crates/control/src/serve/ads/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn responses_have_the_bytes_that_proxies_have_always_got() {
+fn responses_match_the_recorded_bytes() {
     let name = "puffinladder 0";
     let responses = [
         hex(&state_of_the_world_response(&update(ResourceType::Cluster, None), name)),
@@ -61,7 +61,7 @@
 );
 
 #[test]
-fn requests_of_both_protocols_are_read_as_they_have_always_been() {
+fn decodes_requests_of_both_protocols() {
     let type_url = type_url(ResourceType::Endpoints);
     let error_detail = Some(Status { message: "bad weight".into(), ..Status::default() });
     let request = DiscoveryRequest {
@@ -71,14 +71,14 @@
         error_detail: error_detail.clone(),
         ..Default::default()
     };
-    let wanted = ProxyRequest {
+    let expected = ProxyRequest {
         resource_type: Some(ResourceType::Endpoints),
         nonce: "3.5".into(),
         error: Some("bad weight".into()),
         names: vec!["servers".into()],
         ..ProxyRequest::default()
     };
-    assert_eq!(request.into_request(), wanted);
+    assert_eq!(request.into_request(), expected);
     let request = DeltaDiscoveryRequest {
         resource_names_subscribe: vec!["servers".into()],
         resource_names_unsubscribe: vec!["old".into()],
@@ -91,6 +91,6 @@
     let initial_versions = [("servers".to_owned(), "ab12".to_owned())].into();
     assert_eq!(
         request.into_request(),
-        ProxyRequest { removed_names: vec!["old".into()], initial_versions, ..wanted }
+        ProxyRequest { removed_names: vec!["old".into()], initial_versions, ..expected }
     );
 }
--- a/crates/control/src/serve/event_loop.rs
+++ b/crates/control/src/serve/event_loop.rs
@@ -28,7 +28,7 @@
     started_at: Instant,
     snapshots: Option<SnapshotWriter>,
     /// What the silence of servers was last logged as.
-    logged_silence: OutageState,
+    logged_outage: OutageState,
 }
 
 impl EventLoop {
@@ -43,7 +43,7 @@
             streams: HashMap::new(),
             started_at: Instant::now(),
             snapshots: snapshot.map(SnapshotWriter::new),
-            logged_silence: OutageState::Normal,
+            logged_outage: OutageState::Normal,
         }
     }
 
@@ -85,30 +85,30 @@
                 Err(_) => self.end_stream(event.stream),
             }
         }
-        self.log_silence(now);
+        self.log_outage_change(now);
         if let Some(snapshots) = &mut self.snapshots {
             snapshots.save_if_due(&self.service, now);
         }
     }
 
     /// Logs when most servers fall silent, when that is confirmed, and when it is over.
-    fn log_silence(&mut self, now: f64) {
+    fn log_outage_change(&mut self, now: f64) {
         let fleet = self.service.fleet();
-        let silence = fleet.assessed_outage();
-        if silence.is_same_state(self.logged_silence) {
+        let outage = fleet.assessed_outage();
+        if outage.is_same_state(self.logged_outage) {
             return;
         }
-        let (heard, known) = (fleet.fresh_count(now), fleet.len());
-        match silence {
-            OutageState::Normal => tracing::info!("{heard} of {known} servers are heard: most are again"),
+        let (fresh, known) = (fleet.fresh_count(now), fleet.len());
+        match outage {
+            OutageState::Normal => tracing::info!("{fresh} of {known} servers are heard: most are again"),
             OutageState::Suspected { .. } => {
-                tracing::warn!("{heard} of {known} servers are heard: reports are suspected, shares stay");
+                tracing::warn!("{fresh} of {known} servers are heard: reports are suspected, shares stay");
             }
             OutageState::Confirmed { .. } => tracing::warn!(
-                "{heard} of {known} servers are heard, some without a gap: the others are out of reach and lose their shares"
+                "{fresh} of {known} servers are heard, some without a gap: the others are out of reach and lose their shares"
             ),
         }
-        self.logged_silence = silence;
+        self.logged_outage = outage;
     }
 
     async fn shut_down(self) {
--- a/crates/control/src/serve/handle.rs
+++ b/crates/control/src/serve/handle.rs
@@ -54,9 +54,10 @@
         &self,
         query: impl FnOnce(&ControlService, f64) -> T + Send + 'static,
     ) -> Option<T> {
-        let (answer, answered) = oneshot::channel();
-        let answer_query = move |service: &ControlService, now: f64| drop(answer.send(query(service, now)));
-        self.send(Message::Query(Box::new(answer_query))).await;
-        answered.await.ok()
+        let (result_sender, result) = oneshot::channel();
+        let run_query =
+            move |service: &ControlService, now: f64| drop(result_sender.send(query(service, now)));
+        self.send(Message::Query(Box::new(run_query))).await;
+        result.await.ok()
     }
 }
--- a/crates/control/src/serve/prometheus.rs
+++ b/crates/control/src/serve/prometheus.rs
@@ -89,10 +89,11 @@
 
 fn register_update_bytes(registry: &mut Registry, traffic: &TrafficCounters) {
     let bytes = LabelledCounter::default();
-    for of_type in traffic.update_bytes() {
-        let name = format!("{:?}", of_type.resource_type).to_lowercase();
-        for (what, count) in [("content", of_type.content), ("renewal", of_type.renewals)] {
-            bytes.get_or_create(&labels([("type", &name), ("what", what)])).inc_by(count);
+    for bytes_of_type in traffic.update_bytes() {
+        let name = format!("{:?}", bytes_of_type.resource_type).to_lowercase();
+        for (content_kind, count) in [("content", bytes_of_type.content), ("renewal", bytes_of_type.renewals)]
+        {
+            bytes.get_or_create(&labels([("type", &name), ("what", content_kind)])).inc_by(count);
         }
     }
     let help = "Bytes of responses, by type and by whether they carry content";
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -57,17 +57,17 @@
     mut decoder: ReportDecoder,
 ) -> Result<(), ReportError> {
     // Dropped before the socket is: whoever sees the connection end sees the count without it.
-    let _connection = service.traffic.report_connection();
+    let _connection = service.traffic.open_report_connection();
     let (reader, mut writer) = stream.into_split();
     let mut lines = LineReader::new(reader, MAX_REPORT_BYTES);
-    let (mut counted, mut offered) = (0, false);
+    let (mut bytes_counted, mut offer_sent) = (0, false);
     while let Some(line) = lines.read_within::<Box<RawValue>>(IDLE_TIMEOUT).await? {
-        service.traffic.report_bytes.add(lines.bytes_read() - counted);
-        counted = lines.bytes_read();
+        service.traffic.report_bytes.add(lines.bytes_read() - bytes_counted);
+        bytes_counted = lines.bytes_read();
         let report = decoder.decode(line.get())?;
-        if !offered {
+        if !offer_sent {
             write_line(&mut writer, &FormatOffer::supported(), OFFER_TIMEOUT).await?;
-            offered = true;
+            offer_sent = true;
         }
         service.send(Message::Report(report)).await;
     }
--- a/crates/control/src/serve/snapshot_file.rs
+++ b/crates/control/src/serve/snapshot_file.rs
@@ -30,9 +30,9 @@
 }
 
 fn replace(path: &Path, snapshot: &StoredSnapshot) -> io::Result<()> {
-    let partial = path.with_extension("part");
-    std::fs::write(&partial, serde_json::to_vec(snapshot)?)?;
-    std::fs::rename(partial, path)
+    let temporary = path.with_extension("part");
+    std::fs::write(&temporary, serde_json::to_vec(snapshot)?)?;
+    std::fs::rename(temporary, path)
 }
 
 /// Writes a snapshot beside the old one, then in its place. A failure is logged, and the service goes on.
--- a/crates/control/src/serve/traffic.rs
+++ b/crates/control/src/serve/traffic.rs
@@ -61,14 +61,14 @@
 
 impl TrafficCounters {
     /// A server connected; it is counted until the guard is dropped, however its task ends.
-    pub(super) fn report_connection(&self) -> ConnectionGuard<'_> {
+    pub(super) fn open_report_connection(&self) -> ConnectionGuard<'_> {
         self.report_connections.add(1);
         self.report_connections_total.add(1);
         ConnectionGuard(&self.report_connections)
     }
 
     /// An update leaves, as so many bytes.
-    pub(super) fn update_sent(&self, update: &Update, bytes: usize) {
+    pub(super) fn record_sent_update(&self, update: &Update, bytes: usize) {
         let counters = if update.is_heartbeat() { &self.renewal_bytes } else { &self.content_bytes };
         counters[update.resource_type.index()].add(bytes as u64);
     }
--- a/crates/control/src/stream/mod.rs
+++ b/crates/control/src/stream/mod.rs
@@ -84,8 +84,8 @@
         let incremental = self.incremental;
         let subscription = self.subscription_mut(resource_type);
         let first = subscription.activate(&request.initial_versions);
-        if subscription.awaits(&request.nonce) {
-            self.handle_answer(resource_type, request.error.as_deref());
+        if subscription.is_pending(&request.nonce) {
+            self.handle_ack_or_nack(resource_type, request.error.as_deref());
         } else if !request.nonce.is_empty() {
             self.count_unexpected_nonce(&request.nonce);
             // By the state-of-the-world protocol a request with such a nonce counts as if it had not come.
@@ -113,7 +113,7 @@
     }
 
     /// The proxy accepted the pending update, or rejected it because of an error.
-    fn handle_answer(&mut self, resource_type: ResourceType, error: Option<&str>) {
+    fn handle_ack_or_nack(&mut self, resource_type: ResourceType, error: Option<&str>) {
         let subscription = &mut self.subscriptions[resource_type.index()];
         let Some(pending) = subscription.pending.take() else { return };
         let Some(error) = error else {
@@ -142,7 +142,7 @@
             return Ok(None);
         }
         for resource_type in ResourceType::ALL {
-            if let Some(update) = self.next_of_type(now, resource_type, snapshot, lease, ttl) {
+            if let Some(update) = self.next_update_of_type(now, resource_type, snapshot, lease, ttl) {
                 return Ok(Some(update));
             }
         }
@@ -154,7 +154,7 @@
         pending.any(|pending| now - pending.sent_at > lease.ack_timeout)
     }
 
-    fn next_of_type(
+    fn next_update_of_type(
         &mut self,
         now: f64,
         resource_type: ResourceType,
@@ -166,10 +166,10 @@
         if !subscription.active {
             return None;
         }
-        let in_sync = subscription.in_sync(snapshot.set(resource_type)) && !subscription.must_answer;
+        let in_sync = subscription.in_sync(snapshot.set(resource_type)) && !subscription.response_due;
         if subscription.pending.is_some() {
             if !in_sync {
-                self.note_waiting(resource_type, snapshot.version);
+                self.record_deferred_plan(resource_type, snapshot.version);
             }
             return None;
         }
@@ -186,13 +186,13 @@
     }
 
     /// A newer plan comes while an answer is awaited; one that already waited gives way.
-    fn note_waiting(&mut self, resource_type: ResourceType, version: PlanVersion) {
+    fn record_deferred_plan(&mut self, resource_type: ResourceType, version: PlanVersion) {
         let subscription = &mut self.subscriptions[resource_type.index()];
         let newer_than_pending =
             subscription.pending.as_ref().is_some_and(|pending| pending.version < version);
-        if subscription.waiting < version && newer_than_pending {
-            self.counters.coalesced += u64::from(subscription.waiting > PlanVersion::default());
-            subscription.waiting = version;
+        if subscription.deferred < version && newer_than_pending {
+            self.counters.coalesced += u64::from(subscription.deferred > PlanVersion::default());
+            subscription.deferred = version;
         }
     }
 
@@ -220,11 +220,11 @@
             true => subscription.held.keys().filter(|name| !set.contains_key(*name)).cloned().collect(),
             false => Vec::new(),
         };
-        subscription.must_answer = false;
+        subscription.response_due = false;
         // Nothing differs, or all that it wants is rejected content: it keeps what it has until its lease ends. Only where there is
         // nothing by the names that it wants does the whole state say so.
-        let withheld = set.keys().any(|name| subscription.wants(name));
-        if entries.is_empty() && removed.is_empty() && (incremental || withheld) {
+        let has_withheld = set.keys().any(|name| subscription.is_subscribed_to(name));
+        if entries.is_empty() && removed.is_empty() && (incremental || has_withheld) {
             return None;
         }
         self.updates_sent += 1;
@@ -232,7 +232,7 @@
         let version = snapshot.version;
         let changes = changes(subscription, set, &entries, &removed, incremental);
         subscription.pending = Some(PendingUpdate { nonce: nonce.clone(), version, changes, sent_at: now });
-        subscription.waiting = PlanVersion::default();
+        subscription.deferred = PlanVersion::default();
         subscription.last_sent_at = now;
         let ttl = resource_type.holds_decisions().then_some(ttl);
         let update = Update { resource_type, version, nonce, entries, removed, ttl };
@@ -275,7 +275,7 @@
 ) -> Vec<UpdateEntry> {
     let holds_decisions = resource_type.holds_decisions();
     let mut entries = Vec::new();
-    for resource in subscription.wanted(set) {
+    for resource in subscription.deliverable(set) {
         let held = subscription.holds(resource);
         let heartbeat = held && (in_sync || incremental && holds_decisions);
         let nothing_to_renew = heartbeat && !holds_decisions;
--- a/crates/control/src/stream/subscription.rs
+++ b/crates/control/src/stream/subscription.rs
@@ -52,10 +52,10 @@
     /// Content that this proxy rejected: never sent to it again.
     rejected: BTreeSet<ContentId>,
     /// The newest plan that waited while an answer was awaited.
-    pub(super) waiting: PlanVersion,
+    pub(super) deferred: PlanVersion,
     pub(super) last_sent_at: f64,
     /// The last request changed what is wanted: it must be answered even if all of it is held already.
-    pub(super) must_answer: bool,
+    pub(super) response_due: bool,
 }
 
 /// A version as proxies repeat it; 0, which stands for no content, where it is none of this service's.
@@ -68,7 +68,7 @@
     pub(super) fn activate(&mut self, initial_versions: &BTreeMap<String, String>) -> bool {
         let first = !std::mem::replace(&mut self.active, true);
         if first {
-            self.must_answer = true;
+            self.response_due = true;
             let held = initial_versions.iter().map(|(name, version)| (name.clone(), parse_version(version)));
             self.held = held.collect();
         }
@@ -76,18 +76,21 @@
     }
 
     /// Whether a nonce is that of the update that waits for its answer.
-    pub(super) fn awaits(&self, nonce: &str) -> bool {
+    pub(super) fn is_pending(&self, nonce: &str) -> bool {
         self.pending.as_ref().is_some_and(|pending| pending.nonce == nonce)
     }
 
-    pub(super) fn wants(&self, name: &str) -> bool {
+    pub(super) fn is_subscribed_to(&self, name: &str) -> bool {
         self.names.as_ref().is_none_or(|names| names.contains(name))
     }
 
     /// What of a set the proxy wants and has not rejected.
-    pub(super) fn wanted<'a>(&'a self, set: &'a ResourceSet) -> impl Iterator<Item = &'a Arc<Resource>> + 'a {
+    pub(super) fn deliverable<'a>(
+        &'a self,
+        set: &'a ResourceSet,
+    ) -> impl Iterator<Item = &'a Arc<Resource>> + 'a {
         set.values().filter(|resource| {
-            self.wants(&resource.name) && !self.rejected.contains(&ContentId::of(resource))
+            self.is_subscribed_to(&resource.name) && !self.rejected.contains(&ContentId::of(resource))
         })
     }
 
@@ -97,8 +100,9 @@
 
     /// Whether it holds all that it wants of a set, and nothing else.
     pub(super) fn in_sync(&self, set: &ResourceSet) -> bool {
-        let holds_only_wanted = || self.held.keys().all(|name| set.contains_key(name) && self.wants(name));
-        self.wanted(set).all(|resource| self.holds(resource)) && holds_only_wanted()
+        let holds_only_wanted =
+            || self.held.keys().all(|name| set.contains_key(name) && self.is_subscribed_to(name));
+        self.deliverable(set).all(|resource| self.holds(resource)) && holds_only_wanted()
     }
 
     /// State of the world: the names in a request replace those before.
@@ -108,7 +112,7 @@
         if names == self.names {
             return;
         }
-        self.must_answer = true;
+        self.response_due = true;
         if let Some(names) = &names {
             self.held.retain(|name, _| names.contains(name));
         }
@@ -144,7 +148,7 @@
             // Asked for anew: to be sent whatever it held.
             self.held.remove(name);
         }
-        self.must_answer = true;
+        self.response_due = true;
     }
 
     /// The proxy accepted the update that was pending.
--- a/crates/control/tests/certificates.rs
+++ b/crates/control/tests/certificates.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{report, routes, until, Servers};
+use common::{can_route, report, wait_until, Servers};
 use puffinladder_control::serve::{RunningService, TlsConfig};
 use puffinladder_proxy::{Certificate, ClientTlsConfig, Identity, Proxy};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
@@ -48,56 +48,57 @@
 }
 
 /// A service by the certificates of a folder, and a server that reports to it.
-async fn service(folder: &Path) -> (RunningService, Servers) {
+async fn start_tls_service(folder: &Path) -> (RunningService, Servers) {
     let tls = TlsConfig {
         certificate: folder.join("cert.pem"),
         key: folder.join("key.pem"),
         client_authorities: Some(folder.join("clients.pem")),
     };
-    let running = common::service(None, Some(tls)).await;
+    let running = common::start_service(None, Some(tls)).await;
     let servers = Servers::start(vec![running.reports], vec![report(1)]);
     (running, servers)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_a_proxy_whose_certificate_names_it_is_let_in() {
-    let (folder, ours, strangers) = (tempfile::tempdir().unwrap(), Authority::new(), Authority::new());
-    write(folder.path(), &ours);
-    std::fs::write(folder.path().join("clients.pem"), &ours.pem).unwrap();
-    let (running, _servers) = service(folder.path()).await;
-    let good = ours.proxy(&running, "p1.test", Some(ours.issue("p1.test")));
-    let liar = ours.proxy(&running, "p1.test", Some(ours.issue("p2.test")));
-    let stranger = ours.proxy(&running, "p3.test", Some(strangers.issue("p3.test")));
-    let bare = ours.proxy(&running, "p4.test", None);
-    until("the good one to route", || routes(&good)).await;
+async fn accepts_only_proxies_whose_certificate_names_their_node() {
+    let (folder, authority, other_authority) =
+        (tempfile::tempdir().unwrap(), Authority::new(), Authority::new());
+    write(folder.path(), &authority);
+    std::fs::write(folder.path().join("clients.pem"), &authority.pem).unwrap();
+    let (running, _servers) = start_tls_service(folder.path()).await;
+    let accepted = authority.proxy(&running, "p1.test", Some(authority.issue("p1.test")));
+    let wrong_name = authority.proxy(&running, "p1.test", Some(authority.issue("p2.test")));
+    let untrusted = authority.proxy(&running, "p3.test", Some(other_authority.issue("p3.test")));
+    let without_certificate = authority.proxy(&running, "p4.test", None);
+    wait_until("the accepted one to route", || can_route(&accepted)).await;
     // The others had as long, and a second more.
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(![&liar, &stranger, &bare].into_iter().any(routes));
-    until("the good one to go on", || routes(&good)).await;
-    assert_eq!(running.handle.query(|core, _| core.proxy_count()).await, Some(1));
+    assert!(![&wrong_name, &untrusted, &without_certificate].into_iter().any(can_route));
+    wait_until("the accepted one to go on", || can_route(&accepted)).await;
+    assert_eq!(running.handle.query(|service, _| service.proxy_count()).await, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn certificates_are_read_anew_streams_stay_and_a_bad_set_changes_nothing() {
+async fn reload_keeps_streams_and_rejects_invalid_certificates() {
     let (folder, old, new) = (tempfile::tempdir().unwrap(), Authority::new(), Authority::new());
     write(folder.path(), &old);
     std::fs::write(folder.path().join("clients.pem"), &old.pem).unwrap();
-    let (running, _servers) = service(folder.path()).await;
+    let (running, _servers) = start_tls_service(folder.path()).await;
     let first = old.proxy(&running, "p1.test", Some(old.issue("p1.test")));
-    until("the first", || routes(&first)).await;
+    wait_until("the first", || can_route(&first)).await;
     std::fs::write(folder.path().join("key.pem"), "half a k").unwrap();
-    let wrong = running.reload_certificates().unwrap_err().to_string();
-    assert!(wrong.contains("key.pem"), "{wrong}");
+    let error = running.reload_certificates().unwrap_err().to_string();
+    assert!(error.contains("key.pem"), "{error}");
     let second = old.proxy(&running, "p2.test", Some(old.issue("p2.test")));
-    until("one by the old certificates", || routes(&second)).await;
+    wait_until("one by the old certificates", || can_route(&second)).await;
     write(folder.path(), &new);
     std::fs::write(folder.path().join("clients.pem"), &new.pem).unwrap();
     running.reload_certificates().unwrap();
     let third = new.proxy(&running, "p3.test", Some(new.issue("p3.test")));
-    until("one by the new certificates", || routes(&third)).await;
+    wait_until("one by the new certificates", || can_route(&third)).await;
     // The stream of the first has not broken.
-    until("the first two to go on", || routes(&first) && routes(&second)).await;
+    wait_until("the first two to go on", || can_route(&first) && can_route(&second)).await;
     let late = old.proxy(&running, "p4.test", Some(old.issue("p4.test")));
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert!(!routes(&late));
+    assert!(!can_route(&late));
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -16,16 +16,16 @@
 /// s: shorter than usual, so that stories are.
 pub const BOUND: f64 = 1.0;
 
-pub async fn service(snapshot: Option<PathBuf>, tls: Option<TlsConfig>) -> RunningService {
-    let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
+pub async fn start_service(snapshot: Option<PathBuf>, tls: Option<TlsConfig>) -> RunningService {
+    let loopback: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let lease = LeaseConfig { max_decision_age: BOUND, heartbeat_interval: 0.2, ..LeaseConfig::default() };
     let mut config = ServiceConfig { lease, ..ServiceConfig::default() };
     (config.schedule.interval, config.schedule.min_settle_time) = (0.1, 0.2);
     let config = ServeConfig {
         service: config,
-        xds: any,
-        reports: any,
-        debug: Some(any),
+        xds: loopback,
+        reports: loopback,
+        debug: Some(loopback),
         snapshot,
         max_proxies: 100,
         tls,
@@ -33,8 +33,8 @@
     start(config).await.unwrap()
 }
 
-pub fn report(at: u16) -> LoadReport {
-    LoadReport::healthy_server(&format!("n{at}"), SocketAddr::from(([127, 0, 0, 1], 4000 + at)))
+pub fn report(index: u16) -> LoadReport {
+    LoadReport::healthy_server(&format!("n{index}"), SocketAddr::from(([127, 0, 0, 1], 4000 + index)))
 }
 
 /// Servers that report ten times a second to the services that are listed, as tests change both.
@@ -42,33 +42,34 @@
 pub struct Servers(Arc<Mutex<(Vec<SocketAddr>, Vec<LoadReport>)>>);
 
 impl Servers {
-    pub fn start(services: Vec<SocketAddr>, all: Vec<LoadReport>) -> Servers {
-        let servers = Servers(Arc::new(Mutex::new((services, all))));
-        let told = servers.clone();
+    pub fn start(services: Vec<SocketAddr>, reports: Vec<LoadReport>) -> Servers {
+        let servers = Servers(Arc::new(Mutex::new((services, reports))));
+        let reporter = servers.clone();
         tokio::spawn(async move {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let mut streams: Vec<(SocketAddr, TcpStream)> = Vec::new();
             loop {
-                let (services, lines) = told.with(|(services, all)| {
+                let (services, lines) = reporter.with(|(services, reports)| {
                     let mut lines = String::new();
-                    for report in all {
+                    for report in reports {
                         (report.sequence, report.created_at) =
-                            (report.sequence + 1, begun.elapsed().as_secs_f64());
+                            (report.sequence + 1, started_at.elapsed().as_secs_f64());
                         lines += &serde_json::to_string(report).unwrap();
                         lines.push('\n');
                     }
                     (services.clone(), lines)
                 });
-                streams.retain(|(at, _)| services.contains(at));
-                for at in services {
-                    if !streams.iter().any(|(open, _)| *open == at) {
-                        streams.extend(TcpStream::connect(at).await.ok().map(|stream| (at, stream)));
+                streams.retain(|(address, _)| services.contains(address));
+                for address in services {
+                    if !streams.iter().any(|(open, _)| *open == address) {
+                        streams
+                            .extend(TcpStream::connect(address).await.ok().map(|stream| (address, stream)));
                     }
                 }
                 let mut open = Vec::new();
-                for (at, mut stream) in streams {
+                for (address, mut stream) in streams {
                     if stream.write_all(lines.as_bytes()).await.is_ok() {
-                        open.push((at, stream));
+                        open.push((address, stream));
                     }
                 }
                 streams = open;
@@ -81,14 +82,14 @@
         change(&mut self.0.lock().unwrap())
     }
     pub fn change(&self, change: impl Fn(&mut LoadReport)) {
-        self.with(|(_, all)| all.iter_mut().for_each(change));
+        self.with(|(_, reports)| reports.iter_mut().for_each(change));
     }
 }
 
-pub async fn until(what: &str, mut wanted: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !wanted() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+pub async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !condition() {
+        assert!(Instant::now() < deadline, "waited in vain for {description}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -97,6 +98,6 @@
     proxy.pick("p", "k", [draw, 0.5, draw])
 }
 
-pub fn routes(proxy: &Proxy) -> bool {
+pub fn can_route(proxy: &Proxy) -> bool {
     matches!(pick(proxy, 0.5), Pick::RouteTo { .. })
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -30,7 +30,7 @@
 );
 
 #[test]
-fn a_load_report_is_read_and_written_as_ever() {
+fn load_report_json_is_unchanged() {
     let report: LoadReport = serde_json::from_str(REPORT).unwrap();
     assert_eq!(serde_json::to_string(&report).unwrap(), REPORT);
     let draining = REPORT.replace(r#""leaving":null"#, r#""leaving":1.25"#);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_stored_snapshot_is_read_and_written_as_ever() {
+fn stored_snapshot_json_is_unchanged() {
     let stored = read("snapshot.json");
     let snapshot: StoredSnapshot = serde_json::from_slice(&stored).unwrap();
     let again = serde_json::to_value(&snapshot).unwrap();
@@ -53,11 +53,12 @@
 }
 
 #[test]
-fn a_plan_is_the_same_bytes_of_resources_as_ever() {
+fn plan_encodes_to_the_recorded_resources() {
     let snapshot: StoredSnapshot = serde_json::from_slice(&read("snapshot.json")).unwrap();
     let profile = ProxyProfile { zone: "z1".into(), subset: 3 };
     let subsets = SubsetConfig { size: 2, count: 4 };
-    let held = resource_snapshot(&snapshot.plan, PlanVersion { epoch: 5, number: 9 }, &profile, &subsets);
+    let resources =
+        resource_snapshot(&snapshot.plan, PlanVersion { epoch: 5, number: 9 }, &profile, &subsets);
     let urls = [
         "type.googleapis.com/envoy.config.cluster.v3.Cluster",
         "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
@@ -66,15 +67,15 @@
     ];
     let names = ["servers", "servers", "front", "front-routes"];
     let files = ["cluster.pb", "endpoints.pb", "listener.pb", "routes.pb"];
-    for (at, kind) in ResourceType::ALL.into_iter().enumerate() {
-        assert_eq!(type_url(kind), urls[at]);
-        let resource = &held.set(kind)[names[at]];
+    for (at, resource_type) in ResourceType::ALL.into_iter().enumerate() {
+        assert_eq!(type_url(resource_type), urls[at]);
+        let resource = &resources.set(resource_type)[names[at]];
         assert!(resource.body == read(files[at]), "{}", files[at]);
     }
     let versions: Vec<u64> = ResourceType::ALL
         .into_iter()
         .enumerate()
-        .map(|(at, kind)| held.set(kind)[names[at]].version)
+        .map(|(at, resource_type)| resources.set(resource_type)[names[at]].version)
         .collect();
     assert_eq!(versions, VERSIONS);
 }
@@ -83,14 +84,14 @@
     [480958033407490148, 15146953641929918255, 4870089304050359961, 11420955664635124394];
 
 /// Servers of three zones to which things happen, by a seed.
-struct Course {
+struct EventSequence {
     rng: ChaCha8Rng,
     servers: Vec<LoadReport>,
     silent_until: Vec<f64>,
 }
 
-impl Course {
-    fn new(seed: u64) -> Course {
+impl EventSequence {
+    fn new(seed: u64) -> EventSequence {
         let server = |at: usize| LoadReport {
             zone: ["z0", "z0", "z0", "z1", "z1", "z1", "z1", "z2"][at % 8].into(),
             cores: [4.0, 8.0][at % 2],
@@ -98,7 +99,7 @@
         };
         let servers: Vec<LoadReport> = (0..18).map(server).collect();
         let silent_until = vec![0.0; servers.len()];
-        Course { rng: ChaCha8Rng::seed_from_u64(seed), servers, silent_until }
+        EventSequence { rng: ChaCha8Rng::seed_from_u64(seed), servers, silent_until }
     }
 
     /// What each server that is heard says at this time.
@@ -141,10 +142,12 @@
                 offered,
                 rejected,
             };
-            let asked = rng.random_range(50.0..150.0) * surge * if server.zone == "z1" { 2.0 } else { 1.0 };
-            let declined = if surge > 1.0 { asked * rng.random_range(0.1..0.6) } else { 0.0 };
-            server.classes =
-                vec![class("cheap", 1.0, asked, declined), class("dear", 3.0, asked / 2.0, declined / 20.0)];
+            let offered = rng.random_range(50.0..150.0) * surge * if server.zone == "z1" { 2.0 } else { 1.0 };
+            let rejected = if surge > 1.0 { offered * rng.random_range(0.1..0.6) } else { 0.0 };
+            server.classes = vec![
+                class("cheap", 1.0, offered, rejected),
+                class("dear", 3.0, offered / 2.0, rejected / 20.0),
+            ];
             if now >= self.silent_until[at] {
                 reports.push(server.clone());
             }
@@ -154,9 +157,9 @@
 }
 
 /// A digest of figures to nine digits: the last ones are the machine's mathematics.
-fn digest(all: &[String]) -> String {
+fn digest(lines: &[String]) -> String {
     let mut hasher = blake3::Hasher::new();
-    for line in all {
+    for line in lines {
         hasher.update(line.as_bytes());
     }
     hasher.finalize().to_hex()[..32].to_owned()
@@ -176,21 +179,21 @@
 }
 
 fn plans(seed: u64) -> Vec<Option<Plan>> {
-    let (mut course, mut planner) = (Course::new(seed), Planner::default());
-    let mut views = FleetView::new(FleetConfig::default());
+    let (mut events, mut planner) = (EventSequence::new(seed), Planner::default());
+    let mut fleet = FleetView::new(FleetConfig::default());
     let step = |at: u32| {
         let now = f64::from(at) * STEP;
-        for report in course.reports(now) {
-            views.record(now, report);
+        for report in events.reports(now) {
+            fleet.record(now, report);
         }
-        views.evict_silent(now);
-        planner.plan(now, &views)
+        fleet.evict_silent(now);
+        planner.plan(now, &fleet)
     };
     (0..400).map(step).collect()
 }
 
 #[test]
-fn a_fixed_course_of_events_leads_to_the_same_plans_as_ever() {
+fn fixed_events_lead_to_the_recorded_plans() {
     let digests = [1, 2, 3].map(|seed| {
         let plans = plans(seed);
         let lines: Vec<String> =
@@ -215,30 +218,35 @@
 ];
 
 /// What a proxy sees of a response.
-fn line(now: f64, id: u64, push: &Update) -> String {
-    let pieces: Vec<String> = push
+fn update_line(now: f64, id: u64, update: &Update) -> String {
+    let entries: Vec<String> = update
         .entries
         .iter()
-        .map(|p| {
-            format!("{}={:x}{}", p.resource.name, p.resource.version, if p.heartbeat { "*" } else { "" })
+        .map(|entry| {
+            format!(
+                "{}={:x}{}",
+                entry.resource.name,
+                entry.resource.version,
+                if entry.heartbeat { "*" } else { "" }
+            )
         })
         .collect();
-    let (kind, serial, lease) =
-        (type_url(push.resource_type), push.version, push.ttl.map(|s| format!("{s:.9}")));
+    let (resource_type, version, lease) =
+        (type_url(update.resource_type), update.version, update.ttl.map(|s| format!("{s:.9}")));
     format!(
-        "{now:.2} {id} {kind} {}.{} {} {} -{} {lease:?}\n",
-        serial.epoch,
-        serial.number,
-        push.nonce,
-        pieces.join(","),
-        push.removed.join(","),
+        "{now:.2} {id} {resource_type} {}.{} {} {} -{} {lease:?}\n",
+        version.epoch,
+        version.number,
+        update.nonce,
+        entries.join(","),
+        update.removed.join(","),
     )
 }
 
 /// All that leaves a service whose proxies acknowledge, refuse, lie, and ask for other names, by a seed.
 fn responses(seed: u64) -> Vec<String> {
-    let (mut course, mut service) =
-        (Course::new(seed), ControlService::new(0.0, ServiceConfig::default(), 7, None));
+    let (mut events, mut service) =
+        (EventSequence::new(seed), ControlService::new(0.0, ServiceConfig::default(), 7, None));
     let mut rng = ChaCha8Rng::seed_from_u64(seed + 1000);
     let mut lines = Vec::new();
     let mut outstanding: Vec<(u64, Update)> = Vec::new();
@@ -250,28 +258,31 @@
         let id = next_id;
         next_id += 1;
         service.open_stream(now, id, &format!("p{}", id % 8), &format!("z{}", id % 4), id.is_multiple_of(2));
-        for kind in ResourceType::ALL {
+        for resource_type in ResourceType::ALL {
             let held = [("servers".to_owned(), "1f".to_owned())].into();
-            let request =
-                ProxyRequest { resource_type: Some(kind), initial_versions: held, ..ProxyRequest::default() };
-            for push in service.handle_request(now, id, &request).unwrap() {
-                lines.push(line(now, id, &push));
-                out.push((id, push));
+            let request = ProxyRequest {
+                resource_type: Some(resource_type),
+                initial_versions: held,
+                ..ProxyRequest::default()
+            };
+            for update in service.handle_request(now, id, &request).unwrap() {
+                lines.push(update_line(now, id, &update));
+                out.push((id, update));
             }
         }
     };
     (0..8).for_each(|_| open(&mut service, 0.0, &mut lines, &mut outstanding));
     for step in 1..=240u32 {
         let now = f64::from(step) * STEP;
-        for report in course.reports(now) {
+        for report in events.reports(now) {
             service.handle_report(now, report);
         }
         for event in service.tick(now) {
             let id = event.stream;
             match event.result {
-                Ok(push) => {
-                    lines.push(line(now, id, &push));
-                    outstanding.push((id, push));
+                Ok(update) => {
+                    lines.push(update_line(now, id, &update));
+                    outstanding.push((id, update));
                 }
                 Err(_) => {
                     lines.push(format!("{now:.2} {id} ends\n"));
@@ -280,14 +291,14 @@
             }
         }
         let mut later = Vec::new();
-        for (id, push) in std::mem::take(&mut outstanding) {
+        for (id, update) in std::mem::take(&mut outstanding) {
             if rng.random_bool(0.2) || id % 11 == 8 {
-                later.push((id, push));
+                later.push((id, update));
                 continue;
             }
             let mut request = ProxyRequest {
-                resource_type: Some(push.resource_type),
-                nonce: push.nonce.clone(),
+                resource_type: Some(update.resource_type),
+                nonce: update.nonce.clone(),
                 ..ProxyRequest::default()
             };
             match rng.random_range(0..20) {
@@ -298,13 +309,13 @@
                 4 => request.nonce = String::new(),
                 _ => {}
             }
-            let lies = request.nonce != push.nonce;
-            for push in service.handle_request(now, id, &request).unwrap() {
-                lines.push(line(now, id, &push));
-                later.push((id, push));
+            let wrong_nonce = request.nonce != update.nonce;
+            for update in service.handle_request(now, id, &request).unwrap() {
+                lines.push(update_line(now, id, &update));
+                later.push((id, update));
             }
-            if lies {
-                later.push((id, push));
+            if wrong_nonce {
+                later.push((id, update));
             }
         }
         outstanding = later;
@@ -325,7 +336,7 @@
 }
 
 #[test]
-fn a_fixed_course_of_events_leads_to_the_same_responses_as_ever() {
+fn fixed_events_lead_to_the_recorded_responses() {
     let digests = [4, 5].map(|seed| {
         let lines = responses(seed);
         assert!(lines.len() > 1000, "{}", lines.len());
@@ -337,32 +348,32 @@
 const RESPONSES: [&str; 2] = ["81afb50373d45a699cb8224fbd0242ed", "a1ab8d5e99b213d5e0ef8e0572fffead"];
 
 #[test]
-fn what_the_debug_view_shows_of_a_proxy_has_the_same_names_as_ever() {
-    let (mut course, mut service) =
-        (Course::new(1), ControlService::new(0.0, ServiceConfig::default(), 7, None));
+fn proxy_status_json_is_unchanged() {
+    let (mut events, mut service) =
+        (EventSequence::new(1), ControlService::new(0.0, ServiceConfig::default(), 7, None));
     for step in 0..8u32 {
         let now = f64::from(step) * STEP;
-        for report in course.reports(now) {
+        for report in events.reports(now) {
             service.handle_report(now, report);
         }
         service.tick(now);
     }
     service.open_stream(2.0, 1, "p1", "z0", false);
-    let pushes = service
+    let updates = service
         .handle_request(
             2.0,
             1,
             &ProxyRequest { resource_type: Some(ResourceType::Endpoints), ..ProxyRequest::default() },
         )
         .unwrap();
-    let nonce = pushes[0].nonce.clone();
+    let nonce = updates[0].nonce.clone();
     let shown = |service: &ControlService| serde_json::to_string(&service.proxy_statuses(3.0)).unwrap();
     let before = concat!(
         r#"[{"node":"p1","zone":"z0","acked":[0,0],"settled":false,"open_for":1.0,"sent":1,"heartbeats":0,"refused":0,"#,
         r#""complaint":null}]"#
     );
     assert_eq!(shown(&service), before);
-    let fault = Some("bad weight".into());
+    let error = Some("bad weight".into());
     service
         .handle_request(
             2.0,
@@ -370,7 +381,7 @@
             &ProxyRequest {
                 resource_type: Some(ResourceType::Endpoints),
                 nonce,
-                error: fault,
+                error,
                 ..ProxyRequest::default()
             },
         )
--- a/crates/control/tests/pages.rs
+++ b/crates/control/tests/pages.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{report, routes, service, until, Servers};
+use common::{can_route, report, start_service, wait_until, Servers};
 use puffinladder_control::report::ClassLoad;
 use puffinladder_proxy::Proxy;
 use serde_json::Value;
@@ -20,8 +20,8 @@
     include_str!("golden/labels.names"),
 ];
 
-async fn get(at: SocketAddr, path: &str) -> String {
-    let mut stream = TcpStream::connect(at).await.unwrap();
+async fn get(address: SocketAddr, path: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.0\r\nHost: x\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut text = String::new();
@@ -34,33 +34,33 @@
 }
 
 /// Every name with those that it stands in, and what kind of value it has.
-fn names(value: &Value, within: &str, all: &mut BTreeSet<String>) {
-    let kind = match value {
+fn names(value: &Value, path_prefix: &str, found: &mut BTreeSet<String>) {
+    let value_type = match value {
         Value::Null => "null",
         Value::Bool(_) => "bool",
         Value::Number(_) => "number",
         Value::String(_) => "string",
         Value::Array(items) => {
-            items.iter().for_each(|item| names(item, &format!("{within}[]"), all));
+            items.iter().for_each(|item| names(item, &format!("{path_prefix}[]"), found));
             return;
         }
         Value::Object(fields) => {
-            fields.iter().for_each(|(name, item)| names(item, &format!("{within}.{name}"), all));
+            fields.iter().for_each(|(name, item)| names(item, &format!("{path_prefix}.{name}"), found));
             return;
         }
     };
-    all.insert(format!("{within} {kind}"));
+    found.insert(format!("{path_prefix} {value_type}"));
 }
 
 fn shape(response: &str) -> String {
-    let mut all = BTreeSet::new();
-    names(&serde_json::from_str(body(response)).unwrap(), "", &mut all);
-    all.into_iter().collect::<Vec<_>>().join("\n")
+    let mut found = BTreeSet::new();
+    names(&serde_json::from_str(body(response)).unwrap(), "", &mut found);
+    found.into_iter().collect::<Vec<_>>().join("\n")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_pages_have_the_same_names_as_ever() {
-    let running = service(None, None).await;
+async fn page_names_are_unchanged() {
+    let running = start_service(None, None).await;
     let servers = Servers::start(vec![running.reports], vec![report(1), report(2)]);
     let class = ClassLoad {
         product: "p".into(),
@@ -72,7 +72,7 @@
     servers.change(|server| server.classes = vec![class.clone()]);
     let debug = running.debug.unwrap();
     let proxy = Proxy::start(running.xds, "p1", "a", true);
-    until("it to route", || routes(&proxy)).await;
+    wait_until("it to route", || can_route(&proxy)).await;
     while !get(debug, "/plan").await.contains("customer") {
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
@@ -106,8 +106,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_plan_the_pages_say_so() {
-    let running = service(None, None).await;
+async fn pages_report_a_missing_plan() {
+    let running = start_service(None, None).await;
     let debug = running.debug.unwrap();
     let health = get(debug, "/health").await;
     assert!(health.contains(" 503 Service Unavailable\r\n"), "{health}");
--- a/crates/control/tests/report_lines.rs
+++ b/crates/control/tests/report_lines.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::service;
+use common::start_service;
 use puffinladder_control::report::decoder::{DecodeError, NameTable, ReportDecoder};
 use puffinladder_control::report::LoadReport;
 use puffinladder_control::serve::ServiceHandle;
@@ -60,7 +60,7 @@
     }
 }
 
-fn offered_encoder(identity: &ServerIdentity) -> ReportEncoder {
+fn encoder_with_offer(identity: &ServerIdentity) -> ReportEncoder {
     let mut encoder = ReportEncoder::new(identity);
     encoder.receive(format!("{}\n", serde_json::to_string(&FormatOffer::supported()).unwrap()).as_bytes());
     encoder
@@ -78,25 +78,25 @@
 }
 
 #[test]
-fn a_compact_report_says_what_the_full_one_would_have_said() {
+fn compact_report_decodes_to_the_full_report() {
     let identity = identity("n1");
     for seed in 0..20 {
         println!("seed {seed}");
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut encoder = offered_encoder(&identity);
+        let mut encoder = encoder_with_offer(&identity);
         let mut decoder = ReportDecoder::new(NameTable::default());
         for sequence in 1..100u64 {
             let (sample, now) = (sample(&mut random), sequence as f64 * 0.25);
             let full = identity.report_line(&sample, sequence, now);
             let full: LoadReport = serde_json::from_str(&full).unwrap();
             let line = encoder.line(&identity, &sample, sequence, now, 1 << 16);
-            let told = decoder.decode(&line).unwrap();
+            let decoded = decoder.decode(&line).unwrap();
             assert_eq!(
-                by_class(&told).keys().collect::<Vec<_>>(),
+                by_class(&decoded).keys().collect::<Vec<_>>(),
                 by_class(&full).keys().collect::<Vec<_>>()
             );
             for (class, (offered, rejected, weight)) in by_class(&full) {
-                let figures = by_class(&told)[&class];
+                let figures = by_class(&decoded)[&class];
                 assert!(
                     near(figures.0, offered) && near(figures.1, rejected) && figures.2 == weight,
                     "{line}"
@@ -107,8 +107,8 @@
                     *report;
                 [concurrency_limit, in_flight, service_time, pressure, retry_after, report.goodput]
             };
-            assert!(figures(&told).iter().zip(figures(&full)).all(|(a, b)| near(*a, b)), "{line}");
-            assert!((told.warm_up_progress - full.warm_up_progress).abs() < 1e-9);
+            assert!(figures(&decoded).iter().zip(figures(&full)).all(|(a, b)| near(*a, b)), "{line}");
+            assert!((decoded.warm_up_progress - full.warm_up_progress).abs() < 1e-9);
             let rest = |report: LoadReport| LoadReport {
                 classes: Vec::new(),
                 concurrency_limit: 1.0,
@@ -120,16 +120,16 @@
                 warm_up_progress: 0.0,
                 ..report
             };
-            assert_eq!(rest(told), rest(full));
+            assert_eq!(rest(decoded), rest(full));
         }
     }
 }
 
 #[test]
-fn load_without_a_name_counts_in_sum_and_names_that_got_lost_are_no_error() {
+fn load_of_unnamed_classes_is_summed() {
     let identity = identity("n1");
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    let mut encoder = offered_encoder(&identity);
+    let mut encoder = encoder_with_offer(&identity);
     let mut decoder = ReportDecoder::new(NameTable::default());
     decoder.decode(&encoder.line(&identity, &sample(&mut random), 1, 0.25, 1 << 16)).unwrap();
     // The report that names them is lost, and so are some of the later ones.
@@ -140,41 +140,47 @@
         if random.random_bool(0.3) {
             continue;
         }
-        let told = decoder.decode(&line).unwrap();
+        let decoded = decoder.decode(&line).unwrap();
         let sum = |classes: &[f64]| classes.iter().sum::<f64>();
-        let was = sum(&sample.classes.iter().map(|class| class.offered).collect::<Vec<_>>());
-        let is = sum(&told.classes.iter().map(|class| class.offered).collect::<Vec<_>>());
-        assert!(near(was, is), "{was} told as {is}: {line}");
-        assert!(told.classes.iter().filter(|class| class.product.is_empty()).count() <= 1);
+        let expected = sum(&sample.classes.iter().map(|class| class.offered).collect::<Vec<_>>());
+        let actual = sum(&decoded.classes.iter().map(|class| class.offered).collect::<Vec<_>>());
+        assert!(near(expected, actual), "offered {expected} decoded as {actual}: {line}");
+        assert!(decoded.classes.iter().filter(|class| class.product.is_empty()).count() <= 1);
     }
 }
 
 #[test]
-fn hostile_lines_are_errors_and_take_no_memory() {
+fn rejects_malformed_lines() {
     let identity = identity("n1");
     let full = identity.report_line(&sample(&mut ChaCha8Rng::seed_from_u64(1)), 1, 0.25);
     let compact = |more: &str| {
         let figures = r#""sequence":2,"made":0.5,"limit":4,"running":3,"takes":0.01,"pressure":0,"retry_after":1,"settled":38"#;
         format!(r#"{{"format":2,{figures}{more}}}"#)
     };
-    let fresh = || ReportDecoder::new(NameTable::default());
-    assert!(matches!(fresh().decode(&compact("")), Err(DecodeError::NoFullReport)));
-    let introduced = || {
-        let mut decoder = fresh();
+    let new_decoder = || ReportDecoder::new(NameTable::default());
+    assert!(matches!(new_decoder().decode(&compact("")), Err(DecodeError::NoFullReport)));
+    let decoder_after_full_report = || {
+        let mut decoder = new_decoder();
         decoder.decode(&full).unwrap();
         decoder
     };
-    introduced().decode(&compact("")).unwrap();
-    assert!(matches!(introduced().decode(r#"{"format":3}"#), Err(DecodeError::UnknownFormat(3))));
+    decoder_after_full_report().decode(&compact("")).unwrap();
+    assert!(matches!(
+        decoder_after_full_report().decode(r#"{"format":3}"#),
+        Err(DecodeError::UnknownFormat(3))
+    ));
     let long = "x".repeat(500);
     for names in [
         r#","products":[[4000000000,"p",1]]"#.to_owned(),
         r#","customers":[[65536,"k"]]"#.to_owned(),
         format!(r#","customers":[[1,"{long}"]]"#),
     ] {
-        assert!(matches!(introduced().decode(&compact(&names)), Err(DecodeError::Name)), "{names}");
+        assert!(
+            matches!(decoder_after_full_report().decode(&compact(&names)), Err(DecodeError::Name)),
+            "{names}"
+        );
     }
-    for wrong in [
+    for invalid in [
         r#","load":[[1,2]]"#,
         r#","load":[[-1,2,3]]"#,
         r#","load":[[1,2,"x"]]"#,
@@ -183,14 +189,17 @@
         r#","products":[[1]]"#,
         r#","rest":3"#,
     ] {
-        assert!(matches!(introduced().decode(&compact(wrong)), Err(DecodeError::Json(_))), "{wrong}");
+        assert!(
+            matches!(decoder_after_full_report().decode(&compact(invalid)), Err(DecodeError::Json(_))),
+            "{invalid}"
+        );
     }
     for text in ["", "{", "null", "[]", r#"{"format":"2"}"#, r#"{"format":2}"#, "{}"] {
-        assert!(matches!(introduced().decode(text), Err(DecodeError::Json(_))), "{text}");
+        assert!(matches!(decoder_after_full_report().decode(text), Err(DecodeError::Json(_))), "{text}");
     }
     // A number that was never named is load without a name.
-    let told = introduced().decode(&compact(r#","load":[[4294967295,7,3,1]]"#)).unwrap();
-    assert_eq!((told.classes[0].product.as_str(), told.classes[0].offered), ("", 3.0));
+    let decoded = decoder_after_full_report().decode(&compact(r#","load":[[4294967295,7,3,1]]"#)).unwrap();
+    assert_eq!((decoded.classes[0].product.as_str(), decoded.classes[0].offered), ("", 3.0));
 }
 
 /// Reports on a connection of its own until it is dropped; an early server does not read what the service offers.
@@ -220,30 +229,31 @@
 }
 
 /// Waits until both servers have a share of the plan.
-async fn both_have_shares(handle: &ServiceHandle) {
-    let end = Instant::now() + Duration::from_secs(20);
+async fn wait_until_both_have_shares(handle: &ServiceHandle) {
+    let deadline = Instant::now() + Duration::from_secs(20);
     loop {
-        let shares = handle.query(|core, _| core.plan().map(|plan| plan.shares.clone())).await.flatten();
+        let shares =
+            handle.query(|service, _| service.plan().map(|plan| plan.shares.clone())).await.flatten();
         let routed = shares.unwrap_or_default().iter().filter(|share| share.weight > 0.0).count();
         if routed == 2 {
             return;
         }
-        assert!(Instant::now() < end, "waited in vain for both servers");
+        assert!(Instant::now() < deadline, "waited in vain for both servers");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_of_both_versions_report_to_one_service_and_to_the_next_that_knows_nothing() {
+async fn accepts_servers_of_both_formats_after_restart() {
     for _ in 0..2 {
-        let running = service(None, None).await;
+        let running = start_service(None, None).await;
         let servers = ["early", "new"]
             .map(|name| tokio::spawn(report_on(running.reports, identity(name), name == "new", 1)));
-        both_have_shares(&running.handle).await;
-        let seen = running.handle.query(|core, now| {
-            let views = core.fleet().servers(now).into_iter();
+        wait_until_both_have_shares(&running.handle).await;
+        let seen = running.handle.query(|service, now| {
+            let views = service.fleet().servers(now).into_iter();
             let classes = views.map(|view| (view.report.instance.clone(), view.report.classes.len()));
-            (core.fleet().rejected, classes.collect::<Vec<_>>())
+            (service.fleet().rejected, classes.collect::<Vec<_>>())
         });
         let (rejected, classes) = seen.await.unwrap();
         assert_eq!(rejected, 0);
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -18,83 +18,92 @@
 
 /// How a proxy misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Habit {
-    Well,
+enum ProxyBehavior {
+    Correct,
     /// Answers only after so many seconds.
-    Slow(f64),
-    Never,
+    SlowAnswers(f64),
+    NeverAnswers,
     /// Refuses every other response.
-    Refuses,
+    RejectsAlternate,
     /// Answers with nonces that are stale or were never given.
-    Lies,
+    WrongNonces,
 }
 
 /// What a proxy holds of a type: name, version, whose plan, and until when it may be used.
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
     version: u64,
-    serial: PlanVersion,
+    plan_version: PlanVersion,
     /// True time at which the plan was made; only the test knows.
-    made: f64,
-    until: f64,
+    decided_at: f64,
+    valid_until: f64,
 }
 
 struct Proxy {
     id: u64,
     node: String,
     incremental: bool,
-    habit: Habit,
-    up: bool,
+    behavior: ProxyBehavior,
+    connected: bool,
     /// Dark until then: nothing arrives and nothing leaves.
-    dark: f64,
+    paused_until: f64,
     held: BTreeMap<(ResourceType, String), Held>,
     /// When each request on this stream was sent.
-    sent: Vec<f64>,
+    sent_at: Vec<f64>,
     /// On the way, with when they arrive.
-    in_: VecDeque<(f64, Update, f64)>,
-    out: VecDeque<(f64, ProxyRequest)>,
-    count: u64,
+    inbound: VecDeque<(f64, Update, f64)>,
+    outbound: VecDeque<(f64, ProxyRequest)>,
+    updates_received: u64,
 }
 
 impl Proxy {
-    fn say(&mut self, now: f64, delay: f64, request: ProxyRequest) {
-        self.sent.push(now);
+    fn send_request(&mut self, now: f64, delay: f64, request: ProxyRequest) {
+        self.sent_at.push(now);
         // In order, as on a stream.
-        let at = self.out.back().map_or(now + delay, |last| last.0.max(now + delay));
-        self.out.push_back((at, request));
+        let at = self.outbound.back().map_or(now + delay, |last| last.0.max(now + delay));
+        self.outbound.push_back((at, request));
     }
 
     fn connect(&mut self, now: f64, id: u64, service: &mut ControlService) {
-        (self.id, self.up) = (id, true);
-        self.sent.clear();
-        self.in_.clear();
-        self.out.clear();
+        (self.id, self.connected) = (id, true);
+        self.sent_at.clear();
+        self.inbound.clear();
+        self.outbound.clear();
         service.open_stream(now, id, &self.node, "a", self.incremental);
-        for kind in ResourceType::ALL {
-            let held = self.held.iter().filter(|((of, _), _)| *of == kind && self.incremental);
+        for resource_type in ResourceType::ALL {
+            let held = self.held.iter().filter(|((of, _), _)| *of == resource_type && self.incremental);
             let held = held.map(|((_, name), held)| (name.clone(), format!("{:x}", held.version))).collect();
-            self.say(
+            self.send_request(
                 now,
                 0.0,
-                ProxyRequest { resource_type: Some(kind), initial_versions: held, ..ProxyRequest::default() },
+                ProxyRequest {
+                    resource_type: Some(resource_type),
+                    initial_versions: held,
+                    ..ProxyRequest::default()
+                },
             );
         }
     }
 
     /// Takes a response as the protocol has it, with the lease counted from its own request.
-    fn take(&mut self, now: f64, update: &Update, made: f64, rng: &mut ChaCha8Rng) {
-        self.count += 1;
-        let seen = requests_seen(&update.nonce).unwrap() as usize;
-        let since = self.sent[seen - 1];
-        let refuses = self.habit == Habit::Refuses
-            && update.entries.iter().any(|p| !p.heartbeat)
-            && self.count.is_multiple_of(2);
-        let until = update.ttl.map_or(f64::MAX, |lease| since + lease);
-        if !refuses {
-            for piece in &update.entries {
-                let key = (update.resource_type, piece.resource.name.clone());
-                let new = Held { version: piece.resource.version, serial: update.version, made, until };
-                if piece.heartbeat {
+    fn handle_update(&mut self, now: f64, update: &Update, decided_at: f64, rng: &mut ChaCha8Rng) {
+        self.updates_received += 1;
+        let requests = requests_seen(&update.nonce).unwrap() as usize;
+        let lease_start = self.sent_at[requests - 1];
+        let rejects = self.behavior == ProxyBehavior::RejectsAlternate
+            && update.entries.iter().any(|entry| !entry.heartbeat)
+            && self.updates_received.is_multiple_of(2);
+        let valid_until = update.ttl.map_or(f64::MAX, |lease| lease_start + lease);
+        if !rejects {
+            for entry in &update.entries {
+                let key = (update.resource_type, entry.resource.name.clone());
+                let new = Held {
+                    version: entry.resource.version,
+                    plan_version: update.version,
+                    decided_at,
+                    valid_until,
+                };
+                if entry.heartbeat {
                     // Renews what it holds, never brings back what it does not.
                     if let Some(held) = self.held.get_mut(&key).filter(|held| held.version == new.version) {
                         *held = new;
@@ -107,14 +116,14 @@
                 self.held.remove(&(update.resource_type, name.clone()));
             }
         }
-        let error = refuses.then(|| "no".to_owned());
-        let nonce = match self.habit {
-            Habit::Lies if rng.random_bool(0.3) => format!("{}.7", rng.random_range(0..40)),
+        let error = rejects.then(|| "no".to_owned());
+        let nonce = match self.behavior {
+            ProxyBehavior::WrongNonces if rng.random_bool(0.3) => format!("{}.7", rng.random_range(0..40)),
             _ => update.nonce.clone(),
         };
-        let delay = match self.habit {
-            Habit::Slow(delay) => delay,
-            Habit::Never => return,
+        let delay = match self.behavior {
+            ProxyBehavior::SlowAnswers(delay) => delay,
+            ProxyBehavior::NeverAnswers => return,
             _ => rng.random_range(0.0..0.15),
         };
         let answer = ProxyRequest {
@@ -123,24 +132,24 @@
             error,
             ..ProxyRequest::default()
         };
-        self.say(now, delay, answer);
+        self.send_request(now, delay, answer);
     }
 
     /// What it routes by now: the plan's age, if it has one that it may use.
-    fn routes(&self, now: f64) -> Option<&Held> {
+    fn usable_endpoints(&self, now: f64) -> Option<&Held> {
         let held = self.held.get(&(ResourceType::Endpoints, CLUSTER.into()))?;
-        (now < held.until).then_some(held)
+        (now < held.valid_until).then_some(held)
     }
 }
 
 struct Server {
     report: LoadReport,
-    offset: f64,
-    silent: f64,
-    on_the_way: Vec<(f64, LoadReport)>,
+    clock_offset: f64,
+    silent_until: f64,
+    in_transit: Vec<(f64, LoadReport)>,
 }
 
-struct Stage {
+struct Simulation {
     rng: ChaCha8Rng,
     now: f64,
     service: Option<ControlService>,
@@ -149,60 +158,61 @@
     servers: Vec<Server>,
     next_id: u64,
     /// Worst age that was routed by, and the highest serial that any proxy saw.
-    worst: f64,
-    seen: Vec<PlanVersion>,
+    max_age: f64,
+    last_versions: Vec<PlanVersion>,
     /// Pushes do not arrive, reports do, or the other way round, until then.
-    cut_pushes: f64,
-    cut_reports: f64,
-    down: f64,
+    updates_delayed_until: f64,
+    reports_dropped_until: f64,
+    down_until: f64,
     with_snapshot: bool,
-    saved: Option<StoredSnapshot>,
+    stored_snapshot: Option<StoredSnapshot>,
     /// Nothing goes wrong any more.
-    quiet: bool,
+    fault_free: bool,
 }
 
 fn report(name: &str) -> LoadReport {
     LoadReport::healthy_server(name, "127.0.0.1:4100".parse().unwrap())
 }
 
-impl Stage {
-    fn new(seed: u64) -> Stage {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let servers = (0..rng.random_range(2..8))
             .map(|at| Server {
                 report: report(&format!("n{at}")),
-                offset: rng.random_range(-50.0..50.0),
-                silent: 0.0,
-                on_the_way: Vec::new(),
+                clock_offset: rng.random_range(-50.0..50.0),
+                silent_until: 0.0,
+                in_transit: Vec::new(),
             })
             .collect();
-        let habits = [
-            Habit::Well,
-            Habit::Well,
-            Habit::Slow(0.2),
-            Habit::Slow(3.0),
-            Habit::Never,
-            Habit::Refuses,
-            Habit::Lies,
+        let behaviors = [
+            ProxyBehavior::Correct,
+            ProxyBehavior::Correct,
+            ProxyBehavior::SlowAnswers(0.2),
+            ProxyBehavior::SlowAnswers(3.0),
+            ProxyBehavior::NeverAnswers,
+            ProxyBehavior::RejectsAlternate,
+            ProxyBehavior::WrongNonces,
         ];
         let proxies: Vec<Proxy> = (0..rng.random_range(2..7))
             .map(|at| Proxy {
                 id: 0,
                 node: format!("p{at}"),
                 incremental: rng.random_bool(0.5),
-                habit: habits[rng.random_range(0..habits.len())],
-                up: false,
-                dark: 0.0,
+                behavior: behaviors[rng.random_range(0..behaviors.len())],
+                connected: false,
+                paused_until: 0.0,
                 held: BTreeMap::new(),
-                sent: Vec::new(),
-                in_: VecDeque::new(),
-                out: VecDeque::new(),
-                count: 0,
+                sent_at: Vec::new(),
+                inbound: VecDeque::new(),
+                outbound: VecDeque::new(),
+                updates_received: 0,
             })
             .collect();
         let service = Some(ControlService::new(0.0, ServiceConfig::default(), 1, None));
-        let (seen, with_snapshot) = (vec![PlanVersion::default(); proxies.len()], rng.random_bool(0.5));
-        Stage {
+        let (last_versions, with_snapshot) =
+            (vec![PlanVersion::default(); proxies.len()], rng.random_bool(0.5));
+        Simulation {
             rng,
             now: 0.0,
             service,
@@ -210,101 +220,108 @@
             proxies,
             servers,
             next_id: 1,
-            worst: 0.0,
-            seen,
-            cut_pushes: 0.0,
-            cut_reports: 0.0,
-            down: 0.0,
+            max_age: 0.0,
+            last_versions,
+            updates_delayed_until: 0.0,
+            reports_dropped_until: 0.0,
+            down_until: 0.0,
             with_snapshot,
-            saved: None,
-            quiet: false,
+            stored_snapshot: None,
+            fault_free: false,
         }
     }
 
     /// Something goes wrong.
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let (now, rng) = (self.now, &mut self.rng);
         let span = rng.random_range(0.2..6.0);
-        let which = rng.random_range(0..self.proxies.len());
+        let proxy_index = rng.random_range(0..self.proxies.len());
         let server = rng.random_range(0..self.servers.len());
         match rng.random_range(0..10) {
-            0 => self.proxies[which].dark = now + span,
+            0 => self.proxies[proxy_index].paused_until = now + span,
             1 => {
                 // A proxy's connection breaks, or the proxy starts anew.
-                let proxy = &mut self.proxies[which];
+                let proxy = &mut self.proxies[proxy_index];
                 if let Some(service) = &mut self.service {
                     service.close_stream(proxy.id);
                 }
-                proxy.up = false;
+                proxy.connected = false;
                 if rng.random_bool(0.3) {
                     proxy.held.clear();
                 }
             }
-            2 => self.servers[server].silent = now + span,
-            3 => self.servers.iter_mut().for_each(|s| s.silent = now + span),
+            2 => self.servers[server].silent_until = now + span,
+            3 => self.servers.iter_mut().for_each(|server| server.silent_until = now + span),
             4 => self.servers[server].report.terminates_in = Some(3.0),
             5 => {
                 let server = &mut self.servers[server].report;
                 (server.incarnation, server.terminates_in, server.sequence) =
                     (server.incarnation + 1, None, 0);
             }
-            6 => self.cut_pushes = now + span,
-            7 => self.cut_reports = now + span,
+            6 => self.updates_delayed_until = now + span,
+            7 => self.reports_dropped_until = now + span,
             8 => {
                 // The service dies, and comes back with what it kept or with nothing.
-                self.down = now + span;
-                self.proxies.iter_mut().for_each(|proxy| proxy.up = false);
+                self.down_until = now + span;
+                self.proxies.iter_mut().for_each(|proxy| proxy.connected = false);
             }
-            _ => self.servers.iter_mut().for_each(|s| s.report.service_time = rng.random_range(0.005..0.05)),
+            _ => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.report.service_time = rng.random_range(0.005..0.05)),
         }
     }
 
-    fn step(&mut self, flips: bool) {
+    fn step(&mut self, vary_service_time: bool) {
         self.now += STEP;
         let now = self.now;
-        if now < self.down {
+        if now < self.down_until {
             if let Some(service) = self.service.take() {
                 self.epoch += 1;
-                self.saved = service.stored_snapshot(now, now).filter(|_| self.with_snapshot);
+                self.stored_snapshot = service.stored_snapshot(now, now).filter(|_| self.with_snapshot);
             }
         } else if self.service.is_none() {
-            let snapshot = self.saved.take().map(|snapshot| {
+            let snapshot = self.stored_snapshot.take().map(|snapshot| {
                 let age = now - snapshot.decided_at_unix;
                 RestoredSnapshot { snapshot, age }
             });
             self.service = Some(ControlService::new(now, ServiceConfig::default(), self.epoch, snapshot));
         }
-        self.reports(flips);
-        self.streams();
+        self.deliver_reports(vary_service_time);
+        self.run_streams();
         for proxy in &self.proxies {
-            if let Some(held) = proxy.routes(now) {
-                let age = now - held.made;
+            if let Some(held) = proxy.usable_endpoints(now) {
+                let age = now - held.decided_at;
                 assert!(age <= BOUND + 1e-6, "{} routes by a decision of {age:.3} s", proxy.node);
-                self.worst = self.worst.max(age);
+                self.max_age = self.max_age.max(age);
             }
         }
     }
 
-    fn reports(&mut self, flips: bool) {
+    fn deliver_reports(&mut self, vary_service_time: bool) {
         let now = self.now;
         for server in &mut self.servers {
-            if (now / 0.25).floor() > ((now - STEP) / 0.25).floor() && now >= server.silent {
+            if (now / 0.25).floor() > ((now - STEP) / 0.25).floor() && now >= server.silent_until {
                 server.report.sequence += 1;
-                if flips {
+                if vary_service_time {
                     server.report.service_time = self.rng.random_range(0.005..0.05);
                 }
-                let made = now + 100.0 + server.offset;
-                let report = LoadReport { created_at: made, ..server.report.clone() };
+                let decided_at = now + 100.0 + server.clock_offset;
+                let report = LoadReport { created_at: decided_at, ..server.report.clone() };
                 // Late, lost, doubled, out of order.
-                let copies = if self.quiet { 1 } else { [1, 1, 1, 2, 0][self.rng.random_range(0..5)] };
+                let copies = if self.fault_free { 1 } else { [1, 1, 1, 2, 0][self.rng.random_range(0..5)] };
                 for _ in 0..copies {
-                    server.on_the_way.push((now + self.rng.random_range(0.0..0.4), report.clone()));
+                    server.in_transit.push((now + self.rng.random_range(0.0..0.4), report.clone()));
                 }
             }
-            let due: Vec<LoadReport> =
-                server.on_the_way.iter().filter(|(at, _)| *at <= now).map(|(_, r)| r.clone()).collect();
-            server.on_the_way.retain(|(at, _)| *at > now);
-            if let (Some(service), true) = (&mut self.service, now >= self.cut_reports) {
+            let due: Vec<LoadReport> = server
+                .in_transit
+                .iter()
+                .filter(|(at, _)| *at <= now)
+                .map(|(_, report)| report.clone())
+                .collect();
+            server.in_transit.retain(|(at, _)| *at > now);
+            if let (Some(service), true) = (&mut self.service, now >= self.reports_dropped_until) {
                 for report in due {
                     service.handle_report(now, report);
                 }
@@ -312,48 +329,62 @@
         }
     }
 
-    fn streams(&mut self) {
+    fn run_streams(&mut self) {
         let now = self.now;
         let Some(service) = &mut self.service else { return };
-        let mut sent: Vec<(u64, Update)> = Vec::new();
+        let mut sent_updates: Vec<(u64, Update)> = Vec::new();
         for proxy in &mut self.proxies {
-            if now < proxy.dark {
+            if now < proxy.paused_until {
                 continue;
             }
-            if !proxy.up {
+            if !proxy.connected {
                 proxy.connect(now, self.next_id, service);
                 self.next_id += 1;
             }
-            while proxy.out.front().is_some_and(|(at, _)| *at <= now) {
-                let (_, request) = proxy.out.pop_front().unwrap();
+            while proxy.outbound.front().is_some_and(|(at, _)| *at <= now) {
+                let (_, request) = proxy.outbound.pop_front().unwrap();
                 match service.handle_request(now, proxy.id, &request) {
-                    Ok(pushes) => sent.extend(pushes.into_iter().map(|update| (proxy.id, update))),
-                    Err(_) => proxy.up = false,
+                    Ok(updates) => sent_updates.extend(updates.into_iter().map(|update| (proxy.id, update))),
+                    Err(_) => proxy.connected = false,
                 }
             }
         }
         for event in service.tick(now) {
             let id = event.stream;
             match event.result {
-                Ok(update) => sent.push((id, update)),
-                Err(_) => self.proxies.iter_mut().filter(|p| p.id == id).for_each(|p| p.up = false),
+                Ok(update) => sent_updates.push((id, update)),
+                Err(_) => self
+                    .proxies
+                    .iter_mut()
+                    .filter(|proxy| proxy.id == id)
+                    .for_each(|proxy| proxy.connected = false),
             }
         }
-        let made = service.plan().map_or(0.0, |plan| plan.decided_at);
-        for (id, update) in sent {
-            let Some(proxy) = self.proxies.iter_mut().find(|p| p.id == id && p.up) else { continue };
+        let decided_at = service.plan().map_or(0.0, |plan| plan.decided_at);
+        for (id, update) in sent_updates {
+            let Some(proxy) = self.proxies.iter_mut().find(|proxy| proxy.id == id && proxy.connected) else {
+                continue;
+            };
             // A update that is cut off stands on the way until the cut is over: bytes are not lost, they are late.
-            let at = (now + self.rng.random_range(0.0..0.1)).max(self.cut_pushes);
-            let at = proxy.in_.back().map_or(at, |last| last.0.max(at));
-            proxy.in_.push_back((at, update, made));
+            let at = (now + self.rng.random_range(0.0..0.1)).max(self.updates_delayed_until);
+            let at = proxy.inbound.back().map_or(at, |last| last.0.max(at));
+            proxy.inbound.push_back((at, update, decided_at));
         }
-        for (proxy, seen) in self.proxies.iter_mut().zip(&mut self.seen) {
-            while now >= proxy.dark && proxy.up && proxy.in_.front().is_some_and(|(at, ..)| *at <= now) {
-                let (_, update, made) = proxy.in_.pop_front().unwrap();
+        for (proxy, last_version) in self.proxies.iter_mut().zip(&mut self.last_versions) {
+            while now >= proxy.paused_until
+                && proxy.connected
+                && proxy.inbound.front().is_some_and(|(at, ..)| *at <= now)
+            {
+                let (_, update, decided_at) = proxy.inbound.pop_front().unwrap();
                 // Never an older plan after a newer one, restarts of the service included.
-                assert!(update.version >= *seen, "{} got {:?} after {seen:?}", proxy.node, update.version);
-                *seen = update.version;
-                proxy.take(now, &update, made, &mut self.rng);
+                assert!(
+                    update.version >= *last_version,
+                    "{} got {:?} after {last_version:?}",
+                    proxy.node,
+                    update.version
+                );
+                *last_version = update.version;
+                proxy.handle_update(now, &update, decided_at, &mut self.rng);
             }
         }
         if let Some(plan) = service.plan() {
@@ -362,54 +393,61 @@
             assert!(plan
                 .shares
                 .iter()
-                .all(|s| s.weight == 0.0 || s.explanation.limited_by.as_str() != "leaves"));
+                .all(|server| server.weight == 0.0 || server.explanation.limited_by.as_str() != "leaves"));
         }
     }
 
     /// Ten quiet seconds: all that behave hold the latest.
-    fn settle(&mut self) {
+    fn assert_convergence(&mut self) {
         for server in &mut self.servers {
-            (server.silent, server.report.terminates_in) = (0.0, None);
+            (server.silent_until, server.report.terminates_in) = (0.0, None);
             server.report.incarnation += 1;
             (server.report.sequence, server.report.service_time) = (0, 0.01);
         }
-        (self.cut_pushes, self.cut_reports, self.down, self.quiet) = (0.0, 0.0, 0.0, true);
-        self.proxies.iter_mut().for_each(|p| p.dark = 0.0);
+        (self.updates_delayed_until, self.reports_dropped_until, self.down_until, self.fault_free) =
+            (0.0, 0.0, 0.0, true);
+        self.proxies.iter_mut().for_each(|proxy| proxy.paused_until = 0.0);
         for _ in 0..800 {
             self.step(false);
         }
         let service = self.service.as_ref().unwrap();
-        for proxy in self.proxies.iter().filter(|p| matches!(p.habit, Habit::Well | Habit::Slow(_))) {
-            if proxy.habit == Habit::Slow(3.0) {
+        for proxy in self
+            .proxies
+            .iter()
+            .filter(|proxy| matches!(proxy.behavior, ProxyBehavior::Correct | ProxyBehavior::SlowAnswers(_)))
+        {
+            if proxy.behavior == ProxyBehavior::SlowAnswers(3.0) {
                 continue;
             }
-            let held = proxy.routes(self.now).unwrap_or_else(|| panic!("{} routes by nothing", proxy.node));
-            let wanted = service.resources_for("a", &proxy.node).unwrap();
-            let (wanted, node) = (wanted.set(ResourceType::Endpoints)[CLUSTER].version, &proxy.node);
-            assert_eq!(held.version, wanted, "{node} ({:?}), {:?}", proxy.habit, service.plan());
+            let held = proxy
+                .usable_endpoints(self.now)
+                .unwrap_or_else(|| panic!("{} routes by nothing", proxy.node));
+            let resources = service.resources_for("a", &proxy.node).unwrap();
+            let (expected, node) = (resources.set(ResourceType::Endpoints)[CLUSTER].version, &proxy.node);
+            assert_eq!(held.version, expected, "{node} ({:?}), {:?}", proxy.behavior, service.plan());
         }
     }
 }
 
-fn play(seed: u64) -> f64 {
+fn run_schedule(seed: u64) -> f64 {
     // Shown where a schedule fails.
     println!("schedule {seed}");
-    let mut stage = Stage::new(seed);
+    let mut simulation = Simulation::new(seed);
     let steps = 400;
     for at in 0..steps {
-        if at > 40 && stage.rng.random_bool(0.04) {
-            stage.trouble();
+        if at > 40 && simulation.rng.random_bool(0.04) {
+            simulation.inject_fault();
         }
-        let flips = seed.is_multiple_of(3);
-        stage.step(flips);
+        let vary_service_time = seed.is_multiple_of(3);
+        simulation.step(vary_service_time);
     }
-    stage.settle();
-    stage.worst
+    simulation.assert_convergence();
+    simulation.max_age
 }
 
 #[test]
-fn in_no_schedule_does_a_proxy_route_by_a_decision_older_than_the_bound() {
-    let worst = (0..SCHEDULES).map(play).fold(0.0, f64::max);
+fn no_schedule_lets_a_proxy_use_an_expired_decision() {
+    let max_age = (0..SCHEDULES).map(run_schedule).fold(0.0, f64::max);
     // The bound is not held by nobody routing at all.
-    assert!(worst > 1.0, "{worst}");
+    assert!(max_age > 1.0, "{max_age}");
 }
--- a/crates/control/tests/sockets.rs
+++ b/crates/control/tests/sockets.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{pick, report, routes, service, until, Servers, BOUND};
+use common::{can_route, pick, report, start_service, wait_until, Servers, BOUND};
 use puffinladder_control::report::ClassLoad;
 use puffinladder_control::serve::RunningService;
 use puffinladder_proxy::{Behaviour, Pick, Proxy};
@@ -12,34 +12,34 @@
 
 /// Ports of the servers that it routes to.
 fn ports(proxy: &Proxy) -> Vec<u16> {
-    let mut all: Vec<u16> = (0..200)
+    let mut ports: Vec<u16> = (0..200)
         .filter_map(|at| match pick(proxy, f64::from(at) / 200.0) {
             Pick::RouteTo { server, .. } => Some(server.port()),
             _ => None,
         })
         .collect();
-    all.dedup();
-    all
+    ports.dedup();
+    ports
 }
 
-async fn world(servers: u16) -> (RunningService, Servers, Vec<Proxy>) {
-    let running = service(None, None).await;
+async fn start_fleet(servers: u16) -> (RunningService, Servers, Vec<Proxy>) {
+    let running = start_service(None, None).await;
     let servers = Servers::start(vec![running.reports], (0..servers).map(report).collect());
     let proxies: Vec<Proxy> =
         (0..4).map(|at| Proxy::start(running.xds, &format!("p{at}"), "a", at % 2 == 0)).collect();
-    until("all proxies to route", || proxies.iter().all(routes)).await;
+    wait_until("all proxies to route", || proxies.iter().all(can_route)).await;
     (running, servers, proxies)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn proxies_of_both_protocols_follow_the_servers_and_a_drained_one_gets_nothing() {
-    let (_running, servers, proxies) = world(3).await;
+async fn proxies_of_both_protocols_follow_drains_and_drops() {
+    let (_running, servers, proxies) = start_fleet(3).await;
     for proxy in &proxies {
-        until("all three", || ports(proxy) == [4000, 4001, 4002]).await;
+        wait_until("all three", || ports(proxy) == [4000, 4001, 4002]).await;
     }
-    servers.with(|(_, all)| all[1].terminates_in = Some(2.0));
+    servers.with(|(_, reports)| reports[1].terminates_in = Some(2.0));
     for proxy in &proxies {
-        until("the drain", || ports(proxy) == [4000, 4002]).await;
+        wait_until("the drain", || ports(proxy) == [4000, 4002]).await;
     }
     let class = |product: &str| ClassLoad {
         product: product.into(),
@@ -51,14 +51,14 @@
     // As if proxies dropped nothing yet: the share rises while servers decline so much.
     servers.change(|server| server.classes = vec![class("p")]);
     for proxy in &proxies {
-        until("a drop", || matches!(pick(proxy, 0.0), Pick::Dropped { .. })).await;
+        wait_until("a drop", || matches!(pick(proxy, 0.0), Pick::Dropped { .. })).await;
         assert!(matches!(proxy.pick("other", "k", [0.0; 3]), Pick::RouteTo { .. }));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_the_service_dies_nobody_routes_past_the_bound() {
-    let (running, servers, proxies) = world(2).await;
+async fn no_proxy_routes_past_the_bound_after_the_service_is_killed() {
+    let (running, servers, proxies) = start_fleet(2).await;
     running.kill();
     let died = Instant::now();
     // Nothing decided later than now: each may route until the bound, and none after.
@@ -67,9 +67,9 @@
     }
     for _ in 0..20 {
         assert!(
-            !proxies.iter().any(routes),
+            !proxies.iter().any(can_route),
             "{:?}",
-            proxies.iter().map(|p| pick(p, 0.5)).collect::<Vec<_>>()
+            proxies.iter().map(|proxy| pick(proxy, 0.5)).collect::<Vec<_>>()
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -77,36 +77,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_proxy_that_was_dark_routes_nothing_by_its_old_version_and_catches_up_in_one_exchange() {
-    let (_running, servers, proxies) = world(2).await;
-    let (dark, others) = proxies.split_first().unwrap();
-    let before = dark.endpoints_plan().unwrap();
-    dark.set_behaviour(Behaviour { unresponsive: true, ..Behaviour::default() });
-    servers.with(|(_, all)| all.push(report(7)));
+async fn paused_proxy_stops_routing_and_catches_up_in_one_exchange() {
+    let (_running, servers, proxies) = start_fleet(2).await;
+    let (paused, others) = proxies.split_first().unwrap();
+    let before = paused.endpoints_plan().unwrap();
+    paused.set_behaviour(Behaviour { unresponsive: true, ..Behaviour::default() });
+    servers.with(|(_, reports)| reports.push(report(7)));
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
-    assert!(!routes(dark), "{:?}", pick(dark, 0.5));
+    assert!(!can_route(paused), "{:?}", pick(paused, 0.5));
     for other in others {
-        until("the others to go on", || routes(other)).await;
-        until("the new server", || ports(other).contains(&4007)).await;
+        wait_until("the others to go on", || can_route(other)).await;
+        wait_until("the new server", || ports(other).contains(&4007)).await;
     }
-    let seen = dark.received_counts().updates;
-    dark.set_behaviour(Behaviour::default());
-    until("the dark one to route again", || routes(dark)).await;
-    until("the new server", || ports(dark).contains(&4007)).await;
-    assert_ne!(dark.endpoints_plan().unwrap(), before);
+    let seen = paused.received_counts().updates;
+    paused.set_behaviour(Behaviour::default());
+    wait_until("the dark one to route again", || can_route(paused)).await;
+    wait_until("the new server", || ports(paused).contains(&4007)).await;
+    assert_ne!(paused.endpoints_plan().unwrap(), before);
     // What was under way, and then the latest: not every plan that it missed.
-    assert!(dark.received_counts().updates - seen <= 12, "{}", dark.received_counts().updates - seen);
+    assert!(paused.received_counts().updates - seen <= 12, "{}", paused.received_counts().updates - seen);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn decisions_that_flip_faster_than_proxies_answer_coalesce_and_each_holds_the_latest() {
-    let (running, servers, proxies) = world(4).await;
-    proxies.iter().for_each(|p| {
-        p.set_behaviour(Behaviour { ack_delay: Duration::from_millis(200), ..Behaviour::default() })
+async fn slow_proxies_skip_superseded_plans_and_converge() {
+    let (running, servers, proxies) = start_fleet(4).await;
+    proxies.iter().for_each(|proxy| {
+        proxy.set_behaviour(Behaviour { ack_delay: Duration::from_millis(200), ..Behaviour::default() })
     });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut flip = 0u32;
-    while begun.elapsed() < Duration::from_secs(3) {
+    while started_at.elapsed() < Duration::from_secs(3) {
         flip += 1;
         servers.change(|server| {
             server.service_time =
@@ -118,76 +118,78 @@
     for proxy in &proxies {
         // No older plan after a newer one.
         let plans = proxy.recent_plans();
-        let numbers: Vec<u64> = plans.iter().map(|p| p.split_once('.').unwrap().1.parse().unwrap()).collect();
+        let numbers: Vec<u64> =
+            plans.iter().map(|plan| plan.split_once('.').unwrap().1.parse().unwrap()).collect();
         assert!(numbers.is_sorted(), "{numbers:?}");
     }
-    let settled = || async { running.handle.query(|core, _| core.in_sync_count()).await.unwrap() };
-    let end = Instant::now() + Duration::from_secs(20);
-    while settled().await < 4 {
-        assert!(Instant::now() < end);
+    let in_sync_proxies =
+        || async { running.handle.query(|service, _| service.in_sync_count()).await.unwrap() };
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while in_sync_proxies().await < 4 {
+        assert!(Instant::now() < deadline);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let versions: Vec<_> = proxies.iter().map(|p| p.endpoints_version()).collect();
+    let versions: Vec<_> = proxies.iter().map(|proxy| proxy.endpoints_version()).collect();
     assert!(versions.iter().all(|v| v == &versions[0]), "{versions:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn proxies_that_refuse_never_answer_or_lie_disturb_no_other() {
-    let (running, servers, proxies) = world(3).await;
+async fn misbehaving_proxies_do_not_affect_others() {
+    let (running, servers, proxies) = start_fleet(3).await;
     proxies[0].set_behaviour(Behaviour { reject_updates: true, ..Behaviour::default() });
     proxies[1].set_behaviour(Behaviour { withhold_acks: true, ..Behaviour::default() });
     proxies[2].set_behaviour(Behaviour { forge_nonces: true, ..Behaviour::default() });
-    servers.with(|(_, all)| all[0].healthy = false);
-    until("the well one", || ports(&proxies[3]) == [4001, 4002]).await;
-    let (mut refused, mut unknown) = (0, 0);
-    let end = Instant::now() + Duration::from_secs(20);
-    while refused == 0 || unknown == 0 {
-        assert!(Instant::now() < end, "{refused} refused, {unknown} unknown");
-        let counts = running.handle.query(|core, _| core.stream_counters()).await.unwrap();
-        (refused, unknown) = (counts.rejected, counts.unknown_nonces);
+    servers.with(|(_, reports)| reports[0].healthy = false);
+    wait_until("the well one", || ports(&proxies[3]) == [4001, 4002]).await;
+    let (mut rejected, mut unknown) = (0, 0);
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while rejected == 0 || unknown == 0 {
+        assert!(Instant::now() < deadline, "{rejected} rejected, {unknown} unknown");
+        let counts = running.handle.query(|service, _| service.stream_counters()).await.unwrap();
+        (rejected, unknown) = (counts.rejected, counts.unknown_nonces);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // By the bound none of them routes by what it held before.
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
     assert!(!ports(&proxies[0]).contains(&4000) && !ports(&proxies[1]).contains(&4000));
-    until("the well one to go on", || routes(&proxies[3])).await;
+    wait_until("the well one to go on", || can_route(&proxies[3])).await;
     proxies[0].set_behaviour(Behaviour::default());
-    servers.with(|(_, all)| all[0].healthy = true);
-    until("it to come back", || ports(&proxies[0]).contains(&4000)).await;
+    servers.with(|(_, reports)| reports[0].healthy = true);
+    wait_until("it to come back", || ports(&proxies[0]).contains(&4000)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_that_comes_back_sends_neither_an_empty_world_nor_an_older_plan() {
+async fn restarted_service_sends_neither_empty_nor_older_plan() {
     let folder = std::env::temp_dir().join(format!("puffinladder-control-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("snapshot.json");
-    let first = service(Some(file.clone()), None).await;
+    let first = start_service(Some(file.clone()), None).await;
     let servers = Servers::start(vec![first.reports], (0..3).map(report).collect());
     let proxy = Proxy::start(first.xds, "p", "a", true);
-    until("it to route", || routes(&proxy)).await;
+    wait_until("it to route", || can_route(&proxy)).await;
     let epoch = |plan: &str| plan.split_once('.').unwrap().0.parse::<u64>().unwrap();
     let before = epoch(&proxy.endpoints_plan().unwrap());
     first.stop().await;
     assert!(file.exists());
-    let second = service(Some(file.clone()), None).await;
+    let second = start_service(Some(file.clone()), None).await;
     // Before any report: its proxies get the last plan inside its bound, or nothing.
-    let early = Proxy::start(second.xds, "early", "a", false);
-    servers.with(|(at, _)| *at = vec![second.reports]);
-    until("the new plan", || routes(&early) && ports(&early).len() == 3).await;
-    assert!(epoch(&early.endpoints_plan().unwrap()) > before);
+    let early_proxy = Proxy::start(second.xds, "early", "a", false);
+    servers.with(|(services, _)| *services = vec![second.reports]);
+    wait_until("the new plan", || can_route(&early_proxy) && ports(&early_proxy).len() == 3).await;
+    assert!(epoch(&early_proxy.endpoints_plan().unwrap()) > before);
     second.stop().await;
     // A snapshot that can't be read is none.
     std::fs::write(&file, b"{ half a").unwrap();
-    let third = service(Some(file), None).await;
-    servers.with(|(at, _)| *at = vec![third.reports]);
-    let late = Proxy::start(third.xds, "late", "a", false);
-    until("a plan without a snapshot", || routes(&late)).await;
+    let third = start_service(Some(file), None).await;
+    servers.with(|(services, _)| *services = vec![third.reports]);
+    let late_proxy = Proxy::start(third.xds, "late", "a", false);
+    wait_until("a plan without a snapshot", || can_route(&late_proxy)).await;
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_cost_little_and_the_debug_view_tells() {
-    let (running, _servers, _proxies) = world(2).await;
+async fn survives_malformed_reports_and_serves_debug_pages() {
+    let (running, _servers, _proxies) = start_fleet(2).await;
     for bytes in [&b"{\"instance\":5}\n"[..], b"\xff\xfe\n", &[b'x'; 1 << 21], b"{"] {
         let mut stream = TcpStream::connect(running.reports).await.unwrap();
         let _ = stream.write_all(bytes).await;
@@ -214,40 +216,49 @@
         line.and_then(|line| line.rsplit(' ').next()?.parse().ok())
             .unwrap_or_else(|| panic!("{name}: {text}"))
     };
-    let renewed = |text: &str| {
-        let of =
-            |kind| format!("puffinladder_control_response_bytes_total{{type=\"{kind}\",what=\"renewal\"}}");
-        ["endpoints", "routes"].into_iter().all(|kind| value(text, &of(kind)) > 0.0)
+    let leases_renewed = |text: &str| {
+        let metric_name = |resource_type| {
+            format!("puffinladder_control_response_bytes_total{{type=\"{resource_type}\",what=\"renewal\"}}")
+        };
+        ["endpoints", "routes"]
+            .into_iter()
+            .all(|resource_type| value(text, &metric_name(resource_type)) > 0.0)
     };
-    let end = Instant::now() + Duration::from_secs(20);
-    let told = loop {
-        let told = get("/metrics").await;
-        if renewed(&told) {
-            break told;
+    let deadline = Instant::now() + Duration::from_secs(20);
+    let metrics = loop {
+        let page = get("/metrics").await;
+        if leases_renewed(&page) {
+            break page;
         }
-        assert!(Instant::now() < end, "no lease was renewed");
+        assert!(Instant::now() < deadline, "no lease was renewed");
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
-    let told = |name: &str| value(&told, &format!("puffinladder_control_{name}"));
+    let metric = |name: &str| value(&metrics, &format!("puffinladder_control_{name}"));
     // All servers report over one connection; the strangers' four are over.
-    assert_eq!((told("report_connections"), told("report_connections_total")), (1.0, 5.0));
-    assert!(told("report_bytes_total") > 100.0 * told("reports_taken_total"));
-    assert_eq!(told("streams_total"), 4.0);
-    assert!((1.0..=4.0).contains(&told("responses_waiting_most")));
-    for kind in ["cluster", "endpoints", "listener", "routes"] {
-        let bytes = |what: &str| told(&format!("response_bytes_total{{type=\"{kind}\",what=\"{what}\"}}"));
-        assert!(bytes("content") > 0.0, "{kind}");
-        assert_eq!(bytes("renewal") > 0.0, ["endpoints", "routes"].contains(&kind), "{kind}");
+    assert_eq!((metric("report_connections"), metric("report_connections_total")), (1.0, 5.0));
+    assert!(metric("report_bytes_total") > 100.0 * metric("reports_taken_total"));
+    assert_eq!(metric("streams_total"), 4.0);
+    assert!((1.0..=4.0).contains(&metric("responses_waiting_most")));
+    for resource_type in ["cluster", "endpoints", "listener", "routes"] {
+        let bytes = |content: &str| {
+            metric(&format!("response_bytes_total{{type=\"{resource_type}\",what=\"{content}\"}}"))
+        };
+        assert!(bytes("content") > 0.0, "{resource_type}");
+        assert_eq!(
+            bytes("renewal") > 0.0,
+            ["endpoints", "routes"].contains(&resource_type),
+            "{resource_type}"
+        );
     }
     // A line that is no report never gets as far as being judged.
-    assert_eq!(told("reports_refused_by_reason_total{reason=\"impossible\"}"), 0.0);
-    let doubled = format!("{}\n", serde_json::to_string(&report(90)).unwrap()).repeat(3);
+    assert_eq!(metric("reports_refused_by_reason_total{reason=\"impossible\"}"), 0.0);
+    let duplicates = format!("{}\n", serde_json::to_string(&report(90)).unwrap()).repeat(3);
     let mut stream = TcpStream::connect(running.reports).await.unwrap();
-    stream.write_all(doubled.as_bytes()).await.unwrap();
-    let end = Instant::now() + Duration::from_secs(20);
-    let refused = "puffinladder_control_reports_refused_by_reason_total{reason=\"doubled\"}";
-    while value(&get("/metrics").await, refused) < 2.0 {
-        assert!(Instant::now() < end);
+    stream.write_all(duplicates.as_bytes()).await.unwrap();
+    let deadline = Instant::now() + Duration::from_secs(20);
+    let rejected = "puffinladder_control_reports_refused_by_reason_total{reason=\"doubled\"}";
+    while value(&get("/metrics").await, rejected) < 2.0 {
+        assert!(Instant::now() < deadline);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
