--- a/crates/control/src/serve/ads.rs
+++ b/crates/control/src/serve/ads.rs
@@ -1,4 +1,4 @@
-//! Aggregated discovery (ADS) over gRPC, of both protocols: one task a stream.
+//! Aggregated discovery service (ADS) over gRPC, for both protocols: one task per stream.
 
 mod encoding;
 
@@ -28,36 +28,36 @@
 use tonic::transport::Server;
 use tonic::{Response, Status, Streaming};
 
-/// Bytes of a request at the most: some thousand names.
+/// Maximum size of a request, bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
-/// A silent connection is probed after so long, and ended if it does not answer for as long again.
+/// HTTP/2 keepalive interval and timeout of idle connections.
 const KEEPALIVE: Duration = Duration::from_secs(5);
-/// How long a proxy may take to its first request, which says who it is.
+/// Timeout of the first request, which identifies the proxy.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest id of a node, in bytes.
+/// Maximum length of a node id, bytes.
 const MAX_NODE_BYTES: usize = 256;
-/// Longest name of a proxy's zone, in characters; longer ones are cut.
+/// Maximum length of a proxy's zone, characters; longer names are truncated.
 const MAX_ZONE_CHARS: usize = 128;
-/// Updates that wait for one stream's socket: one of each type may be out, and as many again.
+/// Capacity of a stream's update queue: two updates per resource type.
 const UPDATE_QUEUE: usize = 8;
-/// Connections that wait to be served after their TLS handshake.
+/// Capacity of the queue of connections whose TLS handshake has completed.
 const READY_QUEUE: usize = 16;
 
 struct DiscoveryService {
     service: ServiceHandle,
     next_id: AtomicU64,
     open_streams: Arc<AtomicUsize>,
-    /// How this service names itself.
+    /// Control plane identifier sent to proxies.
     name: String,
-    /// A proxy's certificate must name its node.
+    /// Whether a proxy's certificate must name its node.
     verifies_clients: bool,
 }
 
-/// Counts a stream for as long as it lives.
+/// Guard that counts an open stream.
 struct StreamSlot(Arc<AtomicUsize>);
 
 impl StreamSlot {
-    /// None where as many streams are open as may be.
+    /// Returns none if `limit` streams are open.
     fn reserve(open: &Arc<AtomicUsize>, limit: usize) -> Option<StreamSlot> {
         let slot = StreamSlot(open.clone());
         (open.fetch_add(1, Ordering::Relaxed) < limit).then_some(slot)
@@ -70,11 +70,11 @@
     }
 }
 
-/// One stream, between its socket and the service's task.
+/// Task that connects a stream's socket to the service's task.
 struct StreamTask<Req, Resp> {
     id: StreamId,
     service: ServiceHandle,
-    /// How this service names itself.
+    /// Control plane identifier sent to proxies.
     name: String,
     requests: Streaming<Req>,
     updates: mpsc::Receiver<Update>,
@@ -84,13 +84,13 @@
 }
 
 impl<Req: DiscoveryMessage, Resp: prost::Message + 'static> StreamTask<Req, Resp> {
-    /// Runs until either side ends the stream.
+    /// Runs until either side closes the stream.
     async fn run(mut self) {
         loop {
             tokio::select! {
                 update = self.updates.recv() => {
                     let Some(update) = update else {
-                        let _ = self.responses.try_send(Err(Status::aborted("cut: connect anew")));
+                        let _ = self.responses.try_send(Err(Status::aborted("stream closed by the control service: reconnect")));
                         break;
                     };
                     if !self.respond(&update).await {
@@ -110,7 +110,7 @@
         self.service.send(Message::CloseStream { id: self.id }).await;
     }
 
-    /// Sends a response; whether the proxy is still there.
+    /// Sends a response. Returns whether the stream is still open.
     async fn respond(&self, update: &Update) -> bool {
         let response = (self.encode)(update, &self.name);
         self.service.traffic.record_sent_update(update, response.encoded_len());
@@ -118,16 +118,19 @@
     }
 }
 
-/// The first request of a stream, which says who the proxy is.
+/// Waits for the first request of a stream, which identifies the proxy.
 async fn first_request<Req: DiscoveryMessage>(requests: &mut Streaming<Req>) -> Result<Req, Status> {
     let first = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await;
-    let first = first.map_err(|_| Status::deadline_exceeded("no first request"))??;
-    first.ok_or_else(|| Status::cancelled("no request"))
+    let first = first.map_err(|_| {
+        Status::deadline_exceeded(format!("no first request within {FIRST_REQUEST_TIMEOUT:?}"))
+    })??;
+    first.ok_or_else(|| Status::cancelled("stream closed before the first request"))
 }
 
 fn node_of(request: &impl DiscoveryMessage) -> Result<&Node, Status> {
     let node = request.node().filter(|node| !node.id.is_empty() && node.id.len() <= MAX_NODE_BYTES);
-    node.ok_or_else(|| Status::invalid_argument("the first request names no node"))
+    let message = || format!("first request must have a node id of 1 to {MAX_NODE_BYTES} bytes");
+    node.ok_or_else(|| Status::invalid_argument(message()))
 }
 
 fn zone_of(node: &Node) -> String {
@@ -143,12 +146,12 @@
     if leaf.is_some_and(|leaf| certificates::names_node(leaf, &node.id)) {
         return Ok(());
     }
-    tracing::warn!("a proxy claims to be node {:.64}, which its certificate does not name", node.id);
-    Err(Status::permission_denied("the certificate is not this node's"))
+    tracing::warn!("xds: rejected proxy: its certificate does not name its node {:.64}", node.id);
+    Err(Status::permission_denied("client certificate does not name the node"))
 }
 
 impl DiscoveryService {
-    /// Begins one stream: its requests to the service's task, updates back as `encode` writes them.
+    /// Opens a stream and starts its task, which sends updates encoded by `encode`.
     async fn open<Req: DiscoveryMessage, Resp: prost::Message + 'static>(
         &self,
         request: tonic::Request<Streaming<Req>>,
@@ -157,8 +160,10 @@
     ) -> Result<ReceiverStream<Result<Resp, Status>>, Status> {
         let chain = request.peer_certs();
         let mut requests = request.into_inner();
-        let slot = StreamSlot::reserve(&self.open_streams, self.service.max_proxies)
-            .ok_or_else(|| Status::resource_exhausted("as many proxies as there may be"))?;
+        let slot = StreamSlot::reserve(&self.open_streams, self.service.max_proxies).ok_or_else(|| {
+            let limit = self.service.max_proxies;
+            Status::resource_exhausted(format!("limit of {limit} open streams reached"))
+        })?;
         let first = first_request(&mut requests).await?;
         let node = node_of(&first)?;
         if self.verifies_clients {
@@ -233,11 +238,11 @@
         }
     };
     if let Err(error) = served {
-        tracing::error!("xds: {error}");
+        tracing::error!("xds: server failed: {error}");
     }
 }
 
-/// Small responses leave at once.
+/// Disables Nagle's algorithm, so that small responses are sent without delay.
 fn without_delay(
     connection: std::io::Result<tokio::net::TcpStream>,
 ) -> std::io::Result<tokio::net::TcpStream> {
--- a/crates/control/src/serve/ads/encoding.rs
+++ b/crates/control/src/serve/ads/encoding.rs
@@ -1,4 +1,4 @@
-//! Requests and updates in the protobuf messages of the two protocols: state of the world, and incremental ("delta").
+//! Conversion of requests and updates to the protobuf messages of both protocols: state of the world and incremental ("delta").
 
 use crate::resources::{resource_type_of, type_url};
 use crate::stream::{ProxyRequest, Update, UpdateEntry};
@@ -10,15 +10,15 @@
 use envoy_types::pb::google::rpc::Status;
 use prost::{Message, Name};
 
-/// A request of either protocol.
+/// Request of either protocol.
 pub(super) trait DiscoveryMessage: Send + 'static {
-    /// Who sent it; always there in the first request of a stream.
+    /// Returns the node that sent it; required in the first request of a stream.
     fn node(&self) -> Option<&Node>;
-    /// What it says, apart from who sent it.
+    /// Converts it, without the node.
     fn into_request(self) -> ProxyRequest;
 }
 
-/// What requests of both protocols have in common.
+/// Converts the fields that both protocols share.
 fn base_request(type_url: &str, nonce: String, error: Option<Status>) -> ProxyRequest {
     let error = error.map(|status| status.message);
     ProxyRequest { resource_type: resource_type_of(type_url), nonce, error, ..ProxyRequest::default() }
@@ -62,7 +62,7 @@
     Some(ControlPlane { identifier: name.into() })
 }
 
-/// The entries as wrapped resources; a heartbeat has no body.
+/// Returns the entries as wrapped resources; a heartbeat has no body.
 fn wrapped_resources(update: &Update) -> Vec<Resource> {
     let ttl = ttl(update);
     let body = |entry: &UpdateEntry| Any {
@@ -83,7 +83,7 @@
     format!("{}.{}", update.version.epoch, update.version.number)
 }
 
-/// A response of the state-of-the-world protocol. Resources are wrapped only where there is a lease to tell.
+/// Encodes a response of the state-of-the-world protocol. Resources are wrapped only if they have a lease.
 pub(super) fn state_of_the_world_response(update: &Update, service: &str) -> DiscoveryResponse {
     let plain = |resource: Resource| match resource {
         Resource { ttl: None, resource: Some(any), .. } => any,
@@ -99,7 +99,7 @@
     }
 }
 
-/// A response of the incremental protocol.
+/// Encodes a response of the incremental protocol.
 pub(super) fn delta_response(update: &Update, service: &str) -> DeltaDiscoveryResponse {
     DeltaDiscoveryResponse {
         system_version_info: version(update),
--- a/crates/control/src/serve/certificates.rs
+++ b/crates/control/src/serve/certificates.rs
@@ -1,5 +1,5 @@
-//! Certificates of the service and of proxies. They are read anew on request, without touching streams that are open; a set that
-//! can't be read changes nothing.
+//! TLS certificates of the xDS listener. A reload affects new connections only; invalid files leave the current
+//! certificates in use.
 
 use super::TlsConfig;
 use std::io;
@@ -17,48 +17,48 @@
 use tokio_rustls::server::TlsStream;
 use tokio_rustls::TlsAcceptor;
 
-/// How long a handshake may take: proxies take milliseconds.
+/// Timeout of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Handshakes that may be under way at once: they cost processor time that streams need.
+/// Maximum number of concurrent handshakes, which compete with streams for processor time.
 const MAX_HANDSHAKES: usize = 256;
-/// Pause after a failed accept, which most often means that the process has no descriptor left.
+/// Delay after a failed accept, which usually means that the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a set of certificates can't be used.
+/// Error while certificates are loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum CertificateError {
-    /// A file can't be read, or holds no PEM of the kind that it should.
+    /// A file is unreadable or lacks the expected PEM section.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause.
         source: pem::Error,
     },
-    /// A file holds no certificate.
-    #[error("{}: no certificate in it", path.display())]
+    /// A file contains no certificate.
+    #[error("{}: expected at least one PEM certificate, found none", path.display())]
     NoCertificate {
         /// The file.
         path: PathBuf,
     },
-    /// A certificate, or the key that belongs to it, is not valid.
+    /// A certificate or its private key is invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file with the certificate.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause.
         source: rustls::Error,
     },
-    /// The client authorities can't be used to verify clients.
+    /// The client authorities are invalid.
     #[error("{}: {source}", path.display())]
     Authorities {
         /// The file with their certificates.
         path: PathBuf,
-        /// What is wrong with them.
+        /// Cause.
         source: VerifierBuilderError,
     },
-    /// The TLS library has no protocol version for its own cipher suites.
-    #[error("{0}")]
+    /// The TLS library supports no protocol version with its cipher suites.
+    #[error("TLS protocol versions: {0}")]
     Protocol(#[source] rustls::Error),
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// The certificates in force.
+/// Certificates in use.
 pub(super) struct Certificates {
     files: TlsConfig,
     config: RwLock<Arc<ServerConfig>>,
@@ -87,7 +87,7 @@
     Ok(certificates)
 }
 
-/// Verifies that clients show a certificate of one of the authorities in a file.
+/// Returns a verifier that requires a client certificate issued by one of the authorities in a file.
 fn client_verifier(path: &Path) -> Result<Arc<dyn ClientCertVerifier>, CertificateError> {
     let mut roots = RootCertStore::empty();
     for root in read_certificates(path)? {
@@ -120,7 +120,7 @@
         Ok(Certificates { files, config })
     }
 
-    /// Reads the files anew: connections from now on get what they hold. Where one can't be read the old ones stand.
+    /// Reloads the files for new connections. After an error the previous certificates stay in use.
     pub(super) fn reload(&self) -> Result<(), CertificateError> {
         let config = Arc::new(load(&self.files)?);
         *self.config.write().unwrap_or_else(PoisonError::into_inner) = config;
@@ -131,13 +131,13 @@
         TlsAcceptor::from(self.config.read().unwrap_or_else(PoisonError::into_inner).clone())
     }
 
-    /// Whether proxies must show a certificate that names them.
+    /// Returns whether proxies must present a certificate that names their node.
     pub(super) fn verifies_clients(&self) -> bool {
         self.files.client_authorities.is_some()
     }
 }
 
-/// Whether a certificate is for a node: the node's id is one of the DNS names in it.
+/// Returns whether the node's id is one of the DNS names in a certificate.
 pub(super) fn names_node(certificate: &CertificateDer, node: &str) -> bool {
     let (Ok(parsed), Ok(name)) = (webpki::EndEntityCert::try_from(certificate), ServerName::try_from(node))
     else {
@@ -146,10 +146,10 @@
     parsed.verify_is_valid_for_subject_name(&name).is_ok()
 }
 
-/// Connections that are ready for requests.
+/// Queue of connections whose TLS handshake has completed.
 pub(super) type ReadyConnections = mpsc::Sender<io::Result<TlsStream<TcpStream>>>;
 
-/// Accepts connections and shakes hands, many at once: a slow client holds up nobody.
+/// Accepts connections and performs TLS handshakes concurrently, so that a slow client does not delay others.
 pub(super) async fn accept(
     listener: TcpListener,
     certificates: Arc<Certificates>,
@@ -169,14 +169,14 @@
                 tokio::spawn(handshake.run(ready.clone()));
             }
             Err(error) => {
-                tracing::warn!("xds: {error}");
+                tracing::warn!("xds: accept failed: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// A connection that is not ready yet.
+/// Connection in its TLS handshake.
 struct Handshake {
     stream: TcpStream,
     peer: std::net::SocketAddr,
@@ -190,8 +190,10 @@
         let _ = stream.set_nodelay(true);
         match tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await {
             Ok(Ok(stream)) => drop(ready.send(Ok(stream)).await),
-            Ok(Err(error)) => tracing::warn!("xds: {peer}: {error}"),
-            Err(_) => tracing::warn!("xds: {peer}: TLS handshake timed out"),
+            Ok(Err(error)) => tracing::warn!("xds: TLS handshake with {peer} failed: {error}"),
+            Err(_) => {
+                tracing::warn!("xds: TLS handshake with {peer} not completed within {HANDSHAKE_TIMEOUT:?}")
+            }
         }
     }
 }
--- a/crates/control/src/serve/debug.rs
+++ b/crates/control/src/serve/debug.rs
@@ -1,4 +1,4 @@
-//! What people and monitors look at: `/plan`, `/servers`, `/proxies` as JSON, `/metrics` as Prometheus reads them, `/health`.
+//! HTTP debug pages: `/plan`, `/servers` and `/proxies` as JSON, `/metrics` as OpenMetrics text, and `/health`.
 
 use super::handle::ServiceHandle;
 use super::prometheus;
@@ -74,6 +74,6 @@
         let _ = stopped.changed().await;
     };
     if let Err(error) = axum::serve(listener, router).with_graceful_shutdown(shutdown).await {
-        tracing::error!("debug view: {error}");
+        tracing::error!("debug pages: server failed: {error}");
     }
 }
--- a/crates/control/src/serve/event_loop.rs
+++ b/crates/control/src/serve/event_loop.rs
@@ -1,4 +1,4 @@
-//! The task that owns the service's state: takes messages, lets time pass, and writes snapshots.
+//! Task that owns the service's state: handles messages, runs periodic work and saves snapshots.
 
 use super::handle::Message;
 use super::{snapshot_file, unix_now};
@@ -13,21 +13,21 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// How often time passes for the service: several times between two plans.
+/// Interval of the service's periodic work; shorter than the interval of plans.
 const TICK: Duration = Duration::from_millis(50);
-/// How often a snapshot is written at the most.
+/// Minimum time between snapshot writes.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Messages that are taken at once at the most, so that ticks are not late.
+/// Maximum number of messages handled between ticks, so that ticks are not delayed.
 const MESSAGE_BATCH: usize = 256;
 
 pub(super) struct EventLoop {
     service: ControlService,
     messages: mpsc::Receiver<Message>,
-    /// The way to each stream's task.
+    /// Update queues of the stream tasks.
     streams: HashMap<StreamId, mpsc::Sender<Update>>,
     started_at: Instant,
     snapshots: Option<SnapshotWriter>,
-    /// What the silence of servers was last logged as.
+    /// Outage state that was logged last.
     logged_outage: OutageState,
 }
 
@@ -51,9 +51,9 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Runs until the service is stopped, or nobody has a handle to it any more.
+    /// Runs until the service is stopped or all handles are dropped.
     pub(super) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
-        // From when the task runs, as the interval below.
+        // Reset here, since the task may start later than it was created.
         self.started_at = Instant::now();
         let mut tick = interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Logs when most servers fall silent, when that is confirmed, and when it is over.
+    /// Logs when a mass outage is suspected, confirmed or over.
     fn log_outage_change(&mut self, now: f64) {
         let fleet = self.service.fleet();
         let outage = fleet.assessed_outage();
@@ -100,12 +100,12 @@
         }
         let (fresh, known) = (fleet.fresh_count(now), fleet.len());
         match outage {
-            OutageState::Normal => tracing::info!("{fresh} of {known} servers are heard: most are again"),
+            OutageState::Normal => tracing::info!("mass outage is over: {fresh} of {known} servers have a fresh report"),
             OutageState::Suspected { .. } => {
-                tracing::warn!("{fresh} of {known} servers are heard: reports are suspected, shares stay");
+                tracing::warn!("mass outage suspected: {fresh} of {known} servers have a fresh report; shares stay unchanged");
             }
             OutageState::Confirmed { .. } => tracing::warn!(
-                "{fresh} of {known} servers are heard, some without a gap: the others are out of reach and lose their shares"
+                "mass outage confirmed: {fresh} of {known} servers have a fresh report; unreachable servers lose their shares"
             ),
         }
         self.logged_outage = outage;
@@ -117,7 +117,7 @@
             snapshots.save_last(&self.service, now).await;
         }
         let version = self.service.plan_version();
-        tracing::info!("stopped at plan {}.{}", version.epoch, version.number);
+        tracing::info!("stopped; last plan {}.{}", version.epoch, version.number);
     }
 
     fn handle(&mut self, message: Message) {
@@ -143,7 +143,7 @@
 
     fn handle_request(&mut self, now: f64, id: StreamId, request: &ProxyRequest) {
         if let Some(error) = &request.error {
-            tracing::warn!("stream {id}: a proxy rejected {:?}: {error:.200}", request.resource_type);
+            tracing::warn!("stream {id}: proxy rejected {:?} update: {error:.200}", request.resource_type);
         }
         match self.service.handle_request(now, id, request) {
             Ok(updates) => updates.into_iter().for_each(|update| self.send_update(id, update)),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Hands an update to its stream's task. A stream whose queue is full reads too slowly, and is ended.
+    /// Queues an update for its stream's task. A stream whose queue is full is closed: its proxy reads too slowly.
     fn send_update(&mut self, id: StreamId, update: Update) {
         let sent = match self.streams.get(&id) {
             Some(updates) => {
@@ -173,12 +173,12 @@
 
     fn end_stream(&mut self, id: StreamId) {
         self.service.close_stream(id);
-        // Its task sees the queue closed and ends the stream.
+        // Closing the queue makes the stream's task end the stream.
         self.streams.remove(&id);
     }
 }
 
-/// Writes snapshots off the service's task: a slow disk holds up no proxy.
+/// Writes snapshots on a blocking thread, so that a slow disk does not delay proxies.
 struct SnapshotWriter {
     path: PathBuf,
     write: Option<JoinHandle<()>>,
@@ -190,7 +190,7 @@
         SnapshotWriter { path, write: None, last_saved_at: Instant::now() }
     }
 
-    /// One write at a time, into one file.
+    /// Starts a write unless one is in progress or the last one was too recent.
     fn save_if_due(&mut self, service: &ControlService, now: f64) {
         let idle = self.write.as_ref().is_none_or(JoinHandle::is_finished);
         if !idle || self.last_saved_at.elapsed() < SAVE_INTERVAL {
--- a/crates/control/src/serve/mod.rs
+++ b/crates/control/src/serve/mod.rs
@@ -1,5 +1,5 @@
-//! The service on sockets. One task owns the [`ControlService`] and gets everything through one bounded queue; streams, reports
-//! and the debug pages are tasks of their own that never touch it.
+//! Network front end of the service. One task owns the [`ControlService`] and receives messages through a bounded queue;
+//! streams, report connections and the debug pages run in tasks of their own.
 
 mod ads;
 mod certificates;
@@ -27,23 +27,23 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long each task gets to end in good order: proxies and the disk answer in far less.
+/// Time allowed for each task to shut down gracefully.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How the service is set up.
+/// Configuration of the listeners and the service.
 #[derive(Clone, Debug)]
 pub struct ServeConfig {
-    /// What the service keeps to.
+    /// Configuration of the service.
     pub service: ServiceConfig,
-    /// Where proxies connect, by gRPC.
+    /// Address of the xDS listener (gRPC).
     pub xds: SocketAddr,
-    /// Where servers connect to report.
+    /// Address of the report listener.
     pub reports: SocketAddr,
-    /// Where people and monitors connect, by HTTP; none for no debug pages.
+    /// Address of the debug pages (HTTP); none to disable them.
     pub debug: Option<SocketAddr>,
-    /// File of the stored snapshot; none to store nothing.
+    /// File of the stored snapshot; none to disable it.
     pub snapshot: Option<PathBuf>,
-    /// Streams that may be open at once.
+    /// Maximum number of open streams.
     pub max_proxies: usize,
     /// Certificates for the xDS listener; none for plain TCP.
     pub tls: Option<TlsConfig>,
@@ -52,31 +52,31 @@
 /// PEM files of the xDS listener.
 #[derive(Clone, Debug)]
 pub struct TlsConfig {
-    /// The service's certificate and its chain.
+    /// Certificate chain of the service.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// Private key of the service.
     pub key: PathBuf,
-    /// Authorities of which proxies must show a certificate that names their node; none to ask for no certificates.
+    /// Authorities that issue client certificates, which must name the proxy's node; none to require no certificates.
     pub client_authorities: Option<PathBuf>,
 }
 
-/// Why the service could not start.
+/// Error that prevents the service from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A listener could not be opened.
-    #[error("{listener} {address}: {source}")]
+    #[error("cannot listen on {address} for {listener}: {source}")]
     Listen {
-        /// Which one: `xds`, `reports` or `debug`.
+        /// Name of the listener: `xds`, `reports` or `debug`.
         listener: &'static str,
-        /// Where it was to listen.
+        /// Configured address.
         address: SocketAddr,
-        /// Why it could not.
+        /// Cause.
         source: io::Error,
     },
-    /// The address of a listener could not be found out.
-    #[error("{0}")]
+    /// The local address of a listener is not available.
+    #[error("local address of a listener: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The certificates can't be used.
+    /// The certificates could not be loaded.
     #[error(transparent)]
     Certificates(#[from] CertificateError),
 }
@@ -98,11 +98,11 @@
 pub struct RunningService {
     /// Where proxies connect.
     pub xds: SocketAddr,
-    /// Where servers connect to report.
+    /// Address of the report listener.
     pub reports: SocketAddr,
-    /// Where the debug pages are.
+    /// Address of the debug pages.
     pub debug: Option<SocketAddr>,
-    /// The way to the service's state.
+    /// Handle to the service's state.
     pub handle: ServiceHandle,
     certificates: Option<Arc<Certificates>>,
     stop: watch::Sender<bool>,
@@ -110,7 +110,7 @@
 }
 
 impl RunningService {
-    /// Shuts it down gracefully: streams are closed in good order, so that proxies turn to another service at once.
+    /// Shuts down gracefully: streams are closed, so that proxies fail over without delay.
     pub async fn stop(self) {
         let _ = self.stop.send(true);
         for task in self.tasks {
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Reads the certificates anew, if it has any. After an error the old ones stay in force.
+    /// Reloads the certificates, if TLS is configured. After an error the previous ones stay in use.
     pub fn reload_certificates(&self) -> Result<(), CertificateError> {
         self.certificates.as_ref().map_or(Ok(()), |certificates| certificates.reload())
     }
 
-    /// Ends it as a kill would.
+    /// Aborts all tasks, like a crash of the process.
     pub fn kill(self) {
         self.tasks.iter().for_each(|task| task.abort());
     }
@@ -138,10 +138,10 @@
     listener.local_addr().map_err(ServeError::LocalAddress)
 }
 
-/// The state to begin with: by the stored snapshot, if there is one.
+/// Creates the service, restored from the stored snapshot if there is one.
 fn initial_service(config: &ServeConfig) -> ControlService {
     let snapshot = config.snapshot.as_deref().and_then(snapshot_file::load);
-    // Above every earlier epoch, whatever became of the clock or the file.
+    // Exceeds every earlier epoch even if the clock was set back or the file was lost.
     let epoch = snapshot.as_ref().map_or(0, |snapshot| snapshot.epoch + 1).max(unix_now() as u64);
     let restored = snapshot.map(|snapshot| {
         let age = unix_now() - snapshot.decided_at_unix;
@@ -150,7 +150,7 @@
     ControlService::new(0.0, config.service.clone(), epoch, restored)
 }
 
-/// Starts the service; it listens when this returns.
+/// Starts the service. All listeners are open when this returns.
 pub async fn start(config: ServeConfig) -> Result<RunningService, ServeError> {
     let xds = listen("xds", config.xds).await?;
     let reports = listen("reports", config.reports).await?;
--- a/crates/control/src/serve/prometheus.rs
+++ b/crates/control/src/serve/prometheus.rs
@@ -1,4 +1,4 @@
-//! The text of `/metrics`. Names and labels are read by dashboards and alerts; they predate the names in the code and stay.
+//! Metrics page. Dashboards and alerts depend on the names and labels, some of which differ from the names in the code.
 
 use super::traffic::TrafficCounters;
 use crate::service::ControlService;
@@ -9,9 +9,9 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// Content type of the text.
+/// Content type of the page.
 pub(super) const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// What all names begin with.
+/// Prefix of all metric names.
 const PREFIX: &str = "puffinladder_control";
 
 type LabelledCounter = Family<Vec<(String, String)>, Counter>;
@@ -26,7 +26,7 @@
     registry.register(name, help, gauge);
 }
 
-/// The library appends `_total` to the name.
+/// Registers a counter. The library appends `_total` to the name.
 fn counter(registry: &mut Registry, name: &str, help: &str, value: f64) {
     let counter = Counter::<f64, AtomicU64>::default();
     counter.inc_by(value);
@@ -100,7 +100,7 @@
     registry.register("response_bytes", help, bytes);
 }
 
-/// All metrics as OpenMetrics text, at `now` seconds by the service's clock.
+/// Encodes all metrics as OpenMetrics text, at `now` seconds by the service's clock.
 pub(super) fn exposition(service: &ControlService, traffic: &TrafficCounters, now: f64) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     register_plan(&mut registry, service, now);
--- a/crates/control/src/serve/reports.rs
+++ b/crates/control/src/serve/reports.rs
@@ -1,6 +1,6 @@
-//! Reports of servers: a TCP connection each, one JSON object a line. After the first report the service writes one line, the formats
-//! that it reads; servers of earlier versions don't read it, and who sends no report is told nothing. A server that finds no service
-//! goes on without.
+//! Listener for load reports: one TCP connection per server, one JSON object per line.
+//!
+//! After the first report the service sends one line, its format offer; servers of earlier versions ignore it.
 
 use super::handle::{Message, ServiceHandle};
 use crate::report::decoder::{DecodeError, NameTable, ReportDecoder};
@@ -11,16 +11,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes of one report at the most: a few thousand classes.
+/// Maximum size of a report, bytes.
 const MAX_REPORT_BYTES: usize = 1 << 20;
-/// A connection without a report for so long is closed: servers report several times a second.
+/// Time without a report after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The line of formats has left within this time, as on any connection that is alive.
+/// Timeout of sending the format offer.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections at once: as many as the servers that are remembered.
+/// Maximum number of concurrent connections: the number of servers that the fleet tracks.
 const MAX_CONNECTIONS: usize = 20_000;
 
-/// Why a connection of reports was closed.
+/// Error that closes a report connection.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error(transparent)]
@@ -29,14 +29,14 @@
     Decode(#[from] DecodeError),
 }
 
-/// Takes reports until the service is stopped.
+/// Accepts report connections until the service is stopped.
 pub(super) async fn serve(listener: TcpListener, service: ServiceHandle, stopped: watch::Receiver<bool>) {
     let names = NameTable::default();
     let handle_connection = |stream: TcpStream, peer| {
         let (service, decoder) = (service.clone(), ReportDecoder::new(names.clone()));
         async move {
             if let Err(error) = read_reports(stream, &service, decoder).await {
-                tracing::warn!("reports from {peer}: {error}");
+                tracing::warn!("report connection from {peer} closed: {error}");
             }
             Ok(())
         }
@@ -56,7 +56,7 @@
     service: &ServiceHandle,
     mut decoder: ReportDecoder,
 ) -> Result<(), ReportError> {
-    // Dropped before the socket is: whoever sees the connection end sees the count without it.
+    // Dropped before the socket, so that the count is updated before the peer sees the connection close.
     let _connection = service.traffic.open_report_connection();
     let (reader, mut writer) = stream.into_split();
     let mut lines = LineReader::new(reader, MAX_REPORT_BYTES);
--- a/crates/control/src/serve/snapshot_file.rs
+++ b/crates/control/src/serve/snapshot_file.rs
@@ -1,10 +1,10 @@
-//! The file of the stored snapshot: JSON, replaced as a whole.
+//! File of the stored snapshot: JSON, replaced atomically.
 
 use crate::service::StoredSnapshot;
 use std::io;
 use std::path::Path;
 
-/// Why a stored snapshot can't be used.
+/// Error while a stored snapshot is loaded.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     #[error("{0}")]
@@ -17,12 +17,12 @@
     Ok(serde_json::from_slice(&std::fs::read(path)?)?)
 }
 
-/// Reads what an earlier process left. A file that can't be read counts as none: the service starts without.
+/// Loads the snapshot of an earlier process. Returns none if the file does not exist or is unreadable.
 pub(super) fn load(path: &Path) -> Option<StoredSnapshot> {
     match read(path) {
         Ok(snapshot) => Some(snapshot),
         Err(error) if path.exists() => {
-            tracing::warn!("snapshot: {}: {error}: starting without it", path.display());
+            tracing::warn!("snapshot {} is unreadable, starting without it: {error}", path.display());
             None
         }
         Err(_) => None,
@@ -35,9 +35,9 @@
     std::fs::rename(temporary, path)
 }
 
-/// Writes a snapshot beside the old one, then in its place. A failure is logged, and the service goes on.
+/// Replaces the stored snapshot through a temporary file. A failure is only logged.
 pub(super) fn save(path: &Path, snapshot: &StoredSnapshot) {
     if let Err(error) = replace(path, snapshot) {
-        tracing::warn!("snapshot: {}: {error}", path.display());
+        tracing::warn!("snapshot {} was not saved: {error}", path.display());
     }
 }
--- a/crates/control/src/serve/traffic.rs
+++ b/crates/control/src/serve/traffic.rs
@@ -1,20 +1,19 @@
-//! What goes over the service's connections, counted where it does: for `/metrics`, and for tests that hold a large service to what
-//! must not grow.
+//! Counters of the service's connections and of the bytes sent and received, for `/metrics` and scale tests.
 
 use crate::stream::{ResourceType, Update};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A number that tasks raise and lower.
+/// Counter shared by tasks.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Raises it.
+    /// Adds `amount`.
     pub fn add(&self, amount: u64) {
         self.0.fetch_add(amount, Ordering::Relaxed);
     }
 
-    /// Its present value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -27,11 +26,11 @@
 /// Counters of all connections.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
-    /// Connections of servers that are open now.
+    /// Open connections of servers.
     pub report_connections: Counter,
-    /// Connections of servers that were accepted so far.
+    /// Accepted connections of servers since the start.
     pub report_connections_total: Counter,
-    /// Bytes of reports, rejected ones among them.
+    /// Bytes of reports, including rejected ones.
     pub report_bytes: Counter,
     /// Bytes of updates with content, by [`ResourceType::index`].
     content_bytes: [Counter; ResourceType::COUNT],
@@ -39,18 +38,18 @@
     renewal_bytes: [Counter; ResourceType::COUNT],
 }
 
-/// Bytes of the updates of one type so far.
+/// Bytes of the updates of one resource type since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpdateBytes {
-    /// The type.
+    /// Type of the resources.
     pub resource_type: ResourceType,
-    /// Of updates with content.
+    /// Bytes of updates with content.
     pub content: u64,
-    /// Of updates that only renew leases.
+    /// Bytes of updates that only renew leases.
     pub renewals: u64,
 }
 
-/// Counts a connection for as long as it lives.
+/// Guard that counts an open connection.
 pub(super) struct ConnectionGuard<'a>(&'a Counter);
 
 impl Drop for ConnectionGuard<'_> {
@@ -60,20 +59,20 @@
 }
 
 impl TrafficCounters {
-    /// A server connected; it is counted until the guard is dropped, however its task ends.
+    /// Counts a server's connection until the guard is dropped.
     pub(super) fn open_report_connection(&self) -> ConnectionGuard<'_> {
         self.report_connections.add(1);
         self.report_connections_total.add(1);
         ConnectionGuard(&self.report_connections)
     }
 
-    /// An update leaves, as so many bytes.
+    /// Counts a sent update of `bytes` bytes.
     pub(super) fn record_sent_update(&self, update: &Update, bytes: usize) {
         let counters = if update.is_heartbeat() { &self.renewal_bytes } else { &self.content_bytes };
         counters[update.resource_type.index()].add(bytes as u64);
     }
 
-    /// Bytes of updates by type.
+    /// Returns the bytes of sent updates by resource type.
     pub fn update_bytes(&self) -> impl Iterator<Item = UpdateBytes> + '_ {
         ResourceType::ALL.into_iter().map(|resource_type| UpdateBytes {
             resource_type,
--- a/crates/control/src/stream/counters.rs
+++ b/crates/control/src/stream/counters.rs
@@ -1,8 +1,8 @@
-//! Counts of what happens on streams, for metrics and the debug pages.
+//! Counters of stream events, for metrics and the debug pages.
 
 use std::ops::AddAssign;
 
-/// Events on one stream, or on many together.
+/// Event counters of one or several streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamCounters {
     /// Updates with content.
@@ -13,11 +13,11 @@
     pub acked: u64,
     /// Updates that proxies rejected.
     pub rejected: u64,
-    /// Answers to updates that were superseded or answered before.
+    /// Responses to updates that were superseded or already answered.
     pub stale_nonces: u64,
-    /// Answers to updates that never were.
+    /// Responses to updates that were never sent.
     pub unknown_nonces: u64,
-    /// Plans that came and went while an answer was awaited.
+    /// Plans superseded while an acknowledgement was pending.
     pub coalesced: u64,
 }
 
--- a/crates/control/src/stream/messages.rs
+++ b/crates/control/src/stream/messages.rs
@@ -1,78 +1,79 @@
-//! What proxies say on a stream and what they are sent, of either protocol, apart from their encoding.
+//! Requests and updates of a stream, independent of the protocol and its encoding.
 
 use super::resource::{PlanVersion, Resource, ResourceType};
+use super::MAX_NAMES;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A request on a stream: a subscription, the answer to an update, or both.
+/// Request on a stream: a subscription, the response to an update, or both.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyRequest {
-    /// Type that it is about; none where the service does not know it.
+    /// Requested type; none if the service does not serve it.
     pub resource_type: Option<ResourceType>,
-    /// Nonce of the update that it answers; empty where it answers none.
+    /// Nonce of the update that it responds to; empty if there is none.
     pub nonce: String,
-    /// Why the proxy rejects that update; none where it accepts it.
+    /// Reason for which the proxy rejects that update; none if it accepts it.
     pub error: Option<String>,
-    /// State of the world: all names wanted, none for all. Incremental: names added.
+    /// State of the world: all subscribed names, empty for all resources. Incremental: added names.
     pub names: Vec<String>,
-    /// Incremental only: names taken out.
+    /// Incremental only: removed names.
     pub removed_names: Vec<String>,
-    /// Incremental only, in the first request: what the proxy held before, versions by name.
+    /// Incremental only, in the first request: versions that the proxy already holds, by name.
     pub initial_versions: BTreeMap<String, String>,
 }
 
-/// A resource in an update.
+/// Resource in an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpdateEntry {
-    /// The resource.
+    /// Name, version and body.
     pub resource: Arc<Resource>,
-    /// Only the lease is new: the resource is sent without its body.
+    /// Only the lease is renewed: the resource is sent without its body.
     pub heartbeat: bool,
 }
 
-/// A response to be sent.
+/// Response to send on a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
     /// Type of its resources.
     pub resource_type: ResourceType,
-    /// Plan that it carries out.
+    /// Version of the plan that it is based on.
     pub version: PlanVersion,
-    /// Identifies it on its stream, and tells how many requests it had seen; see [`super::nonce`].
+    /// Identifier of the update on its stream; see [`super::nonce`].
     pub nonce: String,
-    /// Resources that are new or renewed.
+    /// New or renewed resources.
     pub entries: Vec<UpdateEntry>,
-    /// Incremental only: names of resources that are gone.
+    /// Incremental only: names of removed resources.
     pub removed: Vec<String>,
-    /// Seconds for which its decisions may be used; none where it holds none.
+    /// Seconds for which its decisions may be used; none if it contains no decisions.
     pub ttl: Option<f64>,
 }
 
 impl Update {
-    /// Whether it only renews leases.
+    /// Returns whether it only renews leases.
     pub fn is_heartbeat(&self) -> bool {
         let renews_only = self.entries.iter().all(|entry| entry.heartbeat);
         !self.entries.is_empty() && self.removed.is_empty() && renews_only
     }
 }
 
-/// An update that the proxy could not use.
+/// Update that the proxy rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedUpdate {
     /// Type of its resources.
     pub resource_type: ResourceType,
-    /// Plan that it carried out.
+    /// Version of the plan that it was based on.
     pub version: PlanVersion,
-    /// What the proxy said, without control characters, shortened.
+    /// Reason given by the proxy, truncated and without control characters.
     pub reason: String,
 }
 
-/// Why a stream must end.
+/// Error that closes a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// The proxy left an update unanswered for longer than [`LeaseConfig::ack_timeout`](super::LeaseConfig).
+    /// An update was not answered within [`LeaseConfig::ack_timeout`](super::LeaseConfig).
     #[error("an update was not acknowledged in time")]
     AckTimeout,
-    /// The proxy asked for more names than one stream may.
-    #[error("too many resource names")]
+    /// The proxy subscribed to more names than allowed.
+    #[error("more than {MAX_NAMES} resource names")]
     TooManyNames,
 }
--- a/crates/control/src/stream/mod.rs
+++ b/crates/control/src/stream/mod.rs
@@ -1,12 +1,13 @@
-//! One proxy's stream, decided without I/O or a clock: what it asked for, what it holds, what is on its way to it.
+//! State machine of one proxy's stream: its subscriptions, the versions it holds and its pending updates. Performs no I/O
+//! and reads no clock.
 //!
-//! Of each type one update is out at a time. While its answer is awaited newer plans are not queued: what is sent next is whatever
-//! holds then. A type that others refer to goes first (clusters, endpoints, listeners, routes), and a later one waits until what
-//! it refers to is acknowledged.
+//! At most one update per resource type is pending. Newer plans are not queued behind it: the next update is made from the
+//! latest plan. Updates are sent in the order clusters, endpoints, listeners, routes; a type is withheld until the
+//! type that it refers to is acknowledged.
 //!
-//! **The lease.** An update says for how long its decisions may be used: the bound less their age when it is sent. A proxy counts
-//! that from when it sent the last request that the update had seen (its number stands in the [`nonce`]), so time on the way only
-//! shortens it. Decisions that still hold are renewed by heartbeats, a name and a lease without a body.
+//! **Lease.** An update carries the time for which its decisions may be used: the maximum age less their age when it is
+//! sent. The proxy counts it from the time it sent the last request received before the update (see [`nonce`]), so network
+//! delay only shortens it. Heartbeats, resources without a body, renew unchanged decisions.
 
 mod counters;
 mod messages;
@@ -24,19 +25,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use subscription::{HeldChange, PendingUpdate, Subscription};
 
-/// Names that one stream may ask for: far more than any proxy needs, and little memory.
+/// Maximum number of names that a stream may subscribe to: bounds memory.
 const MAX_NAMES: usize = 10_000;
-/// Characters kept of a proxy's reason for a rejection.
+/// Maximum length of a stored rejection reason, characters.
 const MAX_REASON_CHARS: usize = 200;
 
-/// Times that all streams keep, in seconds.
+/// Intervals and timeouts of all streams, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseConfig {
-    /// Age of the oldest decision that any proxy may use.
+    /// Maximum age of a decision that a proxy may use.
     pub max_decision_age: f64,
-    /// From one heartbeat to the next.
+    /// Time between heartbeats.
     pub heartbeat_interval: f64,
-    /// An answer that is awaited for longer ends the stream: a proxy that reads so slowly is better off connecting anew.
+    /// Time without an acknowledgement after which the stream is closed, so that the proxy reconnects.
     pub ack_timeout: f64,
 }
 
@@ -46,22 +47,22 @@
     }
 }
 
-/// A proxy's stream.
+/// State of a proxy's stream.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyStream {
-    /// Differences are sent, not the whole of a type.
+    /// Whether the stream uses the incremental protocol, which sends only differences.
     incremental: bool,
     subscriptions: [Subscription; ResourceType::COUNT],
     updates_sent: u64,
     requests_seen: u64,
-    /// What happened on the stream so far.
+    /// Counters since the stream was opened.
     pub counters: StreamCounters,
-    /// The last update that the proxy rejected.
+    /// Last update that the proxy rejected.
     pub last_rejection: Option<RejectedUpdate>,
 }
 
 impl ProxyStream {
-    /// A stream of the incremental protocol, or of the state-of-the-world protocol.
+    /// Creates a stream of the incremental or the state-of-the-world protocol.
     pub fn new(incremental: bool) -> ProxyStream {
         ProxyStream { incremental, ..ProxyStream::default() }
     }
@@ -74,7 +75,7 @@
         &mut self.subscriptions[resource_type.index()]
     }
 
-    /// Takes in a request. After an error the stream must end.
+    /// Handles a request. After an error the stream must be closed.
     pub fn handle_request(&mut self, request: &ProxyRequest) -> Result<(), StreamError> {
         self.requests_seen += 1;
         let Some(resource_type) = request.resource_type else { return Ok(()) };
@@ -88,7 +89,7 @@
             self.handle_ack_or_nack(resource_type, request.error.as_deref());
         } else if !request.nonce.is_empty() {
             self.count_unexpected_nonce(&request.nonce);
-            // By the state-of-the-world protocol a request with such a nonce counts as if it had not come.
+            // The state-of-the-world protocol ignores requests with a stale nonce.
             if !incremental && !first {
                 return Ok(());
             }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Counts an answer to an update that was superseded, or to one that never was.
+    /// Counts a response to an update that is not pending.
     fn count_unexpected_nonce(&mut self, nonce: &str) {
         let sent_here = nonce::update_number(nonce).is_some_and(|number| number <= self.updates_sent);
         if sent_here {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The proxy accepted the pending update, or rejected it because of an error.
+    /// Accepts the pending update, or rejects it if the proxy reported an error.
     fn handle_ack_or_nack(&mut self, resource_type: ResourceType, error: Option<&str>) {
         let subscription = &mut self.subscriptions[resource_type.index()];
         let Some(pending) = subscription.pending.take() else { return };
@@ -127,7 +128,7 @@
         subscription.reject(pending);
     }
 
-    /// The next update to send, if any; to be called again until there is none. After an error the stream must end.
+    /// Returns the next update to send. To be called until it returns none. After an error the stream must be closed.
     pub fn next_update(
         &mut self,
         now: f64,
@@ -185,7 +186,7 @@
         self.make_update(now, resource_type, snapshot, in_sync, ttl)
     }
 
-    /// A newer plan comes while an answer is awaited; one that already waited gives way.
+    /// Records a plan deferred by a pending update; it supersedes an earlier deferred plan.
     fn record_deferred_plan(&mut self, resource_type: ResourceType, version: PlanVersion) {
         let subscription = &mut self.subscriptions[resource_type.index()];
         let newer_than_pending =
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Makes an update, and remembers that it is out.
+    /// Creates an update and marks it as pending.
     fn make_update(
         &mut self,
         now: f64,
@@ -221,8 +222,8 @@
             false => Vec::new(),
         };
         subscription.response_due = false;
-        // Nothing differs, or all that it wants is rejected content: it keeps what it has until its lease ends. Only where there is
-        // nothing by the names that it wants does the whole state say so.
+        // Nothing changed, or only rejected content is left: the proxy keeps its resources until their lease expires. An
+        // empty state of the world is sent only if no subscribed resource exists.
         let has_withheld = set.keys().any(|name| subscription.is_subscribed_to(name));
         if entries.is_empty() && removed.is_empty() && (incremental || has_withheld) {
             return None;
@@ -244,18 +245,18 @@
         Some(update)
     }
 
-    /// The oldest plan among the types that it asked for, as acknowledged.
+    /// Returns the oldest acknowledged plan among the subscribed types; none without a subscription.
     pub fn acked(&self) -> Option<PlanVersion> {
         let active = self.subscriptions.iter().filter(|subscription| subscription.active);
         active.map(|subscription| subscription.acked).min()
     }
 
-    /// Versions that it holds of a type, by name.
+    /// Returns the acknowledged versions of a type, by name.
     pub fn held(&self, resource_type: ResourceType) -> &BTreeMap<String, u64> {
         &self.subscription(resource_type).held
     }
 
-    /// Whether it holds all that it asked for of a snapshot.
+    /// Returns whether the proxy holds the current version of all subscribed resources.
     pub fn in_sync(&self, snapshot: &ResourceSnapshot) -> bool {
         ResourceType::ALL.into_iter().all(|resource_type| {
             let subscription = self.subscription(resource_type);
@@ -264,8 +265,8 @@
     }
 }
 
-/// The resources of an update. Incremental: what changed, and a lease for what is held once it is time. State of the world: always
-/// all, which a heartbeat renews without bodies.
+/// Returns the entries of an update. Incremental: changed resources, and heartbeats for unchanged decisions. State of the
+/// world: all resources, without bodies if it is a heartbeat.
 fn entries(
     subscription: &Subscription,
     set: &ResourceSet,
@@ -287,7 +288,7 @@
     entries
 }
 
-/// What the proxy holds differently once it accepts an update.
+/// Returns the changes to the held versions once the proxy accepts an update.
 fn changes(
     subscription: &Subscription,
     set: &ResourceSet,
@@ -303,7 +304,7 @@
     let mut changes: Vec<HeldChange> = entries.iter().map(sent).collect();
     changes.extend(removed.iter().map(gone));
     if !incremental {
-        // What is not among all is gone.
+        // A state-of-the-world update implicitly removes the resources that it omits.
         let names: BTreeSet<&str> = entries.iter().map(|entry| entry.resource.name.as_str()).collect();
         let is_gone = |name: &&String| !names.contains(name.as_str()) && !set.contains_key(*name);
         changes.extend(subscription.held.keys().filter(is_gone).map(gone));
--- a/crates/control/src/stream/resource.rs
+++ b/crates/control/src/stream/resource.rs
@@ -1,18 +1,18 @@
-//! Resources that proxies hold, and the versions by which they are told apart.
+//! Versioned xDS resources, and the snapshot of all resources of a plan.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Types of xDS resources, in the order in which they may refer to each other.
+/// Type of an xDS resource. Later types may refer to earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
-    /// A group of servers that routes send requests to.
+    /// Group of servers that routes refer to.
     Cluster,
-    /// The servers of a cluster, with their weights.
+    /// Servers of a cluster, with their weights.
     Endpoints,
-    /// Where a proxy accepts requests.
+    /// Address on which a proxy accepts requests.
     Listener,
-    /// What a listener does with a request.
+    /// Routing rules of a listener.
     Routes,
 }
 
@@ -23,12 +23,12 @@
     pub const ALL: [ResourceType; ResourceType::COUNT] =
         [ResourceType::Cluster, ResourceType::Endpoints, ResourceType::Listener, ResourceType::Routes];
 
-    /// Whether it holds decisions, which age; the others only say where decisions are to be found.
+    /// Returns whether resources of the type contain decisions, which expire. The other types only refer to them.
     pub fn holds_decisions(self) -> bool {
         matches!(self, ResourceType::Endpoints | ResourceType::Routes)
     }
 
-    /// The type that must be acknowledged before this one is sent, since this one's resources refer to it.
+    /// Returns the type that must be acknowledged first, because resources of this type refer to it.
     pub(super) fn depends_on(self) -> Option<ResourceType> {
         match self {
             ResourceType::Cluster | ResourceType::Listener => None,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Its place in [`ResourceType::ALL`], and in arrays with a value for each type.
+    /// Returns the index in [`ResourceType::ALL`], and in arrays with a value per type.
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// One named resource; the same content has the same version.
+/// Named resource. Equal content has an equal version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resource {
     /// Name, unique among resources of its type.
@@ -57,28 +57,28 @@
 /// Resources of one type by name.
 pub type ResourceSet = BTreeMap<String, Arc<Resource>>;
 
-/// Which plan: the epoch of the service's process, then the plan's number in it.
+/// Version of a plan, ordered by epoch and number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanVersion {
-    /// Grows with each start of the service.
+    /// Number that increases with each start of the service.
     pub epoch: u64,
-    /// Grows with each plan that changes what any proxy holds.
+    /// Number that increases with each plan that changes a resource.
     pub number: u64,
 }
 
-/// All that proxies of one profile are to hold, by one plan.
+/// Resources of one plan for the proxies of one profile.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceSnapshot {
-    /// The plan that first said so.
+    /// Version of the first plan with these resources.
     pub version: PlanVersion,
-    /// When it was last decided that this holds, seconds.
+    /// When a plan last confirmed these resources, seconds.
     pub decided_at: f64,
     /// Resources of each type, by [`ResourceType::index`].
     pub sets: [ResourceSet; ResourceType::COUNT],
 }
 
 impl ResourceSnapshot {
-    /// The resources of one type.
+    /// Returns the resources of one type.
     pub fn set(&self, resource_type: ResourceType) -> &ResourceSet {
         &self.sets[resource_type.index()]
     }
--- a/crates/control/src/stream/subscription.rs
+++ b/crates/control/src/stream/subscription.rs
@@ -1,4 +1,4 @@
-//! One resource type on one stream: what the proxy wants, what it has acknowledged, and the update that it has yet to answer.
+//! Subscription of a stream to one resource type: subscribed names, acknowledged versions and the pending update.
 
 use super::messages::ProxyRequest;
 use super::resource::{PlanVersion, Resource, ResourceSet};
@@ -6,25 +6,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An update that the proxy has yet to answer.
+/// Update whose acknowledgement is pending.
 #[derive(Clone, Debug)]
 pub(super) struct PendingUpdate {
     pub(super) nonce: String,
     pub(super) version: PlanVersion,
-    /// What the proxy holds once it accepts the update.
+    /// Changes to the held versions once the proxy accepts the update.
     pub(super) changes: Vec<HeldChange>,
     pub(super) sent_at: f64,
 }
 
-/// What acceptance of an update does to one resource that the proxy holds.
+/// Change to the held version of one resource.
 #[derive(Clone, Debug)]
 pub(super) struct HeldChange {
     pub(super) name: String,
-    /// The version that it then holds; none where the resource is gone.
+    /// New version; none if the resource is removed.
     pub(super) version: Option<u64>,
 }
 
-/// Content of a resource.
+/// Identifies the content of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ContentId {
     name: String,
@@ -37,34 +37,34 @@
     }
 }
 
-/// State of one resource type on one stream.
+/// Subscription to one resource type.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Subscription {
-    /// The proxy asked for this type.
+    /// The proxy has requested this type.
     pub(super) active: bool,
-    /// Names wanted; none for all there are.
+    /// Subscribed names; none for all resources.
     names: Option<BTreeSet<String>>,
     /// Acknowledged versions by name.
     pub(super) held: BTreeMap<String, u64>,
-    /// The plan of the last acknowledged update.
+    /// Plan of the last acknowledged update.
     pub(super) acked: PlanVersion,
     pub(super) pending: Option<PendingUpdate>,
-    /// Content that this proxy rejected: never sent to it again.
+    /// Content that the proxy rejected, which is not sent again.
     rejected: BTreeSet<ContentId>,
-    /// The newest plan that waited while an answer was awaited.
+    /// Newest plan deferred by the pending update.
     pub(super) deferred: PlanVersion,
     pub(super) last_sent_at: f64,
-    /// The last request changed what is wanted: it must be answered even if all of it is held already.
+    /// The last request changed the subscription, so a response is due even if nothing else changed.
     pub(super) response_due: bool,
 }
 
-/// A version as proxies repeat it; 0, which stands for no content, where it is none of this service's.
+/// Parses a version sent by a proxy. Returns 0, which no resource has, if it is malformed.
 fn parse_version(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
 
 impl Subscription {
-    /// Begins with the first request for this type; whether it was the first.
+    /// Activates the subscription. Returns whether this is the first request for the type.
     pub(super) fn activate(&mut self, initial_versions: &BTreeMap<String, String>) -> bool {
         let first = !std::mem::replace(&mut self.active, true);
         if first {
@@ -75,7 +75,7 @@
         first
     }
 
-    /// Whether a nonce is that of the update that waits for its answer.
+    /// Returns whether a nonce is that of the pending update.
     pub(super) fn is_pending(&self, nonce: &str) -> bool {
         self.pending.as_ref().is_some_and(|pending| pending.nonce == nonce)
     }
@@ -84,7 +84,7 @@
         self.names.as_ref().is_none_or(|names| names.contains(name))
     }
 
-    /// What of a set the proxy wants and has not rejected.
+    /// Returns the subscribed resources of a set, without rejected content.
     pub(super) fn deliverable<'a>(
         &'a self,
         set: &'a ResourceSet,
@@ -98,14 +98,14 @@
         self.held.get(&resource.name) == Some(&resource.version)
     }
 
-    /// Whether it holds all that it wants of a set, and nothing else.
+    /// Returns whether the proxy holds exactly the deliverable resources of a set.
     pub(super) fn in_sync(&self, set: &ResourceSet) -> bool {
         let holds_only_wanted =
             || self.held.keys().all(|name| set.contains_key(name) && self.is_subscribed_to(name));
         self.deliverable(set).all(|resource| self.holds(resource)) && holds_only_wanted()
     }
 
-    /// State of the world: the names in a request replace those before.
+    /// State of the world: replaces the subscribed names.
     pub(super) fn replace_names(&mut self, requested: &[String]) {
         let all = requested.is_empty() || requested.iter().any(|name| name == "*");
         let names: Option<BTreeSet<String>> = (!all).then(|| requested.iter().cloned().collect());
@@ -119,7 +119,7 @@
         self.names = names;
     }
 
-    /// Incremental: the names in a request are added to those before, or taken out.
+    /// Incremental: adds and removes subscribed names.
     pub(super) fn change_names(&mut self, request: &ProxyRequest, first: bool) -> Result<(), StreamError> {
         for name in &request.names {
             self.add_name(name, first);
@@ -145,13 +145,13 @@
             self.names = Some([name.to_owned()].into());
         }
         if !first {
-            // Asked for anew: to be sent whatever it held.
+            // A repeated subscription requires the resource to be sent again.
             self.held.remove(name);
         }
         self.response_due = true;
     }
 
-    /// The proxy accepted the update that was pending.
+    /// Applies the changes of an accepted update.
     pub(super) fn accept(&mut self, update: PendingUpdate) {
         self.acked = update.version;
         for change in update.changes {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The proxy rejected the update that was pending: what was new in it is never sent again.
+    /// Records the new content of a rejected update, which is not sent again.
     pub(super) fn reject(&mut self, update: PendingUpdate) {
         for change in update.changes {
             let Some(version) = change.version else { continue };
@@ -170,7 +170,7 @@
                 self.rejected.insert(ContentId { name: change.name, version });
             }
         }
-        // A proxy that rejects everything must not grow this without bound.
+        // Bounds the memory used by a proxy that rejects everything.
         while self.rejected.len() > MAX_NAMES {
             self.rejected.pop_first();
         }
--- a/crates/control/src/stream/tests.rs
+++ b/crates/control/src/stream/tests.rs
@@ -86,7 +86,7 @@
         let update = next(&mut stream, 0.0, &bad).unwrap();
         stream.handle_request(&reply(&update, Some("no such\nthing"))).unwrap();
         assert_eq!(stream.last_rejection.as_ref().unwrap().reason, "no suchthing");
-        // Neither it nor a lease for what it still holds, which is older.
+        // Neither the rejected content is sent nor a lease for the older content that the proxy holds.
         for at in 1..20 {
             assert_eq!(
                 next(
@@ -115,7 +115,7 @@
     let update = next(&mut stream, 0.0, &second_snapshot).unwrap();
     stream.handle_request(&named(reply(&update, Some("no")))).unwrap();
     assert_eq!(next(&mut stream, 1.0, &ResourceSnapshot { decided_at: 1.0, ..second_snapshot }), None);
-    // What is really gone is told as gone.
+    // A resource removed from the plan is reported as removed.
     assert_eq!(next(&mut stream, 1.0, &snapshot(3, 1.0, &[])).unwrap().entries, []);
 }
 
