--- a/crates/control/tests/certificates.rs
+++ b/crates/control/tests/certificates.rs
@@ -1,4 +1,4 @@
-//! Stories of certificates: who is let in, and how they are changed under way.
+//! TLS on the xDS listener: client authentication and certificate reload.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// An authority, made for the test.
+/// Certificate authority of a test.
 struct Authority {
     pem: String,
     issuer: Issuer<'static, KeyPair>,
@@ -23,13 +23,13 @@
         let pem = params.self_signed(&key).unwrap().pem();
         Authority { pem, issuer: Issuer::new(params, key) }
     }
-    /// Certificate and key for a name.
+    /// Issues a certificate for a name; returns it with its key.
     fn issue(&self, name: &str) -> (String, String) {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec![name.to_owned()]).unwrap();
         (params.signed_by(&key, &self.issuer).unwrap().pem(), key.serialize_pem())
     }
-    /// A proxy that trusts this authority and shows a certificate of another, or of this one.
+    /// Starts a proxy that trusts this authority and presents a certificate, if any.
     fn proxy(&self, running: &RunningService, node: &str, shown: Option<(String, String)>) -> Proxy {
         let mut tls = ClientTlsConfig::new()
             .ca_certificate(Certificate::from_pem(&self.pem))
@@ -47,7 +47,7 @@
     std::fs::write(folder.join("key.pem"), key).unwrap();
 }
 
-/// A service by the certificates of a folder, and a server that reports to it.
+/// Starts a service with the certificates of a folder, and a server that reports to it.
 async fn start_tls_service(folder: &Path) -> (RunningService, Servers) {
     let tls = TlsConfig {
         certificate: folder.join("cert.pem"),
@@ -70,11 +70,11 @@
     let wrong_name = authority.proxy(&running, "p1.test", Some(authority.issue("p2.test")));
     let untrusted = authority.proxy(&running, "p3.test", Some(other_authority.issue("p3.test")));
     let without_certificate = authority.proxy(&running, "p4.test", None);
-    wait_until("the accepted one to route", || can_route(&accepted)).await;
-    // The others had as long, and a second more.
+    wait_until("the accepted proxy to route", || can_route(&accepted)).await;
+    // The other proxies had as much time, and another second.
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(![&wrong_name, &untrusted, &without_certificate].into_iter().any(can_route));
-    wait_until("the accepted one to go on", || can_route(&accepted)).await;
+    wait_until("the accepted proxy to go on", || can_route(&accepted)).await;
     assert_eq!(running.handle.query(|service, _| service.proxy_count()).await, Some(1));
 }
 
@@ -85,19 +85,19 @@
     std::fs::write(folder.path().join("clients.pem"), &old.pem).unwrap();
     let (running, _servers) = start_tls_service(folder.path()).await;
     let first = old.proxy(&running, "p1.test", Some(old.issue("p1.test")));
-    wait_until("the first", || can_route(&first)).await;
+    wait_until("the first proxy to route", || can_route(&first)).await;
     std::fs::write(folder.path().join("key.pem"), "half a k").unwrap();
     let error = running.reload_certificates().unwrap_err().to_string();
     assert!(error.contains("key.pem"), "{error}");
     let second = old.proxy(&running, "p2.test", Some(old.issue("p2.test")));
-    wait_until("one by the old certificates", || can_route(&second)).await;
+    wait_until("a proxy with a certificate of the old authority", || can_route(&second)).await;
     write(folder.path(), &new);
     std::fs::write(folder.path().join("clients.pem"), &new.pem).unwrap();
     running.reload_certificates().unwrap();
     let third = new.proxy(&running, "p3.test", Some(new.issue("p3.test")));
-    wait_until("one by the new certificates", || can_route(&third)).await;
-    // The stream of the first has not broken.
-    wait_until("the first two to go on", || can_route(&first) && can_route(&second)).await;
+    wait_until("a proxy with a certificate of the new authority", || can_route(&third)).await;
+    // The first proxy's stream is still open.
+    wait_until("the first two proxies to route", || can_route(&first) && can_route(&second)).await;
     let late = old.proxy(&running, "p4.test", Some(old.issue("p4.test")));
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(!can_route(&late));
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A service, servers that report to it and proxies on loopback, as the stories need them.
+//! Service, reporting servers and proxies on loopback, shared by the tests.
 #![allow(dead_code)]
 
 use puffinladder_control::report::LoadReport;
@@ -13,7 +13,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// s: shorter than usual, so that stories are.
+/// Maximum age of a decision, seconds; shorter than the default, to shorten the tests.
 pub const BOUND: f64 = 1.0;
 
 pub async fn start_service(snapshot: Option<PathBuf>, tls: Option<TlsConfig>) -> RunningService {
@@ -37,7 +37,7 @@
     LoadReport::healthy_server(&format!("n{index}"), SocketAddr::from(([127, 0, 0, 1], 4000 + index)))
 }
 
-/// Servers that report ten times a second to the services that are listed, as tests change both.
+/// Servers that report to the listed services ten times per second.
 #[derive(Clone)]
 pub struct Servers(Arc<Mutex<(Vec<SocketAddr>, Vec<LoadReport>)>>);
 
@@ -89,7 +89,7 @@
 pub async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(20);
     while !condition() {
-        assert!(Instant::now() < deadline, "waited in vain for {description}");
+        assert!(Instant::now() < deadline, "timed out waiting for {description}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/control/tests/cuts.rs
+++ b/crates/control/tests/cuts.rs
@@ -1,11 +1,7 @@
-//! A control service that loses most servers from view, played on the service without sockets or waits.
+//! Network partitions between servers and the control service, on a simulated clock.
 //!
-//! Symptom: callers on the smaller side of a cut between regions had no plan from 33 s after the cut until 60 s after it, when the
-//! service forgot the other side. Cause: silence of more than half of the servers was always taken for a fault of their reports, so
-//! that shares stayed as they were and, after 30 s, nothing was decided, although the near servers were heard without a gap all the
-//! while: `panic` stood at 1, `servers_fresh` at 5 of 12 and `plans_missing` rose from 30 s on. What these tests hold beside the
-//! first one (`regions.rs`): the silent side is left in bounded steps and in time, a service that hears nobody decides nothing, and
-//! what was lost before is not trusted again.
+//! Guards against callers on the smaller side of a partition being left without a plan, and against load moving to or from
+//! the unreachable side faster than the limits allow.
 
 use puffinladder_control::plan::{Plan, ServerShare};
 use puffinladder_control::report::{ClassLoad, LoadReport};
@@ -13,37 +9,37 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// Seconds between reports, and between plans.
+/// Seconds between reports and between plans.
 const STEP: f64 = 0.25;
-/// When a cut begins, seconds from the start: long after the first plan.
+/// When the partition begins, seconds.
 const PARTITION_AT: f64 = 10.0;
-/// Seconds after a cut within which callers are no longer sent to servers that nobody there can reach.
+/// Seconds after the beginning of a partition within which the unreachable servers lose their load.
 const WITHDRAWN_WITHIN: f64 = 30.0;
-/// Fraction of a zone's load that may move between its servers in a second, and between zones.
+/// Maximum fraction of load moved per second: within a zone, and between zones.
 const MAX_ZONE_STEP: f64 = 0.15;
 const MAX_SPILL_STEP: f64 = 0.1;
-/// Rounding that is no step.
+/// Tolerance for rounding errors.
 const ROUNDING: f64 = 1e-9;
 
-/// How the servers of both sides stand in zones.
+/// Assignment of both sides to zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Layout {
-    /// Each side is a zone.
+    /// Each side is a zone of its own.
     ZonePerSide,
-    /// One zone holds both sides.
+    /// Both sides are in one zone.
     SingleZone,
 }
 
-/// A service and the servers that report to it; the first `near` are on its side.
+/// Service and its reporting servers; the first `near` servers are on its side of the partition.
 struct Simulation {
     service: ControlService,
     servers: Vec<LoadReport>,
     near: usize,
     now: f64,
-    /// Seconds that each report is on its way.
+    /// Network delay of reports, seconds.
     delay: f64,
     in_transit: Vec<(f64, LoadReport)>,
-    /// Times after the first plan at which none held.
+    /// Times after the first plan at which no plan was valid.
     times_without_plan: Vec<f64>,
     last_plan: Option<Plan>,
     check_step_bounds: bool,
@@ -88,7 +84,7 @@
         0..self.near
     }
 
-    /// One plan later; those are heard.
+    /// Advances to the next plan; only the servers in `reporting` deliver reports.
     fn step(&mut self, reporting: Range<usize>) {
         self.now += STEP;
         for (at, report) in self.servers.iter_mut().enumerate() {
@@ -118,7 +114,7 @@
         self.last_plan = Some(plan);
     }
 
-    /// No load moved faster than the bounds say, whatever the service took the silence for.
+    /// Asserts that load moved no faster than the limits.
     fn assert_bounded_step(&self, last: &Plan, plan: &Plan) {
         let elapsed = plan.decided_at - last.decided_at;
         for zone in plan.zones.keys() {
@@ -139,7 +135,7 @@
         }
     }
 
-    /// What callers of a zone are sent to servers of the other side.
+    /// Returns the weight that callers in a zone give to servers of the far side.
     fn weight_to_far_side(&self, zone: &str) -> f64 {
         let plan = self.service.plan().expect("a plan was made");
         let far = |share: &ServerShare| share.instance[1..].parse::<usize>().unwrap() >= self.near;
@@ -148,7 +144,7 @@
     }
 }
 
-/// What a zone's servers gained in all from one plan to the next; none where no server of it had a share.
+/// Returns the total weight gained by the servers of a zone between two plans; 0 if none of them had weight before.
 fn total_weight_gain(last: &Plan, plan: &Plan, zone: &str) -> f64 {
     let before = |instance: &str| {
         let share = last.shares.iter().find(|share| share.instance == instance);
@@ -169,7 +165,7 @@
 fn smaller_side_withdraws_from_unreachable_side_gradually() {
     for (near, far) in [(1, 11), (5, 7), (10, 30), (364, 366)] {
         for layout in LAYOUTS {
-            println!("{near} cut from {far}, {layout:?}");
+            println!("{near} servers partitioned from {far}, {layout:?}");
             let mut simulation = Simulation::new(near, far, layout);
             simulation.run(PARTITION_AT, simulation.all_servers());
             simulation.run(WITHDRAWN_WITHIN, simulation.near_servers());
@@ -212,14 +208,14 @@
 fn plan_stays_valid_in_partitions_of_any_length() {
     for layout in LAYOUTS {
         for seconds in [35.0, 50.0, 62.0, 120.0, 600.0] {
-            println!("{seconds} s, {layout:?}");
+            println!("partition of {seconds} s, {layout:?}");
             let mut simulation = Simulation::new(4, 6, layout);
             simulation.run(PARTITION_AT, simulation.all_servers());
             simulation.run(seconds, simulation.near_servers());
             simulation.run(30.0, simulation.all_servers());
             assert_eq!(simulation.times_without_plan, Vec::<f64>::new());
         }
-        // Healed for moments, before the other side was forgotten.
+        // The partition heals briefly, before the far servers are evicted.
         for healed_for in [0.5, 2.0, 10.0] {
             println!("healed for {healed_for} s, {layout:?}");
             let mut simulation = Simulation::new(4, 6, layout);
@@ -244,7 +240,7 @@
     let mut simulation = Simulation::new(5, 7, Layout::SingleZone);
     simulation.check_step_bounds = false;
     simulation.run(PARTITION_AT, simulation.all_servers());
-    // Each far server is heard every five seconds: at every moment most are silent.
+    // Each far server reports every five seconds, so that most are silent at any time.
     for _ in 0..40 {
         for at in simulation.near..simulation.all_servers().end {
             simulation.step(simulation.near_servers());
@@ -269,7 +265,7 @@
     let mut delayed = Simulation::new(5, 7, Layout::ZonePerSide);
     delayed.run(PARTITION_AT, delayed.all_servers());
     delayed.delay = 3.0;
-    // A clock difference is learnt anew after the window; until then all come late.
+    // Until the clock offset is estimated again, all reports count as expired.
     delayed.run(14.0, delayed.all_servers());
     assert!(delayed.service.plan().unwrap().panic);
     assert_eq!(delayed.service.fleet().fresh_count(delayed.now), 0);
@@ -298,7 +294,7 @@
     let mut simulation = Simulation::new(5, 7, Layout::ZonePerSide);
     simulation.check_step_bounds = false;
     simulation.run(PARTITION_AT, simulation.all_servers());
-    // Nothing is read or planned for eight seconds; then the near servers are heard as before.
+    // The service pauses for eight seconds; then the near servers report again.
     simulation.now += 8.0;
     simulation.service.tick(simulation.now);
     simulation.times_without_plan.clear();
@@ -314,7 +310,7 @@
     simulation.run(PARTITION_AT, simulation.all_servers());
     simulation.run(20.0, simulation.near_servers());
     assert_eq!(simulation.weight_to_far_side("near"), 0.0);
-    // Then more are lost: seven of twelve are silent.
+    // More servers are lost: seven of twelve are silent.
     for _ in 0..(25.0 / STEP) as u64 {
         simulation.step(0..5);
         assert_eq!(simulation.weight_to_far_side("near"), 0.0, "at {}", simulation.now);
@@ -367,7 +363,7 @@
     let mut simulation = Simulation::new(5, 7, Layout::ZonePerSide);
     simulation.run(PARTITION_AT, simulation.all_servers());
     simulation.run(120.0, simulation.near_servers());
-    // Its servers come back without load.
+    // The far servers return without load.
     simulation.servers[5..].iter_mut().for_each(|server| server.classes.clear());
     simulation.step(simulation.all_servers());
     assert!(
@@ -391,7 +387,7 @@
     let mut simulation = Simulation::new(5, 7, Layout::ZonePerSide);
     let restored = Some(RestoredSnapshot { snapshot, age: 1.0 });
     simulation.service = ControlService::new(0.0, ServiceConfig::default(), 2, restored);
-    // The stored plan holds no longer than any other; the next is made five seconds after the first report.
+    // The restored plan expires; the next is computed five seconds after the first report.
     simulation.run(6.0, simulation.near_servers());
     simulation.times_without_plan.clear();
     simulation.run(120.0, simulation.near_servers());
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Forms that others read or that outlive the process, as literals: load reports, the stored snapshot, xDS resources, and the
-//! decisions that a fixed course of events leads to. They may only change on purpose.
+//! Golden tests of serialized forms: load reports, stored snapshots, xDS resources, and the plans and responses that fixed
+//! events lead to.
 
 use puffinladder_control::fleet::{FleetConfig, FleetView};
 use puffinladder_control::plan::{Plan, Planner};
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::path::PathBuf;
 
-/// s between two plans.
+/// Seconds between plans.
 const STEP: f64 = 0.25;
 
 fn fixture(name: &str) -> PathBuf {
@@ -83,7 +83,7 @@
 const VERSIONS: [u64; 4] =
     [480958033407490148, 15146953641929918255, 4870089304050359961, 11420955664635124394];
 
-/// Servers of three zones to which things happen, by a seed.
+/// Random events of servers in three zones, determined by a seed.
 struct EventSequence {
     rng: ChaCha8Rng,
     servers: Vec<LoadReport>,
@@ -102,7 +102,7 @@
         EventSequence { rng: ChaCha8Rng::seed_from_u64(seed), servers, silent_until }
     }
 
-    /// What each server that is heard says at this time.
+    /// Advances to `now` and returns the reports that the service receives.
     fn reports(&mut self, now: f64) -> Vec<LoadReport> {
         let rng = &mut self.rng;
         if rng.random_bool(0.08) {
@@ -156,7 +156,7 @@
     }
 }
 
-/// A digest of figures to nine digits: the last ones are the machine's mathematics.
+/// Returns a digest of the lines.
 fn digest(lines: &[String]) -> String {
     let mut hasher = blake3::Hasher::new();
     for line in lines {
@@ -217,7 +217,7 @@
     "68c26b517e2a565c5efce988aaeed87a",
 ];
 
-/// What a proxy sees of a response.
+/// Formats an update as a line.
 fn update_line(now: f64, id: u64, update: &Update) -> String {
     let entries: Vec<String> = update
         .entries
@@ -243,7 +243,7 @@
     )
 }
 
-/// All that leaves a service whose proxies acknowledge, refuse, lie, and ask for other names, by a seed.
+/// Returns all updates sent to proxies that acknowledge, reject, send wrong nonces or change their subscriptions.
 fn responses(seed: u64) -> Vec<String> {
     let (mut events, mut service) =
         (EventSequence::new(seed), ControlService::new(0.0, ServiceConfig::default(), 7, None));
--- a/crates/control/tests/pages.rs
+++ b/crates/control/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The names on the service's HTTP pages, as literals: people's dashboards and alerts read them.
+//! Golden test of the names on the debug pages, which dashboards and alerts read.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Names and kinds of values on each page, a line each; then the descriptions of the metrics, and those with labels.
+/// Names and value types on each page, then the descriptions and the labels of the metrics.
 const NAMES: [&str; 5] = [
     include_str!("golden/plan.names"),
     include_str!("golden/servers.names"),
@@ -33,7 +33,7 @@
     response.split_once("\r\n\r\n").unwrap().1
 }
 
-/// Every name with those that it stands in, and what kind of value it has.
+/// Collects the path and type of each value.
 fn names(value: &Value, path_prefix: &str, found: &mut BTreeSet<String>) {
     let value_type = match value {
         Value::Null => "null",
@@ -72,7 +72,7 @@
     servers.change(|server| server.classes = vec![class.clone()]);
     let debug = running.debug.unwrap();
     let proxy = Proxy::start(running.xds, "p1", "a", true);
-    wait_until("it to route", || can_route(&proxy)).await;
+    wait_until("the proxy to route", || can_route(&proxy)).await;
     while !get(debug, "/plan").await.contains("customer") {
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
--- a/crates/control/tests/regions.rs
+++ b/crates/control/tests/regions.rs
@@ -1,16 +1,16 @@
-//! What a control service does while its region is cut from another for minutes: played on the service, without sockets or waits.
+//! Plan validity while a region is partitioned from another for minutes, on a simulated clock.
 
 use puffinladder_control::report::LoadReport;
 use puffinladder_control::service::{ControlService, ServiceConfig};
 use std::net::SocketAddr;
 
-/// s: reports and plans.
+/// Seconds between reports and between plans.
 const STEP: f64 = 0.25;
-/// The cut's beginning, and when it heals.
+/// When the partition begins and heals, seconds.
 const PARTITION_AT: f64 = 10.0;
 const HEALED_AT: f64 = 190.0;
 
-/// Times at which no plan held, of a region with so many servers cut from one with so many.
+/// Returns the times without a valid plan in a region of `near` servers partitioned from one of `far` servers.
 fn times_without_plan(near: usize, far: usize) -> Vec<f64> {
     let mut service = ControlService::new(0.0, ServiceConfig::default(), 1, None);
     let (mut times, mut planned) = (Vec::new(), false);
--- a/crates/control/tests/report_lines.rs
+++ b/crates/control/tests/report_lines.rs
@@ -1,4 +1,4 @@
-//! What the service makes of the lines of a connection: full reports, compact ones, and what is neither.
+//! Decoding of report lines: full reports, compact reports and malformed lines.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Figures are told in four digits.
+/// Relative error of compact reports, which carry four significant digits.
 const FIGURE_ERROR: f64 = 1e-3;
 const PRODUCTS: usize = 5;
 const CUSTOMERS: usize = 8;
@@ -132,7 +132,7 @@
     let mut encoder = encoder_with_offer(&identity);
     let mut decoder = ReportDecoder::new(NameTable::default());
     decoder.decode(&encoder.line(&identity, &sample(&mut random), 1, 0.25, 1 << 16)).unwrap();
-    // The report that names them is lost, and so are some of the later ones.
+    // The report that introduces the names is lost, and so are some of the later ones.
     encoder.line(&identity, &sample(&mut random), 2, 0.5, 1 << 16);
     for sequence in 3..50 {
         let sample = sample(&mut random);
@@ -197,12 +197,12 @@
     for text in ["", "{", "null", "[]", r#"{"format":"2"}"#, r#"{"format":2}"#, "{}"] {
         assert!(matches!(decoder_after_full_report().decode(text), Err(DecodeError::Json(_))), "{text}");
     }
-    // A number that was never named is load without a name.
+    // Load of an unknown name counts as load without a name.
     let decoded = decoder_after_full_report().decode(&compact(r#","load":[[4294967295,7,3,1]]"#)).unwrap();
     assert_eq!((decoded.classes[0].product.as_str(), decoded.classes[0].offered), ("", 3.0));
 }
 
-/// Reports on a connection of its own until it is dropped; an early server does not read what the service offers.
+/// Sends reports on a connection of its own. An early server does not read the format offer.
 async fn report_on(
     address: std::net::SocketAddr,
     identity: ServerIdentity,
@@ -238,7 +238,7 @@
         if routed == 2 {
             return;
         }
-        assert!(Instant::now() < deadline, "waited in vain for both servers");
+        assert!(Instant::now() < deadline, "timed out waiting for shares of both servers");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Random schedules of servers, proxies, delays and failures round the service's service, in simulated time. In each of them: no
-//! proxy routes by a decision older than the bound, shares sum, a drained server gets nothing once its proxies could know,
-//! what is held is one plan's, and after the last failure all proxies hold the latest.
+//! Random schedules of reports, requests, delays and failures on a simulated clock. In each schedule no proxy uses an
+//! expired decision, shares sum to 1, draining servers have no share, plan versions never go back, and all correct proxies
+//! hold the latest plan after the last failure.
 
 use puffinladder_control::report::LoadReport;
 use puffinladder_control::resources::CLUSTER;
@@ -11,30 +11,30 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Each of a minute; their seeds are their numbers.
+/// Number of schedules; the seed of each is its index.
 const SCHEDULES: u64 = 2000;
 const STEP: f64 = 0.05;
 const BOUND: f64 = 2.0;
 
-/// How a proxy misbehaves.
+/// How a proxy responds to updates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ProxyBehavior {
     Correct,
-    /// Answers only after so many seconds.
+    /// Acknowledges after a delay, seconds.
     SlowAnswers(f64),
     NeverAnswers,
-    /// Refuses every other response.
+    /// Rejects every other update.
     RejectsAlternate,
-    /// Answers with nonces that are stale or were never given.
+    /// Responds with stale or unknown nonces.
     WrongNonces,
 }
 
-/// What a proxy holds of a type: name, version, whose plan, and until when it may be used.
+/// Resource held by a proxy.
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
     version: u64,
     plan_version: PlanVersion,
-    /// True time at which the plan was made; only the test knows.
+    /// When the plan was computed, by the simulated clock.
     decided_at: f64,
     valid_until: f64,
 }
@@ -45,12 +45,12 @@
     incremental: bool,
     behavior: ProxyBehavior,
     connected: bool,
-    /// Dark until then: nothing arrives and nothing leaves.
+    /// Until then the proxy neither sends nor receives.
     paused_until: f64,
     held: BTreeMap<(ResourceType, String), Held>,
-    /// When each request on this stream was sent.
+    /// When each request on the stream was sent.
     sent_at: Vec<f64>,
-    /// On the way, with when they arrive.
+    /// Messages in transit with their arrival times.
     inbound: VecDeque<(f64, Update, f64)>,
     outbound: VecDeque<(f64, ProxyRequest)>,
     updates_received: u64,
@@ -59,7 +59,7 @@
 impl Proxy {
     fn send_request(&mut self, now: f64, delay: f64, request: ProxyRequest) {
         self.sent_at.push(now);
-        // In order, as on a stream.
+        // Requests of a stream arrive in order.
         let at = self.outbound.back().map_or(now + delay, |last| last.0.max(now + delay));
         self.outbound.push_back((at, request));
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes a response as the protocol has it, with the lease counted from its own request.
+    /// Applies an update; its lease starts when the last request that it follows was sent.
     fn handle_update(&mut self, now: f64, update: &Update, decided_at: f64, rng: &mut ChaCha8Rng) {
         self.updates_received += 1;
         let requests = requests_seen(&update.nonce).unwrap() as usize;
@@ -104,7 +104,7 @@
                     valid_until,
                 };
                 if entry.heartbeat {
-                    // Renews what it holds, never brings back what it does not.
+                    // A heartbeat renews a held resource and never restores a removed one.
                     if let Some(held) = self.held.get_mut(&key).filter(|held| held.version == new.version) {
                         *held = new;
                     }
@@ -135,7 +135,7 @@
         self.send_request(now, delay, answer);
     }
 
-    /// What it routes by now: the plan's age, if it has one that it may use.
+    /// Returns the endpoints that the proxy may use at `now`.
     fn usable_endpoints(&self, now: f64) -> Option<&Held> {
         let held = self.held.get(&(ResourceType::Endpoints, CLUSTER.into()))?;
         (now < held.valid_until).then_some(held)
@@ -157,16 +157,16 @@
     proxies: Vec<Proxy>,
     servers: Vec<Server>,
     next_id: u64,
-    /// Worst age that was routed by, and the highest serial that any proxy saw.
+    /// Maximum age of a used decision, and the latest plan version that each proxy received.
     max_age: f64,
     last_versions: Vec<PlanVersion>,
-    /// Pushes do not arrive, reports do, or the other way round, until then.
+    /// Until then updates are delayed, or reports are dropped.
     updates_delayed_until: f64,
     reports_dropped_until: f64,
     down_until: f64,
     with_snapshot: bool,
     stored_snapshot: Option<StoredSnapshot>,
-    /// Nothing goes wrong any more.
+    /// No more faults are injected.
     fault_free: bool,
 }
 
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Something goes wrong.
+    /// Injects a random fault.
     fn inject_fault(&mut self) {
         let (now, rng) = (self.now, &mut self.rng);
         let span = rng.random_range(0.2..6.0);
@@ -240,7 +240,7 @@
         match rng.random_range(0..10) {
             0 => self.proxies[proxy_index].paused_until = now + span,
             1 => {
-                // A proxy's connection breaks, or the proxy starts anew.
+                // The proxy's connection breaks, or the proxy restarts.
                 let proxy = &mut self.proxies[proxy_index];
                 if let Some(service) = &mut self.service {
                     service.close_stream(proxy.id);
@@ -261,7 +261,7 @@
             6 => self.updates_delayed_until = now + span,
             7 => self.reports_dropped_until = now + span,
             8 => {
-                // The service dies, and comes back with what it kept or with nothing.
+                // The service crashes and restarts with or without its snapshot.
                 self.down_until = now + span;
                 self.proxies.iter_mut().for_each(|proxy| proxy.connected = false);
             }
@@ -292,7 +292,7 @@
         for proxy in &self.proxies {
             if let Some(held) = proxy.usable_endpoints(now) {
                 let age = now - held.decided_at;
-                assert!(age <= BOUND + 1e-6, "{} routes by a decision of {age:.3} s", proxy.node);
+                assert!(age <= BOUND + 1e-6, "{} uses a decision that is {age:.3} s old", proxy.node);
                 self.max_age = self.max_age.max(age);
             }
         }
@@ -308,7 +308,7 @@
                 }
                 let decided_at = now + 100.0 + server.clock_offset;
                 let report = LoadReport { created_at: decided_at, ..server.report.clone() };
-                // Late, lost, doubled, out of order.
+                // Delayed, lost, duplicated or reordered.
                 let copies = if self.fault_free { 1 } else { [1, 1, 1, 2, 0][self.rng.random_range(0..5)] };
                 for _ in 0..copies {
                     server.in_transit.push((now + self.rng.random_range(0.0..0.4), report.clone()));
@@ -365,7 +365,7 @@
             let Some(proxy) = self.proxies.iter_mut().find(|proxy| proxy.id == id && proxy.connected) else {
                 continue;
             };
-            // A update that is cut off stands on the way until the cut is over: bytes are not lost, they are late.
+            // The stream is reliable: a partition delays updates and loses none.
             let at = (now + self.rng.random_range(0.0..0.1)).max(self.updates_delayed_until);
             let at = proxy.inbound.back().map_or(at, |last| last.0.max(at));
             proxy.inbound.push_back((at, update, decided_at));
@@ -376,7 +376,7 @@
                 && proxy.inbound.front().is_some_and(|(at, ..)| *at <= now)
             {
                 let (_, update, decided_at) = proxy.inbound.pop_front().unwrap();
-                // Never an older plan after a newer one, restarts of the service included.
+                // Plan versions never go back, even when the service restarts.
                 assert!(
                     update.version >= *last_version,
                     "{} got {:?} after {last_version:?}",
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Ten quiet seconds: all that behave hold the latest.
+    /// Runs without faults and asserts that all correct proxies hold the latest plan.
     fn assert_convergence(&mut self) {
         for server in &mut self.servers {
             (server.silent_until, server.report.terminates_in) = (0.0, None);
@@ -421,7 +421,7 @@
             }
             let held = proxy
                 .usable_endpoints(self.now)
-                .unwrap_or_else(|| panic!("{} routes by nothing", proxy.node));
+                .unwrap_or_else(|| panic!("{} has no usable endpoints", proxy.node));
             let resources = service.resources_for("a", &proxy.node).unwrap();
             let (expected, node) = (resources.set(ResourceType::Endpoints)[CLUSTER].version, &proxy.node);
             assert_eq!(held.version, expected, "{node} ({:?}), {:?}", proxy.behavior, service.plan());
@@ -430,7 +430,7 @@
 }
 
 fn run_schedule(seed: u64) -> f64 {
-    // Shown where a schedule fails.
+    // Identifies the schedule if it fails.
     println!("schedule {seed}");
     let mut simulation = Simulation::new(seed);
     let steps = 400;
@@ -448,6 +448,6 @@
 #[test]
 fn no_schedule_lets_a_proxy_use_an_expired_decision() {
     let max_age = (0..SCHEDULES).map(run_schedule).fold(0.0, f64::max);
-    // The bound is not held by nobody routing at all.
+    // Proxies did use decisions.
     assert!(max_age > 1.0, "{max_age}");
 }
--- a/crates/control/tests/sockets.rs
+++ b/crates/control/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Stories of the service on sockets, with servers' reports and stand-in proxies on loopback.
+//! The service on loopback sockets, with reporting servers and proxies.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Ports of the servers that it routes to.
+/// Returns the ports of the servers that a proxy routes to.
 fn ports(proxy: &Proxy) -> Vec<u16> {
     let mut ports: Vec<u16> = (0..200)
         .filter_map(|at| match pick(proxy, f64::from(at) / 200.0) {
@@ -35,11 +35,11 @@
 async fn proxies_of_both_protocols_follow_drains_and_drops() {
     let (_running, servers, proxies) = start_fleet(3).await;
     for proxy in &proxies {
-        wait_until("all three", || ports(proxy) == [4000, 4001, 4002]).await;
+        wait_until("all three servers", || ports(proxy) == [4000, 4001, 4002]).await;
     }
     servers.with(|(_, reports)| reports[1].terminates_in = Some(2.0));
     for proxy in &proxies {
-        wait_until("the drain", || ports(proxy) == [4000, 4002]).await;
+        wait_until("the drained server to get no requests", || ports(proxy) == [4000, 4002]).await;
     }
     let class = |product: &str| ClassLoad {
         product: product.into(),
@@ -48,10 +48,10 @@
         offered: 100.0,
         rejected: if product == "p" { 60.0 } else { 0.0 },
     };
-    // As if proxies dropped nothing yet: the share rises while servers decline so much.
+    // The reports do not reflect the drops, so the drop fraction increases.
     servers.change(|server| server.classes = vec![class("p")]);
     for proxy in &proxies {
-        wait_until("a drop", || matches!(pick(proxy, 0.0), Pick::Dropped { .. })).await;
+        wait_until("a dropped request", || matches!(pick(proxy, 0.0), Pick::Dropped { .. })).await;
         assert!(matches!(proxy.pick("other", "k", [0.0; 3]), Pick::RouteTo { .. }));
     }
 }
@@ -61,7 +61,7 @@
     let (running, servers, proxies) = start_fleet(2).await;
     running.kill();
     let died = Instant::now();
-    // Nothing decided later than now: each may route until the bound, and none after.
+    // No decision is made after the kill: each proxy may route until the bound and not after it.
     while died.elapsed().as_secs_f64() < BOUND {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -86,15 +86,15 @@
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
     assert!(!can_route(paused), "{:?}", pick(paused, 0.5));
     for other in others {
-        wait_until("the others to go on", || can_route(other)).await;
-        wait_until("the new server", || ports(other).contains(&4007)).await;
+        wait_until("the other proxies to route", || can_route(other)).await;
+        wait_until("the new server to get requests", || ports(other).contains(&4007)).await;
     }
     let seen = paused.received_counts().updates;
     paused.set_behaviour(Behaviour::default());
-    wait_until("the dark one to route again", || can_route(paused)).await;
-    wait_until("the new server", || ports(paused).contains(&4007)).await;
+    wait_until("the paused proxy to route again", || can_route(paused)).await;
+    wait_until("the new server to get requests", || ports(paused).contains(&4007)).await;
     assert_ne!(paused.endpoints_plan().unwrap(), before);
-    // What was under way, and then the latest: not every plan that it missed.
+    // The pending update and the latest one, not every plan in between.
     assert!(paused.received_counts().updates - seen <= 12, "{}", paused.received_counts().updates - seen);
 }
 
@@ -116,7 +116,7 @@
     }
     servers.change(|server| server.service_time = 0.01);
     for proxy in &proxies {
-        // No older plan after a newer one.
+        // Plan numbers never decrease.
         let plans = proxy.recent_plans();
         let numbers: Vec<u64> =
             plans.iter().map(|plan| plan.split_once('.').unwrap().1.parse().unwrap()).collect();
@@ -126,7 +126,7 @@
         || async { running.handle.query(|service, _| service.in_sync_count()).await.unwrap() };
     let deadline = Instant::now() + Duration::from_secs(20);
     while in_sync_proxies().await < 4 {
-        assert!(Instant::now() < deadline);
+        assert!(Instant::now() < deadline, "timed out");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let versions: Vec<_> = proxies.iter().map(|proxy| proxy.endpoints_version()).collect();
@@ -140,7 +140,7 @@
     proxies[1].set_behaviour(Behaviour { withhold_acks: true, ..Behaviour::default() });
     proxies[2].set_behaviour(Behaviour { forge_nonces: true, ..Behaviour::default() });
     servers.with(|(_, reports)| reports[0].healthy = false);
-    wait_until("the well one", || ports(&proxies[3]) == [4001, 4002]).await;
+    wait_until("the correct proxy to follow the plan", || ports(&proxies[3]) == [4001, 4002]).await;
     let (mut rejected, mut unknown) = (0, 0);
     let deadline = Instant::now() + Duration::from_secs(20);
     while rejected == 0 || unknown == 0 {
@@ -149,13 +149,13 @@
         (rejected, unknown) = (counts.rejected, counts.unknown_nonces);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // By the bound none of them routes by what it held before.
+    // After the bound no proxy routes by what it held before.
     tokio::time::sleep(Duration::from_secs_f64(BOUND)).await;
     assert!(!ports(&proxies[0]).contains(&4000) && !ports(&proxies[1]).contains(&4000));
-    wait_until("the well one to go on", || can_route(&proxies[3])).await;
+    wait_until("the correct proxy to route", || can_route(&proxies[3])).await;
     proxies[0].set_behaviour(Behaviour::default());
     servers.with(|(_, reports)| reports[0].healthy = true);
-    wait_until("it to come back", || ports(&proxies[0]).contains(&4000)).await;
+    wait_until("the proxy to route to the recovered server", || ports(&proxies[0]).contains(&4000)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -166,19 +166,22 @@
     let first = start_service(Some(file.clone()), None).await;
     let servers = Servers::start(vec![first.reports], (0..3).map(report).collect());
     let proxy = Proxy::start(first.xds, "p", "a", true);
-    wait_until("it to route", || can_route(&proxy)).await;
+    wait_until("the proxy to route", || can_route(&proxy)).await;
     let epoch = |plan: &str| plan.split_once('.').unwrap().0.parse::<u64>().unwrap();
     let before = epoch(&proxy.endpoints_plan().unwrap());
     first.stop().await;
     assert!(file.exists());
     let second = start_service(Some(file.clone()), None).await;
-    // Before any report: its proxies get the last plan inside its bound, or nothing.
+    // Before any report, proxies get the stored plan within its bound, or nothing.
     let early_proxy = Proxy::start(second.xds, "early", "a", false);
     servers.with(|(services, _)| *services = vec![second.reports]);
-    wait_until("the new plan", || can_route(&early_proxy) && ports(&early_proxy).len() == 3).await;
+    wait_until("the plan of the second service", || {
+        can_route(&early_proxy) && ports(&early_proxy).len() == 3
+    })
+    .await;
     assert!(epoch(&early_proxy.endpoints_plan().unwrap()) > before);
     second.stop().await;
-    // A snapshot that can't be read is none.
+    // An unreadable snapshot is ignored.
     std::fs::write(&file, b"{ half a").unwrap();
     let third = start_service(Some(file), None).await;
     servers.with(|(services, _)| *services = vec![third.reports]);
@@ -234,7 +237,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
     let metric = |name: &str| value(&metrics, &format!("puffinladder_control_{name}"));
-    // All servers report over one connection; the strangers' four are over.
+    // All servers share one connection; four malformed connections were closed.
     assert_eq!((metric("report_connections"), metric("report_connections_total")), (1.0, 5.0));
     assert!(metric("report_bytes_total") > 100.0 * metric("reports_taken_total"));
     assert_eq!(metric("streams_total"), 4.0);
@@ -250,7 +253,7 @@
             "{resource_type}"
         );
     }
-    // A line that is no report never gets as far as being judged.
+    // Malformed lines are dropped before they are validated as reports.
     assert_eq!(metric("reports_refused_by_reason_total{reason=\"impossible\"}"), 0.0);
     let duplicates = format!("{}\n", serde_json::to_string(&report(90)).unwrap()).repeat(3);
     let mut stream = TcpStream::connect(running.reports).await.unwrap();
@@ -258,7 +261,7 @@
     let deadline = Instant::now() + Duration::from_secs(20);
     let rejected = "puffinladder_control_reports_refused_by_reason_total{reason=\"doubled\"}";
     while value(&get("/metrics").await, rejected) < 2.0 {
-        assert!(Instant::now() < deadline);
+        assert!(Instant::now() < deadline, "timed out");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
