--- a/crates/cli/src/fleet/trace_store.rs
+++ b/crates/cli/src/fleet/trace_store.rs
@@ -97,7 +97,7 @@
     let made = (Clock::system().unix_time() * MICROSECONDS) as i64;
     let rows = bar("rows");
     let merged = export(&store, into, made, &mut step(&rows)).map_err(|e| failed(e.to_string()))?;
-    println!("{} rows, {} doubled left out", merged.rows, merged.doubled);
+    println!("{} rows, {} doubled left out", merged.rows, merged.duplicates);
     for (_, damage) in &merged.damage {
         eprintln!("puffinladder: {damage:?}");
     }
--- a/crates/cli/src/say.rs
+++ b/crates/cli/src/say.rs
@@ -2,7 +2,7 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use puffinladder_trace::open::Damage;
-use puffinladder_trace::Fault;
+use puffinladder_trace::TraceError;
 use std::io;
 
 /// Why a command ended early.
@@ -24,10 +24,10 @@
     }
 }
 
-impl From<Fault> for Wrong {
-    fn from(fault: Fault) -> Wrong {
+impl From<TraceError> for Wrong {
+    fn from(fault: TraceError) -> Wrong {
         match fault {
-            Fault::Io(e) => e.into(),
+            TraceError::Io(e) => e.into(),
             fault => Wrong::Failed(fault.to_string()),
         }
     }
@@ -73,7 +73,7 @@
             "puffinladder: {name}: bytes {} to {}: {}{rows}",
             one.offset,
             one.offset + one.len,
-            one.what
+            one.problem
         );
     }
 }
--- a/crates/cli/src/trace/ask.rs
+++ b/crates/cli/src/trace/ask.rs
@@ -3,11 +3,11 @@
 use super::input::{open, Opened};
 use super::{parse, plot, Span, Which};
 use crate::say::{bar, damage, step, Done};
-use puffinladder_trace::block::column_text;
-use puffinladder_trace::file::Kind;
+use puffinladder_trace::block::column_name;
+use puffinladder_trace::file::BlockKind;
 use puffinladder_trace::row::{Names, Note, Row, Topic};
-use puffinladder_trace::summary::{By, Summary, Sums};
-use puffinladder_trace::tools::{notes, scan, summarise as sum, Choice};
+use puffinladder_trace::summary::{GroupBy, Summary, Totals};
+use puffinladder_trace::tools::{notes, scan, summarise as sum, Selection};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{self, BufWriter, Write};
@@ -33,7 +33,7 @@
 }
 
 fn begin(trace: &Opened) -> i64 {
-    trace.span().map_or(0, |span| span.0)
+    trace.time_range().map_or(0, |span| span.0)
 }
 
 pub fn info(files: &[String], columns: bool, as_json: bool) -> Done {
@@ -42,30 +42,30 @@
         let mut trace = open(file)?;
         let mut names = Names::default();
         let mut lost = trace.damage.clone();
-        let told = notes(&mut trace, &mut names, &Choice::default(), &mut lost)
+        let told = notes(&mut trace, &mut names, &Selection::default(), &mut lost)
             .map_err(|e| crate::say::Wrong::from(e).at(file))?;
         let dropped: u64 = told.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| n.value as u64).sum();
         let mut nodes = BTreeSet::new();
-        for entry in trace.entries.clone().iter().filter(|entry| entry.kind == Kind::Rows) {
+        for entry in trace.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
             if let Ok(head) = trace.head(entry, &mut names) {
                 nodes.extend(head.nodes.iter().map(|node| names.text(*node).to_owned()));
             }
         }
-        let (rows, count) = (trace.count(Kind::Rows), trace.entries.len());
-        let (from, to) = trace.span().unwrap_or_default();
+        let (rows, count) = (trace.record_count(BlockKind::Rows), trace.entries.len());
+        let (from, to) = trace.time_range().unwrap_or_default();
         let each = if rows > 0 { trace.len as f64 / rows as f64 } else { 0.0 };
         let sizes = if columns { trace.column_sizes()? } else { Vec::new() };
-        let column = |id: u8| if id == 0 { "heads" } else { column_text(id) };
+        let column = |id: u8| if id == 0 { "heads" } else { column_name(id) };
         if as_json {
             let lost: Vec<Value> = lost
                 .iter()
-                .map(|d| json!({"offset": d.offset, "len": d.len, "rows": d.rows, "what": d.what}))
+                .map(|d| json!({"offset": d.offset, "len": d.len, "rows": d.rows, "what": d.problem}))
                 .collect();
             let sizes: serde_json::Map<String, Value> =
                 sizes.iter().map(|(id, size)| (column(*id).to_owned(), json!(size))).collect();
             let told = json!({
                 "file": file, "version": format!("{}.{}", trace.major, trace.minor), "node": trace.meta.node, "nodes": nodes,
-                "sealed": trace.sealed, "bytes": trace.len, "txns": rows, "notes": trace.count(Kind::Notes), "blocks": count,
+                "sealed": trace.sealed, "bytes": trace.len, "txns": rows, "notes": trace.record_count(BlockKind::Notes), "blocks": count,
                 "from_us": from, "to_us": to, "dropped": dropped, "damage": lost, "columns": sizes,
             });
             writeln!(out, "{told}")?;
@@ -95,7 +95,7 @@
         writeln!(
             out,
             "  txns         {rows} in {count} blocks, {} notes beside them",
-            trace.count(Kind::Notes)
+            trace.record_count(BlockKind::Notes)
         )?;
         writeln!(out, "  size         {} bytes, {each:.2} a txn", trace.len)?;
         writeln!(out, "  dropped      {dropped} records that the recorder could not keep")?;
@@ -106,7 +106,7 @@
                 "  damage       bytes {} to {}: {}{rows}",
                 one.offset,
                 one.offset + one.len,
-                one.what
+                one.problem
             )?;
         }
         for (id, size) in &sizes {
@@ -124,8 +124,8 @@
 
 /// A txn as one object.
 fn row_json(row: &Row, names: &Names) -> Value {
-    let path = names.steps(row.path);
-    let terms = names.terms(row.product);
+    let path = names.path(row.path);
+    let terms = names.product(row.product);
     let mut at = 0u64;
     let steps: Vec<Value> = path
         .steps()
@@ -139,16 +139,16 @@
         "read_us": row.read, "unread_us": row.unread, "node": names.text(row.node), "product": terms.name,
         "customer": names.text(row.customer), "caller": row.caller, "rank": f64::from(row.rank) / 64.0,
         "hint_us": row.hint, "memory": row.memory, "repeat": row.repeat(), "name": format!("{:08x}", row.name),
-        "key": (row.key != 0).then(|| format!("{:012x}", row.key)), "answer": path.fate().word(),
-        "reason": path.fate().step().reason().map(|r| r.text()), "in_sla": path.fate().step() == puffinladder_trace::row::Step::SETTLED,
-        "wait_us": row.wait(path), "run_us": row.took(path), "answered_us": row.answered(path),
+        "key": (row.key != 0).then(|| format!("{:012x}", row.key)), "answer": path.disposition().label(),
+        "reason": path.disposition().step().reason().map(|r| r.text()), "in_sla": path.disposition().step() == puffinladder_trace::row::Step::SETTLED,
+        "wait_us": row.wait(path), "run_us": row.run_time(path), "answered_us": row.response_time(path),
         "keep_off_ms": row.keep_off, "last": row.last(), "value": row.value(terms), "steps": steps,
     })
 }
 
 /// A txn as one line.
 pub fn row_text(row: &Row, names: &Names) -> String {
-    let path = names.steps(row.path);
+    let path = names.path(row.path);
     let steps: Vec<String> = path
         .steps()
         .zip(&row.spans)
@@ -163,7 +163,7 @@
         date(row.read),
         names.text(row.node),
         row.name,
-        names.terms(row.product).name,
+        names.product(row.product).name,
         names.text(row.customer),
         row.caller,
         span(row.unread.into()),
@@ -175,7 +175,7 @@
     format!("{} {} {} {}", date(note.at), names.text(note.node), note.topic.text(), note.value)
 }
 
-fn print(trace: &mut Opened, name: &str, choice: &Choice, as_json: bool) -> Done<u64> {
+fn print(trace: &mut Opened, name: &str, choice: &Selection, as_json: bool) -> Done<u64> {
     let mut out = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     let mut names = Names::default();
     let mut failed = None;
@@ -225,7 +225,7 @@
     let expr = parse(expr)?;
     let mut trace = open(file)?;
     let (from, to) = which.bounds(begin(&trace));
-    let choice = Choice { from, to, expr };
+    let choice = Selection { from, to, expr };
     if !count {
         return print(&mut trace, file, &choice, as_json).map(drop);
     }
@@ -238,34 +238,34 @@
 }
 
 pub struct Asked {
-    pub by: Option<By>,
+    pub by: Option<GroupBy>,
     pub interval: i64,
     pub percentiles: bool,
     pub json: bool,
     pub svg: Option<PathBuf>,
 }
 
-fn sums_json(sums: &Sums) -> Value {
+fn sums_json(sums: &Totals) -> Value {
     json!({
-        "asked": sums.asked, "settled": sums.settled, "in_sla": sums.in_sla, "declined": sums.declined,
-        "voided": sums.voided, "gone": sums.gone, "value_asked": sums.value_asked,
-        "value_in_sla": sums.value_in_sla, "kept": sums.kept(),
+        "asked": sums.requests, "settled": sums.settled, "in_sla": sums.in_sla, "declined": sums.declined,
+        "voided": sums.voided, "gone": sums.gone, "value_asked": sums.requested_value,
+        "value_in_sla": sums.value_in_sla, "kept": sums.value_share(),
     })
 }
 
 fn summary_json(summary: &Summary) -> Value {
     let parts: serde_json::Map<String, Value> =
-        summary.parts.iter().map(|(name, sums)| (name.trim().to_owned(), sums_json(sums))).collect();
-    let times = |t: &puffinladder_trace::summary::Times| json!({"count": t.0.len(), "p50": t.at(50.0), "p90": t.at(90.0), "p99": t.at(99.0), "p999": t.at(99.9), "max": t.0.max()});
+        summary.groups.iter().map(|(name, sums)| (name.trim().to_owned(), sums_json(sums))).collect();
+    let times = |t: &puffinladder_trace::summary::DurationHistogram| json!({"count": t.0.len(), "p50": t.at(50.0), "p90": t.at(90.0), "p99": t.at(99.0), "p999": t.at(99.9), "max": t.0.max()});
     json!({"total": sums_json(&summary.total), "parts": parts, "wait_us": times(&summary.waits), "run_us": times(&summary.runs)})
 }
 
-fn line(out: &mut impl Write, name: &str, sums: &Sums) -> io::Result<()> {
-    let Sums { asked, settled, in_sla, declined, voided, gone, value_asked, value_in_sla } = sums;
+fn line(out: &mut impl Write, name: &str, sums: &Totals) -> io::Result<()> {
+    let Totals { requests, settled, in_sla, declined, voided, gone, requested_value, value_in_sla } = sums;
     writeln!(
         out,
-        "{name:<28} {asked:>9} {settled:>9} {in_sla:>9} {declined:>9} {voided:>7} {gone:>7} {value_asked:>11.0} {value_in_sla:>11.0} {:>6.3}",
-        sums.kept()
+        "{name:<28} {requests:>9} {settled:>9} {in_sla:>9} {declined:>9} {voided:>7} {gone:>7} {requested_value:>11.0} {value_in_sla:>11.0} {:>6.3}",
+        sums.value_share()
     )
 }
 
@@ -279,7 +279,7 @@
         sum(&mut trace, &mut names, &choice, asked.by, asked.interval, asked.percentiles, &mut step(&bar))?;
     damage(file, &seen.damage);
     if let Some(path) = &asked.svg {
-        let by = Some(By::Interval);
+        let by = Some(GroupBy::Interval);
         let (lines, _) = sum(&mut trace, &mut names, &choice, by, asked.interval, false, &mut |_, _| {})?;
         plot::value_by_interval(path, file, &lines, asked.interval)?;
     }
@@ -295,7 +295,7 @@
         "", "asked", "settled", "in SLA", "declined", "voided", "gone", "value", "in SLA", "kept"
     )?;
     line(&mut out, "all", &summary.total)?;
-    for (name, sums) in &summary.parts {
+    for (name, sums) in &summary.groups {
         line(&mut out, name, sums)?;
     }
     if asked.percentiles {
@@ -317,7 +317,7 @@
     Ok(())
 }
 
-pub fn diff(files: [&str; 2], which: &Which, by: By, as_json: bool) -> Done {
+pub fn diff(files: [&str; 2], which: &Which, by: GroupBy, as_json: bool) -> Done {
     which.expr()?;
     let mut both = Vec::new();
     for file in files {
@@ -342,7 +342,7 @@
         "{:<28} {:>10} {:>10} {:>8}   {:>9} {:>9} {:>8}   {:>6} {:>6} {:>7}",
         "", "asked", "then", "", "declined", "then", "", "kept", "then", ""
     )?;
-    let mut line = |name: &str, a: &Sums, b: &Sums| {
+    let mut line = |name: &str, a: &Totals, b: &Totals| {
         let share = |a: u64, b: u64| match (a, b) {
             (0, 0) => "=".to_owned(),
             (0, _) => "new".to_owned(),
@@ -351,22 +351,22 @@
         writeln!(
             out,
             "{name:<28} {:>10} {:>10} {:>8}   {:>9} {:>9} {:>8}   {:>6.3} {:>6.3} {:>+7.3}",
-            a.asked,
-            b.asked,
-            share(a.asked, b.asked),
+            a.requests,
+            b.requests,
+            share(a.requests, b.requests),
             a.declined,
             b.declined,
             share(a.declined, b.declined),
-            a.kept(),
-            b.kept(),
-            b.kept() - a.kept()
+            a.value_share(),
+            b.value_share(),
+            b.value_share() - a.value_share()
         )
     };
     line("all", &before.total, &after.total)?;
-    let all: BTreeSet<&String> = before.parts.keys().chain(after.parts.keys()).collect();
-    let none = Sums::default();
+    let all: BTreeSet<&String> = before.groups.keys().chain(after.groups.keys()).collect();
+    let none = Totals::default();
     for name in all {
-        line(name, before.parts.get(name).unwrap_or(&none), after.parts.get(name).unwrap_or(&none))?;
+        line(name, before.groups.get(name).unwrap_or(&none), after.groups.get(name).unwrap_or(&none))?;
     }
     for (what, a, b) in [("wait", &before.waits, &after.waits), ("run", &before.runs, &after.runs)] {
         for p in [50.0, 99.0, 99.9] {
--- a/crates/cli/src/trace/bench.rs
+++ b/crates/cli/src/trace/bench.rs
@@ -4,14 +4,14 @@
 use super::make::write;
 use crate::measure::{memory, percentile};
 use crate::say::{Done, Wrong};
-use puffinladder_trace::block::column_text;
-use puffinladder_trace::file::{Kind, Meta, Writer};
-use puffinladder_trace::recorder::keeper::{Bounds, Lying};
-use puffinladder_trace::recorder::{Entry, Place, Recorder, Told};
+use puffinladder_trace::block::column_name;
+use puffinladder_trace::file::{BlockKind, FileMetadata, Writer};
+use puffinladder_trace::recorder::rotation::{RotationLimits, StoredFile};
+use puffinladder_trace::recorder::{Recorder, RecorderConfig, RequestRecord, TraceStorage};
 use puffinladder_trace::row::{Names, Step};
-use puffinladder_trace::summary::By;
-use puffinladder_trace::synth::{Maker, Synth};
-use puffinladder_trace::tools::{self, Choice};
+use puffinladder_trace::summary::GroupBy;
+use puffinladder_trace::synth::{Generator, SynthConfig};
+use puffinladder_trace::tools::{self, Selection};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -31,11 +31,11 @@
     Ok(told(times))
 }
 
-fn make(folder: &Path, told: &Synth, name: &str) -> Done<String> {
+fn make(folder: &Path, told: &SynthConfig, name: &str) -> Done<String> {
     let path = folder.join(name).display().to_string();
     let mut names = Names::default();
-    let mut maker = Maker::new(told, &mut names);
-    let meta = Meta { node: told.node.clone(), made: told.from };
+    let mut maker = Generator::new(told, &mut names);
+    let meta = FileMetadata { node: told.node.clone(), created: told.from };
     write(&mut maker, &mut names, &meta, Output::new(&path)?, |_| {})?;
     Ok(path)
 }
@@ -51,17 +51,17 @@
     println!("medians of {runs} runs (least to most); all on made-up traces of 230 txns a second");
 
     let begun = Instant::now();
-    let hour = make(&folder, &Synth::default(), "hour.trace")?;
+    let hour = make(&folder, &SynthConfig::default(), "hour.trace")?;
     let took = begun.elapsed().as_secs_f64();
     let mut trace = open(&hour)?;
-    let txns = trace.count(Kind::Rows);
+    let txns = trace.record_count(BlockKind::Rows);
     println!(
         "an hour: {txns} txns in {} bytes, {:.2} a txn; made in {took:.2} s",
         trace.len,
         trace.len as f64 / txns as f64
     );
     for (id, size) in trace.column_sizes()? {
-        let name = if id == 0 { "heads" } else { column_text(id) };
+        let name = if id == 0 { "heads" } else { column_name(id) };
         println!("  {name:<10} {size:>9} bytes {:>7.3} a txn", size as f64 / txns as f64);
     }
     let say = |what: &str, (mid, low, high): (f64, f64, f64)| {
@@ -72,7 +72,7 @@
         let hour = &hour;
         move || -> Done {
             let mut trace = open(hour)?;
-            let choice = Choice::default();
+            let choice = Selection::default();
             tools::summarise(
                 &mut trace,
                 &mut Names::default(),
@@ -85,20 +85,20 @@
             Ok(())
         }
     };
-    say("summarise the hour, with percentiles", timed(runs, sum(Some(By::Product), true))?);
-    say("summarise the hour, from heads alone", timed(runs, sum(Some(By::Product), false))?);
+    say("summarise the hour, with percentiles", timed(runs, sum(Some(GroupBy::Product), true))?);
+    say("summarise the hour, from heads alone", timed(runs, sum(Some(GroupBy::Product), false))?);
 
     for hours in hours {
         let path = match hours {
             1 => hour.clone(),
             _ => {
                 let span = 3600.0 * f64::from(*hours);
-                make(&folder, &Synth { span, ..Synth::default() }, &format!("{hours}h.trace"))?
+                make(&folder, &SynthConfig { span, ..SynthConfig::default() }, &format!("{hours}h.trace"))?
             }
         };
         let out = folder.join("cut.trace").display().to_string();
-        let from = Synth::default().from + i64::from(*hours) * 1_800_000_000;
-        let choice = Choice { from, to: from + 60_000_000, ..Choice::default() };
+        let from = SynthConfig::default().from + i64::from(*hours) * 1_800_000_000;
+        let choice = Selection { from, to: from + 60_000_000, ..Selection::default() };
         let cut = timed(runs, || {
             let mut trace = open(&path)?;
             let mut writer = Writer::new(Output::new(&out)?, &trace.meta)?;
@@ -114,7 +114,8 @@
 
     let mut files = Vec::new();
     for node in 0..nodes {
-        let told = Synth { seed: node as u64 + 1, node: format!("n{}", node + 1), ..Synth::default() };
+        let told =
+            SynthConfig { seed: node as u64 + 1, node: format!("n{}", node + 1), ..SynthConfig::default() };
         files.push(make(&folder, &told, &format!("n{node}.trace"))?);
     }
     let before = memory("VmHWM:");
@@ -125,7 +126,8 @@
         for file in &files {
             traces.push((open(file)?, 0));
         }
-        let mut writer = Writer::new(Output::new(&out)?, &Meta { node: "merged".into(), made: 0 })?;
+        let mut writer =
+            Writer::new(Output::new(&out)?, &FileMetadata { node: "merged".into(), created: 0 })?;
         rows = tools::merge(traces, &mut writer, &mut |_, _| {})?.rows;
         writer.seal()?.finish()
     })?;
@@ -145,8 +147,8 @@
 /// Swallows what is written.
 struct Nowhere;
 
-impl Place for Nowhere {
-    fn list(&mut self) -> io::Result<Vec<Lying>> {
+impl TraceStorage for Nowhere {
+    fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         Ok(Vec::new())
     }
     fn create(&mut self, _: &str) -> io::Result<Box<dyn Write + Send>> {
@@ -170,9 +172,9 @@
 /// behind, in time and memory.
 fn record(runs: usize) -> Done {
     const COUNT: u32 = 1000;
-    let told = Told {
+    let told = RecorderConfig {
         node: "n1".into(),
-        bounds: Bounds::default(),
+        limits: RotationLimits::default(),
         products: vec![Default::default()],
         customers: vec!["k1".into()],
         key: [7; 32],
@@ -189,13 +191,13 @@
     for round in 0..rounds as u32 {
         let begun = Instant::now();
         for at in 0..COUNT {
-            let mut entry = Entry::new(unix(), (u128::from(round * COUNT + at)).to_le_bytes());
+            let mut entry = RequestRecord::new(unix(), (u128::from(round * COUNT + at)).to_le_bytes());
             (entry.caller, entry.hint) = (at % 40, f64::from(at) * 1e-5);
             entry.key = at.is_multiple_of(4).then_some([at as u8; 32]);
-            for step in [Step::RUN, Step::ended(puffinladder_trace::row::DONE), Step::SETTLED] {
-                entry.step(unix(), step);
+            for step in [Step::RUN, Step::ended(puffinladder_trace::row::COMPLETED), Step::SETTLED] {
+                entry.add_step(unix(), step);
             }
-            recorder.txn(&entry);
+            recorder.record_request(&entry);
         }
         times.push(begun.elapsed().as_secs_f64() / f64::from(COUNT));
         // The thread empties the ring before the next round.
@@ -214,8 +216,8 @@
     println!(
         "  memory {:.1} MB more with the recorder on; lost {} records",
         memory("VmRSS:") - before,
-        recorder.lost()
+        recorder.lost_records()
     );
-    running.end(Duration::from_secs(1));
+    running.shutdown(Duration::from_secs(1));
     Ok(())
 }
--- a/crates/cli/src/trace/export.rs
+++ b/crates/cli/src/trace/export.rs
@@ -51,9 +51,9 @@
 }
 
 fn cells(row: &Row, names: &Names) -> Vec<Cell> {
-    let path = names.steps(row.path);
-    let terms = names.terms(row.product);
-    let fate = path.fate();
+    let path = names.path(row.path);
+    let terms = names.product(row.product);
+    let disposition = path.disposition();
     let text = |text: &str| Cell::Text(Some(text.to_owned()));
     let large = |value: Option<u64>| Cell::Large(value.map(|v| v as i64));
     let steps: Vec<String> =
@@ -69,11 +69,11 @@
         Cell::Text((row.key != 0).then(|| format!("{:012x}", row.key))),
         large(Some(row.unread.into())),
         large(Some(row.wait(path))),
-        large(row.took(path)),
-        large(row.answered(path)),
-        text(fate.word()),
-        Cell::Text(fate.step().reason().map(|reason| reason.text().to_owned())),
-        Cell::Flag(fate.step() == Step::SETTLED),
+        large(row.run_time(path)),
+        large(row.response_time(path)),
+        text(disposition.label()),
+        Cell::Text(disposition.step().reason().map(|reason| reason.text().to_owned())),
+        Cell::Flag(disposition.step() == Step::SETTLED),
         Cell::Small(row.keep_off as i32),
         Cell::Flag(row.last()),
         Cell::Real(row.value(terms)),
@@ -104,7 +104,7 @@
     which.expr()?;
     apart(&[file], out)?;
     let mut trace = open(file)?;
-    let choice = which.choice(trace.span().map_or(0, |span| span.0))?;
+    let choice = which.choice(trace.time_range().map_or(0, |span| span.0))?;
     let mut output = Output::new(out)?;
     let schema = Arc::new(parse_message_type(SCHEMA).map_err(wrong)?);
     let bar = bar("exporting");
--- a/crates/cli/src/trace/make.rs
+++ b/crates/cli/src/trace/make.rs
@@ -5,11 +5,11 @@
 use crate::say::{bar, damage, step, Done, Wrong};
 use puffinladder_trace::anonymise::parse_key;
 use puffinladder_trace::expr::parse_span;
-use puffinladder_trace::file::{Meta, Writer};
-use puffinladder_trace::merge::Blocks;
+use puffinladder_trace::file::{FileMetadata, Writer};
+use puffinladder_trace::merge::BlockWriter;
 use puffinladder_trace::row::Names;
-use puffinladder_trace::synth::{Maker, Record, Synth};
-use puffinladder_trace::tools::{self, Choice, BLOCK_ROWS};
+use puffinladder_trace::synth::{Generator, Record, SynthConfig};
+use puffinladder_trace::tools::{self, Selection, BLOCK_ROWS};
 use puffinladder_trace::v1;
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     which.expr()?;
     apart(&[file], out)?;
     let mut trace = open(file)?;
-    let choice = which.choice(trace.span().map_or(0, |span| span.0))?;
+    let choice = which.choice(trace.time_range().map_or(0, |span| span.0))?;
     let mut writer = Writer::new(Output::new(out)?, &trace.meta)?;
     let bar = bar("cutting");
     let seen = tools::cut(&mut trace, &choice, &mut writer, &mut step(&bar))?;
@@ -32,7 +32,7 @@
     let mut trace = open(file)?;
     let mut writer = Writer::new(Output::new(out)?, &trace.meta)?;
     let bar = bar("mending");
-    let seen = tools::cut(&mut trace, &Choice::default(), &mut writer, &mut step(&bar))?;
+    let seen = tools::cut(&mut trace, &Selection::default(), &mut writer, &mut step(&bar))?;
     writer.seal()?.finish()?;
     damage(file, &seen.damage);
     eprintln!("{} txns kept, {} parts could not be read", seen.rows, seen.damage.len());
@@ -57,20 +57,20 @@
     for (file, shift) in files.iter().zip(shift) {
         traces.push((open(file)?, shift));
     }
-    let made = traces.iter().map(|(trace, _)| trace.meta.made).min().unwrap_or(0);
-    let mut writer = Writer::new(Output::new(out)?, &Meta { node: "merged".into(), made })?;
+    let made = traces.iter().map(|(trace, _)| trace.meta.created).min().unwrap_or(0);
+    let mut writer = Writer::new(Output::new(out)?, &FileMetadata { node: "merged".into(), created: made })?;
     let bar = bar("merging");
-    let met = tools::merge(traces, &mut writer, &mut step(&bar))?;
+    let report = tools::merge(traces, &mut writer, &mut step(&bar))?;
     writer.seal()?.finish()?;
-    for (at, one) in &met.damage {
+    for (at, one) in &report.damage {
         damage(&files[*at], std::slice::from_ref(one));
     }
-    eprintln!("{} txns", met.rows);
-    if met.doubled > 0 {
-        eprintln!("{} txns stood in more than one input and were written once", met.doubled);
+    eprintln!("{} txns", report.rows);
+    if report.duplicates > 0 {
+        eprintln!("{} txns stood in more than one input and were written once", report.duplicates);
     }
-    if met.unordered > 0 {
-        eprintln!("{} txns are out of order: a node's clock stepped back too far", met.unordered);
+    if report.out_of_order > 0 {
+        eprintln!("{} txns are out of order: a node's clock stepped back too far", report.out_of_order);
     }
     Ok(())
 }
@@ -82,7 +82,7 @@
     let key = parse_key(&text).ok_or_else(|| Wrong::Asked(format!("{told}: should hold 64 hex digits")))?;
     let mut trace = open(file)?;
     let node = if nodes { "anonymised".into() } else { trace.meta.node.clone() };
-    let mut writer = Writer::new(Output::new(out)?, &Meta { node, made: trace.meta.made })?;
+    let mut writer = Writer::new(Output::new(out)?, &FileMetadata { node, created: trace.meta.created })?;
     let bar = bar("veiling");
     let seen = tools::anonymise(&mut trace, &key, floor, nodes, &mut writer, &mut step(&bar))?;
     writer.seal()?.finish()?;
@@ -91,16 +91,16 @@
     Ok(())
 }
 
-pub fn synth(told: &Synth, format: u16, out: &str) -> Done {
-    let good = told.rate > 0.0 && told.rate.is_finite() && (0.0..=1.0).contains(&told.rush);
+pub fn synth(told: &SynthConfig, format: u16, out: &str) -> Done {
+    let good = told.rate > 0.0 && told.rate.is_finite() && (0.0..=1.0).contains(&told.overload_share);
     if !good || told.node.is_empty() || told.callers == 0 || told.customers == 0 {
         return Err(Wrong::Asked(
             "rate should be above 0, rush from 0 to 1, customers and callers 1 or more".into(),
         ));
     }
     let mut names = Names::default();
-    let mut maker = Maker::new(told, &mut names);
-    let meta = Meta { node: told.node.clone(), made: told.from };
+    let mut maker = Generator::new(told, &mut names);
+    let meta = FileMetadata { node: told.node.clone(), created: told.from };
     let output = Output::new(out)?;
     let bar = bar("making up");
     let whole = (told.span * told.rate) as usize;
@@ -110,15 +110,15 @@
         let mut writer = v1::Writer::new(output, &meta)?;
         while let Some(record) = maker.next(&mut names) {
             match record {
-                Record::Row(row) => writer.row(&names, &row)?,
-                Record::Note(note) => writer.note(&names, &note)?,
+                Record::Row(row) => writer.write_row(&names, &row)?,
+                Record::Note(note) => writer.write_note(&names, &note)?,
             }
             count += 1;
             if count.is_multiple_of(BLOCK_ROWS) {
                 show(count.min(whole), whole.max(1));
             }
         }
-        writer.end()?.finish()?;
+        writer.finish()?.finish()?;
     } else {
         count = write(&mut maker, &mut names, &meta, output, |count| show(count.min(whole), whole.max(1)))?;
     }
@@ -129,27 +129,27 @@
 
 /// Writes all that a maker gives, and says how many records there were.
 pub fn write(
-    maker: &mut Maker,
+    maker: &mut Generator,
     names: &mut Names,
-    meta: &Meta,
+    meta: &FileMetadata,
     output: Output,
     mut show: impl FnMut(usize),
 ) -> Done<usize> {
     let mut writer = Writer::new(output, meta)?;
-    let mut blocks = Blocks::new(BLOCK_ROWS, &mut writer);
+    let mut blocks = BlockWriter::new(BLOCK_ROWS, &mut writer);
     let mut count = 0usize;
     while let Some(record) = maker.next(names) {
         count += 1;
         match record {
             Record::Row(row) => {
-                if blocks.row(names, row)? {
+                if blocks.write_row(names, row)? {
                     show(count);
                 }
             }
-            Record::Note(note) => blocks.note(names, note)?,
+            Record::Note(note) => blocks.write_note(names, note)?,
         }
     }
-    blocks.rest(names)?;
+    blocks.flush(names)?;
     writer.seal()?.finish()?;
     Ok(count)
 }
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -11,8 +11,8 @@
 use crate::say::{Done, Wrong};
 use clap::{Args, Subcommand, ValueEnum};
 use puffinladder_trace::expr::{self, Expr};
-use puffinladder_trace::summary::By;
-use puffinladder_trace::tools::Choice;
+use puffinladder_trace::summary::GroupBy;
+use puffinladder_trace::tools::Selection;
 use std::path::PathBuf;
 
 #[derive(Subcommand)]
@@ -251,14 +251,14 @@
 }
 
 impl ByWhat {
-    fn by(self) -> By {
+    fn by(self) -> GroupBy {
         match self {
-            ByWhat::Product => By::Product,
-            ByWhat::Customer => By::Customer,
-            ByWhat::Caller => By::Caller,
-            ByWhat::Reason => By::Reason,
-            ByWhat::Node => By::Node,
-            ByWhat::Interval => By::Interval,
+            ByWhat::Product => GroupBy::Product,
+            ByWhat::Customer => GroupBy::Customer,
+            ByWhat::Caller => GroupBy::Caller,
+            ByWhat::Reason => GroupBy::Reason,
+            ByWhat::Node => GroupBy::Node,
+            ByWhat::Interval => GroupBy::Interval,
         }
     }
 }
@@ -306,9 +306,9 @@
         self.expr.as_deref().map_or(Ok(Expr::All), parse)
     }
     /// The same in a trace that begins at `begin`, us.
-    fn choice(&self, begin: i64) -> Done<Choice> {
+    fn choice(&self, begin: i64) -> Done<Selection> {
         let (from, to) = self.span.bounds(begin);
-        Ok(Choice { from, to, expr: self.expr()? })
+        Ok(Selection { from, to, expr: self.expr()? })
     }
 }
 
@@ -334,14 +334,14 @@
         }
         Command::Repair { file, out } => make::repair(&file, &out.out),
         Command::Synth { span, rate, seed, node, customers, callers, rush, format, out } => {
-            let told = puffinladder_trace::synth::Synth {
+            let told = puffinladder_trace::synth::SynthConfig {
                 seed,
                 span: span as f64 / 1e6,
                 rate,
                 node,
                 customers,
                 callers,
-                rush,
+                overload_share: rush,
                 ..Default::default()
             };
             make::synth(&told, format, &out.out)
--- a/crates/cli/src/trace/plot.rs
+++ b/crates/cli/src/trace/plot.rs
@@ -11,11 +11,11 @@
     let seconds = interval as f64 / 1e6;
     let at = |name: &str| name.trim().trim_end_matches('s').parse::<f64>().unwrap_or(0.0);
     let mut rows: Vec<(f64, f64, f64, f64)> = summary
-        .parts
+        .groups
         .iter()
         .map(|(name, sums)| {
             let declined = sums.declined as f64 / seconds;
-            (at(name), sums.value_asked / seconds, sums.value_in_sla / seconds, declined)
+            (at(name), sums.requested_value / seconds, sums.value_in_sla / seconds, declined)
         })
         .collect();
     rows.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/cli/src/trace/view.rs
+++ b/crates/cli/src/trace/view.rs
@@ -5,8 +5,8 @@
 use crate::say::{Done, Wrong};
 use puffinladder_trace::expr::{self, Expr};
 use puffinladder_trace::row::{Names, Note, Row};
-use puffinladder_trace::summary::Sums;
-use puffinladder_trace::tools::{notes, scan, Choice};
+use puffinladder_trace::summary::Totals;
+use puffinladder_trace::tools::{notes, scan, Selection};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind, KeyModifiers};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Modifier, Style};
@@ -135,7 +135,7 @@
     begin: i64,
     interval: i64,
     /// Of each interval: its sums, whether anything is in it or not.
-    times: Vec<Sums>,
+    times: Vec<Totals>,
     rows: Vec<Row>,
     notes: Vec<Note>,
 }
@@ -143,10 +143,10 @@
 impl App {
     fn new(name: &str) -> Done<App> {
         let mut trace = open(name)?;
-        let (begin, end) = trace.span().unwrap_or((0, 0));
+        let (begin, end) = trace.time_range().unwrap_or((0, 0));
         let mut names = Names::default();
         let mut lost = Vec::new();
-        let notes = notes(&mut trace, &mut names, &Choice::default(), &mut lost)?;
+        let notes = notes(&mut trace, &mut names, &Selection::default(), &mut lost)?;
         let mut app = App {
             trace,
             name: name.to_owned(),
@@ -163,21 +163,22 @@
         Ok(app)
     }
 
-    fn choice(&self, from: i64, to: i64) -> Choice {
-        Choice { from, to, expr: self.expr.clone() }
+    fn choice(&self, from: i64, to: i64) -> Selection {
+        Selection { from, to, expr: self.expr.clone() }
     }
 
     fn read_times(&mut self) -> Done {
         let choice = self.choice(i64::MIN, i64::MAX);
-        let mut times = vec![Sums::default(); INTERVALS as usize];
+        let mut times = vec![Totals::default(); INTERVALS as usize];
         let (begin, interval) = (self.begin, self.interval);
         scan(&mut self.trace, &mut self.names, &choice, &mut |_, _| {}, |row, names| {
             let at = ((row.read - begin) / interval).clamp(0, INTERVALS - 1) as usize;
-            let (step, value) = (names.steps(row.path).fate().step(), row.value(names.terms(row.product)));
+            let (step, value) =
+                (names.path(row.path).disposition().step(), row.value(names.product(row.product)));
             times[at].add(step, 1, value);
             ControlFlow::Continue(())
         })?;
-        while times.last().is_some_and(|sums| sums.asked == 0) {
+        while times.last().is_some_and(|sums| sums.requests == 0) {
             times.pop();
         }
         self.state.count[0] = times.len();
@@ -222,7 +223,7 @@
         let [top, middle, bottom] = parts.areas(frame.area());
         let height = usize::from(middle.height.saturating_sub(2));
         self.state.page = height;
-        let total = self.times.iter().map(|sums| sums.asked).sum::<u64>();
+        let total = self.times.iter().map(|sums| sums.requests).sum::<u64>();
         let filter = if self.state.filter.is_empty() { "all" } else { &self.state.filter };
         let sealed = if self.trace.sealed { "" } else { " (not sealed)" };
         let head = format!("{}{sealed}  {total} txns  filter: {filter}", self.name);
@@ -253,19 +254,19 @@
     }
 
     fn time_lines(&self, width: usize) -> (String, Vec<Line<'static>>, usize) {
-        let most = self.times.iter().map(|sums| sums.asked).max().unwrap_or(1).max(1);
+        let most = self.times.iter().map(|sums| sums.requests).max().unwrap_or(1).max(1);
         let room = width.saturating_sub(44).max(8);
         let lines = self.times.iter().enumerate().map(|(at, sums)| {
             let cells = |count: u64| (count as usize * room).div_ceil(most as usize);
             let (settled, declined) = (cells(sums.in_sla), cells(sums.declined));
-            let rest = cells(sums.asked).saturating_sub(settled + declined);
+            let rest = cells(sums.requests).saturating_sub(settled + declined);
             Line::from(vec![
                 Span::raw(format!(
                     "{:>8} {:>8} asked {:>7} declined {:>5.3} ",
                     span((at as i64 * self.interval) as u64),
-                    sums.asked,
+                    sums.requests,
                     sums.declined,
-                    sums.kept()
+                    sums.value_share()
                 )),
                 Span::styled("█".repeat(settled), Style::new().fg(Color::Blue)),
                 Span::styled("▒".repeat(rest), Style::new().fg(Color::DarkGray)),
@@ -278,9 +279,9 @@
 
     fn txn_lines(&self) -> (String, Vec<Line<'static>>, usize) {
         let lines = self.rows.iter().map(|row| {
-            let path = self.names.steps(row.path);
-            let fate = path.fate().step();
-            let color = match fate {
+            let path = self.names.path(row.path);
+            let disposition = path.disposition().step();
+            let color = match disposition {
                 step if step.is_settled() => Color::Blue,
                 step if step.is_declined() => Color::Red,
                 _ => Color::Yellow,
@@ -289,12 +290,12 @@
                 Span::raw(format!(
                     "{:>10.3}s {:<12.12} {:<8.8} wait {:>7} run {:>7} ",
                     (row.read - self.begin) as f64 / 1e6,
-                    self.names.terms(row.product).name,
+                    self.names.product(row.product).name,
                     self.names.text(row.customer),
                     span(row.wait(path)),
-                    row.took(path).map_or("-".into(), span),
+                    row.run_time(path).map_or("-".into(), span),
                 )),
-                Span::styled(fate.text(), Style::new().fg(color)),
+                Span::styled(disposition.text(), Style::new().fg(color)),
             ])
         });
         let more = if self.rows.len() >= MOST_ROWS { " and more" } else { "" };
@@ -303,8 +304,8 @@
 
     fn life_lines(&mut self) -> (String, Vec<Line<'static>>, usize) {
         let Some(row) = self.rows.get(self.state.at[1]) else { return (String::new(), Vec::new(), 0) };
-        let path = self.names.steps(row.path);
-        let terms = self.names.terms(row.product);
+        let path = self.names.path(row.path);
+        let terms = self.names.product(row.product);
         let mut lines = vec![
             Line::from(format!("read       {}", date(row.read))),
             Line::from(format!("node       {}", self.names.text(row.node))),
--- a/crates/cli/src/trace/view/tests.rs
+++ b/crates/cli/src/trace/view/tests.rs
@@ -20,7 +20,7 @@
 fn from_the_time_line_to_one_txn_s_life_and_back_with_a_filter() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("a.trace").display().to_string();
-    let told = puffinladder_trace::synth::Synth { span: 400.0, rate: 20.0, ..Default::default() };
+    let told = puffinladder_trace::synth::SynthConfig { span: 400.0, rate: 20.0, ..Default::default() };
     assert!(super::super::make::synth(&told, 2, &path).is_ok());
     let mut app = App::new(&path).unwrap_or_else(|_| panic!("a trace that opens"));
     let all = screen(&mut app);
@@ -39,5 +39,5 @@
     let declined = screen(&mut app);
     assert!(declined.contains("filter: declined"), "{declined}");
     press(&mut app, &[KeyCode::End, KeyCode::Enter]);
-    assert!(app.rows.iter().all(|row| app.names.steps(row.path).fate().word() == "declined"));
+    assert!(app.rows.iter().all(|row| app.names.path(row.path).disposition().label() == "declined"));
 }
--- a/crates/gauging/src/archive.rs
+++ b/crates/gauging/src/archive.rs
@@ -8,10 +8,10 @@
 use crate::fleet::Keepers;
 use crate::meter::{Meter, Passed};
 use crate::{count, pass, size, steward, Counted, Gauge, Sizes, Taken};
-use puffinladder_trace::file::{Meta, Writer};
-use puffinladder_trace::merge::Blocks;
+use puffinladder_trace::file::{FileMetadata, Writer};
+use puffinladder_trace::merge::BlockWriter;
 use puffinladder_trace::row::Names;
-use puffinladder_trace::synth::{Maker, Record, Synth};
+use puffinladder_trace::synth::{Generator, Record, SynthConfig};
 use puffinladder_trace_store::protocol::{Request, Response};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -27,21 +27,22 @@
 
 /// A sealed file of one server over so many s at so many requests a second, as one block.
 fn file(server: &str, span: f64, rate: f64, seed: u64) -> Result<Vec<u8>, String> {
-    let told = Synth { seed, span, rate, node: server.into(), rush: 0.0, ..Synth::default() };
+    let told =
+        SynthConfig { seed, span, rate, node: server.into(), overload_share: 0.0, ..SynthConfig::default() };
     let mut names = Names::default();
-    let mut maker = Maker::new(&told, &mut names);
+    let mut maker = Generator::new(&told, &mut names);
     let mut bytes = Vec::new();
-    let told_by = Meta { node: server.into(), made: told.from };
+    let told_by = FileMetadata { node: server.into(), created: told.from };
     let mut writer = Writer::new(&mut bytes, &told_by).map_err(|e| e.to_string())?;
-    let mut into = Blocks::new(1 << 16, &mut writer);
+    let mut into = BlockWriter::new(1 << 16, &mut writer);
     let mut rows = 0;
     while let Some(record) = maker.next(&mut names) {
         if let Record::Row(row) = record {
             rows += 1;
-            into.row(&names, row).map_err(|e| e.to_string())?;
+            into.write_row(&names, row).map_err(|e| e.to_string())?;
         }
     }
-    into.rest(&names).map_err(|e| e.to_string())?;
+    into.flush(&names).map_err(|e| e.to_string())?;
     writer.seal().map_err(|e| e.to_string())?;
     if rows == 0 {
         return Err(format!("no request in {span} s at {rate} a second"));
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/ground.rs
@@ -834,7 +834,7 @@
         .map_err(|e| e.to_string())?;
     let rows = Rows::read(&into)?;
     let _ = std::fs::remove_file(into);
-    Ok((rows, met.doubled))
+    Ok((rows, met.duplicates))
 }
 
 /// Asks one process one thing, within a bound.
--- a/crates/proving/src/rows.rs
+++ b/crates/proving/src/rows.rs
@@ -1,9 +1,9 @@
 //! The traces that are gathered on the ground, and whether an export of the archive holds each of their rows once.
 
-use puffinladder_trace::file::{Kind, Meta, Writer};
-use puffinladder_trace::merge::Blocks;
+use puffinladder_trace::file::{BlockKind, FileMetadata, Writer};
+use puffinladder_trace::merge::BlockWriter;
 use puffinladder_trace::row::{Names, Row};
-use puffinladder_trace::synth::{Maker, Record, Synth};
+use puffinladder_trace::synth::{Generator, Record, SynthConfig};
 use puffinladder_trace::Trace;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -44,7 +44,7 @@
         let file = BufReader::new(File::open(path).map_err(|e| failed(&e))?);
         let mut trace = Trace::open(file).map_err(|e| failed(&e))?;
         let (mut names, mut rows, mut all) = (Names::default(), Vec::new(), Rows::default());
-        for entry in trace.entries.clone().iter().filter(|entry| entry.kind == Kind::Rows) {
+        for entry in trace.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
             rows.clear();
             trace.rows(entry, &mut names, &mut rows).map_err(|e| failed(&e))?;
             rows.iter().for_each(|row| all.add(&names, row));
@@ -57,28 +57,30 @@
 pub fn write(folder: &Path, server: &str, serial: u64, blocks: usize, all: &mut Rows) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let from = 1_767_225_600_000_000 + serial as i64 * 3_600_000_000;
-    let told = Synth {
+    let told = SynthConfig {
         seed: serial,
         span: blocks as f64 * 2.0,
         rate: 8.0,
         node: server.into(),
         from,
-        rush: 0.0,
-        ..Synth::default()
+        overload_share: 0.0,
+        ..SynthConfig::default()
     };
     let mut names = Names::default();
-    let mut maker = Maker::new(&told, &mut names);
+    let mut maker = Generator::new(&told, &mut names);
     let half = folder.join(format!("{serial:010}.half"));
-    let mut writer =
-        Writer::new(BufWriter::new(File::create(&half)?), &Meta { node: server.into(), made: from })?;
-    let mut into = Blocks::new(16, &mut writer);
+    let mut writer = Writer::new(
+        BufWriter::new(File::create(&half)?),
+        &FileMetadata { node: server.into(), created: from },
+    )?;
+    let mut into = BlockWriter::new(16, &mut writer);
     while let Some(record) = maker.next(&mut names) {
         if let Record::Row(row) = record {
             all.add(&names, &row);
-            into.row(&names, row)?;
+            into.write_row(&names, row)?;
         }
     }
-    into.rest(&names)?;
+    into.flush(&names)?;
     writer.seal()?.flush()?;
     std::fs::rename(half, folder.join(format!("{server}-{serial:010}.trace")))
 }
--- a/crates/server/src/lifecycle/recording.rs
+++ b/crates/server/src/lifecycle/recording.rs
@@ -7,8 +7,8 @@
 use puffinladder::RequestClass;
 use puffinladder_settings::ServerConfig;
 use puffinladder_settings::TraceSettings;
-use puffinladder_trace::recorder::keeper::Bounds;
-use puffinladder_trace::recorder::{Folder, Recorder, Running, Told};
+use puffinladder_trace::recorder::rotation::RotationLimits;
+use puffinladder_trace::recorder::{Recorder, RecorderConfig, RecorderHandle, TraceDirectory};
 use puffinladder_trace::row::Product;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     /// Records and counts requests.
     pub log: RequestLog,
     /// Handle of the recorder's thread.
-    pub running: Option<Running>,
+    pub running: Option<RecorderHandle>,
 }
 
 /// Starts the recorder if the settings enable a trace.
@@ -63,22 +63,22 @@
         expiry: class.timeout,
         by_work: policy.settings.weight_per_work,
     };
-    let recorder_config = Told {
+    let recorder_config = RecorderConfig {
         node: config.name.clone(),
-        bounds: Bounds {
+        limits: RotationLimits {
             block_rows: trace.block_rows,
-            block_span: trace.block_duration,
-            file_bytes: trace.file_bytes,
-            file_span: trace.file_duration,
-            most_bytes: trace.max_bytes,
-            most_files: trace.max_files,
+            max_block_age: trace.block_duration,
+            max_file_bytes: trace.file_bytes,
+            max_file_age: trace.file_duration,
+            max_total_bytes: trace.max_bytes,
+            max_files: trace.max_files,
         },
         products: policy.class_names.iter().zip(&policy.settings.classes).map(product).collect(),
         customers: policy.tenant_names.clone(),
         key: trace.key_file.as_deref().map_or_else(|| Ok(random_key()), load_key)?,
         sample: trace.sample_interval,
     };
-    let folder = Folder { path: trace.directory.clone().into(), prefix: format!("{}-", config.name) };
+    let folder = TraceDirectory { path: trace.directory.clone().into(), prefix: format!("{}-", config.name) };
     std::fs::create_dir_all(&folder.path)
         .map_err(|source| StartError::TraceFolder { folder: trace.directory.clone(), source })?;
     let warn = |line: &str| tracing::warn!("{line}");
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -1,18 +1,18 @@
 //! Final steps of a drain, scheduled relative to the kill time.
 
 use super::server::Server;
-use puffinladder_trace::recorder::Running;
+use puffinladder_trace::recorder::RecorderHandle;
 
 /// Progress of the shutdown.
 pub struct Shutdown {
-    recording: Option<Running>,
+    recording: Option<RecorderHandle>,
     goaway_sent: bool,
     log_closed: bool,
 }
 
 impl Shutdown {
     /// Creates a shutdown that seals the trace of `recording` at its end.
-    pub fn new(recording: Option<Running>) -> Shutdown {
+    pub fn new(recording: Option<RecorderHandle>) -> Shutdown {
         Shutdown { recording, goaway_sent: false, log_closed: false }
     }
 
@@ -39,7 +39,7 @@
             return false;
         }
         if let Some(recording) = self.recording.take() {
-            recording.end(limits.trace_seal_timeout);
+            recording.shutdown(limits.trace_seal_timeout);
         }
         true
     }
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -6,8 +6,8 @@
 use crate::runtime::lock::lock;
 use puffinladder::Gauges;
 use puffinladder_settings::PolicyConfig;
-use puffinladder_trace::recorder::keeper::Changes;
-use puffinladder_trace::recorder::{Entry, Recorder};
+use puffinladder_trace::recorder::rotation::ChangeFilter;
+use puffinladder_trace::recorder::{Recorder, RequestRecord};
 use puffinladder_trace::row::{Step, Topic};
 use std::sync::{Arc, Mutex};
 
@@ -25,7 +25,7 @@
 
 struct TraceLog {
     recorder: Recorder,
-    changes: Mutex<Changes>,
+    changes: Mutex<ChangeFilter>,
 }
 
 impl RequestLog {
@@ -56,7 +56,7 @@
         let Some(trace) = &self.trace else {
             return RequestEntry { recorded: None, counted, objective_deadline };
         };
-        let mut entry = Entry::new(now, received.attempt);
+        let mut entry = RequestRecord::new(now, received.attempt);
         entry.unread = time_unread;
         entry.product = request.class as u16;
         entry.customer = request.tenant as u32;
@@ -69,7 +69,7 @@
     /// Records a value of `topic` in the trace.
     pub fn record_value(&self, now: f64, topic: Topic, value: f64) {
         if let Some(trace) = &self.trace {
-            trace.recorder.note(now, topic, value);
+            trace.recorder.record_note(now, topic, value);
         }
     }
 
@@ -105,8 +105,8 @@
 
     fn record_change_above(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
         if let Some(trace) = &self.trace {
-            if lock(&trace.changes).news(now, topic.0, value, min_change) {
-                trace.recorder.note(now, topic, value);
+            if lock(&trace.changes).accept(now, topic.0, value, min_change) {
+                trace.recorder.record_note(now, topic, value);
             }
         }
     }
@@ -141,7 +141,7 @@
 
 struct RecordedRequest<'a> {
     recorder: &'a Recorder,
-    entry: Entry,
+    entry: RequestRecord,
 }
 
 struct CountedRequest<'a> {
@@ -153,7 +153,7 @@
     /// Records a step of the request.
     pub fn record(&mut self, step: Step) {
         if let Some(recorded) = &mut self.recorded {
-            recorded.entry.step(unix_now(), step);
+            recorded.entry.add_step(unix_now(), step);
         }
         if let Some(counted) = &self.counted {
             counted.counters.count_step(counted.cell, step);
@@ -191,7 +191,7 @@
 impl Drop for RequestEntry<'_> {
     fn drop(&mut self) {
         if let Some(recorded) = &self.recorded {
-            recorded.recorder.txn(&recorded.entry);
+            recorded.recorder.record_request(&recorded.entry);
         }
     }
 }
--- a/crates/server/tests/trace.rs
+++ b/crates/server/tests/trace.rs
@@ -4,10 +4,10 @@
 use puffinladder_toy::harness::ServerHarness;
 use puffinladder_toy::WAIT_TIMEOUT;
 use puffinladder_trace::anonymise::parse_key;
-use puffinladder_trace::file::Kind;
-use puffinladder_trace::recorder::{key_hash, keyed};
+use puffinladder_trace::file::BlockKind;
+use puffinladder_trace::recorder::{keyed_hash, request_key_hash};
 use puffinladder_trace::row::{Names, Row, Topic};
-use puffinladder_trace::tools::{notes, Choice};
+use puffinladder_trace::tools::{notes, Selection};
 use puffinladder_trace::Trace;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -54,7 +54,7 @@
             trace.rows(&entry, names, &mut rows).unwrap();
         }
         for row in rows {
-            let steps = names.steps(row.path).steps().map(|step| step.text()).collect();
+            let steps = names.path(row.path).steps().map(|step| step.text()).collect();
             assert!(rows_by_hash.insert(row.name, (row, steps)).is_none(), "attempt recorded twice");
         }
     }
@@ -62,7 +62,7 @@
 }
 
 fn attempt_hash(attempt_id: &str) -> u32 {
-    keyed(&parse_key(KEY_HEX).unwrap(), attempt_id.as_bytes()) as u32
+    keyed_hash(&parse_key(KEY_HEX).unwrap(), attempt_id.as_bytes()) as u32
 }
 
 #[test]
@@ -99,13 +99,13 @@
     assert_eq!(rows.len(), 8);
     for (hash, (response, class)) in &sent {
         let (row, steps) = &rows[hash];
-        let status = match names.steps(row.path).fate().word() {
+        let status = match names.path(row.path).disposition().label() {
             "settled" => "200",
             "declined" => "503",
             _ => "500",
         };
         assert_eq!(status, response.status, "{steps:?}");
-        assert_eq!(&names.terms(row.product).name, class);
+        assert_eq!(&names.product(row.product).name, class);
         assert_eq!((names.text(row.customer), row.caller, names.text(row.node)), ("acme", 1, "toy-1"));
         assert_eq!(
             response.fields.contains(&format!("w={}", row.keep_off)),
@@ -133,14 +133,14 @@
     let steps = &rows[&attempt_hash(&open)].1;
     assert_eq!(gateway.read_response().unwrap().status, "500");
     assert_eq!(steps.join(", "), "run, voided (due)");
-    let key = key_hash(&parse_key(KEY_HEX).unwrap(), &KEY.as_bytes()[3..]);
+    let key = request_key_hash(&parse_key(KEY_HEX).unwrap(), &KEY.as_bytes()[3..]);
     assert_eq!(rows.values().filter(|(row, _)| row.key == key).count(), 2);
 
     let mut state = Vec::new();
     for path in trace_files(folder.path()) {
         let mut trace = Trace::open(File::open(&path).unwrap()).unwrap();
         assert!(trace.sealed && trace.damage.is_empty(), "{path:?}");
-        state.extend(notes(&mut trace, &mut names, &Choice::default(), &mut Vec::new()).unwrap());
+        state.extend(notes(&mut trace, &mut names, &Selection::default(), &mut Vec::new()).unwrap());
         // The file contains neither attempt ids nor keys in plain text.
         let bytes = std::fs::read(&path).unwrap();
         assert!(!bytes.windows(16).any(|w| w == held.as_bytes() || w == &KEY.as_bytes()[3..19]));
@@ -171,7 +171,7 @@
     let blocks = || {
         let trace =
             trace_files(folder.path()).first().and_then(|path| Trace::open(File::open(path).ok()?).ok());
-        trace.map_or(0, |trace| trace.count(Kind::Rows))
+        trace.map_or(0, |trace| trace.record_count(BlockKind::Rows))
     };
     while blocks() < 256 {
         assert!(Instant::now() < end, "{} of 256 blocks written within {WAIT_TIMEOUT:?}", blocks());
@@ -190,7 +190,7 @@
             match rows.get(hash) {
                 Some((row, steps)) => {
                     assert!(!missing, "the trace lacks an attempt answered before a recorded one");
-                    let settled = names.steps(row.path).fate().word() == "settled";
+                    let settled = names.path(row.path).disposition().label() == "settled";
                     assert_eq!(settled, status == "200", "{status}: {steps:?}");
                 }
                 None => missing = true,
--- a/crates/trace-store/src/export.rs
+++ b/crates/trace-store/src/export.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::FileId;
 use crate::store::{Store, StoreError};
-use puffinladder_trace::file::{unpack, Meta, Writer};
-use puffinladder_trace::merge::Met;
+use puffinladder_trace::file::{verify_block, FileMetadata, Writer};
+use puffinladder_trace::merge::MergeReport;
 use puffinladder_trace::tools::merge;
 use puffinladder_trace::Trace;
 use std::fs::File;
@@ -42,7 +42,7 @@
         /// Destination of the exported trace.
         path: PathBuf,
         /// Error of reading or merging.
-        source: puffinladder_trace::Fault,
+        source: puffinladder_trace::TraceError,
     },
 }
 
@@ -53,7 +53,7 @@
     destination: &Path,
     made: i64,
     progress: &mut dyn FnMut(usize, usize),
-) -> Result<Met, ExportError> {
+) -> Result<MergeReport, ExportError> {
     let write_error = |source| ExportError::Write { path: destination.into(), source };
     let merge_error = |source| ExportError::Merge { path: destination.into(), source };
     // Temporary files are on the file system of the destination, so that the final rename is atomic.
@@ -69,7 +69,7 @@
     }
     let temporary = parts.path().join("merged");
     let out = BufWriter::new(File::create(&temporary).map_err(write_error)?);
-    let meta = Meta { node: MERGED_SERVER.into(), made };
+    let meta = FileMetadata { node: MERGED_SERVER.into(), created: made };
     let mut writer = Writer::new(out, &meta).map_err(write_error)?;
     let merged = merge(traces, &mut writer, progress).map_err(merge_error)?;
     finish(writer).map_err(write_error)?;
@@ -87,12 +87,12 @@
 ) -> Result<(), ExportError> {
     let write_error = |source| ExportError::Write { path: destination.into(), source };
     let out = BufWriter::new(File::create(path).map_err(write_error)?);
-    let meta = Meta { node: file.server.clone(), made };
+    let meta = FileMetadata { node: file.server.clone(), created: made };
     let mut writer = Writer::new(out, &meta).map_err(write_error)?;
     store.for_each_block(file, |bytes| {
-        let block =
-            unpack(bytes).map_err(|bad| ExportError::DamagedBlock { file: file.clone(), reason: bad.0 })?;
-        writer.block(&block).map_err(write_error)
+        let block = verify_block(bytes)
+            .map_err(|bad| ExportError::DamagedBlock { file: file.clone(), reason: bad.0 })?;
+        writer.write_block(&block).map_err(write_error)
     })?;
     finish(writer).map_err(write_error)
 }
--- a/crates/trace-store/src/requests.rs
+++ b/crates/trace-store/src/requests.rs
@@ -112,7 +112,7 @@
 fn decode_block(text: &str) -> Result<Vec<u8>, InvalidBlock> {
     let block = BASE64_STANDARD.decode(text)?;
     if !block.is_empty() {
-        puffinladder_trace::file::unpack(block.clone()).map_err(|bad| InvalidBlock::Damaged(bad.0))?;
+        puffinladder_trace::file::verify_block(block.clone()).map_err(|bad| InvalidBlock::Damaged(bad.0))?;
     }
     Ok(block)
 }
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,7 +1,7 @@
 //! Takes customers, callers and keys out of a trace: each becomes a keyed hash of itself. The same key gives the same
 //! names across files; without it nobody can tell whose they were, nor join files made with different keys.
 
-use crate::recorder::{key_hash, keyed};
+use crate::recorder::{keyed_hash, request_key_hash};
 use crate::row::{Names, Row};
 use std::collections::HashMap;
 
@@ -19,13 +19,13 @@
 }
 
 /// Gives new names.
-pub struct Veil {
+pub struct Anonymiser {
     customers_key: [u8; 32],
     callers_key: [u8; 32],
     tries_key: [u8; 32],
     keys_key: [u8; 32],
     nodes_key: Option<[u8; 32]>,
-    /// New numbers of the customers met so far, and the number of those who are rare.
+    /// New numbers of the customers report so far, and the number of those who are rare.
     customers: HashMap<u32, u32>,
     rare: HashMap<u32, bool>,
     floor: u64,
@@ -35,12 +35,12 @@
 /// The name under which rare customers go together.
 pub const RARE: &str = "rare";
 
-impl Veil {
+impl Anonymiser {
     /// `counts` tells how many txns each customer has; those under `floor` become [`RARE`].
-    pub fn new(key: &[u8; 32], counts: &HashMap<u32, u64>, floor: u64, nodes: bool) -> Veil {
+    pub fn new(key: &[u8; 32], counts: &HashMap<u32, u64>, floor: u64, nodes: bool) -> Anonymiser {
         // A key for each kind, so that a customer and a key of the same bytes do not look alike.
         let derived = |kind: &str| blake3::derive_key(&format!("puffinladder trace 2026 {kind}"), key);
-        Veil {
+        Anonymiser {
             customers_key: derived("customers"),
             callers_key: derived("callers"),
             tries_key: derived("tries"),
@@ -53,29 +53,31 @@
         }
     }
 
-    /// Changes a row. Its numbers are of `names`, which gets the new ones; the old must not be written after that.
-    pub fn row(&mut self, names: &mut Names, row: &mut Row) {
+    /// ChangeFilter a row. Its numbers are of `names`, which gets the new ones; the old must not be written after that.
+    pub fn anonymise_row(&mut self, names: &mut Names, row: &mut Row) {
         row.customer = *self.customers.entry(row.customer).or_insert_with_key(|old| {
             let rare = self.floor > 0 && self.rare.get(old).copied().unwrap_or(true);
             let new = match rare {
                 true => RARE.to_owned(),
-                false => format!("c{:012x}", keyed(&self.customers_key, names.text(*old).as_bytes()) >> 16),
+                false => {
+                    format!("c{:012x}", keyed_hash(&self.customers_key, names.text(*old).as_bytes()) >> 16)
+                }
             };
-            names.word(&new)
+            names.intern(&new)
         });
-        row.node = self.node(names, row.node);
-        row.caller = keyed(&self.callers_key, &row.caller.to_le_bytes()) as u32;
-        row.name = keyed(&self.tries_key, &row.name.to_le_bytes()) as u32;
+        row.node = self.anonymise_node(names, row.node);
+        row.caller = keyed_hash(&self.callers_key, &row.caller.to_le_bytes()) as u32;
+        row.name = keyed_hash(&self.tries_key, &row.name.to_le_bytes()) as u32;
         if row.key != 0 {
-            row.key = key_hash(&self.keys_key, &row.key.to_le_bytes());
+            row.key = request_key_hash(&self.keys_key, &row.key.to_le_bytes());
         }
     }
 
-    pub fn node(&mut self, names: &mut Names, node: u32) -> u32 {
+    pub fn anonymise_node(&mut self, names: &mut Names, node: u32) -> u32 {
         let Some(key) = &self.nodes_key else { return node };
         *self.nodes.entry(node).or_insert_with_key(|old| {
-            let new = format!("n{:012x}", keyed(key, names.text(*old).as_bytes()) >> 16);
-            names.word(&new)
+            let new = format!("n{:012x}", keyed_hash(key, names.text(*old).as_bytes()) >> 16);
+            names.intern(&new)
         })
     }
 }
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -1,4 +1,4 @@
-//! Blocks of version 2: rows or notes in columns, behind a head that says what is in them. Each stands for
+//! BlockWriter of version 2: rows or notes in columns, behind a head that says what is in them. Each stands for
 //! itself, names included. `docs/trace-format.md` is the specification.
 
 use crate::codec::*;
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// Rows of one product, customer and fate: how many, and what they were worth.
+/// Rows of one product, customer and disposition: how many, and what they were worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Group {
     pub product: u32,
     pub customer: u32,
-    pub fate: Fate,
+    pub disposition: Disposition,
     pub count: u64,
     pub value: f64,
 }
@@ -35,12 +35,12 @@
 
 /// Numbers of one block, given in the order in which they are first seen.
 #[derive(Default)]
-struct Local<K> {
+struct LocalNumbers<K> {
     by_key: HashMap<K, u64>,
     keys: Vec<K>,
 }
 
-impl<K: Copy + Eq + Hash> Local<K> {
+impl<K: Copy + Eq + Hash> LocalNumbers<K> {
     fn number(&mut self, key: K) -> u64 {
         // Runs of the same are common.
         *self.by_key.entry(key).or_insert_with(|| {
@@ -71,7 +71,7 @@
 }
 
 /// Names of the columns, for the table of bytes.
-pub fn column_text(id: u8) -> &'static str {
+pub fn column_name(id: u8) -> &'static str {
     const TEXTS: [&str; 18] = [
         "?", "read", "unread", "node", "product", "customer", "caller", "rank", "hint", "memory", "flags",
         "name", "key", "keep off", "path", "spans", "topic", "value",
@@ -87,15 +87,15 @@
 }
 
 /// Head and columns of some rows, sorted by when they were read.
-pub fn pack_rows(names: &Names, rows: &mut [Row]) -> (Head, Vec<u8>, Vec<u8>) {
+pub fn encode_rows(names: &Names, rows: &mut [Row]) -> (Head, Vec<u8>, Vec<u8>) {
     rows.sort_by_key(|row| row.read);
     let rows = &*rows;
-    debug_assert!(!rows.is_empty() && rows.len() <= MOST_ROWS);
-    let (mut nodes, mut products) = (Local::default(), Local::default());
-    let (mut customers, mut paths) = (Local::default(), Local::default());
-    let mut groups: BTreeMap<(u64, u64, Fate), (u64, f64)> = BTreeMap::new();
-    let fates: Vec<(Fate, usize)> =
-        names.paths().iter().map(|path| (path.fate(), path.waited_till())).collect();
+    debug_assert!(!rows.is_empty() && rows.len() <= MAX_BLOCK_ROWS);
+    let (mut nodes, mut products) = (LocalNumbers::default(), LocalNumbers::default());
+    let (mut customers, mut paths) = (LocalNumbers::default(), LocalNumbers::default());
+    let mut groups: BTreeMap<(u64, u64, Disposition), (u64, f64)> = BTreeMap::new();
+    let dispositions: Vec<(Disposition, usize)> =
+        names.paths().iter().map(|path| (path.disposition(), path.wait_end())).collect();
     let mut head =
         Head { from: rows[0].read, to: rows[rows.len() - 1].read, rows: rows.len(), ..Head::default() };
     let mut columns: [Vec<u64>; 16] = Default::default();
@@ -107,18 +107,18 @@
     let mut last = rows[0].read;
     for row in rows {
         let (product, customer) = (products.number(row.product), customers.number(row.customer));
-        let (fate, waited) = fates[row.path as usize];
-        let path = names.steps(row.path);
+        let (disposition, waited) = dispositions[row.path as usize];
+        let path = names.path(row.path);
         let cells = [
             (column::READ, row.read.wrapping_sub(last) as u64),
-            (column::UNREAD, coarse(row.unread, ROUGH).into()),
+            (column::UNREAD, quantize(row.unread, ESTIMATE_BITS).into()),
             (column::NODE, nodes.number(row.node)),
             (column::PRODUCT, product),
             (column::CUSTOMER, customer),
             (column::CALLER, row.caller.into()),
             (column::RANK, row.rank.into()),
-            (column::HINT, coarse(row.hint, ROUGH).into()),
-            (column::MEMORY, coarse(row.memory, ROUGH).into()),
+            (column::HINT, quantize(row.hint, ESTIMATE_BITS).into()),
+            (column::MEMORY, quantize(row.memory, ESTIMATE_BITS).into()),
             (column::FLAGS, row.flags.into()),
             (column::NAME, row.name.into()),
             (column::PATH, paths.number(row.path)),
@@ -128,18 +128,18 @@
         }
         // Only some have these: the path tells which.
         columns[usize::from(column::KEY)].push(row.key);
-        if fate.step().is_declined() {
-            columns[usize::from(column::KEEP_OFF)].push(coarse(row.keep_off, SPAN).into());
+        if disposition.step().is_declined() {
+            columns[usize::from(column::KEEP_OFF)].push(quantize(row.keep_off, SPAN_BITS).into());
         }
         let mut held = u64::from(row.unread);
         for (at, (code, span)) in path.0.iter().zip(&row.spans).enumerate() {
-            spans[usize::from(*code)].push(coarse(*span, SPAN).into());
+            spans[usize::from(*code)].push(quantize(*span, SPAN_BITS).into());
             held += if at <= waited { u64::from(*span) } else { 0 };
         }
         head.longest_wait = head.longest_wait.max(held);
-        head.longest_run = head.longest_run.max(row.took(path).unwrap_or(0));
-        let group = groups.entry((product, customer, fate)).or_default();
-        *group = (group.0 + 1, group.1 + row.value(names.terms(row.product)));
+        head.longest_run = head.longest_run.max(row.run_time(path).unwrap_or(0));
+        let group = groups.entry((product, customer, disposition)).or_default();
+        *group = (group.0 + 1, group.1 + row.value(names.product(row.product)));
         last = row.read;
     }
     // Keys: which rows have one, then those.
@@ -171,10 +171,10 @@
         (nodes.keys, products.keys, customers.keys, paths.keys);
     head.groups = groups
         .into_iter()
-        .map(|((product, customer, fate), (count, value))| Group {
+        .map(|((product, customer, disposition), (count, value))| Group {
             product: head.products[product as usize],
             customer: head.customers[customer as usize],
-            fate,
+            disposition,
             count,
             value,
         })
@@ -184,9 +184,9 @@
 }
 
 /// Head and columns of some notes.
-pub fn pack_notes(names: &Names, notes: &mut [Note]) -> (Head, Vec<u8>, Vec<u8>) {
+pub fn encode_notes(names: &Names, notes: &mut [Note]) -> (Head, Vec<u8>, Vec<u8>) {
     notes.sort_by_key(|note| note.at);
-    let mut nodes = Local::default();
+    let mut nodes = LocalNumbers::default();
     let mut columns: [Vec<u64>; 4] = Default::default();
     let mut last = notes[0].at;
     for note in &*notes {
@@ -220,7 +220,7 @@
     put_words(&mut all, &head.nodes);
     put_varint(&mut all, head.products.len() as u64);
     for product in &head.products {
-        let terms = names.terms(*product);
+        let terms = names.product(*product);
         put_bytes(&mut all, terms.name.as_bytes());
         for figure in [terms.value, terms.sla, terms.expiry] {
             all.extend(figure.to_le_bytes());
@@ -229,56 +229,62 @@
     }
     put_words(&mut all, &head.customers);
     put_varint(&mut all, head.paths.len() as u64);
-    head.paths.iter().for_each(|path| put_bytes(&mut all, &names.steps(*path).0));
+    head.paths.iter().for_each(|path| put_bytes(&mut all, &names.path(*path).0));
     put_varint(&mut all, head.groups.len() as u64);
     let place = |all: &[u32], one| all.iter().position(|at| *at == one).unwrap_or(0) as u64;
     for group in &head.groups {
         put_varint(&mut all, place(&head.products, group.product));
         put_varint(&mut all, place(&head.customers, group.customer));
-        all.push(group.fate.0);
+        all.push(group.disposition.0);
         put_varint(&mut all, group.count);
         all.extend(group.value.to_le_bytes());
     }
     let mut bytes = Vec::new();
-    put_packed(&mut bytes, &all);
+    put_compressed(&mut bytes, &all);
     bytes
 }
 
 /// Reads a head, and enters its names.
-pub fn take_head(names: &mut Names, bytes: &[u8]) -> Result<Head, Bad> {
-    let all = take_packed(&mut Cursor(bytes), MOST_HEAD)?;
+pub fn read_head(names: &mut Names, bytes: &[u8]) -> Result<Head, DecodeError> {
+    let all = read_compressed(&mut Cursor(bytes), MAX_HEAD_BYTES)?;
     let from = &mut Cursor(&all);
     let mut head = Head { from: from.i64()?, to: from.i64()?, ..Head::default() };
-    head.rows = from.count(MOST_ROWS)?;
+    head.rows = from.count(MAX_BLOCK_ROWS)?;
     (head.longest_wait, head.longest_run) = (from.varint()?, from.varint()?);
-    for _ in 0..from.count(MOST_ROWS)? {
-        head.nodes.push(names.word(from.text()?));
+    for _ in 0..from.count(MAX_BLOCK_ROWS)? {
+        head.nodes.push(names.intern(from.text()?));
     }
-    for _ in 0..from.count(MOST_ROWS)? {
+    for _ in 0..from.count(MAX_BLOCK_ROWS)? {
         let name = from.text()?.to_owned();
         let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
         if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
-            return Err(Bad("a product's terms are no numbers"));
+            return Err(DecodeError("a product's terms are no numbers"));
         }
-        head.products.push(names.product(&Product { name, value, sla, expiry, by_work: from.u8()? != 0 }));
+        head.products.push(names.intern_product(&Product {
+            name,
+            value,
+            sla,
+            expiry,
+            by_work: from.u8()? != 0,
+        }));
     }
-    for _ in 0..from.count(MOST_ROWS)? {
-        head.customers.push(names.word(from.text()?));
+    for _ in 0..from.count(MAX_BLOCK_ROWS)? {
+        head.customers.push(names.intern(from.text()?));
     }
-    for _ in 0..from.count(MOST_ROWS)? {
+    for _ in 0..from.count(MAX_BLOCK_ROWS)? {
         let path = from.bytes()?;
-        if path.len() > MOST_STEPS + 2 {
-            return Err(Bad("a path is too long"));
+        if path.len() > MAX_STEPS + 2 {
+            return Err(DecodeError("a path is too long"));
         }
-        head.paths.push(names.path(path));
+        head.paths.push(names.intern_path(path));
     }
-    for _ in 0..from.count(MOST_VALUES)? {
-        let (product, customer) = (from.count(MOST_ROWS)?, from.count(MOST_ROWS)?);
-        let wrong = Bad("a group names nobody");
+    for _ in 0..from.count(MAX_COLUMN_VALUES)? {
+        let (product, customer) = (from.count(MAX_BLOCK_ROWS)?, from.count(MAX_BLOCK_ROWS)?);
+        let wrong = DecodeError("a group names nobody");
         head.groups.push(Group {
             product: *head.products.get(product).ok_or(wrong)?,
             customer: *head.customers.get(customer).ok_or(wrong)?,
-            fate: Fate(from.u8()?),
+            disposition: Disposition(from.u8()?),
             count: from.varint()?,
             value: from.f64()?,
         });
@@ -290,7 +296,7 @@
 pub struct Sections<'a>(Vec<(u8, &'a [u8])>);
 
 impl<'a> Sections<'a> {
-    pub fn new(body: &'a [u8]) -> Result<Sections<'a>, Bad> {
+    pub fn new(body: &'a [u8]) -> Result<Sections<'a>, DecodeError> {
         let mut from = Cursor(body);
         let mut all = Vec::new();
         while !from.0.is_empty() {
@@ -301,28 +307,28 @@
     pub fn sizes(&self) -> impl Iterator<Item = (u8, usize)> + '_ {
         self.0.iter().map(|(id, bytes)| (*id, bytes.len()))
     }
-    fn get(&self, id: u8) -> Result<Cursor<'a>, Bad> {
+    fn get(&self, id: u8) -> Result<Cursor<'a>, DecodeError> {
         self.0
             .iter()
             .find(|(known, _)| *known == id)
             .map(|(_, b)| Cursor(b))
-            .ok_or(Bad("a column is missing"))
+            .ok_or(DecodeError("a column is missing"))
     }
-    fn column(&self, id: u8, rows: usize) -> Result<Vec<u64>, Bad> {
-        take_column(&mut self.get(id)?, Some(rows))
+    fn column(&self, id: u8, rows: usize) -> Result<Vec<u64>, DecodeError> {
+        read_column(&mut self.get(id)?, Some(rows))
     }
 }
 
-fn pick(all: &[u32], at: u64) -> Result<u32, Bad> {
-    usize::try_from(at).ok().and_then(|at| all.get(at)).copied().ok_or(Bad("a row names nobody"))
+fn pick(all: &[u32], at: u64) -> Result<u32, DecodeError> {
+    usize::try_from(at).ok().and_then(|at| all.get(at)).copied().ok_or(DecodeError("a row names nobody"))
 }
 
-fn narrow<T: TryFrom<u64>>(value: u64) -> Result<T, Bad> {
-    T::try_from(value).map_err(|_| Bad("a value is out of range"))
+fn narrow<T: TryFrom<u64>>(value: u64) -> Result<T, DecodeError> {
+    T::try_from(value).map_err(|_| DecodeError("a value is out of range"))
 }
 
 /// Enters the rows of a block behind those that are there.
-pub fn take_rows(names: &Names, head: &Head, body: &[u8], into: &mut Vec<Row>) -> Result<(), Bad> {
+pub fn read_rows(names: &Names, head: &Head, body: &[u8], into: &mut Vec<Row>) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let column = |id| sections.column(id, head.rows);
     let (read, unread, node) = (column(column::READ)?, column(column::UNREAD)?, column(column::NODE)?);
@@ -330,21 +336,21 @@
     let (caller, rank, hint) = (column(column::CALLER)?, column(column::RANK)?, column(column::HINT)?);
     let (memory, flags, name) = (column(column::MEMORY)?, column(column::FLAGS)?, column(column::NAME)?);
     let path = column(column::PATH)?;
-    let mut keep_off = take_column(&mut sections.get(column::KEEP_OFF)?, None)?.into_iter();
+    let mut keep_off = read_column(&mut sections.get(column::KEEP_OFF)?, None)?.into_iter();
     let mut keys = sections.get(column::KEY)?;
-    let has_key = take_column(&mut keys, Some(head.rows))?;
-    let mut keys = take_column(&mut keys, None)?.into_iter();
+    let has_key = read_column(&mut keys, Some(head.rows))?;
+    let mut keys = read_column(&mut keys, None)?.into_iter();
     let mut streams: Vec<std::vec::IntoIter<u64>> = Vec::new();
     let mut by_code = [usize::MAX; 256];
     let mut spans = sections.get(column::SPANS)?;
     while !spans.0.is_empty() {
         let code = spans.u8()?;
         by_code[usize::from(code)] = streams.len();
-        streams.push(take_column(&mut spans, None)?.into_iter());
+        streams.push(read_column(&mut spans, None)?.into_iter());
     }
     let declined: Vec<bool> =
-        head.paths.iter().map(|path| names.steps(*path).fate().step().is_declined()).collect();
-    let lacks = Bad("a column lacks values");
+        head.paths.iter().map(|path| names.path(*path).disposition().step().is_declined()).collect();
+    let lacks = DecodeError("a column lacks values");
     into.reserve(head.rows);
     let mut at = head.from;
     for i in 0..head.rows {
@@ -352,14 +358,14 @@
         let global = pick(&head.paths, path[i])?;
         let mut row = Row {
             read: at,
-            unread: fine(narrow(unread[i])?, ROUGH),
+            unread: dequantize(narrow(unread[i])?, ESTIMATE_BITS),
             node: pick(&head.nodes, node[i])?,
             product: pick(&head.products, product[i])?,
             customer: pick(&head.customers, customer[i])?,
             caller: narrow(caller[i])?,
             rank: narrow(rank[i])?,
-            hint: fine(narrow(hint[i])?, ROUGH),
-            memory: fine(narrow(memory[i])?, ROUGH),
+            hint: dequantize(narrow(hint[i])?, ESTIMATE_BITS),
+            memory: dequantize(narrow(memory[i])?, ESTIMATE_BITS),
             flags: narrow(flags[i])?,
             name: narrow(name[i])?,
             key: if has_key[i] != 0 { keys.next().ok_or(lacks)? } else { 0 },
@@ -367,18 +373,18 @@
             ..Row::default()
         };
         if declined[path[i] as usize] {
-            row.keep_off = fine(narrow(keep_off.next().ok_or(lacks)?)?, SPAN);
+            row.keep_off = dequantize(narrow(keep_off.next().ok_or(lacks)?)?, SPAN_BITS);
         }
-        for code in &names.steps(global).0 {
+        for code in &names.path(global).0 {
             let stream = streams.get_mut(by_code[usize::from(*code)]).ok_or(lacks)?;
-            row.spans.push(fine(narrow(stream.next().ok_or(lacks)?)?, SPAN));
+            row.spans.push(dequantize(narrow(stream.next().ok_or(lacks)?)?, SPAN_BITS));
         }
         into.push(row);
     }
     Ok(())
 }
 
-pub fn take_notes(head: &Head, body: &[u8], into: &mut Vec<Note>) -> Result<(), Bad> {
+pub fn read_notes(head: &Head, body: &[u8], into: &mut Vec<Note>) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let (read, node) = (sections.column(column::READ, head.rows)?, sections.column(column::NODE, head.rows)?);
     let topic = sections.column(column::TOPIC, head.rows)?;
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -6,69 +6,73 @@
 /// What a decoder says of bytes that no writer makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Bad(pub &'static str);
+pub struct DecodeError(pub &'static str);
 
 /// Rows that a block may hold.
-pub const MOST_ROWS: usize = 1 << 16;
+pub const MAX_BLOCK_ROWS: usize = 1 << 16;
 /// Values that one column may hold: steps are at most so many a row.
-pub const MOST_VALUES: usize = MOST_ROWS * 16;
+pub const MAX_COLUMN_VALUES: usize = MAX_BLOCK_ROWS * 16;
 /// Bytes of a head, unpacked.
-pub const MOST_HEAD: usize = 8 << 20;
+pub const MAX_HEAD_BYTES: usize = 8 << 20;
 
 /// Reads from a slice, front to back.
 #[derive(Clone, Copy)]
 pub struct Cursor<'a>(pub &'a [u8]);
 
 impl<'a> Cursor<'a> {
-    pub fn take(&mut self, len: usize) -> Result<&'a [u8], Bad> {
-        let (front, rest) = self.0.split_at_checked(len).ok_or(Bad("it ends too early"))?;
+    pub fn take(&mut self, len: usize) -> Result<&'a [u8], DecodeError> {
+        let (front, rest) = self.0.split_at_checked(len).ok_or(DecodeError("it ends too early"))?;
         self.0 = rest;
         Ok(front)
     }
-    fn fixed<const N: usize>(&mut self) -> Result<[u8; N], Bad> {
-        self.take(N)?.try_into().map_err(|_| Bad("it ends too early"))
+    fn fixed<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        self.take(N)?.try_into().map_err(|_| DecodeError("it ends too early"))
     }
-    pub fn u8(&mut self) -> Result<u8, Bad> {
+    pub fn u8(&mut self) -> Result<u8, DecodeError> {
         Ok(self.fixed::<1>()?[0])
     }
-    pub fn u16(&mut self) -> Result<u16, Bad> {
+    pub fn u16(&mut self) -> Result<u16, DecodeError> {
         self.fixed().map(u16::from_le_bytes)
     }
-    pub fn u32(&mut self) -> Result<u32, Bad> {
+    pub fn u32(&mut self) -> Result<u32, DecodeError> {
         self.fixed().map(u32::from_le_bytes)
     }
-    pub fn u64(&mut self) -> Result<u64, Bad> {
+    pub fn u64(&mut self) -> Result<u64, DecodeError> {
         self.fixed().map(u64::from_le_bytes)
     }
-    pub fn i64(&mut self) -> Result<i64, Bad> {
+    pub fn i64(&mut self) -> Result<i64, DecodeError> {
         self.fixed().map(i64::from_le_bytes)
     }
-    pub fn f64(&mut self) -> Result<f64, Bad> {
+    pub fn f64(&mut self) -> Result<f64, DecodeError> {
         self.fixed().map(f64::from_le_bytes)
     }
     /// Seven bits a byte, lowest first.
-    pub fn varint(&mut self) -> Result<u64, Bad> {
+    pub fn varint(&mut self) -> Result<u64, DecodeError> {
         let mut value = 0u64;
         for shift in (0..64).step_by(7) {
             let byte = self.u8()?;
             value |= u64::from(byte & 0x7f) << shift;
             if byte < 0x80 {
-                return if shift == 63 && byte > 1 { Err(Bad("a number is too long")) } else { Ok(value) };
+                return if shift == 63 && byte > 1 {
+                    Err(DecodeError("a number is too long"))
+                } else {
+                    Ok(value)
+                };
             }
         }
-        Err(Bad("a number is too long"))
+        Err(DecodeError("a number is too long"))
     }
     /// A number that is to stay within `most`.
-    pub fn count(&mut self, most: usize) -> Result<usize, Bad> {
+    pub fn count(&mut self, most: usize) -> Result<usize, DecodeError> {
         let value = self.varint()?;
-        usize::try_from(value).ok().filter(|v| *v <= most).ok_or(Bad("a count is out of range"))
+        usize::try_from(value).ok().filter(|v| *v <= most).ok_or(DecodeError("a count is out of range"))
     }
-    pub fn bytes(&mut self) -> Result<&'a [u8], Bad> {
+    pub fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let len = self.count(self.0.len())?;
         self.take(len)
     }
-    pub fn text(&mut self) -> Result<&'a str, Bad> {
-        std::str::from_utf8(self.bytes()?).map_err(|_| Bad("a name is not UTF-8"))
+    pub fn text(&mut self) -> Result<&'a str, DecodeError> {
+        std::str::from_utf8(self.bytes()?).map_err(|_| DecodeError("a name is not UTF-8"))
     }
 }
 
@@ -86,19 +90,19 @@
 }
 
 /// Significant bits that are kept of a measured span: exact below 256, within 0.2% above.
-pub const SPAN: u32 = 8;
+pub const SPAN_BITS: u32 = 8;
 /// The same of what is rough by itself, hints and stamps of whole milliseconds: within 0.8%.
-pub const ROUGH: u32 = 6;
+pub const ESTIMATE_BITS: u32 = 6;
 
 /// A size as a code of `bits` significant bits. Codes are in the order of the sizes, and a size that was rounded once
 /// stays as it is.
-pub fn coarse(value: u32, bits: u32) -> u16 {
+pub fn quantize(value: u32, bits: u32) -> u16 {
     let shift = (u32::BITS - value.leading_zeros()).saturating_sub(bits);
     ((shift << (bits - 1)) + (value >> shift)) as u16
 }
 
 /// The middle of the sizes that share a code.
-pub fn fine(code: u16, bits: u32) -> u32 {
+pub fn dequantize(code: u16, bits: u32) -> u32 {
     let code = u32::from(code);
     if code < 1 << bits {
         return code;
@@ -109,8 +113,8 @@
 }
 
 /// A size as it will come back.
-pub fn rounded(value: u32, bits: u32) -> u32 {
-    fine(coarse(value, bits), bits)
+pub fn round_to_bits(value: u32, bits: u32) -> u32 {
+    dequantize(quantize(value, bits), bits)
 }
 
 thread_local! {
@@ -121,7 +125,7 @@
 /// zstd's level: what comes here is short and mostly noise; level 3 was slower and a little larger.
 const LEVEL: i32 = 1;
 
-/// Packed bytes, if they are fewer.
+/// EncodedBlock bytes, if they are fewer.
 fn packed(bytes: &[u8]) -> Option<Vec<u8>> {
     PACK.with_borrow_mut(|pack| {
         if pack.is_none() {
@@ -136,8 +140,8 @@
     })
 }
 
-fn unpacked(bytes: &[u8], len: usize) -> Result<Vec<u8>, Bad> {
-    let wrong = Bad("packed bytes can't be unpacked");
+fn unpacked(bytes: &[u8], len: usize) -> Result<Vec<u8>, DecodeError> {
+    let wrong = DecodeError("packed bytes can't be unpacked");
     UNPACK.with_borrow_mut(|unpack| {
         if unpack.is_none() {
             *unpack = zstd::bulk::Decompressor::new().ok();
@@ -152,7 +156,7 @@
 }
 
 /// Bytes with their length, packed where that helps.
-pub fn put_packed(out: &mut Vec<u8>, bytes: &[u8]) {
+pub fn put_compressed(out: &mut Vec<u8>, bytes: &[u8]) {
     put_varint(out, bytes.len() as u64);
     match packed(bytes) {
         Some(small) => {
@@ -166,14 +170,14 @@
     }
 }
 
-pub fn take_packed(from: &mut Cursor, most: usize) -> Result<Vec<u8>, Bad> {
+pub fn read_compressed(from: &mut Cursor, most: usize) -> Result<Vec<u8>, DecodeError> {
     let len = from.count(most)?;
     let mode = from.u8()?;
     let bytes = from.bytes()?;
     match mode {
         0 if bytes.len() == len => Ok(bytes.to_vec()),
         1 => unpacked(bytes, len),
-        _ => Err(Bad("unknown packing")),
+        _ => Err(DecodeError("unknown packing")),
     }
 }
 
@@ -205,15 +209,15 @@
     }
 }
 
-/// The values of a column, of which there should be `wanted`, or at most [`MOST_VALUES`].
-pub fn take_column(from: &mut Cursor, wanted: Option<usize>) -> Result<Vec<u64>, Bad> {
-    let count = from.count(wanted.unwrap_or(MOST_VALUES))?;
+/// The values of a column, of which there should be `wanted`, or at most [`MAX_COLUMN_VALUES`].
+pub fn read_column(from: &mut Cursor, wanted: Option<usize>) -> Result<Vec<u64>, DecodeError> {
+    let count = from.count(wanted.unwrap_or(MAX_COLUMN_VALUES))?;
     if wanted.is_some_and(|wanted| wanted != count) {
-        return Err(Bad("a column lacks values"));
+        return Err(DecodeError("a column lacks values"));
     }
     let width = from.u8()?;
     if width > 8 {
-        return Err(Bad("a column is too wide"));
+        return Err(DecodeError("a column is too wide"));
     }
     let mut values = vec![0u64; count];
     for byte in 0..width {
@@ -227,7 +231,7 @@
                 let same = u64::from(from.u8()?) << (8 * byte);
                 values.iter_mut().for_each(|value| *value |= same);
             }
-            _ => return Err(Bad("unknown packing")),
+            _ => return Err(DecodeError("unknown packing")),
         }
     }
     Ok(values)
--- a/crates/trace/src/codec/tests.rs
+++ b/crates/trace/src/codec/tests.rs
@@ -3,16 +3,16 @@
 
 #[test]
 fn a_size_rounded_once_stays_and_keeps_its_order() {
-    for bits in [SPAN, ROUGH] {
+    for bits in [SPAN_BITS, ESTIMATE_BITS] {
         let corners = (12..32).flat_map(|b| [1 << b, (1 << b) - 1, (1 << b) + 77]);
         for value in (0..4096).chain(corners).chain([u32::MAX]) {
-            let near = rounded(value, bits);
-            assert_eq!(rounded(near, bits), near, "{value}");
+            let near = round_to_bits(value, bits);
+            assert_eq!(round_to_bits(near, bits), near, "{value}");
             let off = (f64::from(near) - f64::from(value)).abs();
             assert!(off <= f64::from(value) / f64::from(1 << bits), "{value}: {near}");
         }
-        let last = coarse(u32::MAX, bits);
-        assert!((0..last).all(|c| fine(c, bits) < fine(c + 1, bits)));
+        let last = quantize(u32::MAX, bits);
+        assert!((0..last).all(|c| dequantize(c, bits) < dequantize(c + 1, bits)));
     }
 }
 
@@ -22,11 +22,11 @@
     fn columns_come_back(values in proptest::collection::vec(any::<u64>().prop_map(|v| v >> (v % 61)), 0..600)) {
         let mut bytes = Vec::new();
         put_column(&mut bytes, &values);
-        prop_assert_eq!(take_column(&mut Cursor(&bytes), Some(values.len())).unwrap(), values);
+        prop_assert_eq!(read_column(&mut Cursor(&bytes), Some(values.len())).unwrap(), values);
     }
     #[test]
     fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = take_column(&mut Cursor(&bytes), None);
-        let _ = take_packed(&mut Cursor(&bytes), MOST_HEAD);
+        let _ = read_column(&mut Cursor(&bytes), None);
+        let _ = read_compressed(&mut Cursor(&bytes), MAX_HEAD_BYTES);
     }
 }
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -1,4 +1,4 @@
-//! The language in which a trace is asked: `declined and product = bid-submit and wait > 200ms`.
+//! The language in which a trace is requests: `declined and product = bid-submit and wait > 200ms`.
 //!
 //! ```text
 //! either  = both ("or" both)*          both = one ("and" one)*
@@ -36,7 +36,7 @@
 
 /// What has a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum TextField {
     Product,
     Customer,
     Node,
@@ -48,9 +48,9 @@
     Name,
 }
 
-/// What is measured. Times are us, memory is bytes.
+/// What is measured. DurationHistogram are us, memory is bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
+pub enum NumberField {
     Wait,
     Run,
     Unread,
@@ -66,33 +66,33 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    Below,
-    UpTo,
-    Above,
-    From,
+pub enum Comparison {
+    Less,
+    LessOrEqual,
+    Greater,
+    GreaterOrEqual,
     Equal,
-    Other,
+    NotEqual,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expr {
     All,
     Flag(Flag),
-    Word(Word, Match, String),
-    Figure(Figure, Order, f64),
+    Text(TextField, TextMatch, String),
+    Number(NumberField, Comparison, f64),
     Not(Box<Expr>),
-    Both(Vec<Expr>),
-    Either(Vec<Expr>),
+    And(Vec<Expr>),
+    Or(Vec<Expr>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Match {
-    Is,
-    IsNot,
+pub enum TextMatch {
+    Equal,
+    NotEqual,
     /// `*` stands for any characters, `?` for one.
     Like,
-    Unlike,
+    NotLike,
 }
 
 const FLAGS: [(&str, Flag); 13] = [
@@ -111,28 +111,28 @@
     ("referenced", Flag::Referenced),
 ];
 
-const WORDS: [(&str, Word); 7] = [
-    ("product", Word::Product),
-    ("customer", Word::Customer),
-    ("node", Word::Node),
-    ("reason", Word::Reason),
-    ("step", Word::Step),
-    ("key", Word::Key),
-    ("name", Word::Name),
+const WORDS: [(&str, TextField); 7] = [
+    ("product", TextField::Product),
+    ("customer", TextField::Customer),
+    ("node", TextField::Node),
+    ("reason", TextField::Reason),
+    ("step", TextField::Step),
+    ("key", TextField::Key),
+    ("name", TextField::Name),
 ];
 
-const FIGURES: [(&str, Figure); 11] = [
-    ("wait", Figure::Wait),
-    ("run", Figure::Run),
-    ("unread", Figure::Unread),
-    ("answer", Figure::Answer),
-    ("hint", Figure::Hint),
-    ("keep-off", Figure::KeepOff),
-    ("memory", Figure::Memory),
-    ("rank", Figure::Rank),
-    ("caller", Figure::Caller),
-    ("value", Figure::Value),
-    ("at", Figure::At),
+const FIGURES: [(&str, NumberField); 11] = [
+    ("wait", NumberField::Wait),
+    ("run", NumberField::Run),
+    ("unread", NumberField::Unread),
+    ("answer", NumberField::Answer),
+    ("hint", NumberField::Hint),
+    ("keep-off", NumberField::KeepOff),
+    ("memory", NumberField::Memory),
+    ("rank", NumberField::Rank),
+    ("caller", NumberField::Caller),
+    ("value", NumberField::Value),
+    ("at", NumberField::At),
 ];
 
 /// In us and bytes.
@@ -150,17 +150,17 @@
 
 /// Where an expression is wrong, counted in characters from 1, and what could stand there.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("column {column}: {what}")]
-pub struct Wrong {
+#[error("column {column}: {message}")]
+pub struct ParseError {
     pub column: usize,
-    pub what: String,
+    pub message: String,
 }
 
 /// How deep parentheses may nest: what reads them is a recursion.
 const DEEPEST: usize = 64;
 
 /// Reads an expression; an empty one is all txns.
-pub fn parse(text: &str) -> Result<Expr, Wrong> {
+pub fn parse(text: &str) -> Result<Expr, ParseError> {
     if text.trim().is_empty() {
         return Ok(Expr::All);
     }
@@ -173,11 +173,11 @@
             _ => depth,
         };
         if depth > DEEPEST || text.len() > 1 << 14 {
-            return Err(Wrong { column: at + 1, what: "too long or too deeply nested".into() });
+            return Err(ParseError { column: at + 1, message: "too long or too deeply nested".into() });
         }
     }
     if text.split_whitespace().filter(|w| *w == "not").count() > DEEPEST {
-        return Err(Wrong { column: 1, what: "too many times 'not'".into() });
+        return Err(ParseError { column: 1, message: "too many times 'not'".into() });
     }
     delimited(multispace0, either, multispace0).parse(text).map_err(|wrong| {
         let column = text[..wrong.offset().min(text.len())].chars().count() + 1;
@@ -187,12 +187,12 @@
             Some(word) => format!("'{word}'"),
             None => "the end".into(),
         };
-        let what = if wanted.is_empty() {
+        let message = if wanted.is_empty() {
             format!("{found} does not belong here; 'and' or 'or' would")
         } else {
             format!("found {found}, {wanted}")
         };
-        Wrong { column, what }
+        ParseError { column, message }
     })
 }
 
@@ -217,14 +217,14 @@
     let first = both.parse_next(input)?;
     let mut more: Vec<Expr> = repeat(0.., preceded(keyword("or"), cut_err(both))).parse_next(input)?;
     more.insert(0, first);
-    Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::Either(more) })
+    Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::Or(more) })
 }
 
 fn both(input: &mut &str) -> ModalResult<Expr> {
     let first = one.parse_next(input)?;
     let mut more: Vec<Expr> = repeat(0.., preceded(keyword("and"), cut_err(one))).parse_next(input)?;
     more.insert(0, first);
-    Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::Both(more) })
+    Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::And(more) })
 }
 
 fn one(input: &mut &str) -> ModalResult<Expr> {
@@ -246,33 +246,33 @@
     multispace0.parse_next(input)?;
     if let Some((_, what)) = WORDS.iter().find(|(name, _)| *name == word) {
         let how = cut_err(alt((
-            "!=".value(Match::IsNot),
-            "!~".value(Match::Unlike),
-            "=".value(Match::Is),
-            "~".value(Match::Like),
+            "!=".value(TextMatch::NotEqual),
+            "!~".value(TextMatch::NotLike),
+            "=".value(TextMatch::Equal),
+            "~".value(TextMatch::Like),
         )))
         .context(wanted("=, !=, ~ or !~"))
         .parse_next(input)?;
         let text = cut_err(preceded(multispace0, alt((quoted, bare))))
             .context(wanted("a name, in quotes if it has blanks"))
             .parse_next(input)?;
-        return Ok(Expr::Word(*what, how, text.into()));
+        return Ok(Expr::Text(*what, how, text.into()));
     }
     if let Some((_, what)) = FIGURES.iter().find(|(name, _)| *name == word) {
         let how = cut_err(alt((
-            "<=".value(Order::UpTo),
-            ">=".value(Order::From),
-            "!=".value(Order::Other),
-            "<".value(Order::Below),
-            ">".value(Order::Above),
-            "=".value(Order::Equal),
+            "<=".value(Comparison::LessOrEqual),
+            ">=".value(Comparison::GreaterOrEqual),
+            "!=".value(Comparison::NotEqual),
+            "<".value(Comparison::Less),
+            ">".value(Comparison::Greater),
+            "=".value(Comparison::Equal),
         )))
         .context(wanted("<, <=, =, !=, >= or >"))
         .parse_next(input)?;
         let value = cut_err(preceded(multispace0, amount))
             .context(wanted("a number with a unit: us, ms, s, m, h, KB or MB"))
             .parse_next(input)?;
-        return Ok(Expr::Figure(*what, how, value));
+        return Ok(Expr::Number(*what, how, value));
     }
     *input = begin;
     Err(ErrMode::Backtrack(ContextError::new()))
@@ -310,7 +310,7 @@
 }
 
 /// `*` for any characters, `?` for one.
-pub fn like(pattern: &str, text: &str) -> bool {
+pub fn glob_matches(pattern: &str, text: &str) -> bool {
     let (p, t): (Vec<char>, Vec<char>) = (pattern.chars().collect(), text.chars().collect());
     let (mut at, mut from, mut star, mut mark) = (0, 0, None, 0);
     while from < t.len() {
@@ -331,77 +331,77 @@
 
 /// What a block's head says of its rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub enum BlockMatch {
     None,
     Some,
     All,
 }
 
-impl Judged {
-    fn of(all: impl Iterator<Item = bool>) -> Judged {
+impl BlockMatch {
+    fn of(all: impl Iterator<Item = bool>) -> BlockMatch {
         let (mut any, mut every) = (false, true);
         for one in all {
             (any, every) = (any || one, every && one);
         }
         match (any, every) {
-            (false, _) => Judged::None,
-            (true, true) => Judged::All,
-            _ => Judged::Some,
+            (false, _) => BlockMatch::None,
+            (true, true) => BlockMatch::All,
+            _ => BlockMatch::Some,
         }
     }
-    fn bound(some: bool) -> Judged {
+    fn bound(some: bool) -> BlockMatch {
         if some {
-            Judged::Some
+            BlockMatch::Some
         } else {
-            Judged::None
+            BlockMatch::None
         }
     }
 }
 
-impl Match {
-    fn holds(self, wanted: &str, found: &str) -> bool {
+impl TextMatch {
+    fn matches(self, wanted: &str, found: &str) -> bool {
         match self {
-            Match::Is => wanted == found,
-            Match::IsNot => wanted != found,
-            Match::Like => like(wanted, found),
-            Match::Unlike => !like(wanted, found),
+            TextMatch::Equal => wanted == found,
+            TextMatch::NotEqual => wanted != found,
+            TextMatch::Like => glob_matches(wanted, found),
+            TextMatch::NotLike => !glob_matches(wanted, found),
         }
     }
 }
 
-impl Order {
-    fn holds(self, found: f64, wanted: f64) -> bool {
+impl Comparison {
+    fn matches(self, found: f64, wanted: f64) -> bool {
         match self {
-            Order::Below => found < wanted,
-            Order::UpTo => found <= wanted,
-            Order::Above => found > wanted,
-            Order::From => found >= wanted,
-            Order::Equal => found == wanted,
-            Order::Other => found != wanted,
+            Comparison::Less => found < wanted,
+            Comparison::LessOrEqual => found <= wanted,
+            Comparison::Greater => found > wanted,
+            Comparison::GreaterOrEqual => found >= wanted,
+            Comparison::Equal => found == wanted,
+            Comparison::NotEqual => found != wanted,
         }
     }
     /// Whether any number from `low` to `high` could hold.
     fn could(self, low: f64, high: f64, wanted: f64) -> bool {
         match self {
-            Order::Below => low < wanted,
-            Order::UpTo => low <= wanted,
-            Order::Above => high > wanted,
-            Order::From => high >= wanted,
-            Order::Equal => low <= wanted && wanted <= high,
-            Order::Other => low != wanted || high != wanted,
+            Comparison::Less => low < wanted,
+            Comparison::LessOrEqual => low <= wanted,
+            Comparison::Greater => high > wanted,
+            Comparison::GreaterOrEqual => high >= wanted,
+            Comparison::Equal => low <= wanted && wanted <= high,
+            Comparison::NotEqual => low != wanted || high != wanted,
         }
     }
 }
 
 fn path_has(flag: Flag, path: &Path) -> Option<bool> {
-    let fate = path.fate().step();
+    let disposition = path.disposition().step();
     Some(match flag {
-        Flag::Settled => fate.is_settled(),
-        Flag::Declined => fate.is_declined(),
-        Flag::Voided => fate.is_voided(),
+        Flag::Settled => disposition.is_settled(),
+        Flag::Declined => disposition.is_declined(),
+        Flag::Voided => disposition.is_voided(),
         Flag::Gone => path.steps().any(|s| s == Step::GONE),
-        Flag::InSla => fate == Step::SETTLED,
-        Flag::Late => fate == Step::SETTLED_LATE,
+        Flag::InSla => disposition == Step::SETTLED,
+        Flag::Late => disposition == Step::SETTLED_LATE,
         Flag::Replayed => path.steps().any(|s| s == Step::REPLAYED),
         Flag::Ran => path.steps().any(|s| s == Step::RUN),
         Flag::Called => path.steps().any(|s| s == Step::CALL || s == Step::CALL_AGAIN),
@@ -411,16 +411,18 @@
 }
 
 /// Whether a path is a word's match, for words that a path tells.
-fn path_word(word: Word, how: Match, text: &str, path: &Path) -> Option<bool> {
+fn path_word(word: TextField, how: TextMatch, text: &str, path: &Path) -> Option<bool> {
     match word {
-        Word::Reason => {
-            let reason = path.fate().step().reason().map_or("", |reason| reason.text());
-            Some(how.holds(text, reason))
+        TextField::Reason => {
+            let reason = path.disposition().step().reason().map_or("", |reason| reason.text());
+            Some(how.matches(text, reason))
         }
         // Unlike means: none of them is like it.
-        Word::Step => Some(match how {
-            Match::Is | Match::Like => path.steps().any(|step| how.holds(text, &step.text())),
-            Match::IsNot | Match::Unlike => path.steps().all(|step| how.holds(text, &step.text())),
+        TextField::Step => Some(match how {
+            TextMatch::Equal | TextMatch::Like => path.steps().any(|step| how.matches(text, &step.text())),
+            TextMatch::NotEqual | TextMatch::NotLike => {
+                path.steps().all(|step| how.matches(text, &step.text()))
+            }
         }),
         _ => None,
     }
@@ -428,116 +430,122 @@
 
 impl Expr {
     /// Whether a row is meant. `begin` is when the trace begins, us.
-    pub fn holds(&self, row: &Row, names: &Names, begin: i64) -> bool {
+    pub fn matches(&self, row: &Row, names: &Names, begin: i64) -> bool {
         match self {
             Expr::All => true,
-            Expr::Not(inner) => !inner.holds(row, names, begin),
-            Expr::Both(all) => all.iter().all(|one| one.holds(row, names, begin)),
-            Expr::Either(all) => all.iter().any(|one| one.holds(row, names, begin)),
-            Expr::Flag(flag) => path_has(*flag, names.steps(row.path)).unwrap_or_else(|| match flag {
+            Expr::Not(inner) => !inner.matches(row, names, begin),
+            Expr::And(all) => all.iter().all(|one| one.matches(row, names, begin)),
+            Expr::Or(all) => all.iter().any(|one| one.matches(row, names, begin)),
+            Expr::Flag(flag) => path_has(*flag, names.path(row.path)).unwrap_or_else(|| match flag {
                 Flag::Repeat => row.repeat(),
                 Flag::Last => row.last(),
                 _ => row.key != 0,
             }),
-            Expr::Word(word, how, text) => {
-                let path = names.steps(row.path);
+            Expr::Text(word, how, text) => {
+                let path = names.path(row.path);
                 path_word(*word, *how, text, path).unwrap_or_else(|| match word {
-                    Word::Product => how.holds(text, &names.terms(row.product).name),
-                    Word::Customer => how.holds(text, names.text(row.customer)),
-                    Word::Node => how.holds(text, names.text(row.node)),
-                    Word::Key => how.holds(text, &format!("{:012x}", row.key)),
-                    _ => how.holds(text, &format!("{:08x}", row.name)),
+                    TextField::Product => how.matches(text, &names.product(row.product).name),
+                    TextField::Customer => how.matches(text, names.text(row.customer)),
+                    TextField::Node => how.matches(text, names.text(row.node)),
+                    TextField::Key => how.matches(text, &format!("{:012x}", row.key)),
+                    _ => how.matches(text, &format!("{:08x}", row.name)),
                 })
             }
-            Expr::Figure(figure, order, wanted) => {
-                let path = names.steps(row.path);
+            Expr::Number(figure, order, wanted) => {
+                let path = names.path(row.path);
                 let found = match figure {
-                    Figure::Wait => row.wait(path) as f64,
-                    Figure::Run => match row.took(path) {
+                    NumberField::Wait => row.wait(path) as f64,
+                    NumberField::Run => match row.run_time(path) {
                         Some(took) => took as f64,
                         None => return false,
                     },
-                    Figure::Answer => match row.answered(path) {
+                    NumberField::Answer => match row.response_time(path) {
                         Some(took) => took as f64,
                         None => return false,
                     },
-                    Figure::Unread => row.unread.into(),
-                    Figure::Hint => row.hint.into(),
-                    Figure::KeepOff => f64::from(row.keep_off) * 1e3,
-                    Figure::Memory => row.memory.into(),
-                    Figure::Rank => f64::from(row.rank) / 64.0,
-                    Figure::Caller => row.caller.into(),
-                    Figure::Value => row.value(names.terms(row.product)),
-                    Figure::At => (row.read - begin) as f64,
+                    NumberField::Unread => row.unread.into(),
+                    NumberField::Hint => row.hint.into(),
+                    NumberField::KeepOff => f64::from(row.keep_off) * 1e3,
+                    NumberField::Memory => row.memory.into(),
+                    NumberField::Rank => f64::from(row.rank) / 64.0,
+                    NumberField::Caller => row.caller.into(),
+                    NumberField::Value => row.value(names.product(row.product)),
+                    NumberField::At => (row.read - begin) as f64,
                 };
-                order.holds(found, *wanted)
+                order.matches(found, *wanted)
             }
         }
     }
 
     /// What the head of a block tells of its rows without reading them.
-    pub fn judge(&self, head: &Head, names: &Names, begin: i64) -> Judged {
+    pub fn match_block(&self, head: &Head, names: &Names, begin: i64) -> BlockMatch {
         match self {
-            Expr::All => Judged::All,
-            Expr::Not(inner) => match inner.judge(head, names, begin) {
-                Judged::None => Judged::All,
-                Judged::Some => Judged::Some,
-                Judged::All => Judged::None,
+            Expr::All => BlockMatch::All,
+            Expr::Not(inner) => match inner.match_block(head, names, begin) {
+                BlockMatch::None => BlockMatch::All,
+                BlockMatch::Some => BlockMatch::Some,
+                BlockMatch::All => BlockMatch::None,
             },
-            Expr::Both(all) => {
-                let parts: Vec<Judged> = all.iter().map(|one| one.judge(head, names, begin)).collect();
-                if parts.contains(&Judged::None) {
-                    Judged::None
-                } else if parts.iter().all(|part| *part == Judged::All) {
-                    Judged::All
+            Expr::And(all) => {
+                let parts: Vec<BlockMatch> =
+                    all.iter().map(|one| one.match_block(head, names, begin)).collect();
+                if parts.contains(&BlockMatch::None) {
+                    BlockMatch::None
+                } else if parts.iter().all(|part| *part == BlockMatch::All) {
+                    BlockMatch::All
                 } else {
-                    Judged::Some
+                    BlockMatch::Some
                 }
             }
-            Expr::Either(all) => {
-                let parts: Vec<Judged> = all.iter().map(|one| one.judge(head, names, begin)).collect();
-                if parts.contains(&Judged::All) {
-                    Judged::All
-                } else if parts.iter().all(|part| *part == Judged::None) {
-                    Judged::None
+            Expr::Or(all) => {
+                let parts: Vec<BlockMatch> =
+                    all.iter().map(|one| one.match_block(head, names, begin)).collect();
+                if parts.contains(&BlockMatch::All) {
+                    BlockMatch::All
+                } else if parts.iter().all(|part| *part == BlockMatch::None) {
+                    BlockMatch::None
                 } else {
-                    Judged::Some
+                    BlockMatch::Some
                 }
             }
             Expr::Flag(flag) => {
                 let told: Option<Vec<bool>> =
-                    head.paths.iter().map(|path| path_has(*flag, names.steps(*path))).collect();
-                told.map_or(Judged::Some, |told| Judged::of(told.into_iter()))
+                    head.paths.iter().map(|path| path_has(*flag, names.path(*path))).collect();
+                told.map_or(BlockMatch::Some, |told| BlockMatch::of(told.into_iter()))
             }
-            Expr::Word(word, how, text) => match word {
-                Word::Product => {
-                    Judged::of(head.products.iter().map(|p| how.holds(text, &names.terms(*p).name)))
+            Expr::Text(word, how, text) => match word {
+                TextField::Product => {
+                    BlockMatch::of(head.products.iter().map(|p| how.matches(text, &names.product(*p).name)))
+                }
+                TextField::Customer => {
+                    BlockMatch::of(head.customers.iter().map(|c| how.matches(text, names.text(*c))))
+                }
+                TextField::Node => {
+                    BlockMatch::of(head.nodes.iter().map(|n| how.matches(text, names.text(*n))))
                 }
-                Word::Customer => Judged::of(head.customers.iter().map(|c| how.holds(text, names.text(*c)))),
-                Word::Node => Judged::of(head.nodes.iter().map(|n| how.holds(text, names.text(*n)))),
-                Word::Reason | Word::Step => Judged::of(
+                TextField::Reason | TextField::Step => BlockMatch::of(
                     head.paths
                         .iter()
-                        .map(|path| path_word(*word, *how, text, names.steps(*path)).unwrap_or(true)),
+                        .map(|path| path_word(*word, *how, text, names.path(*path)).unwrap_or(true)),
                 ),
-                Word::Key | Word::Name => Judged::Some,
+                TextField::Key | TextField::Name => BlockMatch::Some,
             },
-            Expr::Figure(figure, order, wanted) => match figure {
-                Figure::Wait => Judged::bound(order.could(0.0, head.longest_wait as f64, *wanted)),
-                Figure::Run => Judged::bound(order.could(0.0, head.longest_run as f64, *wanted)),
-                Figure::At => {
+            Expr::Number(figure, order, wanted) => match figure {
+                NumberField::Wait => BlockMatch::bound(order.could(0.0, head.longest_wait as f64, *wanted)),
+                NumberField::Run => BlockMatch::bound(order.could(0.0, head.longest_run as f64, *wanted)),
+                NumberField::At => {
                     let (low, high) = ((head.from - begin) as f64, (head.to - begin) as f64);
                     match (
                         order.could(low, high, *wanted),
-                        order.holds(low, *wanted),
-                        order.holds(high, *wanted),
+                        order.matches(low, *wanted),
+                        order.matches(high, *wanted),
                     ) {
-                        (false, ..) => Judged::None,
-                        (_, true, true) if !matches!(order, Order::Other) => Judged::All,
-                        _ => Judged::Some,
+                        (false, ..) => BlockMatch::None,
+                        (_, true, true) if !matches!(order, Comparison::NotEqual) => BlockMatch::All,
+                        _ => BlockMatch::Some,
                     }
                 }
-                _ => Judged::Some,
+                _ => BlockMatch::Some,
             },
         }
     }
--- a/crates/trace/src/expr/tests.rs
+++ b/crates/trace/src/expr/tests.rs
@@ -7,16 +7,16 @@
     assert_eq!(parse(" ").unwrap(), Expr::All);
     assert_eq!(
         parse("declined and product = bid-submit and wait > 200ms").unwrap(),
-        Expr::Both(vec![
+        Expr::And(vec![
             declined(),
-            Expr::Word(Word::Product, Match::Is, "bid-submit".into()),
-            Expr::Figure(Figure::Wait, Order::Above, 200_000.0),
+            Expr::Text(TextField::Product, TextMatch::Equal, "bid-submit".into()),
+            Expr::Number(NumberField::Wait, Comparison::Greater, 200_000.0),
         ])
     );
     let either = parse("not (declined or late) or customer~\"k 1*\"").unwrap();
-    let Expr::Either(parts) = either else { panic!("{either:?}") };
-    assert!(matches!(&parts[0], Expr::Not(inner) if matches!(**inner, Expr::Either(_))));
-    assert_eq!(parts[1], Expr::Word(Word::Customer, Match::Like, "k 1*".into()));
+    let Expr::Or(parts) = either else { panic!("{either:?}") };
+    assert!(matches!(&parts[0], Expr::Not(inner) if matches!(**inner, Expr::Or(_))));
+    assert_eq!(parts[1], Expr::Text(TextField::Customer, TextMatch::Like, "k 1*".into()));
 }
 
 #[test]
@@ -33,14 +33,19 @@
     ] {
         let wrong = parse(text).unwrap_err();
         assert_eq!(wrong.column, column, "{text}: {wrong}");
-        assert!(wrong.what.contains(hint), "{text}: {wrong}");
+        assert!(wrong.message.contains(hint), "{text}: {wrong}");
     }
     assert!(parse(&"(".repeat(100_000)).is_err() && parse(&"not ".repeat(5_000)).is_err());
 }
 
 #[test]
 fn patterns_and_spans() {
-    assert!(like("k*1?", "kab12") && like("*", "") && !like("k*1", "k2") && like("**a", "a"));
+    assert!(
+        glob_matches("k*1?", "kab12")
+            && glob_matches("*", "")
+            && !glob_matches("k*1", "k2")
+            && glob_matches("**a", "a")
+    );
     assert_eq!(parse_span("1h30m"), Some(5_400_000_000));
     assert_eq!(
         (parse_span("90"), parse_span("250ms"), parse_span("soon")),
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -6,21 +6,21 @@
 use std::io::{self, Write};
 
 pub const MAGIC: [u8; 8] = *b"PUFTRACE";
-pub const END: [u8; 8] = *b"ECARTFUP";
+pub const END_MAGIC: [u8; 8] = *b"ECARTFUP";
 pub const MAJOR: u16 = 2;
 pub const MINOR: u16 = 0;
 /// Bytes of a header before its text, of a block's own header, of the trailer.
-pub const HEADER: usize = 16;
-pub const BLOCK: usize = 36;
-pub const TRAILER: usize = 24;
-pub const ENTRY: usize = 36;
-pub const MARK: [u8; 4] = *b"\xf0BL2";
+pub const HEADER_BYTES: usize = 16;
+pub const BLOCK_HEADER_BYTES: usize = 36;
+pub const TRAILER_BYTES: usize = 24;
+pub const INDEX_ENTRY_BYTES: usize = 36;
+pub const BLOCK_MAGIC: [u8; 4] = *b"\xf0BL2";
 /// Bytes of a header's text, and of a head or a body as stored: far over what a writer makes.
-pub const MOST_TEXT: usize = 1 << 16;
-pub const MOST_STORED: usize = 64 << 20;
+pub const MAX_HEADER_TEXT_BYTES: usize = 1 << 16;
+pub const MAX_STORED_BYTES: usize = 64 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum BlockKind {
     Rows,
     Notes,
     Index,
@@ -28,40 +28,40 @@
     Other(u8),
 }
 
-impl Kind {
+impl BlockKind {
     pub fn code(self) -> u8 {
         match self {
-            Kind::Rows => 1,
-            Kind::Notes => 2,
-            Kind::Index => 3,
-            Kind::Other(code) => code,
+            BlockKind::Rows => 1,
+            BlockKind::Notes => 2,
+            BlockKind::Index => 3,
+            BlockKind::Other(code) => code,
         }
     }
-    pub fn from_code(code: u8) -> Kind {
+    pub fn from_code(code: u8) -> BlockKind {
         match code {
-            1 => Kind::Rows,
-            2 => Kind::Notes,
-            3 => Kind::Index,
-            other => Kind::Other(other),
+            1 => BlockKind::Rows,
+            2 => BlockKind::Notes,
+            3 => BlockKind::Index,
+            other => BlockKind::Other(other),
         }
     }
 }
 
 /// What stands in the header beside the version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Meta {
+pub struct FileMetadata {
     /// Which server wrote it, or `merged`.
     pub node: String,
     /// us, by the Unix clock.
-    pub made: i64,
+    pub created: i64,
 }
 
 /// A header of any version: this much of it never changes.
-pub fn put_header(major: u16, minor: u16, meta: &Meta) -> Vec<u8> {
+pub fn put_header(major: u16, minor: u16, meta: &FileMetadata) -> Vec<u8> {
     let mut text = vec![1];
     put_bytes(&mut text, meta.node.as_bytes());
     text.push(2);
-    put_bytes(&mut text, &meta.made.to_le_bytes());
+    put_bytes(&mut text, &meta.created.to_le_bytes());
     let mut out = MAGIC.to_vec();
     out.extend(major.to_le_bytes());
     out.extend(minor.to_le_bytes());
@@ -72,13 +72,13 @@
 }
 
 /// Reads the text of a header; what is unknown is passed over.
-pub fn take_meta(text: &[u8]) -> Result<Meta, Bad> {
-    let (mut meta, mut from) = (Meta::default(), Cursor(text));
+pub fn read_meta(text: &[u8]) -> Result<FileMetadata, DecodeError> {
+    let (mut meta, mut from) = (FileMetadata::default(), Cursor(text));
     while !from.0.is_empty() {
         let (tag, bytes) = (from.u8()?, from.bytes()?);
         match tag {
             1 => meta.node = String::from_utf8_lossy(bytes).into_owned(),
-            2 => meta.made = Cursor(bytes).i64()?,
+            2 => meta.created = Cursor(bytes).i64()?,
             _ => {}
         }
     }
@@ -87,11 +87,11 @@
 
 /// Where a block lies and which span it covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct IndexEntry {
     pub offset: u64,
     /// Of the whole block with its header.
     pub len: u64,
-    pub kind: Kind,
+    pub kind: BlockKind,
     pub rows: u32,
     pub from: i64,
     pub to: i64,
@@ -100,7 +100,7 @@
 /// The header of a block: its kind, what it holds, and the checksums of it and of what follows.
 #[derive(Clone, Copy, Debug)]
 pub struct BlockHeader {
-    pub kind: Kind,
+    pub kind: BlockKind,
     pub rows: u32,
     pub head: u32,
     pub body: u32,
@@ -109,8 +109,8 @@
 }
 
 impl BlockHeader {
-    pub fn put(&self) -> Vec<u8> {
-        let mut out = MARK.to_vec();
+    pub fn encode(&self) -> Vec<u8> {
+        let mut out = BLOCK_MAGIC.to_vec();
         out.extend([self.kind.code(), 0, 0, 0]);
         for field in [self.rows, self.head, self.body, self.crc_head, self.crc_body] {
             out.extend(field.to_le_bytes());
@@ -121,14 +121,14 @@
         out
     }
     /// None where the bytes are no such header.
-    pub fn take(bytes: &[u8]) -> Option<BlockHeader> {
-        let bytes = bytes.get(..BLOCK)?;
-        let (front, crc) = bytes.split_at(BLOCK - 4);
-        if front[..4] != MARK || crc32c::crc32c(front).to_le_bytes() != crc {
+    pub fn decode(bytes: &[u8]) -> Option<BlockHeader> {
+        let bytes = bytes.get(..BLOCK_HEADER_BYTES)?;
+        let (front, crc) = bytes.split_at(BLOCK_HEADER_BYTES - 4);
+        if front[..4] != BLOCK_MAGIC || crc32c::crc32c(front).to_le_bytes() != crc {
             return None;
         }
         let mut from = Cursor(&front[4..]);
-        let kind = Kind::from_code(from.u8().ok()?);
+        let kind = BlockKind::from_code(from.u8().ok()?);
         from.take(3).ok()?;
         let mut next = || from.u32().ok();
         let header = BlockHeader {
@@ -139,24 +139,25 @@
             crc_head: next()?,
             crc_body: next()?,
         };
-        (header.head as usize <= MOST_STORED && header.body as usize <= MOST_STORED).then_some(header)
+        (header.head as usize <= MAX_STORED_BYTES && header.body as usize <= MAX_STORED_BYTES)
+            .then_some(header)
     }
     /// Bytes of the block from its mark to its end.
-    pub fn whole(&self) -> u64 {
-        BLOCK as u64 + u64::from(self.head) + u64::from(self.body)
+    pub fn block_len(&self) -> u64 {
+        BLOCK_HEADER_BYTES as u64 + u64::from(self.head) + u64::from(self.body)
     }
 }
 
 /// A block as it stands in a file.
-pub struct Packed {
-    pub kind: Kind,
+pub struct EncodedBlock {
+    pub kind: BlockKind,
     pub rows: u32,
     pub from: i64,
     pub to: i64,
     pub bytes: Vec<u8>,
 }
 
-fn packed(kind: Kind, (head, head_bytes, body): (block::Head, Vec<u8>, Vec<u8>)) -> Packed {
+fn packed(kind: BlockKind, (head, head_bytes, body): (block::Head, Vec<u8>, Vec<u8>)) -> EncodedBlock {
     let header = BlockHeader {
         kind,
         rows: head.rows as u32,
@@ -165,41 +166,41 @@
         crc_head: crc32c::crc32c(&head_bytes),
         crc_body: crc32c::crc32c(&body),
     };
-    let bytes = [header.put(), head_bytes, body].concat();
-    Packed { kind, rows: head.rows as u32, from: head.from, to: head.to, bytes }
+    let bytes = [header.encode(), head_bytes, body].concat();
+    EncodedBlock { kind, rows: head.rows as u32, from: head.from, to: head.to, bytes }
 }
 
-pub fn pack_rows(names: &Names, rows: &mut [Row]) -> Packed {
-    packed(Kind::Rows, block::pack_rows(names, rows))
+pub fn encode_rows(names: &Names, rows: &mut [Row]) -> EncodedBlock {
+    packed(BlockKind::Rows, block::encode_rows(names, rows))
 }
 
-pub fn pack_notes(names: &Names, notes: &mut [Note]) -> Packed {
-    packed(Kind::Notes, block::pack_notes(names, notes))
+pub fn encode_notes(names: &Names, notes: &mut [Note]) -> EncodedBlock {
+    packed(BlockKind::Notes, block::encode_notes(names, notes))
 }
 
 /// A block as it came from elsewhere: it is one, whole, and its checksums fit.
-pub fn unpack(bytes: Vec<u8>) -> Result<Packed, Bad> {
-    let header = BlockHeader::take(&bytes).ok_or(Bad("its header can't be read"))?;
-    if header.whole() != bytes.len() as u64 {
-        return Err(Bad("it is cut off or too long"));
+pub fn verify_block(bytes: Vec<u8>) -> Result<EncodedBlock, DecodeError> {
+    let header = BlockHeader::decode(&bytes).ok_or(DecodeError("its header can't be read"))?;
+    if header.block_len() != bytes.len() as u64 {
+        return Err(DecodeError("it is cut off or too long"));
     }
-    let (head, body) = bytes[BLOCK..].split_at(header.head as usize);
+    let (head, body) = bytes[BLOCK_HEADER_BYTES..].split_at(header.head as usize);
     if crc32c::crc32c(head) != header.crc_head || crc32c::crc32c(body) != header.crc_body {
-        return Err(Bad("its checksum is wrong"));
+        return Err(DecodeError("its checksum is wrong"));
     }
-    let read = block::take_head(&mut Names::default(), head)?;
-    Ok(Packed { kind: header.kind, rows: header.rows, from: read.from, to: read.to, bytes })
+    let read = block::read_head(&mut Names::default(), head)?;
+    Ok(EncodedBlock { kind: header.kind, rows: header.rows, from: read.from, to: read.to, bytes })
 }
 
 /// Writes a file, block by block. Dropped before [`Writer::seal`], it leaves one that opens as torn.
 pub struct Writer<W: Write> {
     out: W,
     at: u64,
-    index: Vec<Entry>,
+    index: Vec<IndexEntry>,
 }
 
 impl<W: Write> Writer<W> {
-    pub fn new(mut out: W, meta: &Meta) -> io::Result<Writer<W>> {
+    pub fn new(mut out: W, meta: &FileMetadata) -> io::Result<Writer<W>> {
         let header = put_header(MAJOR, MINOR, meta);
         out.write_all(&header)?;
         Ok(Writer { out, at: header.len() as u64, index: Vec::new() })
@@ -213,9 +214,9 @@
         self.index.is_empty()
     }
 
-    pub fn block(&mut self, block: &Packed) -> io::Result<()> {
+    pub fn write_block(&mut self, block: &EncodedBlock) -> io::Result<()> {
         self.out.write_all(&block.bytes)?;
-        self.index.push(Entry {
+        self.index.push(IndexEntry {
             offset: self.at,
             len: block.bytes.len() as u64,
             kind: block.kind,
@@ -233,7 +234,7 @@
 
     /// Writes index and trailer, and gives back what was written to.
     pub fn seal(mut self) -> io::Result<W> {
-        let mut body = Vec::with_capacity(self.index.len() * ENTRY);
+        let mut body = Vec::with_capacity(self.index.len() * INDEX_ENTRY_BYTES);
         for entry in &self.index {
             body.extend(entry.offset.to_le_bytes());
             body.extend((entry.len as u32).to_le_bytes());
@@ -243,19 +244,19 @@
             body.extend(entry.to.to_le_bytes());
         }
         let header = BlockHeader {
-            kind: Kind::Index,
+            kind: BlockKind::Index,
             rows: self.index.len() as u32,
             head: 0,
             body: body.len() as u32,
             crc_head: 0,
             crc_body: crc32c::crc32c(&body),
         };
-        self.out.write_all(&header.put())?;
+        self.out.write_all(&header.encode())?;
         self.out.write_all(&body)?;
         let mut trailer = self.at.to_le_bytes().to_vec();
         trailer.extend(header.body.to_le_bytes());
         trailer.extend(crc32c::crc32c(&trailer).to_le_bytes());
-        trailer.extend(END);
+        trailer.extend(END_MAGIC);
         self.out.write_all(&trailer)?;
         self.out.flush()?;
         Ok(self.out)
@@ -263,14 +264,14 @@
 }
 
 /// The entries of an index's body.
-pub fn take_index(body: &[u8]) -> Result<Vec<Entry>, Bad> {
+pub fn read_index(body: &[u8]) -> Result<Vec<IndexEntry>, DecodeError> {
     let mut from = Cursor(body);
-    let mut all = Vec::with_capacity(body.len() / ENTRY);
+    let mut all = Vec::with_capacity(body.len() / INDEX_ENTRY_BYTES);
     while !from.0.is_empty() {
-        let (offset, len, kind) = (from.u64()?, from.u32()?, Kind::from_code(from.u8()?));
+        let (offset, len, kind) = (from.u64()?, from.u32()?, BlockKind::from_code(from.u8()?));
         from.take(3)?;
         let (rows, start, end) = (from.u32()?, from.i64()?, from.i64()?);
-        all.push(Entry { offset, len: len.into(), kind, rows, from: start, to: end });
+        all.push(IndexEntry { offset, len: len.into(), kind, rows, from: start, to: end });
     }
     Ok(all)
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -19,5 +19,5 @@
 pub mod tools;
 pub mod v1;
 
-pub use open::{Fault, Trace};
+pub use open::{Trace, TraceError};
 pub use row::{Names, Note, Row};
--- a/crates/trace/src/open.rs
+++ b/crates/trace/src/open.rs
@@ -1,23 +1,26 @@
 //! Opens files of every version, sealed or torn, and reads their blocks.
 
 use crate::block::{self, Head};
-use crate::codec::{Bad, Cursor};
-use crate::file::{self, BlockHeader, Entry, Kind, Meta, BLOCK, HEADER, MAGIC, TRAILER};
+use crate::codec::{Cursor, DecodeError};
+use crate::file::{
+    self, BlockHeader, BlockKind, FileMetadata, IndexEntry, BLOCK_HEADER_BYTES, HEADER_BYTES, MAGIC,
+    TRAILER_BYTES,
+};
 use crate::row::{Names, Note, Row};
 use crate::v1;
 use std::io::{self, Read, Seek, SeekFrom};
 
 /// Why a file can't be read at all.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum TraceError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("not a trace: {0}")]
     NotATrace(&'static str),
     #[error("this trace has version {0}, this program reads 1 and 2: take a newer one")]
-    Version(u16),
-    #[error("block at byte {offset}: {what}")]
-    Block { offset: u64, what: &'static str },
+    UnsupportedVersion(u16),
+    #[error("block at byte {offset}: {problem}")]
+    DamagedBlock { offset: u64, problem: &'static str },
 }
 
 /// A part of a file that can't be read. What is lost is named, the rest stands.
@@ -27,7 +30,7 @@
     pub len: u64,
     /// How many rows or notes went with it, where that is known.
     pub rows: Option<u32>,
-    pub what: &'static str,
+    pub problem: &'static str,
 }
 
 /// Frames of version 1 that are taken together as one block.
@@ -41,29 +44,29 @@
     pub len: u64,
     pub major: u16,
     pub minor: u16,
-    pub meta: Meta,
+    pub meta: FileMetadata,
     /// It has its index; otherwise the blocks were found by looking for them.
     pub sealed: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<IndexEntry>,
     pub damage: Vec<Damage>,
 }
 
 impl<R: Read + Seek> Trace<R> {
-    pub fn open(mut from: R) -> Result<Trace<R>, Fault> {
+    pub fn open(mut from: R) -> Result<Trace<R>, TraceError> {
         let len = from.seek(SeekFrom::End(0))?;
         let mut trace = Trace {
             from,
             len,
             major: file::MAJOR,
             minor: 0,
-            meta: Meta::default(),
+            meta: FileMetadata::default(),
             sealed: false,
             entries: Vec::new(),
             damage: Vec::new(),
         };
-        let front = trace.bytes(0, len.min(HEADER as u64) as usize)?;
-        if front.len() < HEADER {
-            return Err(Fault::NotATrace(if front.is_empty() {
+        let front = trace.bytes(0, len.min(HEADER_BYTES as u64) as usize)?;
+        if front.len() < HEADER_BYTES {
+            return Err(TraceError::NotATrace(if front.is_empty() {
                 "it is empty"
             } else {
                 "it ends in its header"
@@ -73,8 +76,8 @@
             Some(begin) => begin,
             None => {
                 // A header that can't be read costs the node's name, unless the blocks are gone as well.
-                let len = len.min(HEADER as u64);
-                trace.damage.push(Damage { offset: 0, len, rows: None, what: "the header can't be read" });
+                let len = len.min(HEADER_BYTES as u64);
+                trace.damage.push(Damage { offset: 0, len, rows: None, problem: "the header can't be read" });
                 8
             }
         };
@@ -94,28 +97,28 @@
             trace.damage[0].len = rest.offset + rest.len;
         }
         if !known && trace.entries.is_empty() {
-            return Err(Fault::NotATrace("neither a header nor a block can be read"));
+            return Err(TraceError::NotATrace("neither a header nor a block can be read"));
         }
         Ok(trace)
     }
 
     /// Where the blocks begin; none if the header is damaged.
-    fn header(&mut self, front: &[u8]) -> Result<Option<u64>, Fault> {
+    fn header(&mut self, front: &[u8]) -> Result<Option<u64>, TraceError> {
         let mut at = Cursor(&front[8..]);
         let (Ok(major), Ok(minor), Ok(text)) = (at.u16(), at.u16(), at.u32()) else { return Ok(None) };
-        if front[..8] != MAGIC || text as usize > file::MOST_TEXT {
+        if front[..8] != MAGIC || text as usize > file::MAX_HEADER_TEXT_BYTES {
             return Ok(None);
         }
-        let whole = self.bytes(0, HEADER + text as usize + 4)?;
+        let whole = self.bytes(0, HEADER_BYTES + text as usize + 4)?;
         let Some((bytes, crc)) = whole.split_last_chunk::<4>() else { return Ok(None) };
-        if whole.len() < HEADER + text as usize + 4 || crc32c::crc32c(bytes).to_le_bytes() != *crc {
+        if whole.len() < HEADER_BYTES + text as usize + 4 || crc32c::crc32c(bytes).to_le_bytes() != *crc {
             return Ok(None);
         }
         if major != v1::MAJOR && major != file::MAJOR {
-            return Err(Fault::Version(major));
+            return Err(TraceError::UnsupportedVersion(major));
         }
         (self.major, self.minor) = (major, minor);
-        self.meta = file::take_meta(&bytes[HEADER..]).unwrap_or_default();
+        self.meta = file::read_meta(&bytes[HEADER_BYTES..]).unwrap_or_default();
         Ok(Some(whole.len() as u64))
     }
 
@@ -139,21 +142,21 @@
 
     /// Whether trailer and index could be read.
     fn index(&mut self) -> io::Result<bool> {
-        let Some(at) = self.len.checked_sub(TRAILER as u64) else { return Ok(false) };
-        let trailer = self.bytes(at, TRAILER)?;
+        let Some(at) = self.len.checked_sub(TRAILER_BYTES as u64) else { return Ok(false) };
+        let trailer = self.bytes(at, TRAILER_BYTES)?;
         let mut from = Cursor(&trailer);
         let (Ok(offset), Ok(len), Ok(crc)) = (from.u64(), from.u32(), from.u32()) else { return Ok(false) };
-        let sound = from.0 == file::END && crc32c::crc32c(&trailer[..12]) == crc;
-        if !sound || offset.checked_add(BLOCK as u64 + u64::from(len)) != Some(at) {
+        let sound = from.0 == file::END_MAGIC && crc32c::crc32c(&trailer[..12]) == crc;
+        if !sound || offset.checked_add(BLOCK_HEADER_BYTES as u64 + u64::from(len)) != Some(at) {
             return Ok(false);
         }
-        let block = self.bytes(offset, BLOCK + len as usize)?;
-        let Some(header) = BlockHeader::take(&block) else { return Ok(false) };
-        let body = &block[BLOCK..];
-        if header.kind != Kind::Index || crc32c::crc32c(body) != header.crc_body {
+        let block = self.bytes(offset, BLOCK_HEADER_BYTES + len as usize)?;
+        let Some(header) = BlockHeader::decode(&block) else { return Ok(false) };
+        let body = &block[BLOCK_HEADER_BYTES..];
+        if header.kind != BlockKind::Index || crc32c::crc32c(body) != header.crc_body {
             return Ok(false);
         }
-        let Ok(entries) = file::take_index(body) else { return Ok(false) };
+        let Ok(entries) = file::read_index(body) else { return Ok(false) };
         if entries.iter().any(|e| e.offset.checked_add(e.len).is_none_or(|end| end > offset)) {
             return Ok(false);
         }
@@ -166,34 +169,34 @@
         let (mut at, mut behind_index) = (begin, false);
         while at < self.len {
             // Behind an index stands the trailer: it holds nothing that is missed.
-            if std::mem::take(&mut behind_index) && self.len - at <= TRAILER as u64 {
+            if std::mem::take(&mut behind_index) && self.len - at <= TRAILER_BYTES as u64 {
                 return Ok(());
             }
-            let bytes = self.bytes(at, BLOCK)?;
-            let Some(header) = BlockHeader::take(&bytes) else {
+            let bytes = self.bytes(at, BLOCK_HEADER_BYTES)?;
+            let Some(header) = BlockHeader::decode(&bytes) else {
                 let next = self.search(at + 1)?;
                 let end = next.unwrap_or(self.len);
-                let what = if next.is_some() { "a block's header can't be read" } else { "torn end" };
-                self.damage.push(Damage { offset: at, len: end - at, rows: None, what });
+                let problem = if next.is_some() { "a block's header can't be read" } else { "torn end" };
+                self.damage.push(Damage { offset: at, len: end - at, rows: None, problem });
                 at = end;
                 continue;
             };
-            let whole = header.whole();
+            let whole = header.block_len();
             if at + whole > self.len {
                 // Either the end is torn, or the length is a lie and more blocks follow.
                 let next = self.search(at + 1)?;
                 let end = next.unwrap_or(self.len);
                 let rows = Some(header.rows);
-                self.damage.push(Damage { offset: at, len: end - at, rows, what: "torn end" });
+                self.damage.push(Damage { offset: at, len: end - at, rows, problem: "torn end" });
                 at = end;
                 continue;
             }
-            if matches!(header.kind, Kind::Rows | Kind::Notes) {
-                let head = self.bytes(at + BLOCK as u64, header.head as usize)?;
+            if matches!(header.kind, BlockKind::Rows | BlockKind::Notes) {
+                let head = self.bytes(at + BLOCK_HEADER_BYTES as u64, header.head as usize)?;
                 let read = (crc32c::crc32c(&head) == header.crc_head)
-                    .then(|| block::take_head(&mut Names::default(), &head).ok());
+                    .then(|| block::read_head(&mut Names::default(), &head).ok());
                 match read.flatten() {
-                    Some(head) => self.entries.push(Entry {
+                    Some(head) => self.entries.push(IndexEntry {
                         offset: at,
                         len: whole,
                         kind: header.kind,
@@ -205,11 +208,11 @@
                         offset: at,
                         len: whole,
                         rows: Some(header.rows),
-                        what: "a block's head can't be read",
+                        problem: "a block's head can't be read",
                     }),
                 }
             }
-            behind_index = header.kind == Kind::Index;
+            behind_index = header.kind == BlockKind::Index;
             at += whole;
         }
         Ok(())
@@ -218,9 +221,9 @@
     /// The next place at or behind `at` where a block begins.
     fn search(&mut self, mut at: u64) -> io::Result<Option<u64>> {
         while at < self.len {
-            let bytes = self.bytes(at, CHUNK + BLOCK)?;
+            let bytes = self.bytes(at, CHUNK + BLOCK_HEADER_BYTES)?;
             let found = (0..bytes.len().min(CHUNK)).find(|place| {
-                bytes[*place] == file::MARK[0] && BlockHeader::take(&bytes[*place..]).is_some()
+                bytes[*place] == file::BLOCK_MAGIC[0] && BlockHeader::decode(&bytes[*place..]).is_some()
             });
             if let Some(place) = found {
                 return Ok(Some(at + place as u64));
@@ -232,12 +235,12 @@
 
     /// Finds the frames of a file of version 1.
     fn frames(&mut self, begin: u64) -> io::Result<()> {
-        let new = |offset, kind| Entry { offset, len: 0, kind, rows: 0, from: i64::MAX, to: i64::MIN };
-        let (mut rows, mut notes) = (new(begin, Kind::Rows), new(begin, Kind::Notes));
+        let new = |offset, kind| IndexEntry { offset, len: 0, kind, rows: 0, from: i64::MAX, to: i64::MIN };
+        let (mut rows, mut notes) = (new(begin, BlockKind::Rows), new(begin, BlockKind::Notes));
         let (mut at, mut bad) = (begin, None);
         let (mut bytes, mut base) = (Vec::new(), begin);
-        // So that a frame is never cut by the end of what is in memory.
-        let most = v1::FRAME + usize::from(u16::MAX);
+        // So that a frame is never cut by the end of problem is in memory.
+        let most = v1::FRAME_HEADER_BYTES + usize::from(u16::MAX);
         while at < self.len {
             let behind = (at - base) as usize;
             if bytes.len().saturating_sub(behind) < most && base + (bytes.len() as u64) < self.len
@@ -250,7 +253,7 @@
             let Some(payload) = v1::frame(here) else {
                 bad.get_or_insert(at);
                 // On to the next place where one may begin.
-                let skip = here[1..].iter().position(|b| *b == v1::MARK).map_or(here.len(), |p| p + 1);
+                let skip = here[1..].iter().position(|b| *b == v1::FRAME_MARK).map_or(here.len(), |p| p + 1);
                 at += skip as u64;
                 continue;
             };
@@ -259,10 +262,10 @@
                     offset: from,
                     len: at - from,
                     rows: None,
-                    what: "unreadable frames",
+                    problem: "unreadable frames",
                 });
             }
-            let end = at + (v1::FRAME + payload.len()) as u64;
+            let end = at + (v1::FRAME_HEADER_BYTES + payload.len()) as u64;
             let time = payload.get(1..9).and_then(|b| Cursor(b).i64().ok());
             for (entry, kind) in [(&mut rows, 1), (&mut notes, 2)] {
                 if let (Some(time), true) = (time, payload.first() == Some(&kind)) {
@@ -273,82 +276,90 @@
             }
             if rows.rows >= FRAMES || notes.rows >= FRAMES {
                 self.entries.extend([rows, notes].into_iter().filter(|entry| entry.rows > 0));
-                (rows, notes) = (new(end, Kind::Rows), new(end, Kind::Notes));
+                (rows, notes) = (new(end, BlockKind::Rows), new(end, BlockKind::Notes));
             }
             at = end;
         }
         self.entries.extend([rows, notes].into_iter().filter(|entry| entry.rows > 0));
         if let Some(from) = bad {
-            self.damage.push(Damage { offset: from, len: self.len - from, rows: None, what: "torn end" });
+            self.damage.push(Damage { offset: from, len: self.len - from, rows: None, problem: "torn end" });
         }
         // A file of version 1 has no end mark: one that ends with a whole frame counts as sealed.
         self.sealed = bad.is_none();
         Ok(())
     }
 
-    fn wrong(entry: &Entry, bad: Bad) -> Fault {
-        Fault::Block { offset: entry.offset, what: bad.0 }
+    fn wrong(entry: &IndexEntry, bad: DecodeError) -> TraceError {
+        TraceError::DamagedBlock { offset: entry.offset, problem: bad.0 }
     }
 
     /// A block of version 2 as it is stored, its checksums verified, and its head's length. Without its body the bytes end
     /// behind the head.
-    fn block(&mut self, entry: &Entry, with_body: bool) -> Result<(Vec<u8>, usize), Fault> {
-        let wrong = |what| Self::wrong(entry, Bad(what));
+    fn block(&mut self, entry: &IndexEntry, with_body: bool) -> Result<(Vec<u8>, usize), TraceError> {
+        let wrong = |problem| Self::wrong(entry, DecodeError(problem));
         // No length of an index is trusted further than blocks may be long.
-        let whole = usize::try_from(entry.len).unwrap_or(usize::MAX).min(BLOCK + 2 * file::MOST_STORED);
-        let mut bytes = self.bytes(entry.offset, if with_body { whole } else { BLOCK })?;
-        let header = BlockHeader::take(&bytes).ok_or(wrong("its header can't be read"))?;
-        if header.whole() != entry.len || header.kind != entry.kind || header.rows != entry.rows {
+        let whole = usize::try_from(entry.len)
+            .unwrap_or(usize::MAX)
+            .min(BLOCK_HEADER_BYTES + 2 * file::MAX_STORED_BYTES);
+        let mut bytes = self.bytes(entry.offset, if with_body { whole } else { BLOCK_HEADER_BYTES })?;
+        let header = BlockHeader::decode(&bytes).ok_or(wrong("its header can't be read"))?;
+        if header.block_len() != entry.len || header.kind != entry.kind || header.rows != entry.rows {
             return Err(wrong("it is another than the index says"));
         }
         let head = header.head as usize;
         if !with_body {
-            bytes.extend(self.bytes(entry.offset + BLOCK as u64, head)?);
+            bytes.extend(self.bytes(entry.offset + BLOCK_HEADER_BYTES as u64, head)?);
         }
-        if bytes.len() < BLOCK + head || with_body && bytes.len() < whole {
+        if bytes.len() < BLOCK_HEADER_BYTES + head || with_body && bytes.len() < whole {
             return Err(wrong("it is cut off"));
         }
-        if crc32c::crc32c(&bytes[BLOCK..BLOCK + head]) != header.crc_head {
+        if crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES..BLOCK_HEADER_BYTES + head]) != header.crc_head {
             return Err(wrong("the checksum of its head is wrong"));
         }
-        if with_body && crc32c::crc32c(&bytes[BLOCK + head..]) != header.crc_body {
+        if with_body && crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES + head..]) != header.crc_body {
             return Err(wrong("its checksum is wrong"));
         }
         Ok((bytes, head))
     }
 
     /// The same with the head read, and where the body begins.
-    fn read(&mut self, entry: &Entry, names: &mut Names) -> Result<(Head, Vec<u8>, usize), Fault> {
+    fn read(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<(Head, Vec<u8>, usize), TraceError> {
         let (bytes, head) = self.block(entry, true)?;
-        let body = BLOCK + head;
-        let head = block::take_head(names, &bytes[BLOCK..body]).map_err(|bad| Self::wrong(entry, bad))?;
+        let body = BLOCK_HEADER_BYTES + head;
+        let head = block::read_head(names, &bytes[BLOCK_HEADER_BYTES..body])
+            .map_err(|bad| Self::wrong(entry, bad))?;
         Ok((head, bytes, body))
     }
 
     /// The bytes of a whole block as they stand, to be written elsewhere.
-    pub fn raw(&mut self, entry: &Entry) -> Result<file::Packed, Fault> {
+    pub fn encoded_block(&mut self, entry: &IndexEntry) -> Result<file::EncodedBlock, TraceError> {
         let (bytes, _) = self.block(entry, true)?;
-        Ok(file::Packed { kind: entry.kind, rows: entry.rows, from: entry.from, to: entry.to, bytes })
+        Ok(file::EncodedBlock { kind: entry.kind, rows: entry.rows, from: entry.from, to: entry.to, bytes })
     }
 
     /// What a block says of itself.
-    pub fn head(&mut self, entry: &Entry, names: &mut Names) -> Result<Head, Fault> {
+    pub fn head(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<Head, TraceError> {
         if self.major == v1::MAJOR {
-            if entry.kind == Kind::Notes {
+            if entry.kind == BlockKind::Notes {
                 let (from, to) = (entry.from, entry.to);
                 return Ok(Head { from, to, rows: entry.rows as usize, ..Head::default() });
             }
             let mut rows = Vec::new();
             self.rows(entry, names, &mut rows)?;
-            return Ok(block::pack_rows(names, &mut rows).0);
+            return Ok(block::encode_rows(names, &mut rows).0);
         }
         let (bytes, _) = self.block(entry, false)?;
-        block::take_head(names, &bytes[BLOCK..]).map_err(|bad| Self::wrong(entry, bad))
+        block::read_head(names, &bytes[BLOCK_HEADER_BYTES..]).map_err(|bad| Self::wrong(entry, bad))
     }
 
     /// Enters the rows of a block behind those that are there, in the order of their reading.
-    pub fn rows(&mut self, entry: &Entry, names: &mut Names, into: &mut Vec<Row>) -> Result<(), Fault> {
-        if entry.kind != Kind::Rows {
+    pub fn rows(
+        &mut self,
+        entry: &IndexEntry,
+        names: &mut Names,
+        into: &mut Vec<Row>,
+    ) -> Result<(), TraceError> {
+        if entry.kind != BlockKind::Rows {
             return Ok(());
         }
         let had = into.len();
@@ -362,14 +373,19 @@
             return Ok(());
         }
         let (head, bytes, body) = self.read(entry, names)?;
-        block::take_rows(names, &head, &bytes[body..], into).map_err(|bad| {
+        block::read_rows(names, &head, &bytes[body..], into).map_err(|bad| {
             into.truncate(had);
             Self::wrong(entry, bad)
         })
     }
 
-    pub fn notes(&mut self, entry: &Entry, names: &mut Names, into: &mut Vec<Note>) -> Result<(), Fault> {
-        if entry.kind != Kind::Notes {
+    pub fn notes(
+        &mut self,
+        entry: &IndexEntry,
+        names: &mut Names,
+        into: &mut Vec<Note>,
+    ) -> Result<(), TraceError> {
+        if entry.kind != BlockKind::Notes {
             return Ok(());
         }
         let had = into.len();
@@ -381,7 +397,7 @@
             });
         }
         let (head, bytes, body) = self.read(entry, names)?;
-        block::take_notes(&head, &bytes[body..], into).map_err(|bad| {
+        block::read_notes(&head, &bytes[body..], into).map_err(|bad| {
             into.truncate(had);
             Self::wrong(entry, bad)
         })
@@ -389,10 +405,10 @@
 
     fn each_frame(
         &mut self,
-        entry: &Entry,
+        entry: &IndexEntry,
         names: &mut Names,
         mut each: impl FnMut(v1::Frame),
-    ) -> Result<(), Fault> {
+    ) -> Result<(), TraceError> {
         let bytes = self.bytes(entry.offset, entry.len as usize)?;
         let mut rest = &bytes[..];
         while !rest.is_empty() {
@@ -401,7 +417,7 @@
                     if let Ok(frame) = v1::decode(names, payload) {
                         each(frame);
                     }
-                    rest = &rest[v1::FRAME + payload.len()..];
+                    rest = &rest[v1::FRAME_HEADER_BYTES + payload.len()..];
                 }
                 // The damage was named when the file was opened.
                 None => rest = &rest[1..],
@@ -411,14 +427,14 @@
     }
 
     /// Bytes that each column takes, over all blocks of rows, with `(0, bytes)` for heads.
-    pub fn column_sizes(&mut self) -> Result<Vec<(u8, u64)>, Fault> {
+    pub fn column_sizes(&mut self) -> Result<Vec<(u8, u64)>, TraceError> {
         let mut sizes = [0u64; 32];
         if self.major == file::MAJOR {
-            for entry in self.entries.clone().iter().filter(|entry| entry.kind == Kind::Rows) {
+            for entry in self.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
                 let (bytes, head) = self.block(entry, true)?;
-                sizes[0] += (head + BLOCK) as u64;
-                let sections =
-                    block::Sections::new(&bytes[BLOCK + head..]).map_err(|bad| Self::wrong(entry, bad))?;
+                sizes[0] += (head + BLOCK_HEADER_BYTES) as u64;
+                let sections = block::Sections::new(&bytes[BLOCK_HEADER_BYTES + head..])
+                    .map_err(|bad| Self::wrong(entry, bad))?;
                 sections.sizes().for_each(|(id, len)| sizes[usize::from(id) % 32] += len as u64);
             }
         }
@@ -426,11 +442,11 @@
     }
 
     /// From the first to the last row or note, us.
-    pub fn span(&self) -> Option<(i64, i64)> {
+    pub fn time_range(&self) -> Option<(i64, i64)> {
         let from = self.entries.iter().map(|entry| entry.from).min()?;
         Some((from, self.entries.iter().map(|entry| entry.to).max()?))
     }
-    pub fn count(&self, kind: Kind) -> u64 {
+    pub fn record_count(&self, kind: BlockKind) -> u64 {
         self.entries.iter().filter(|entry| entry.kind == kind).map(|entry| u64::from(entry.rows)).sum()
     }
 }
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -97,7 +97,7 @@
 }
 
 /// For whoever has no other reason to know the module's types.
-pub const DONE: Outcome = Outcome::Completed;
+pub const COMPLETED: Outcome = Outcome::Completed;
 
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Completed, "done"),
@@ -116,16 +116,16 @@
 
 /// What became of a txn, as summaries count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Fate(pub u8);
+pub struct Disposition(pub u8);
 
-impl Fate {
+impl Disposition {
     /// It left without an answer: gone, or the trace ends before it.
-    pub const GONE: Fate = Fate(Step::GONE.0);
+    pub const GONE: Disposition = Disposition(Step::GONE.0);
 
     pub fn step(self) -> Step {
         Step(self.0)
     }
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self.step() {
             step if step.is_settled() => "settled",
             step if step.is_declined() => "declined",
@@ -140,7 +140,7 @@
 pub struct Path(pub Box<[u8]>);
 
 /// Steps that a path may have; what comes behind is left out.
-pub const MOST_STEPS: usize = 30;
+pub const MAX_STEPS: usize = 30;
 
 impl Path {
     pub fn steps(&self) -> impl Iterator<Item = Step> + '_ {
@@ -149,11 +149,11 @@
     pub fn find(&self, like: impl Fn(Step) -> bool) -> Option<usize> {
         self.steps().position(like)
     }
-    pub fn fate(&self) -> Fate {
-        self.steps().find(|s| s.is_final()).map_or(Fate::GONE, |s| Fate(s.0))
+    pub fn disposition(&self) -> Disposition {
+        self.steps().find(|s| s.is_final()).map_or(Disposition::GONE, |s| Disposition(s.0))
     }
     /// The place of the step at which its wait ended: its run, its decline, or whatever it was answered by.
-    pub fn waited_till(&self) -> usize {
+    pub fn wait_end(&self) -> usize {
         let end = |s: Step| s == Step::RUN || s == Step::GONE || s.is_final();
         self.find(end).unwrap_or(self.0.len().saturating_sub(1))
     }
@@ -182,7 +182,7 @@
 }
 
 impl Names {
-    pub fn word(&mut self, word: &str) -> u32 {
+    pub fn intern(&mut self, word: &str) -> u32 {
         if let Some(at) = self.by_word.get(word) {
             return *at;
         }
@@ -199,7 +199,7 @@
     }
 
     /// The same product with other terms is another one.
-    pub fn product(&mut self, product: &Product) -> u32 {
+    pub fn intern_product(&mut self, product: &Product) -> u32 {
         match self.products.iter().position(|known| known == product) {
             Some(at) => at as u32,
             None => {
@@ -211,11 +211,11 @@
     pub fn products(&self) -> &[Product] {
         &self.products
     }
-    pub fn terms(&self, product: u32) -> &Product {
+    pub fn product(&self, product: u32) -> &Product {
         &self.products[product as usize]
     }
 
-    pub fn path(&mut self, codes: &[u8]) -> u32 {
+    pub fn intern_path(&mut self, codes: &[u8]) -> u32 {
         if let Some(at) = self.by_path.get(codes) {
             return *at;
         }
@@ -224,7 +224,7 @@
         self.by_path.insert(codes.into(), at);
         at
     }
-    pub fn steps(&self, path: u32) -> &Path {
+    pub fn path(&self, path: u32) -> &Path {
         &self.paths[path as usize]
     }
     pub fn paths(&self) -> &[Path] {
@@ -232,7 +232,7 @@
     }
 
     /// Grows with every new name: names of the same size are the same, since none is ever taken out.
-    pub fn size(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.words.len() + self.products.len() + self.paths.len()
     }
 }
@@ -242,8 +242,8 @@
 /// The decline said to try nowhere else.
 pub const LAST: u8 = 2;
 
-/// One try of a txn, from its reading to the end of its run. Times are microseconds; version 2 rounds sizes other than
-/// `read` as [`crate::codec::coarse`] does.
+/// One try of a txn, from its reading to the end of its run. DurationHistogram are microseconds; version 2 rounds sizes other than
+/// `read` as [`crate::codec::quantize`] does.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Row {
     /// When it was read, by the node's Unix clock.
@@ -281,16 +281,16 @@
     }
     /// us from its coming to the machine until it ran or was answered: what the mechanism judges.
     pub fn wait(&self, path: &Path) -> u64 {
-        let held = self.spans.iter().take(path.waited_till() + 1).map(|s| u64::from(*s)).sum::<u64>();
+        let held = self.spans.iter().take(path.wait_end() + 1).map(|s| u64::from(*s)).sum::<u64>();
         u64::from(self.unread) + held
     }
     /// us from the run's beginning to its end, for what ran.
-    pub fn took(&self, path: &Path) -> Option<u64> {
+    pub fn run_time(&self, path: &Path) -> Option<u64> {
         let (from, to) = (path.find(|s| s == Step::RUN)?, path.find(Step::is_ended)?);
         self.spans.get(from + 1..=to).map(|spans| spans.iter().map(|s| u64::from(*s)).sum())
     }
     /// us from its reading to its answer.
-    pub fn answered(&self, path: &Path) -> Option<u64> {
+    pub fn response_time(&self, path: &Path) -> Option<u64> {
         let at = path.find(Step::is_final)?;
         self.spans.get(..=at).map(|spans| spans.iter().map(|s| u64::from(*s)).sum())
     }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,4 +1,4 @@
-//! Sums over a trace: what was asked, what was settled within its SLA time, by whatever one asks for.
+//! Totals over a trace: what was asked, what was settled within its SLA time, by whatever one asks for.
 
 use crate::block::Head;
 use crate::row::{Names, Row, Step};
@@ -7,7 +7,7 @@
 
 /// By what a summary is split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum By {
+pub enum GroupBy {
     Product,
     Customer,
     Caller,
@@ -19,22 +19,22 @@
 
 /// Counts and values of some rows.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
-    pub asked: u64,
+pub struct Totals {
+    pub requests: u64,
     pub settled: u64,
     /// Of those, within the SLA time.
     pub in_sla: u64,
     pub declined: u64,
     pub voided: u64,
     pub gone: u64,
-    pub value_asked: f64,
+    pub requested_value: f64,
     pub value_in_sla: f64,
 }
 
-impl Sums {
+impl Totals {
     pub fn add(&mut self, step: Step, count: u64, value: f64) {
-        self.asked += count;
-        self.value_asked += value;
+        self.requests += count;
+        self.requested_value += value;
         if step == Step::SETTLED {
             self.in_sla += count;
             self.value_in_sla += value;
@@ -50,27 +50,27 @@
         } += count;
     }
     /// Share of the value asked for that was settled within the SLA time.
-    pub fn kept(&self) -> f64 {
-        if self.value_asked > 0.0 {
-            self.value_in_sla / self.value_asked
+    pub fn value_share(&self) -> f64 {
+        if self.requested_value > 0.0 {
+            self.value_in_sla / self.requested_value
         } else {
             0.0
         }
     }
 }
 
-/// Times, us.
+/// DurationHistogram, us.
 #[derive(Clone, Debug)]
-pub struct Times(pub Histogram<u64>);
+pub struct DurationHistogram(pub Histogram<u64>);
 
-impl Default for Times {
-    fn default() -> Times {
+impl Default for DurationHistogram {
+    fn default() -> DurationHistogram {
         // Three digits up to 72 minutes, as rows have them.
-        Times(Histogram::new_with_bounds(1, u64::from(u32::MAX), 3).expect("bounds that hold"))
+        DurationHistogram(Histogram::new_with_bounds(1, u64::from(u32::MAX), 3).expect("bounds that hold"))
     }
 }
 
-impl Times {
+impl DurationHistogram {
     pub fn add(&mut self, value: u64) {
         self.0.saturating_record(value.max(1));
     }
@@ -86,17 +86,17 @@
 /// A summary in the making.
 #[derive(Debug, Default)]
 pub struct Summary {
-    pub total: Sums,
-    pub parts: BTreeMap<String, Sums>,
-    pub waits: Times,
-    pub runs: Times,
+    pub total: Totals,
+    pub groups: BTreeMap<String, Totals>,
+    pub waits: DurationHistogram,
+    pub runs: DurationHistogram,
     /// us of the first and the last row.
     pub span: Option<(i64, i64)>,
-    by: Option<By>,
+    by: Option<GroupBy>,
     interval: i64,
     begin: i64,
     /// Parts by the number that a row has, to name each only once.
-    numbered: BTreeMap<u64, Sums>,
+    numbered: BTreeMap<u64, Totals>,
 }
 
 /// Parts that a summary keeps; callers beyond them are taken together.
@@ -104,11 +104,11 @@
 
 impl Summary {
     /// `begin` is when the trace begins, us: intervals count from there.
-    pub fn new(by: Option<By>, interval: i64, begin: i64) -> Summary {
+    pub fn new(by: Option<GroupBy>, interval: i64, begin: i64) -> Summary {
         Summary { by, interval: interval.max(1), begin, ..Summary::default() }
     }
 
-    fn see(&mut self, from: i64, to: i64) {
+    fn extend_span(&mut self, from: i64, to: i64) {
         let (first, last) = self.span.unwrap_or((from, to));
         self.span = Some((first.min(from), last.max(to)));
     }
@@ -119,58 +119,58 @@
     }
 
     /// Whether the head of a block tells all that is asked, percentiles aside.
-    pub fn fits(&self, head: &Head) -> bool {
+    pub fn head_suffices(&self, head: &Head) -> bool {
         match self.by {
-            None | Some(By::Product | By::Customer | By::Reason) => true,
-            Some(By::Interval) => self.slot(head.from) == self.slot(head.to),
-            Some(By::Node) => head.nodes.len() == 1,
-            Some(By::Caller) => false,
+            None | Some(GroupBy::Product | GroupBy::Customer | GroupBy::Reason) => true,
+            Some(GroupBy::Interval) => self.slot(head.from) == self.slot(head.to),
+            Some(GroupBy::Node) => head.nodes.len() == 1,
+            Some(GroupBy::Caller) => false,
         }
     }
 
     /// Adds a whole block by its head.
-    pub fn block(&mut self, head: &Head) {
-        self.see(head.from, head.to);
+    pub fn add_block(&mut self, head: &Head) {
+        self.extend_span(head.from, head.to);
         for group in &head.groups {
-            let step = group.fate.step();
+            let step = group.disposition.step();
             self.total.add(step, group.count, group.value);
             let part = match self.by {
                 None => continue,
-                Some(By::Product) => group.product.into(),
-                Some(By::Customer) => group.customer.into(),
-                Some(By::Reason) => group.fate.0.into(),
-                Some(By::Interval) => self.slot(head.from) as u64,
-                Some(By::Node) => head.nodes.first().copied().unwrap_or(0).into(),
-                Some(By::Caller) => u64::MAX,
+                Some(GroupBy::Product) => group.product.into(),
+                Some(GroupBy::Customer) => group.customer.into(),
+                Some(GroupBy::Reason) => group.disposition.0.into(),
+                Some(GroupBy::Interval) => self.slot(head.from) as u64,
+                Some(GroupBy::Node) => head.nodes.first().copied().unwrap_or(0).into(),
+                Some(GroupBy::Caller) => u64::MAX,
             };
             self.numbered.entry(part).or_default().add(step, group.count, group.value);
         }
     }
 
-    pub fn row(&mut self, row: &Row, names: &Names) {
-        self.see(row.read, row.read);
-        let path = names.steps(row.path);
-        let (step, value) = (path.fate().step(), row.value(names.terms(row.product)));
+    pub fn add_row(&mut self, row: &Row, names: &Names) {
+        self.extend_span(row.read, row.read);
+        let path = names.path(row.path);
+        let (step, value) = (path.disposition().step(), row.value(names.product(row.product)));
         self.total.add(step, 1, value);
-        self.times(row, names);
+        self.add_times(row, names);
         let part = match self.by {
             None => return,
-            Some(By::Product) => row.product.into(),
-            Some(By::Customer) => row.customer.into(),
-            Some(By::Caller) if self.numbered.len() >= MOST_PARTS => u64::MAX,
-            Some(By::Caller) => row.caller.into(),
-            Some(By::Reason) => step.0.into(),
-            Some(By::Node) => row.node.into(),
-            Some(By::Interval) => self.slot(row.read) as u64,
+            Some(GroupBy::Product) => row.product.into(),
+            Some(GroupBy::Customer) => row.customer.into(),
+            Some(GroupBy::Caller) if self.numbered.len() >= MOST_PARTS => u64::MAX,
+            Some(GroupBy::Caller) => row.caller.into(),
+            Some(GroupBy::Reason) => step.0.into(),
+            Some(GroupBy::Node) => row.node.into(),
+            Some(GroupBy::Interval) => self.slot(row.read) as u64,
         };
         self.numbered.entry(part).or_default().add(step, 1, value);
     }
 
     /// Adds to the percentiles alone.
-    pub fn times(&mut self, row: &Row, names: &Names) {
-        let path = names.steps(row.path);
+    pub fn add_times(&mut self, row: &Row, names: &Names) {
+        let path = names.path(row.path);
         self.waits.add(row.wait(path));
-        if let Some(took) = row.took(path) {
+        if let Some(took) = row.run_time(path) {
             self.runs.add(took);
         }
     }
@@ -179,23 +179,23 @@
     pub fn finish(mut self, names: &Names) -> Summary {
         for (part, sums) in std::mem::take(&mut self.numbered) {
             let name = match self.by {
-                Some(By::Product) => names.terms(part as u32).name.clone(),
-                Some(By::Customer | By::Node) => names.text(part as u32).to_owned(),
-                Some(By::Caller) if part == u64::MAX => "others".into(),
-                Some(By::Caller) => part.to_string(),
-                Some(By::Reason) => Step(part as u8).text(),
-                Some(By::Interval) => format!("{:>9.0}s", (part as i64 * self.interval) as f64 / 1e6),
+                Some(GroupBy::Product) => names.product(part as u32).name.clone(),
+                Some(GroupBy::Customer | GroupBy::Node) => names.text(part as u32).to_owned(),
+                Some(GroupBy::Caller) if part == u64::MAX => "others".into(),
+                Some(GroupBy::Caller) => part.to_string(),
+                Some(GroupBy::Reason) => Step(part as u8).text(),
+                Some(GroupBy::Interval) => format!("{:>9.0}s", (part as i64 * self.interval) as f64 / 1e6),
                 None => continue,
             };
-            let all = self.parts.entry(name).or_default();
-            *all = Sums {
-                asked: all.asked + sums.asked,
+            let all = self.groups.entry(name).or_default();
+            *all = Totals {
+                requests: all.requests + sums.requests,
                 settled: all.settled + sums.settled,
                 in_sla: all.in_sla + sums.in_sla,
                 declined: all.declined + sums.declined,
                 voided: all.voided + sums.voided,
                 gone: all.gone + sums.gone,
-                value_asked: all.value_asked + sums.value_asked,
+                requested_value: all.requested_value + sums.requested_value,
                 value_in_sla: all.value_in_sla + sums.value_in_sla,
             };
         }
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -1,4 +1,4 @@
-//! Made-up traces, the same for the same seed: a day's traffic with a rush in it, during which txns are declined,
+//! Made-up traces, the same for the same seed: a day's traffic with a overloaded in it, during which txns are declined,
 //! repeats come and calls below go wrong.
 
 use crate::row::*;
@@ -9,7 +9,7 @@
 
 /// What a made-up trace is like.
 #[derive(Clone, Debug)]
-pub struct Synth {
+pub struct SynthConfig {
     pub seed: u64,
     /// s
     pub span: f64,
@@ -20,13 +20,13 @@
     pub from: i64,
     pub customers: usize,
     pub callers: u32,
-    /// Share of the time that is a rush.
-    pub rush: f64,
+    /// Share of the time that is a overloaded.
+    pub overload_share: f64,
 }
 
-impl Default for Synth {
-    fn default() -> Synth {
-        Synth {
+impl Default for SynthConfig {
+    fn default() -> SynthConfig {
+        SynthConfig {
             seed: 1,
             span: 3600.0,
             rate: 230.0,
@@ -34,7 +34,7 @@
             from: 1_767_225_600_000_000,
             customers: 24,
             callers: 40,
-            rush: 0.2,
+            overload_share: 0.2,
         }
     }
 }
@@ -49,18 +49,18 @@
     ("report", 0.5, 4.0, 20.0, 0.06, 0.045, false, false),
 ];
 
-/// Seconds from one rush to the next.
-const RUSH_EVERY: f64 = 300.0;
+/// Seconds from one overloaded to the next.
+const OVERLOAD_PERIOD: f64 = 300.0;
 
 /// Gives one record after the other.
-pub struct Maker {
-    told: Synth,
+pub struct Generator {
+    told: SynthConfig,
     rng: ChaCha8Rng,
     at: f64,
     products: Vec<u32>,
     customers: Vec<u32>,
     node: u32,
-    /// Keys of late, which come again in a rush.
+    /// Keys of late, which come again in a overloaded.
     keys: Vec<u64>,
     limit: f32,
     noted: f64,
@@ -72,17 +72,23 @@
     Note(Note),
 }
 
-impl Maker {
-    pub fn new(told: &Synth, names: &mut Names) -> Maker {
+impl Generator {
+    pub fn new(told: &SynthConfig, names: &mut Names) -> Generator {
         let product = |p: &Line, names: &mut Names| {
-            names.product(&Product { name: p.0.into(), value: p.1, sla: p.2, expiry: p.3, by_work: false })
+            names.intern_product(&Product {
+                name: p.0.into(),
+                value: p.1,
+                sla: p.2,
+                expiry: p.3,
+                by_work: false,
+            })
         };
-        Maker {
+        Generator {
             rng: ChaCha8Rng::seed_from_u64(told.seed),
             at: 0.0,
             products: PRODUCTS.iter().map(|p| product(p, names)).collect(),
-            customers: (0..told.customers.max(1)).map(|at| names.word(&format!("k{at:03}"))).collect(),
-            node: names.word(&told.node),
+            customers: (0..told.customers.max(1)).map(|at| names.intern(&format!("k{at:03}"))).collect(),
+            node: names.intern(&told.node),
             keys: Vec::new(),
             limit: 4.0,
             noted: 0.0,
@@ -92,26 +98,26 @@
 
     /// The next record, until the span is over.
     pub fn next(&mut self, names: &mut Names) -> Option<Record> {
-        // From a third of the way to the next, so that a minute's file has calm and rush as well.
-        let phase = (self.at / RUSH_EVERY + 0.67).fract();
-        let rush = phase > 1.0 - self.told.rush;
+        // From a third of the way to the next, so that a minute's file has calm and overloaded as well.
+        let phase = (self.at / OVERLOAD_PERIOD + 0.67).fract();
+        let overloaded = phase > 1.0 - self.told.overload_share;
         if self.at - self.noted > 1.0 {
             self.noted = self.at;
-            let limit = if rush { self.rng.random_range(6..10) } else { 4 } as f32;
+            let limit = if overloaded { self.rng.random_range(6..10) } else { 4 } as f32;
             if limit != self.limit {
                 self.limit = limit;
                 let at = self.told.from + (self.at * 1e6) as i64;
                 return Some(Record::Note(Note { at, node: self.node, topic: Topic::LIMIT, value: limit }));
             }
         }
-        let calm = 1.0 / (1.0 + 0.6 * self.told.rush);
-        let rate = self.told.rate * calm * if rush { 1.6 } else { 1.0 };
+        let calm = 1.0 / (1.0 + 0.6 * self.told.overload_share);
+        let rate = self.told.rate * calm * if overloaded { 1.6 } else { 1.0 };
         let gap: f64 = Exp1.sample(&mut self.rng);
         self.at += gap / rate;
         if self.at >= self.told.span {
             return None;
         }
-        Some(Record::Row(self.row(names, rush)))
+        Some(Record::Row(self.row(names, overloaded)))
     }
 
     /// us, drawn round a median of seconds.
@@ -120,7 +126,7 @@
         drawn.clamp(1.0, 4e9) as u32
     }
 
-    fn row(&mut self, names: &mut Names, rush: bool) -> Row {
+    fn row(&mut self, names: &mut Names, overloaded: bool) -> Row {
         let mut pick = self.rng.random::<f64>();
         let which = PRODUCTS.iter().position(|p| {
             pick -= p.4;
@@ -129,10 +135,10 @@
         let which = which.unwrap_or(1);
         let (_, _, sla, expiry, _, work, keyed, calls) = PRODUCTS[which];
         let customer = Zipf::new(self.customers.len() as f64, 1.1).map_or(1.0, |z| z.sample(&mut self.rng));
-        let repeat = self.rng.random_bool(if rush { 0.22 } else { 0.01 });
+        let repeat = self.rng.random_bool(if overloaded { 0.22 } else { 0.01 });
         let mut row = Row {
             read: self.told.from + (self.at * 1e6) as i64,
-            unread: self.draw(if rush { 0.006 } else { 0.0004 }, 0.8),
+            unread: self.draw(if overloaded { 0.006 } else { 0.0004 }, 0.8),
             node: self.node,
             product: self.products[which],
             customer: self.customers[(customer as usize).clamp(1, self.customers.len()) - 1],
@@ -159,21 +165,29 @@
                 self.keys.push(row.key);
             }
         }
-        self.life(names, &mut row, sla, expiry, calls && self.rng.clone().random_bool(0.5), rush);
+        self.life(names, &mut row, sla, expiry, calls && self.rng.clone().random_bool(0.5), overloaded);
         row
     }
 
-    fn life(&mut self, names: &mut Names, row: &mut Row, sla: f64, expiry: f64, calls: bool, rush: bool) {
+    fn life(
+        &mut self,
+        names: &mut Names,
+        row: &mut Row,
+        sla: f64,
+        expiry: f64,
+        calls: bool,
+        overloaded: bool,
+    ) {
         let mut steps = Vec::new();
         let mut step = |row: &mut Row, step: Step, span: u32| {
             steps.push(step.0);
             row.spans.push(span);
         };
         let hint = f64::from(row.hint) / 1e6;
-        let wait = self.draw(if rush { 0.05 } else { 0.0006 }, 1.1);
+        let wait = self.draw(if overloaded { 0.05 } else { 0.0006 }, 1.1);
         let threshold = expiry * if row.repeat() { 0.04 } else { 0.12 };
         let chance = self.rng.random::<f64>();
-        if rush && f64::from(wait) / 1e6 > threshold {
+        if overloaded && f64::from(wait) / 1e6 > threshold {
             let reason = if chance < 0.8 { Reason::WaitedTooLong } else { Reason::InsufficientTime };
             let over = self.draw(0.008, 0.7);
             step(row, Step::declined(reason), (threshold * 1e6) as u32 + over);
@@ -191,7 +205,7 @@
             step(row, Step::GONE, wait);
         } else {
             step(row, Step::RUN, wait);
-            let (slow, spread) = if rush { (2.0, 0.8) } else { (1.0, 0.25) };
+            let (slow, spread) = if overloaded { (2.0, 0.8) } else { (1.0, 0.25) };
             let mut run = self.draw(hint * slow, spread);
             if calls {
                 step(row, Step::AT_CALL, run / 2);
@@ -199,7 +213,7 @@
                 let opened = self.draw(0.00005, 0.5);
                 step(row, Step::CALL, opened);
                 let away = self.draw(0.006, 0.5);
-                if rush && chance < 0.05 {
+                if overloaded && chance < 0.05 {
                     step(row, Step::returned(Outcome::TimedOut), away * 4);
                     step(row, Step::CALL_SKIPPED, 15);
                 } else {
@@ -219,6 +233,6 @@
                 step(row, if late { Step::SETTLED_LATE } else { Step::SETTLED }, told);
             }
         }
-        row.path = names.path(&steps);
+        row.path = names.intern_path(&steps);
     }
 }
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -1,13 +1,13 @@
 //! What is done with whole traces: to look through them, to cut, merge, veil and mend them. All goes from open
 //! traces to a [`Writer`]; nothing here knows files or terminals.
 
-use crate::anonymise::Veil;
-use crate::expr::{Expr, Judged};
-use crate::file::{pack_rows, Entry, Kind, Packed, Writer};
-use crate::merge::{Blocks, Feed, Merge, Met};
-use crate::open::{Damage, Fault, Trace};
+use crate::anonymise::Anonymiser;
+use crate::expr::{BlockMatch, Expr};
+use crate::file::{encode_rows, BlockKind, EncodedBlock, IndexEntry, Writer};
+use crate::merge::{BlockWriter, Merge, MergeReport, RowSource};
+use crate::open::{Damage, Trace, TraceError};
 use crate::row::{Names, Note, Row};
-use crate::summary::{By, Summary};
+use crate::summary::{GroupBy, Summary};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{Read, Seek, Write};
 use std::ops::ControlFlow;
@@ -23,47 +23,51 @@
 
 /// Which rows are meant.
 #[derive(Clone, Debug)]
-pub struct Choice {
+pub struct Selection {
     /// us, the first included, the last not.
     pub from: i64,
     pub to: i64,
     pub expr: Expr,
 }
 
-impl Default for Choice {
-    fn default() -> Choice {
-        Choice { from: i64::MIN, to: i64::MAX, expr: Expr::All }
+impl Default for Selection {
+    fn default() -> Selection {
+        Selection { from: i64::MIN, to: i64::MAX, expr: Expr::All }
     }
 }
 
-impl Choice {
-    fn touches(&self, entry: &Entry) -> bool {
+impl Selection {
+    fn touches(&self, entry: &IndexEntry) -> bool {
         entry.from < self.to && entry.to >= self.from
     }
-    fn covers(&self, entry: &Entry) -> bool {
+    fn covers(&self, entry: &IndexEntry) -> bool {
         entry.from >= self.from && entry.to < self.to
     }
-    fn holds(&self, row: &Row, names: &Names, begin: i64) -> bool {
-        row.read >= self.from && row.read < self.to && self.expr.holds(row, names, begin)
+    fn matches(&self, row: &Row, names: &Names, begin: i64) -> bool {
+        row.read >= self.from && row.read < self.to && self.expr.matches(row, names, begin)
     }
 }
 
-/// What a look through a trace met.
+/// What a look through a trace report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    /// Blocks that were read, and those that their heads or times ruled out.
-    pub read: usize,
-    pub passed: usize,
+pub struct ScanReport {
+    /// BlockWriter that were read, and those that their heads or times ruled out.
+    pub read_blocks: usize,
+    pub skipped_blocks: usize,
     pub rows: u64,
     pub damage: Vec<Damage>,
 }
 
 /// Names a block that could not be read; other faults end the work.
-fn damaged<T>(result: Result<T, Fault>, entry: &Entry, damage: &mut Vec<Damage>) -> Result<Option<T>, Fault> {
+fn damaged<T>(
+    result: Result<T, TraceError>,
+    entry: &IndexEntry,
+    damage: &mut Vec<Damage>,
+) -> Result<Option<T>, TraceError> {
     match result {
         Ok(value) => Ok(Some(value)),
-        Err(Fault::Block { offset, what }) => {
-            damage.push(Damage { offset, len: entry.len, rows: Some(entry.rows), what });
+        Err(TraceError::DamagedBlock { offset, problem }) => {
+            damage.push(Damage { offset, len: entry.len, rows: Some(entry.rows), problem });
             Ok(None)
         }
         Err(fault) => Err(fault),
@@ -75,42 +79,43 @@
 fn ahead<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Choice,
-    entry: &Entry,
+    choice: &Selection,
+    entry: &IndexEntry,
     begin: i64,
-    seen: &mut Seen,
-) -> Result<Judged, Fault> {
+    seen: &mut ScanReport,
+) -> Result<BlockMatch, TraceError> {
     let judged = if !choice.touches(entry) {
-        Judged::None
-    } else if choice.expr == Expr::All || entry.kind != Kind::Rows {
-        Judged::All
+        BlockMatch::None
+    } else if choice.expr == Expr::All || entry.kind != BlockKind::Rows {
+        BlockMatch::All
     } else if trace.major == crate::v1::MAJOR {
         // A head of version 1 is made from its rows: it saves nothing there.
-        Judged::Some
+        BlockMatch::Some
     } else {
         let head = trace.head(entry, names);
-        let Some(head) = damaged(head, entry, &mut seen.damage)? else { return Ok(Judged::None) };
-        choice.expr.judge(&head, names, begin)
+        let Some(head) = damaged(head, entry, &mut seen.damage)? else { return Ok(BlockMatch::None) };
+        choice.expr.match_block(&head, names, begin)
     };
-    seen.passed += usize::from(judged == Judged::None);
-    Ok(if judged == Judged::All && !choice.covers(entry) { Judged::Some } else { judged })
+    seen.skipped_blocks += usize::from(judged == BlockMatch::None);
+    Ok(if judged == BlockMatch::All && !choice.covers(entry) { BlockMatch::Some } else { judged })
 }
 
 /// Gives every row that is meant to `each`, block by block, until it has enough.
 pub fn scan<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Choice,
+    choice: &Selection,
     progress: Progress,
     mut each: impl FnMut(&Row, &Names) -> ControlFlow<()>,
-) -> Result<Seen, Fault> {
-    let begin = trace.span().map_or(0, |span| span.0);
-    let mut seen = Seen { damage: trace.damage.clone(), ..Seen::default() };
-    let entries: Vec<Entry> = trace.entries.iter().filter(|e| e.kind == Kind::Rows).copied().collect();
+) -> Result<ScanReport, TraceError> {
+    let begin = trace.time_range().map_or(0, |span| span.0);
+    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let entries: Vec<IndexEntry> =
+        trace.entries.iter().filter(|e| e.kind == BlockKind::Rows).copied().collect();
     let mut rows = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        if ahead(trace, names, choice, entry, begin, &mut seen)? == Judged::None {
+        if ahead(trace, names, choice, entry, begin, &mut seen)? == BlockMatch::None {
             continue;
         }
         rows.clear();
@@ -118,8 +123,8 @@
         if damaged(read, entry, &mut seen.damage)?.is_none() {
             continue;
         }
-        seen.read += 1;
-        for row in rows.iter().filter(|row| choice.holds(row, names, begin)) {
+        seen.read_blocks += 1;
+        for row in rows.iter().filter(|row| choice.matches(row, names, begin)) {
             seen.rows += 1;
             if each(row, names).is_break() {
                 return Ok(seen);
@@ -134,11 +139,11 @@
 pub fn notes<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Choice,
+    choice: &Selection,
     damage: &mut Vec<Damage>,
-) -> Result<Vec<Note>, Fault> {
+) -> Result<Vec<Note>, TraceError> {
     let mut all = Vec::new();
-    for entry in trace.entries.clone().iter().filter(|e| e.kind == Kind::Notes && choice.touches(e)) {
+    for entry in trace.entries.clone().iter().filter(|e| e.kind == BlockKind::Notes && choice.touches(e)) {
         let read = trace.notes(entry, names, &mut all);
         damaged(read, entry, damage)?;
     }
@@ -149,46 +154,46 @@
 /// Reads the rows or notes of a block into two empty lists. Whether they could be read; if not, the damage is named.
 fn records<R: Read + Seek>(
     trace: &mut Trace<R>,
-    entry: &Entry,
+    entry: &IndexEntry,
     names: &mut Names,
     rows: &mut Vec<Row>,
     notes: &mut Vec<Note>,
-    seen: &mut Seen,
-) -> Result<bool, Fault> {
+    seen: &mut ScanReport,
+) -> Result<bool, TraceError> {
     let read = match entry.kind {
-        Kind::Rows => trace.rows(entry, names, rows),
+        BlockKind::Rows => trace.rows(entry, names, rows),
         _ => trace.notes(entry, names, notes),
     };
     let sound = damaged(read, entry, &mut seen.damage)?.is_some();
-    seen.read += usize::from(sound);
+    seen.read_blocks += usize::from(sound);
     Ok(sound)
 }
 
 /// Writes what is meant, and the notes of the span. A block that is meant as a whole goes over as it stands.
 pub fn cut<R: Read + Seek, W: Write>(
     trace: &mut Trace<R>,
-    choice: &Choice,
+    choice: &Selection,
     out: &mut Writer<W>,
     progress: Progress,
-) -> Result<Seen, Fault> {
-    let begin = trace.span().map_or(0, |span| span.0);
-    let mut seen = Seen { damage: trace.damage.clone(), ..Seen::default() };
+) -> Result<ScanReport, TraceError> {
+    let begin = trace.time_range().map_or(0, |span| span.0);
+    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let mut names = Names::default();
-    let mut blocks = Blocks::new(BLOCK_ROWS, out);
+    let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     let entries = trace.entries.clone();
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
         let whole = match ahead(trace, &mut names, choice, entry, begin, &mut seen)? {
-            Judged::None => continue,
-            Judged::Some => false,
-            Judged::All => trace.major == crate::file::MAJOR,
+            BlockMatch::None => continue,
+            BlockMatch::Some => false,
+            BlockMatch::All => trace.major == crate::file::MAJOR,
         };
         if whole {
-            let read = trace.raw(entry);
+            let read = trace.encoded_block(entry);
             if let Some(raw) = damaged(read, entry, &mut seen.damage)? {
-                seen.rows += if entry.kind == Kind::Rows { u64::from(entry.rows) } else { 0 };
-                blocks.whole(&names, &raw)?;
+                seen.rows += if entry.kind == BlockKind::Rows { u64::from(entry.rows) } else { 0 };
+                blocks.write_encoded(&names, &raw)?;
             }
             continue;
         }
@@ -196,16 +201,16 @@
             continue;
         }
         for row in rows.drain(..) {
-            if choice.holds(&row, &names, begin) {
+            if choice.matches(&row, &names, begin) {
                 seen.rows += 1;
-                blocks.row(&names, row)?;
+                blocks.write_row(&names, row)?;
             }
         }
         for note in notes.drain(..).filter(|note| note.at >= choice.from && note.at < choice.to) {
-            blocks.note(&names, note)?;
+            blocks.write_note(&names, note)?;
         }
     }
-    blocks.rest(&names)?;
+    blocks.flush(&names)?;
     progress(entries.len(), entries.len());
     Ok(seen)
 }
@@ -216,8 +221,8 @@
 /// Threads that pack blocks, which come out in the order in which they were given.
 struct Packers {
     tasks: Option<SyncSender<Task>>,
-    packed: Receiver<(u64, Packed)>,
-    early: BTreeMap<u64, Packed>,
+    packed: Receiver<(u64, EncodedBlock)>,
+    early: BTreeMap<u64, EncodedBlock>,
     given: u64,
     taken: u64,
     names: Arc<Names>,
@@ -233,7 +238,7 @@
             scope.spawn(move || loop {
                 let task = todo.lock().unwrap_or_else(PoisonError::into_inner).recv();
                 let Ok((at, mut rows, names)) = task else { return };
-                if done.send((at, pack_rows(&names, &mut rows))).is_err() {
+                if done.send((at, encode_rows(&names, &mut rows))).is_err() {
                     return;
                 }
             });
@@ -244,7 +249,7 @@
 
     /// Waits while all are busy, which bounds what is in memory.
     fn pack(&mut self, names: &Names, rows: Vec<Row>) {
-        if self.names.size() != names.size() {
+        if self.names.entry_count() != names.entry_count() {
             self.names = Arc::new(names.clone());
         }
         if let Some(tasks) = &self.tasks {
@@ -255,7 +260,11 @@
     }
 
     /// Gives out what is ready, or all that was given.
-    fn take(&mut self, all: bool, mut each: impl FnMut(&Packed) -> Result<(), Fault>) -> Result<(), Fault> {
+    fn take(
+        &mut self,
+        all: bool,
+        mut each: impl FnMut(&EncodedBlock) -> Result<(), TraceError>,
+    ) -> Result<(), TraceError> {
         if all {
             self.tasks = None;
         }
@@ -277,15 +286,15 @@
     mut traces: Vec<(Trace<R>, i64)>,
     out: &mut Writer<W>,
     progress: Progress,
-) -> Result<Met, Fault> {
+) -> Result<MergeReport, TraceError> {
     let mut names = Names::default();
     let mut damage = Vec::new();
     // Notes are few: they go first, in one order.
     let mut all: Vec<Note> = Vec::new();
-    let total: u64 = traces.iter().map(|(trace, _)| trace.count(Kind::Rows)).sum();
+    let total: u64 = traces.iter().map(|(trace, _)| trace.record_count(BlockKind::Rows)).sum();
     for (at, (trace, offset)) in traces.iter_mut().enumerate() {
         let mut found = Vec::new();
-        let mut these = notes(trace, &mut names, &Choice::default(), &mut found)?;
+        let mut these = notes(trace, &mut names, &Selection::default(), &mut found)?;
         these.iter_mut().for_each(|note| note.at = note.at.saturating_add(*offset));
         all.extend(these);
         damage.extend(found.into_iter().map(|one| (at, one)));
@@ -293,15 +302,16 @@
     let told = |n: &Note| (n.at, n.node, n.topic, n.value.to_bits());
     all.sort_by_key(told);
     all.dedup_by_key(|note| told(note));
-    let mut blocks = Blocks::new(BLOCK_ROWS, out);
+    let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     for note in all {
-        blocks.note(&names, note)?;
+        blocks.write_note(&names, note)?;
     }
-    blocks.rest(&names)?;
-    let mut merge =
-        Merge::new(traces.into_iter().map(|(trace, offset)| Feed::new(trace, offset)).collect::<Vec<_>>());
+    blocks.flush(&names)?;
+    let mut merge = Merge::new(
+        traces.into_iter().map(|(trace, offset)| RowSource::new(trace, offset)).collect::<Vec<_>>(),
+    );
     let workers = std::thread::available_parallelism().map_or(1, |n| n.get().saturating_sub(1)).clamp(1, 4);
-    std::thread::scope(|scope| -> Result<(), Fault> {
+    std::thread::scope(|scope| -> Result<(), TraceError> {
         let mut packers = Packers::new(scope, workers);
         let (mut rows, mut sent) = (Vec::with_capacity(BLOCK_ROWS), 0);
         while let Some(row) = merge.next(&mut names)? {
@@ -309,18 +319,18 @@
             if rows.len() == BLOCK_ROWS {
                 sent += BLOCK_ROWS;
                 packers.pack(&names, std::mem::replace(&mut rows, Vec::with_capacity(BLOCK_ROWS)));
-                packers.take(false, |block| Ok(out.block(block)?))?;
+                packers.take(false, |block| Ok(out.write_block(block)?))?;
                 progress(sent.min(total as usize), total as usize);
             }
         }
         if !rows.is_empty() {
             packers.pack(&names, rows);
         }
-        packers.take(true, |block| Ok(out.block(block)?))
+        packers.take(true, |block| Ok(out.write_block(block)?))
     })?;
     progress(total as usize, total as usize);
-    damage.extend(std::mem::take(&mut merge.met.damage));
-    Ok(Met { damage, ..merge.met })
+    damage.extend(std::mem::take(&mut merge.report.damage));
+    Ok(MergeReport { damage, ..merge.report })
 }
 
 /// Writes a trace with other names, and without blocks that can't be read.
@@ -331,86 +341,87 @@
     nodes_too: bool,
     out: &mut Writer<W>,
     progress: Progress,
-) -> Result<Seen, Fault> {
+) -> Result<ScanReport, TraceError> {
     let mut names = Names::default();
-    let mut seen = Seen { damage: trace.damage.clone(), ..Seen::default() };
+    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let entries = trace.entries.clone();
     let mut counts: HashMap<u32, u64> = HashMap::new();
     if floor > 0 {
-        for entry in entries.iter().filter(|entry| entry.kind == Kind::Rows) {
+        for entry in entries.iter().filter(|entry| entry.kind == BlockKind::Rows) {
             let Some(head) = damaged(trace.head(entry, &mut names), entry, &mut Vec::new())? else {
                 continue;
             };
             head.groups.iter().for_each(|group| *counts.entry(group.customer).or_default() += group.count);
         }
     }
-    let mut veil = Veil::new(key, &counts, floor, nodes_too);
+    let mut veil = Anonymiser::new(key, &counts, floor, nodes_too);
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
-    let mut blocks = Blocks::new(BLOCK_ROWS, out);
+    let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
         if !records(trace, entry, &mut names, &mut rows, &mut notes, &mut seen)? {
             continue;
         }
         for mut row in rows.drain(..) {
-            veil.row(&mut names, &mut row);
+            veil.anonymise_row(&mut names, &mut row);
             seen.rows += 1;
-            blocks.row(&names, row)?;
+            blocks.write_row(&names, row)?;
         }
         for mut note in notes.drain(..) {
-            note.node = veil.node(&mut names, note.node);
-            blocks.note(&names, note)?;
+            note.node = veil.anonymise_node(&mut names, note.node);
+            blocks.write_note(&names, note)?;
         }
     }
-    blocks.rest(&names)?;
+    blocks.flush(&names)?;
     progress(entries.len(), entries.len());
     Ok(seen)
 }
 
-/// Sums over what is meant. Without percentiles whole blocks are told by their heads.
+/// Totals over what is meant. Without percentiles whole blocks are told by their heads.
 pub fn summarise<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Choice,
-    by: Option<By>,
+    choice: &Selection,
+    by: Option<GroupBy>,
     interval: i64,
     percentiles: bool,
     progress: Progress,
-) -> Result<(Summary, Seen), Fault> {
-    let begin = trace.span().map_or(0, |span| span.0);
+) -> Result<(Summary, ScanReport), TraceError> {
+    let begin = trace.time_range().map_or(0, |span| span.0);
     let mut summary = Summary::new(by, interval, begin);
     if percentiles || trace.major == crate::v1::MAJOR {
         let seen = scan(trace, names, choice, progress, |row, names| {
-            summary.row(row, names);
+            summary.add_row(row, names);
             ControlFlow::Continue(())
         })?;
         return Ok((summary.finish(names), seen));
     }
-    let mut seen = Seen { damage: trace.damage.clone(), ..Seen::default() };
-    let entries: Vec<Entry> = trace.entries.iter().filter(|e| e.kind == Kind::Rows).copied().collect();
+    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let entries: Vec<IndexEntry> =
+        trace.entries.iter().filter(|e| e.kind == BlockKind::Rows).copied().collect();
     let mut rows = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
         if !choice.touches(entry) {
-            seen.passed += 1;
+            seen.skipped_blocks += 1;
             continue;
         }
         let Some(head) = damaged(trace.head(entry, names), entry, &mut seen.damage)? else { continue };
-        match choice.expr.judge(&head, names, begin) {
-            Judged::None => seen.passed += 1,
-            Judged::All if choice.covers(entry) && summary.fits(&head) => {
-                seen.passed += 1;
+        match choice.expr.match_block(&head, names, begin) {
+            BlockMatch::None => seen.skipped_blocks += 1,
+            BlockMatch::All if choice.covers(entry) && summary.head_suffices(&head) => {
+                seen.skipped_blocks += 1;
                 seen.rows += u64::from(entry.rows);
-                summary.block(&head);
+                summary.add_block(&head);
             }
             _ => {
                 rows.clear();
                 let read = trace.rows(entry, names, &mut rows);
                 if damaged(read, entry, &mut seen.damage)?.is_some() {
-                    seen.read += 1;
-                    for row in rows.iter().filter(|row| choice.holds(row, names, begin)) {
+                    seen.read_blocks += 1;
+                    for row in rows.iter().filter(|row| choice.matches(row, names, begin)) {
                         seen.rows += 1;
-                        summary.row(row, names);
+                        summary.add_row(row, names);
                     }
                 }
             }
