--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -2,36 +2,36 @@
 //! written only to make old files again; `docs/trace-format.md` froze it.
 
 use crate::codec::*;
-use crate::file::{put_header, Meta};
+use crate::file::{put_header, FileMetadata};
 use crate::row::*;
 use std::io::{self, Write};
 
 pub const MAJOR: u16 = 1;
-pub const MARK: u8 = 0xa7;
+pub const FRAME_MARK: u8 = 0xa7;
 /// Bytes before a frame's payload: mark, length, checksum.
-pub const FRAME: usize = 7;
+pub const FRAME_HEADER_BYTES: usize = 7;
 
 pub struct Writer<W: Write>(W);
 
 impl<W: Write> Writer<W> {
-    pub fn new(mut out: W, meta: &Meta) -> io::Result<Writer<W>> {
+    pub fn new(mut out: W, meta: &FileMetadata) -> io::Result<Writer<W>> {
         out.write_all(&put_header(MAJOR, 0, meta))?;
         Ok(Writer(out))
     }
     fn frame(&mut self, payload: &[u8]) -> io::Result<()> {
         let len = u16::try_from(payload.len()).map_err(|_| io::Error::other("a row of over 65,535 bytes"))?;
-        let mut head = vec![MARK];
+        let mut head = vec![FRAME_MARK];
         head.extend(len.to_le_bytes());
         head.extend(crc32c::crc32c(payload).to_le_bytes());
         self.0.write_all(&head)?;
         self.0.write_all(payload)
     }
-    pub fn row(&mut self, names: &Names, row: &Row) -> io::Result<()> {
+    pub fn write_row(&mut self, names: &Names, row: &Row) -> io::Result<()> {
         let mut out = vec![1];
         out.extend(row.read.to_le_bytes());
         put_varint(&mut out, row.unread.into());
         put_bytes(&mut out, names.text(row.node).as_bytes());
-        let terms = names.terms(row.product);
+        let terms = names.product(row.product);
         put_bytes(&mut out, terms.name.as_bytes());
         for figure in [terms.value, terms.sla, terms.expiry] {
             out.extend(figure.to_le_bytes());
@@ -47,11 +47,11 @@
         out.extend(row.name.to_le_bytes());
         out.extend(row.key.to_le_bytes());
         put_varint(&mut out, row.keep_off.into());
-        put_bytes(&mut out, &names.steps(row.path).0);
+        put_bytes(&mut out, &names.path(row.path).0);
         row.spans.iter().for_each(|span| put_varint(&mut out, (*span).into()));
         self.frame(&out)
     }
-    pub fn note(&mut self, names: &Names, note: &Note) -> io::Result<()> {
+    pub fn write_note(&mut self, names: &Names, note: &Note) -> io::Result<()> {
         let mut out = vec![2];
         out.extend(note.at.to_le_bytes());
         put_bytes(&mut out, names.text(note.node).as_bytes());
@@ -59,7 +59,7 @@
         out.extend(note.value.to_le_bytes());
         self.frame(&out)
     }
-    pub fn end(mut self) -> io::Result<W> {
+    pub fn finish(mut self) -> io::Result<W> {
         self.0.flush()?;
         Ok(self.0)
     }
@@ -76,7 +76,7 @@
 /// The payload of the frame that begins here and its length, if one does.
 pub fn frame(bytes: &[u8]) -> Option<&[u8]> {
     let mut from = Cursor(bytes);
-    if from.u8().ok()? != MARK {
+    if from.u8().ok()? != FRAME_MARK {
         return None;
     }
     let (len, crc) = (from.u16().ok()?, from.u32().ok()?);
@@ -84,37 +84,38 @@
 }
 
 /// Decodes a payload. What stands behind the known fields is of a later minor version.
-pub fn decode(names: &mut Names, payload: &[u8]) -> Result<Frame, Bad> {
+pub fn decode(names: &mut Names, payload: &[u8]) -> Result<Frame, DecodeError> {
     let mut from = Cursor(payload);
-    let narrow = |value: u64| u32::try_from(value).map_err(|_| Bad("a value is out of range"));
+    let narrow = |value: u64| u32::try_from(value).map_err(|_| DecodeError("a value is out of range"));
     match from.u8()? {
         1 => {
             let mut row = Row { read: from.i64()?, unread: narrow(from.varint()?)?, ..Row::default() };
-            row.node = names.word(from.text()?);
+            row.node = names.intern(from.text()?);
             let name = from.text()?.to_owned();
             let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
             if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
-                return Err(Bad("a product's terms are no numbers"));
+                return Err(DecodeError("a product's terms are no numbers"));
             }
-            row.product = names.product(&Product { name, value, sla, expiry, by_work: from.u8()? != 0 });
-            row.customer = names.word(from.text()?);
+            row.product =
+                names.intern_product(&Product { name, value, sla, expiry, by_work: from.u8()? != 0 });
+            row.customer = names.intern(from.text()?);
             row.caller = narrow(from.varint()?)?;
             row.rank = from.u8()?;
             (row.hint, row.memory) = (narrow(from.varint()?)?, narrow(from.varint()?)?);
             (row.flags, row.name, row.key) = (from.u8()?, from.u32()?, from.u64()?);
             row.keep_off = narrow(from.varint()?)?;
             let steps = from.bytes()?;
-            if steps.len() > MOST_STEPS + 2 {
-                return Err(Bad("a path is too long"));
+            if steps.len() > MAX_STEPS + 2 {
+                return Err(DecodeError("a path is too long"));
             }
-            row.path = names.path(steps);
+            row.path = names.intern_path(steps);
             for _ in steps {
                 row.spans.push(narrow(from.varint()?)?);
             }
             Ok(Frame::Row(row))
         }
         2 => {
-            let (at, node) = (from.i64()?, names.word(from.text()?));
+            let (at, node) = (from.i64()?, names.intern(from.text()?));
             let (topic, value) = (Topic(from.u8()?), f32::from_bits(from.u32()?));
             Ok(Frame::Note(Note { at, node, topic, value }))
         }
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -1,18 +1,18 @@
 //! Small traces for tests, and what a reader makes of them.
 #![allow(dead_code)]
 
-use puffinladder_trace::file::{Entry, Kind, Meta, Writer};
-use puffinladder_trace::merge::Blocks;
+use puffinladder_trace::file::{BlockKind, FileMetadata, IndexEntry, Writer};
+use puffinladder_trace::merge::BlockWriter;
 use puffinladder_trace::row::{Names, Note, Row};
-use puffinladder_trace::synth::{Maker, Record, Synth};
+use puffinladder_trace::synth::{Generator, Record, SynthConfig};
 use puffinladder_trace::{v1, Trace};
 use std::io::Cursor;
 
 pub type Open = Trace<Cursor<Vec<u8>>>;
 
 /// The records of a made-up trace.
-pub fn records(told: &Synth, names: &mut Names) -> (Vec<Row>, Vec<Note>) {
-    let mut maker = Maker::new(told, names);
+pub fn records(told: &SynthConfig, names: &mut Names) -> (Vec<Row>, Vec<Note>) {
+    let mut maker = Generator::new(told, names);
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
     while let Some(record) = maker.next(names) {
         match record {
@@ -23,21 +23,21 @@
     (rows, notes)
 }
 
-pub fn meta(node: &str) -> Meta {
-    Meta { node: node.into(), made: 1_767_225_600_000_000 }
+pub fn meta(node: &str) -> FileMetadata {
+    FileMetadata { node: node.into(), created: 1_767_225_600_000_000 }
 }
 
 /// A file of version 2 with so many rows a block, sealed or not.
 pub fn file(names: &Names, rows: &[Row], notes: &[Note], block: usize, seal: bool) -> Vec<u8> {
     let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
-    let mut blocks = Blocks::new(block, &mut writer);
+    let mut blocks = BlockWriter::new(block, &mut writer);
     for row in rows {
-        blocks.row(names, row.clone()).unwrap();
+        blocks.write_row(names, row.clone()).unwrap();
     }
     for note in notes {
-        blocks.note(names, *note).unwrap();
+        blocks.write_note(names, *note).unwrap();
     }
-    blocks.rest(names).unwrap();
+    blocks.flush(names).unwrap();
     let whole = writer.len() as usize;
     let mut bytes = writer.seal().unwrap();
     if !seal {
@@ -49,9 +49,9 @@
 
 pub fn first_version(names: &Names, rows: &[Row], notes: &[Note]) -> Vec<u8> {
     let mut writer = v1::Writer::new(Vec::new(), &meta("n1")).unwrap();
-    rows.iter().for_each(|row| writer.row(names, row).unwrap());
-    notes.iter().for_each(|note| writer.note(names, note).unwrap());
-    writer.end().unwrap()
+    rows.iter().for_each(|row| writer.write_row(names, row).unwrap());
+    notes.iter().for_each(|note| writer.write_note(names, note).unwrap());
+    writer.finish().unwrap()
 }
 
 pub fn open(bytes: &[u8]) -> Open {
@@ -60,9 +60,9 @@
 
 /// A row by the words it stands for, whatever numbers they have.
 pub fn told(names: &Names, row: &Row) -> String {
-    let path: Vec<String> = names.steps(row.path).steps().map(|step| step.text()).collect();
+    let path: Vec<String> = names.path(row.path).steps().map(|step| step.text()).collect();
     let bare = Row { node: 0, product: 0, customer: 0, path: 0, ..row.clone() };
-    let terms = names.terms(row.product);
+    let terms = names.product(row.product);
     format!("{} {terms:?} {} {path:?} {bare:?}", names.text(row.node), names.text(row.customer))
 }
 
@@ -79,10 +79,10 @@
     (all, bad)
 }
 
-pub fn blocks(trace: &Open) -> Vec<Entry> {
-    trace.entries.iter().filter(|entry| entry.kind == Kind::Rows).copied().collect()
+pub fn blocks(trace: &Open) -> Vec<IndexEntry> {
+    trace.entries.iter().filter(|entry| entry.kind == BlockKind::Rows).copied().collect()
 }
 
-pub fn small() -> Synth {
-    Synth { span: 30.0, rate: 20.0, rush: 1.0, ..Synth::default() }
+pub fn small() -> SynthConfig {
+    SynthConfig { span: 30.0, rate: 20.0, overload_share: 1.0, ..SynthConfig::default() }
 }
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{open, readable};
-use puffinladder_trace::recorder::keeper::{Bounds, Lying};
-use puffinladder_trace::recorder::{Entry, Place, Recorder, Told};
+use puffinladder_trace::recorder::rotation::{RotationLimits, StoredFile};
+use puffinladder_trace::recorder::{Recorder, RecorderConfig, RequestRecord, TraceStorage};
 use puffinladder_trace::row::{Names, Step, Topic};
-use puffinladder_trace::tools::{notes, Choice};
+use puffinladder_trace::tools::{notes, Selection};
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
@@ -41,8 +41,8 @@
     }
 }
 
-impl Place for Shelf {
-    fn list(&mut self) -> io::Result<Vec<Lying>> {
+impl TraceStorage for Shelf {
+    fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         Ok(Vec::new())
     }
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Write + Send>> {
@@ -83,12 +83,12 @@
     }
 }
 
-fn told(rows: usize) -> Told {
-    let bounds = Bounds { block_rows: rows, block_span: 3600.0, ..Bounds::default() };
+fn told(rows: usize) -> RecorderConfig {
+    let limits = RotationLimits { block_rows: rows, max_block_age: 3600.0, ..RotationLimits::default() };
     let product = Default::default();
-    Told {
+    RecorderConfig {
         node: "n1".into(),
-        bounds,
+        limits,
         products: vec![product],
         customers: vec!["k1".into()],
         key: [3; 32],
@@ -98,10 +98,10 @@
 
 fn put(recorder: &Recorder, from: u32, count: u32) {
     for caller in from..from + count {
-        let mut entry = Entry::new(1000.0 + f64::from(caller), [b'0'; 16]);
+        let mut entry = RequestRecord::new(1000.0 + f64::from(caller), [b'0'; 16]);
         entry.caller = caller;
-        entry.step(1001.0 + f64::from(caller), Step::SETTLED);
-        recorder.txn(&entry);
+        entry.add_step(1001.0 + f64::from(caller), Step::SETTLED);
+        recorder.record_request(&entry);
     }
 }
 
@@ -113,7 +113,7 @@
         let mut trace = open(bytes);
         torn += usize::from(!trace.sealed);
         rows += readable(&mut trace).0.len();
-        let told = notes(&mut trace, &mut Names::default(), &Choice::default(), &mut Vec::new()).unwrap();
+        let told = notes(&mut trace, &mut Names::default(), &Selection::default(), &mut Vec::new()).unwrap();
         dropped += told.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| f64::from(n.value)).sum::<f64>();
     }
     (rows, dropped, torn)
@@ -124,9 +124,9 @@
     let shelf = Shelf::default();
     let (recorder, running) = Recorder::start(told(100), shelf.clone(), 1 << 20, |_| {}).unwrap();
     put(&recorder, 0, 250);
-    running.end(Duration::from_secs(20));
+    running.shutdown(Duration::from_secs(20));
     assert_eq!(found(&shelf), (250, 0.0, 0));
-    assert_eq!(recorder.lost(), 0);
+    assert_eq!(recorder.lost_records(), 0);
 }
 
 #[test]
@@ -144,8 +144,8 @@
     // More than may wait for it: two blocks wait, the others go at once.
     put(&recorder, 100, 300);
     let end = Instant::now() + Duration::from_secs(20);
-    while recorder.lost() < 250 {
-        assert!(Instant::now() < end, "lost {}", recorder.lost());
+    while recorder.lost_records() < 250 {
+        assert!(Instant::now() < end, "lost {}", recorder.lost_records());
         std::thread::sleep(Duration::from_millis(5));
     }
     // Room for a header, not for a block: what was to be told there as lost must not be forgotten.
@@ -155,10 +155,10 @@
     put(&recorder, 400, 50);
     shelf.until("a third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
     put(&recorder, 450, 10);
-    running.end(Duration::from_secs(20));
+    running.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = found(&shelf);
     assert_eq!((rows + dropped as usize, torn), (460, 2), "{rows} rows, {dropped} dropped");
-    assert_eq!(dropped as u64, recorder.lost());
+    assert_eq!(dropped as u64, recorder.lost_records());
     assert_eq!(said.lock().unwrap().len(), 1, "{said:?}");
 }
 
@@ -169,9 +169,9 @@
     let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, |_| {}).unwrap();
     // Far more than the ring holds: each call comes back at once, or this would never end.
     put(&recorder, 0, 10_000);
-    assert!(recorder.lost() > 0);
+    assert!(recorder.lost_records() > 0);
     shelf.with(|disk| disk.stands_still = false);
-    running.end(Duration::from_secs(20));
+    running.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = found(&shelf);
     assert_eq!((rows + dropped as usize, torn), (10_000, 0), "{rows} rows, {dropped} dropped");
 }
@@ -182,7 +182,7 @@
     shelf.with(|disk| disk.stands_still = true);
     let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, |_| {}).unwrap();
     put(&recorder, 0, 60);
-    running.end(Duration::from_millis(50));
+    running.shutdown(Duration::from_millis(50));
     shelf.with(|disk| disk.stands_still = false);
 }
 
@@ -190,19 +190,19 @@
 fn old_files_make_room_and_a_sample_keeps_all_tries_of_a_key_or_none() {
     let shelf = Shelf::default();
     let mut few = told(20);
-    few.bounds = Bounds { file_bytes: 1, most_files: 3, ..few.bounds };
+    few.limits = RotationLimits { max_file_bytes: 1, max_files: 3, ..few.limits };
     few.sample = 4;
     let (recorder, running) = Recorder::start(few, shelf.clone(), 1 << 20, |_| {}).unwrap();
     for at in 0..400u32 {
-        let mut entry = Entry::new(1000.0 + f64::from(at), [b'0'; 16]);
+        let mut entry = RequestRecord::new(1000.0 + f64::from(at), [b'0'; 16]);
         (entry.key, entry.caller) = (Some([(at / 4) as u8; 32]), at / 4);
-        entry.step(entry.read, Step::SETTLED);
-        recorder.txn(&entry);
+        entry.add_step(entry.read, Step::SETTLED);
+        recorder.record_request(&entry);
         if at % 40 == 0 {
             std::thread::sleep(Duration::from_millis(1));
         }
     }
-    running.end(Duration::from_secs(20));
+    running.shutdown(Duration::from_secs(20));
     let files = shelf.with(|disk| disk.files.clone());
     let mut names = Names::default();
     let mut rows = Vec::new();
--- a/crates/trace/tests/torn.rs
+++ b/crates/trace/tests/torn.rs
@@ -4,10 +4,10 @@
 
 use common::*;
 use proptest::prelude::*;
-use puffinladder_trace::file::{BlockHeader, Kind, Writer, BLOCK};
+use puffinladder_trace::file::{BlockHeader, BlockKind, Writer, BLOCK_HEADER_BYTES};
 use puffinladder_trace::row::Names;
-use puffinladder_trace::tools::{self, Choice};
-use puffinladder_trace::{Fault, Trace};
+use puffinladder_trace::tools::{self, Selection};
+use puffinladder_trace::{Trace, TraceError};
 use std::io::Cursor;
 
 /// All rows as a sound file gives them, the file itself unsealed, and where its blocks begin.
@@ -41,7 +41,7 @@
     let (all, bytes, places) = sound();
     let mut torn = open(&bytes[..bytes.len() - 10]);
     let mut writer = Writer::new(Vec::new(), &torn.meta).unwrap();
-    let seen = tools::cut(&mut torn, &Choice::default(), &mut writer, &mut |_, _| {}).unwrap();
+    let seen = tools::cut(&mut torn, &Selection::default(), &mut writer, &mut |_, _| {}).unwrap();
     assert_eq!(seen.damage.len(), 1);
     assert_eq!(seen.damage[0].rows, Some(places[places.len() - 1].1 as u32));
     let mut whole = open(&writer.seal().unwrap());
@@ -90,8 +90,9 @@
     let last = places[places.len() - 1].0;
     for (head, body) in [(u32::MAX, 0), (0, u32::MAX), (64 << 20, 64 << 20)] {
         let mut lie = bytes.clone();
-        let header = BlockHeader { kind: Kind::Rows, rows: u32::MAX, head, body, crc_head: 0, crc_body: 0 };
-        lie.splice(last..last + BLOCK, header.put());
+        let header =
+            BlockHeader { kind: BlockKind::Rows, rows: u32::MAX, head, body, crc_head: 0, crc_body: 0 };
+        lie.splice(last..last + BLOCK_HEADER_BYTES, header.encode());
         let mut trace = open(&lie);
         assert_eq!(trace.damage.len(), 1);
         assert_eq!(blocks(&trace).len(), places.len() - 1);
@@ -102,9 +103,12 @@
 #[test]
 fn a_later_version_is_named_and_what_is_no_trace_is_refused() {
     let later = puffinladder_trace::file::put_header(3, 0, &meta("n1"));
-    assert!(matches!(Trace::open(Cursor::new(later)), Err(Fault::Version(3))));
+    assert!(matches!(Trace::open(Cursor::new(later)), Err(TraceError::UnsupportedVersion(3))));
     for bytes in [&b""[..], b"PUF", b"PUFTRACE", &[0u8; 4096], &[0xa7; 4096], &[0xf0; 4096]] {
-        assert!(matches!(Trace::open(Cursor::new(bytes.to_vec())), Err(Fault::NotATrace(_))), "{bytes:?}");
+        assert!(
+            matches!(Trace::open(Cursor::new(bytes.to_vec())), Err(TraceError::NotATrace(_))),
+            "{bytes:?}"
+        );
     }
 }
 
@@ -119,15 +123,15 @@
         let (made, _) = records(&small(), &mut names);
         let mut bytes = file(&names, &made[..40], &[], 40, false);
         let place = blocks(&open(&bytes))[0].offset as usize;
-        let old = BlockHeader::take(&bytes[place..]).unwrap();
-        let inner = place + BLOCK..bytes.len();
+        let old = BlockHeader::decode(&bytes[place..]).unwrap();
+        let inner = place + BLOCK_HEADER_BYTES..bytes.len();
         let at = inner.start + at % (inner.len() - with.len().min(inner.len() - 1));
         let end = (at + with.len()).min(bytes.len());
         bytes.splice(at..end, with.iter().copied().take(end - at));
-        let (head, body) = bytes[place + BLOCK..].split_at(old.head as usize);
+        let (head, body) = bytes[place + BLOCK_HEADER_BYTES..].split_at(old.head as usize);
         let rows = if rows % 2 == 0 { old.rows } else { rows };
         let new = BlockHeader { rows, crc_head: crc32c::crc32c(head), crc_body: crc32c::crc32c(body), ..old };
-        bytes.splice(place..place + BLOCK, new.put());
+        bytes.splice(place..place + BLOCK_HEADER_BYTES, new.encode());
         if let Ok(mut trace) = Trace::open(Cursor::new(bytes)) {
             readable(&mut trace);
         }
--- a/crates/trace/tests/ways.rs
+++ b/crates/trace/tests/ways.rs
@@ -3,22 +3,22 @@
 mod common;
 
 use common::*;
-use puffinladder_trace::codec::{rounded, ROUGH, SPAN};
+use puffinladder_trace::codec::{round_to_bits, ESTIMATE_BITS, SPAN_BITS};
 use puffinladder_trace::expr::parse;
 use puffinladder_trace::file::Writer;
 use puffinladder_trace::row::{Names, Product, Row, Step};
-use puffinladder_trace::summary::By;
-use puffinladder_trace::synth::Synth;
-use puffinladder_trace::tools::{self, Choice};
+use puffinladder_trace::summary::GroupBy;
+use puffinladder_trace::synth::SynthConfig;
+use puffinladder_trace::tools::{self, Selection};
 use puffinladder_trace::Trace;
 use std::io::Cursor;
 use std::ops::ControlFlow;
 
-fn merged(inputs: Vec<(&[u8], i64)>) -> (Open, puffinladder_trace::merge::Met) {
+fn merged(inputs: Vec<(&[u8], i64)>) -> (Open, puffinladder_trace::merge::MergeReport) {
     let traces = inputs.into_iter().map(|(bytes, offset)| (open(bytes), offset)).collect();
     let mut writer = Writer::new(Vec::new(), &meta("merged")).unwrap();
-    let met = tools::merge(traces, &mut writer, &mut |_, _| {}).unwrap();
-    (open(&writer.seal().unwrap()), met)
+    let report = tools::merge(traces, &mut writer, &mut |_, _| {}).unwrap();
+    (open(&writer.seal().unwrap()), report)
 }
 
 fn rows_of(trace: &mut Open, names: &mut Names) -> Vec<Row> {
@@ -29,22 +29,33 @@
     rows
 }
 
-/// Rows that have one of everything, made by hand: they must never change.
+/// Rows that have one of everything, made by worker: they must never change.
 fn by_hand(names: &mut Names) -> (Vec<Row>, Vec<puffinladder_trace::Note>) {
     use puffinladder::{Outcome, Reason};
     use puffinladder_trace::row::{Note, Topic, LAST, REPEAT};
-    let order =
-        names.product(&Product { name: "order".into(), value: 3.0, sla: 0.4, expiry: 2.0, by_work: false });
-    let quote =
-        names.product(&Product { name: "quote".into(), value: 1.0, sla: 4.0, expiry: 8.0, by_work: true });
-    let (node, acme, cafe) = (names.word("n1"), names.word("acme"), names.word("café"));
-    let settled = names.path(&[Step::RUN, Step::ended(Outcome::Completed), Step::SETTLED].map(|s| s.0));
-    let declined = names.path(&[Step::declined(Reason::WaitedTooLong).0]);
+    let order = names.intern_product(&Product {
+        name: "order".into(),
+        value: 3.0,
+        sla: 0.4,
+        expiry: 2.0,
+        by_work: false,
+    });
+    let quote = names.intern_product(&Product {
+        name: "quote".into(),
+        value: 1.0,
+        sla: 4.0,
+        expiry: 8.0,
+        by_work: true,
+    });
+    let (node, acme, cafe) = (names.intern("n1"), names.intern("acme"), names.intern("café"));
+    let settled =
+        names.intern_path(&[Step::RUN, Step::ended(Outcome::Completed), Step::SETTLED].map(|s| s.0));
+    let declined = names.intern_path(&[Step::declined(Reason::WaitedTooLong).0]);
     let called =
         [Step::RUN, Step::AT_CALL, Step::CALL, Step::returned(Outcome::TimedOut), Step::CALL_SKIPPED];
     let called: Vec<u8> =
         called.iter().chain(&[Step::voided(Reason::DeadlineReached), Step::GONE]).map(|s| s.0).collect();
-    let called = names.path(&called);
+    let called = names.intern_path(&called);
     let first = Row {
         read: 1_767_225_600_000_000,
         unread: 202,
@@ -100,7 +111,7 @@
         let mut trace = open(&std::fs::read(golden.join(name)).unwrap());
         assert!(trace.sealed && trace.damage.is_empty());
         assert_eq!(readable(&mut trace).0, wanted, "{name}");
-        let read = tools::notes(&mut trace, &mut names, &Choice::default(), &mut Vec::new()).unwrap();
+        let read = tools::notes(&mut trace, &mut names, &Selection::default(), &mut Vec::new()).unwrap();
         assert_eq!(read, notes, "{name}");
     }
 }
@@ -114,39 +125,42 @@
         .iter()
         .map(|row| {
             let mut near = row.clone();
-            near.unread = rounded(row.unread, ROUGH);
-            near.hint = rounded(row.hint, ROUGH);
-            near.memory = rounded(row.memory, ROUGH);
-            near.keep_off = rounded(row.keep_off, SPAN);
-            near.spans.iter_mut().for_each(|span| *span = rounded(*span, SPAN));
+            near.unread = round_to_bits(row.unread, ESTIMATE_BITS);
+            near.hint = round_to_bits(row.hint, ESTIMATE_BITS);
+            near.memory = round_to_bits(row.memory, ESTIMATE_BITS);
+            near.keep_off = round_to_bits(row.keep_off, SPAN_BITS);
+            near.spans.iter_mut().for_each(|span| *span = round_to_bits(*span, SPAN_BITS));
             told(&names, &near)
         })
         .collect();
     assert_eq!(readable(&mut open(&bytes)).0, wanted);
     // Once more through a merge: nothing drifts.
-    let (mut again, met) = merged(vec![(&bytes, 0)]);
-    assert_eq!((readable(&mut again).0, met.rows), (wanted, rows.len() as u64));
+    let (mut again, report) = merged(vec![(&bytes, 0)]);
+    assert_eq!((readable(&mut again).0, report.rows), (wanted, rows.len() as u64));
 }
 
 #[test]
 fn files_of_both_versions_merge_in_one_order_and_a_doubled_input_counts_once() {
     let mut names = Names::default();
-    let told = |seed, node: &str| Synth { seed, node: node.into(), ..small() };
+    let told = |seed, node: &str| SynthConfig { seed, node: node.into(), ..small() };
     let (one, _) = records(&told(1, "n1"), &mut names);
     let (two, notes) = records(&told(2, "n2"), &mut names);
     let (first, second) = (first_version(&names, &one, &notes), file(&names, &two, &notes, 50, true));
-    let (mut all, met) = merged(vec![(&second, 0), (&first, 0), (&second, 0)]);
-    assert_eq!((met.rows, met.doubled, met.unordered), ((one.len() + two.len()) as u64, two.len() as u64, 0));
+    let (mut all, report) = merged(vec![(&second, 0), (&first, 0), (&second, 0)]);
+    assert_eq!(
+        (report.rows, report.duplicates, report.out_of_order),
+        ((one.len() + two.len()) as u64, two.len() as u64, 0)
+    );
     let mut fresh = Names::default();
     let rows = rows_of(&mut all, &mut fresh);
     assert!(rows.is_sorted_by_key(|row| row.read));
     let nodes = |node: &str| rows.iter().filter(|row| fresh.text(row.node) == node).count();
     assert_eq!((nodes("n1"), nodes("n2")), (one.len(), two.len()));
-    let told_once = tools::notes(&mut all, &mut fresh, &Choice::default(), &mut Vec::new()).unwrap();
+    let told_once = tools::notes(&mut all, &mut fresh, &Selection::default(), &mut Vec::new()).unwrap();
     assert_eq!(told_once.len(), notes.len());
     // Apart in time, by what one knows of a clock.
-    let (mut apart, met) = merged(vec![(&first, 3_600_000_000), (&second, 0)]);
-    assert_eq!(met.doubled, 0);
+    let (mut apart, report) = merged(vec![(&first, 3_600_000_000), (&second, 0)]);
+    assert_eq!(report.duplicates, 0);
     let rows = rows_of(&mut apart, &mut Names::default());
     assert!(rows.is_sorted_by_key(|row| row.read));
     assert_eq!(rows[two.len()].read, one[0].read + 3_600_000_000);
@@ -159,8 +173,8 @@
     let half = rows.len() / 2;
     rows[half..].iter_mut().for_each(|row| row.read -= 5_000_000);
     let bytes = file(&names, &rows, &[], 30, true);
-    let (mut all, met) = merged(vec![(&bytes, 0)]);
-    assert_eq!((met.rows, met.unordered), (rows.len() as u64, 0));
+    let (mut all, report) = merged(vec![(&bytes, 0)]);
+    assert_eq!((report.rows, report.out_of_order), (rows.len() as u64, 0));
     assert!(rows_of(&mut all, &mut Names::default()).is_sorted_by_key(|row| row.read));
 }
 
@@ -171,10 +185,10 @@
     let mut bytes = file(&names, &rows, &[], 50, true);
     let second = blocks(&open(&bytes))[1];
     bytes[(second.offset + second.len) as usize - 1] ^= 1;
-    let (_, met) = merged(vec![(&bytes, 0)]);
-    assert_eq!(met.rows, rows.len() as u64 - 50);
+    let (_, report) = merged(vec![(&bytes, 0)]);
+    assert_eq!(report.rows, rows.len() as u64 - 50);
     assert_eq!(
-        (met.damage.len(), met.damage[0].1.offset, met.damage[0].1.rows),
+        (report.damage.len(), report.damage[0].1.offset, report.damage[0].1.rows),
         (1, second.offset, Some(50))
     );
 }
@@ -182,10 +196,10 @@
 #[test]
 fn a_cut_holds_its_span_and_nothing_else_and_passes_over_the_rest() {
     let mut names = Names::default();
-    let (rows, notes) = records(&Synth { span: 120.0, ..small() }, &mut names);
+    let (rows, notes) = records(&SynthConfig { span: 120.0, ..small() }, &mut names);
     for bytes in [file(&names, &rows, &notes, 40, true), first_version(&names, &rows, &notes)] {
         let from = rows[0].read + 41_000_000;
-        let choice = Choice { from, to: from + 10_000_000, ..Choice::default() };
+        let choice = Selection { from, to: from + 10_000_000, ..Selection::default() };
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
         let seen = tools::cut(&mut open(&bytes), &choice, &mut writer, &mut |_, _| {}).unwrap();
         let cut = rows_of(&mut open(&writer.seal().unwrap()), &mut Names::default());
@@ -193,7 +207,8 @@
             rows.iter().map(|row| row.read).filter(|at| (choice.from..choice.to).contains(at)).collect();
         assert_eq!(cut.iter().map(|row| row.read).collect::<Vec<_>>(), wanted);
         assert!(
-            seen.rows == wanted.len() as u64 && (seen.passed > seen.read || blocks(&open(&bytes)).len() == 1)
+            seen.rows == wanted.len() as u64
+                && (seen.skipped_blocks > seen.read_blocks || blocks(&open(&bytes)).len() == 1)
         );
     }
 }
@@ -201,7 +216,7 @@
 #[test]
 fn what_heads_rule_out_is_what_rows_would() {
     let mut names = Names::default();
-    let (rows, _) = records(&Synth { span: 200.0, rush: 0.3, ..small() }, &mut names);
+    let (rows, _) = records(&SynthConfig { span: 200.0, overload_share: 0.3, ..small() }, &mut names);
     let bytes = file(&names, &rows, &[], 37, true);
     let mut passed = 0;
     for text in [
@@ -226,10 +241,10 @@
     ] {
         let expr = parse(text).unwrap();
         let (mut trace, mut names) = (open(&bytes), Names::default());
-        let begin = trace.span().unwrap().0;
+        let begin = trace.time_range().unwrap().0;
         let all = rows_of(&mut trace, &mut names);
-        let wanted = all.iter().filter(|row| expr.holds(row, &names, begin)).count() as u64;
-        let choice = Choice { expr, ..Choice::default() };
+        let wanted = all.iter().filter(|row| expr.matches(row, &names, begin)).count() as u64;
+        let choice = Selection { expr, ..Selection::default() };
         let each = |_: &Row, _: &Names| ControlFlow::Continue(());
         let seen = tools::scan(&mut trace, &mut names, &choice, &mut |_, _| {}, each).unwrap();
         assert_eq!(seen.rows, wanted, "{text}");
@@ -238,24 +253,31 @@
         assert_eq!(cut.rows, wanted, "{text}");
         let (sums, _) =
             tools::summarise(&mut trace, &mut names, &choice, None, 1, false, &mut |_, _| {}).unwrap();
-        assert_eq!(sums.total.asked, wanted, "{text}");
-        passed += seen.passed;
+        assert_eq!(sums.total.requests, wanted, "{text}");
+        passed += seen.skipped_blocks;
     }
     assert!(passed > 100, "heads ruled out {passed} blocks only");
-    let choice = Choice { expr: parse("customer = nobody or run > 1h").unwrap(), ..Choice::default() };
+    let choice = Selection { expr: parse("customer = nobody or run > 1h").unwrap(), ..Selection::default() };
     let each = |_: &Row, _: &Names| ControlFlow::Continue(());
     let seen = tools::scan(&mut open(&bytes), &mut Names::default(), &choice, &mut |_, _| {}, each).unwrap();
-    assert_eq!((seen.read, seen.passed), (0, blocks(&open(&bytes)).len()));
+    assert_eq!((seen.read_blocks, seen.skipped_blocks), (0, blocks(&open(&bytes)).len()));
 }
 
 #[test]
 fn sums_from_heads_are_those_from_rows() {
     let mut names = Names::default();
-    let (rows, _) = records(&Synth { span: 120.0, ..small() }, &mut names);
+    let (rows, _) = records(&SynthConfig { span: 120.0, ..small() }, &mut names);
     let bytes = file(&names, &rows, &[], 50, true);
-    for by in [By::Product, By::Customer, By::Caller, By::Reason, By::Node, By::Interval] {
+    for by in [
+        GroupBy::Product,
+        GroupBy::Customer,
+        GroupBy::Caller,
+        GroupBy::Reason,
+        GroupBy::Node,
+        GroupBy::Interval,
+    ] {
         let sum = |percentiles| {
-            let (mut trace, mut names, choice) = (open(&bytes), Names::default(), Choice::default());
+            let (mut trace, mut names, choice) = (open(&bytes), Names::default(), Selection::default());
             tools::summarise(
                 &mut trace,
                 &mut names,
@@ -268,9 +290,13 @@
             .unwrap()
         };
         let ((full, _), (quick, seen)) = (sum(true), sum(false));
-        assert_eq!((&full.total, &full.parts, full.span), (&quick.total, &quick.parts, quick.span), "{by:?}");
-        assert_eq!(full.total.asked, rows.len() as u64);
-        assert!(seen.passed > 0 || by == By::Caller, "{by:?}: no head was used");
+        assert_eq!(
+            (&full.total, &full.groups, full.span),
+            (&quick.total, &quick.groups, quick.span),
+            "{by:?}"
+        );
+        assert_eq!(full.total.requests, rows.len() as u64);
+        assert!(seen.skipped_blocks > 0 || by == GroupBy::Caller, "{by:?}: no head was used");
     }
 }
 
@@ -325,7 +351,7 @@
     let mut payloads = first_version(&names, &rows, &notes);
     // A frame of an unknown kind, and a header text with an unknown field.
     let payload = [9u8, 1, 2, 3];
-    payloads.push(puffinladder_trace::v1::MARK);
+    payloads.push(puffinladder_trace::v1::FRAME_MARK);
     payloads.extend((payload.len() as u16).to_le_bytes());
     payloads.extend(crc32c::crc32c(&payload).to_le_bytes());
     payloads.extend(payload);
--- a/crates/worker/src/trace_files.rs
+++ b/crates/worker/src/trace_files.rs
@@ -2,8 +2,8 @@
 
 use crate::collection::{mark_finished, part_for_server, ListedFile, TraceFile};
 use crate::transfer_error::TransferError;
-use puffinladder_trace::file::{pack_notes, pack_rows, Entry, Kind, Packed};
-use puffinladder_trace::{Fault, Names, Trace};
+use puffinladder_trace::file::{encode_notes, encode_rows, BlockKind, EncodedBlock, IndexEntry};
+use puffinladder_trace::{Names, Trace, TraceError};
 use puffinladder_trace_store::index::is_valid_name;
 use puffinladder_trace_store::protocol::{FileId, MAX_LINE_BYTES};
 use std::fs::{self, File};
@@ -76,12 +76,12 @@
     id: FileId,
     path: &Path,
     position: u64,
-) -> Result<ReadBlock, Fault> {
+) -> Result<ReadBlock, TraceError> {
     let mut trace = match open {
         Some(open) => open.trace,
         None => Trace::open(BufReader::new(File::open(path)?))?,
     };
-    let is_collected = |entry: &&Entry| matches!(entry.kind, Kind::Rows | Kind::Notes);
+    let is_collected = |entry: &&IndexEntry| matches!(entry.kind, BlockKind::Rows | BlockKind::Notes);
     let count = trace.entries.iter().filter(is_collected).count() as u64;
     let entry = trace.entries.iter().filter(is_collected).nth(position as usize).copied();
     let Some(entry) = entry else {
@@ -106,21 +106,21 @@
 }
 
 /// Returns a block in its packed form. Files of version 1 have no packed blocks, so their rows are packed here.
-fn packed_block(trace: &mut Trace<BufReader<File>>, entry: &Entry) -> Result<Packed, Fault> {
+fn packed_block(trace: &mut Trace<BufReader<File>>, entry: &IndexEntry) -> Result<EncodedBlock, TraceError> {
     if trace.major != puffinladder_trace::v1::MAJOR {
-        return trace.raw(entry);
+        return trace.encoded_block(entry);
     }
     let mut names = Names::default();
     match entry.kind {
-        Kind::Rows => {
+        BlockKind::Rows => {
             let mut rows = Vec::new();
             trace.rows(entry, &mut names, &mut rows)?;
-            Ok(pack_rows(&names, &mut rows))
+            Ok(encode_rows(&names, &mut rows))
         }
         _ => {
             let mut notes = Vec::new();
             trace.notes(entry, &mut names, &mut notes)?;
-            Ok(pack_notes(&names, &mut notes))
+            Ok(encode_notes(&names, &mut notes))
         }
     }
 }
