--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,11 +1,11 @@
-//! Takes customers, callers and keys out of a trace: each becomes a keyed hash of itself. The same key gives the same
-//! names across files; without it nobody can tell whose they were, nor join files made with different keys.
+//! Replaces customers, callers and keys of a trace by keyed hashes. The same key gives the same pseudonyms in every
+//! file; without the key they cannot be reversed or joined with files made with another key.
 
 use crate::recorder::{keyed_hash, request_key_hash};
 use crate::row::{Names, Row};
 use std::collections::HashMap;
 
-/// 32 bytes from 64 hex digits, blanks around them aside.
+/// Parses a key of 32 bytes from 64 hex digits. Surrounding whitespace is ignored.
 pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let text = text.trim();
     let mut key = [0; 32];
@@ -18,27 +18,27 @@
     Some(key)
 }
 
-/// Gives new names.
+/// Mapping of names and keys to pseudonyms.
 pub struct Anonymiser {
     customers_key: [u8; 32],
     callers_key: [u8; 32],
     tries_key: [u8; 32],
     keys_key: [u8; 32],
     nodes_key: Option<[u8; 32]>,
-    /// New numbers of the customers report so far, and the number of those who are rare.
+    /// Numbers of the pseudonyms assigned so far, and whether each customer is rare.
     customers: HashMap<u32, u32>,
     rare: HashMap<u32, bool>,
     floor: u64,
     nodes: HashMap<u32, u32>,
 }
 
-/// The name under which rare customers go together.
+/// Name shared by all rare customers.
 pub const RARE: &str = "rare";
 
 impl Anonymiser {
-    /// `counts` tells how many txns each customer has; those under `floor` become [`RARE`].
+    /// Creates a mapping. `counts` holds the requests of each customer; customers with fewer than `floor` become [`RARE`].
     pub fn new(key: &[u8; 32], counts: &HashMap<u32, u64>, floor: u64, nodes: bool) -> Anonymiser {
-        // A key for each kind, so that a customer and a key of the same bytes do not look alike.
+        // Separate derived keys, so that equal bytes of different kinds get different hashes.
         let derived = |kind: &str| blake3::derive_key(&format!("puffinladder trace 2026 {kind}"), key);
         Anonymiser {
             customers_key: derived("customers"),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// ChangeFilter a row. Its numbers are of `names`, which gets the new ones; the old must not be written after that.
+    /// Anonymises a row in place and interns the pseudonyms in `names`.
     pub fn anonymise_row(&mut self, names: &mut Names, row: &mut Row) {
         row.customer = *self.customers.entry(row.customer).or_insert_with_key(|old| {
             let rare = self.floor > 0 && self.rare.get(old).copied().unwrap_or(true);
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -1,12 +1,12 @@
-//! BlockWriter of version 2: rows or notes in columns, behind a head that says what is in them. Each stands for
-//! itself, names included. `docs/trace-format.md` is the specification.
+//! Blocks of version 2: rows or notes in columns, preceded by a head that summarises them. Each block is
+//! self-contained, names included. `docs/trace-format.md` specifies the format.
 
 use crate::codec::*;
 use crate::row::*;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// Rows of one product, customer and disposition: how many, and what they were worth.
+/// Count and total value of the rows with the same product, customer and disposition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Group {
     pub product: u32,
@@ -16,10 +16,10 @@
     pub value: f64,
 }
 
-/// What a block says of its rows, so that most questions need not read them. All numbers are [`Names`]'.
+/// Summary of a block's rows, from which most queries are answered without reading the body. Numbers refer to [`Names`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// us, of the first and the last of its rows or notes.
+    /// Time of the first and the last record, in us.
     pub from: i64,
     pub to: i64,
     pub rows: usize,
@@ -28,12 +28,12 @@
     pub customers: Vec<u32>,
     pub paths: Vec<u32>,
     pub groups: Vec<Group>,
-    /// us, the longest wait and run.
+    /// Longest wait and run, in us.
     pub longest_wait: u64,
     pub longest_run: u64,
 }
 
-/// Numbers of one block, given in the order in which they are first seen.
+/// Block-local numbers of keys, assigned in order of first use.
 #[derive(Default)]
 struct LocalNumbers<K> {
     by_key: HashMap<K, u64>,
@@ -42,7 +42,6 @@
 
 impl<K: Copy + Eq + Hash> LocalNumbers<K> {
     fn number(&mut self, key: K) -> u64 {
-        // Runs of the same are common.
         *self.by_key.entry(key).or_insert_with(|| {
             self.keys.push(key);
             self.keys.len() as u64 - 1
@@ -70,7 +69,7 @@
     pub const VALUE: u8 = 17;
 }
 
-/// Names of the columns, for the table of bytes.
+/// Returns the name of a column for reports of column sizes.
 pub fn column_name(id: u8) -> &'static str {
     const TEXTS: [&str; 18] = [
         "?", "read", "unread", "node", "product", "customer", "caller", "rank", "hint", "memory", "flags",
@@ -86,7 +85,7 @@
     put_bytes(out, &bytes);
 }
 
-/// Head and columns of some rows, sorted by when they were read.
+/// Encodes rows as head and columns, sorted by read time.
 pub fn encode_rows(names: &Names, rows: &mut [Row]) -> (Head, Vec<u8>, Vec<u8>) {
     rows.sort_by_key(|row| row.read);
     let rows = &*rows;
@@ -102,7 +101,7 @@
     for column in &mut columns[1..15] {
         column.reserve(rows.len());
     }
-    // One stream of spans for each kind of step: those of a kind are alike.
+    // Spans are stored per step code, since spans of the same step have similar sizes.
     let mut spans: Vec<Vec<u64>> = vec![Vec::new(); 256];
     let mut last = rows[0].read;
     for row in rows {
@@ -126,7 +125,7 @@
         for (id, value) in cells {
             columns[usize::from(id)].push(value);
         }
-        // Only some have these: the path tells which.
+        // Sparse columns: `KEEP_OFF` has values for declined rows only.
         columns[usize::from(column::KEY)].push(row.key);
         if disposition.step().is_declined() {
             columns[usize::from(column::KEEP_OFF)].push(quantize(row.keep_off, SPAN_BITS).into());
@@ -142,7 +141,7 @@
         *group = (group.0 + 1, group.1 + row.value(names.product(row.product)));
         last = row.read;
     }
-    // Keys: which rows have one, then those.
+    // The key column holds a presence flag for each row, then the keys that are present.
     let keys = std::mem::take(&mut columns[usize::from(column::KEY)]);
     let mut body = Vec::new();
     for (id, column) in columns.iter().enumerate() {
@@ -183,7 +182,7 @@
     (head, bytes, body)
 }
 
-/// Head and columns of some notes.
+/// Encodes notes as head and columns, sorted by time.
 pub fn encode_notes(names: &Names, notes: &mut [Note]) -> (Head, Vec<u8>, Vec<u8>) {
     notes.sort_by_key(|note| note.at);
     let mut nodes = LocalNumbers::default();
@@ -244,7 +243,7 @@
     bytes
 }
 
-/// Reads a head, and enters its names.
+/// Decodes a head and interns its names.
 pub fn read_head(names: &mut Names, bytes: &[u8]) -> Result<Head, DecodeError> {
     let all = read_compressed(&mut Cursor(bytes), MAX_HEAD_BYTES)?;
     let from = &mut Cursor(&all);
@@ -258,7 +257,7 @@
         let name = from.text()?.to_owned();
         let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
         if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
-            return Err(DecodeError("a product's terms are no numbers"));
+            return Err(DecodeError("product terms are not finite numbers"));
         }
         head.products.push(names.intern_product(&Product {
             name,
@@ -274,13 +273,13 @@
     for _ in 0..from.count(MAX_BLOCK_ROWS)? {
         let path = from.bytes()?;
         if path.len() > MAX_STEPS + 2 {
-            return Err(DecodeError("a path is too long"));
+            return Err(DecodeError("path has too many steps"));
         }
         head.paths.push(names.intern_path(path));
     }
     for _ in 0..from.count(MAX_COLUMN_VALUES)? {
         let (product, customer) = (from.count(MAX_BLOCK_ROWS)?, from.count(MAX_BLOCK_ROWS)?);
-        let wrong = DecodeError("a group names nobody");
+        let wrong = DecodeError("group refers to an unknown product or customer");
         head.groups.push(Group {
             product: *head.products.get(product).ok_or(wrong)?,
             customer: *head.customers.get(customer).ok_or(wrong)?,
@@ -292,7 +291,7 @@
     Ok(head)
 }
 
-/// The sections of a body, by their ids; unknown ones are passed over by whoever asks for known ones.
+/// Sections of a block's body by id. Unknown ids are ignored.
 pub struct Sections<'a>(Vec<(u8, &'a [u8])>);
 
 impl<'a> Sections<'a> {
@@ -312,7 +311,7 @@
             .iter()
             .find(|(known, _)| *known == id)
             .map(|(_, b)| Cursor(b))
-            .ok_or(DecodeError("a column is missing"))
+            .ok_or(DecodeError("required column is missing"))
     }
     fn column(&self, id: u8, rows: usize) -> Result<Vec<u64>, DecodeError> {
         read_column(&mut self.get(id)?, Some(rows))
@@ -320,14 +319,18 @@
 }
 
 fn pick(all: &[u32], at: u64) -> Result<u32, DecodeError> {
-    usize::try_from(at).ok().and_then(|at| all.get(at)).copied().ok_or(DecodeError("a row names nobody"))
+    usize::try_from(at)
+        .ok()
+        .and_then(|at| all.get(at))
+        .copied()
+        .ok_or(DecodeError("record refers to an unknown name"))
 }
 
 fn narrow<T: TryFrom<u64>>(value: u64) -> Result<T, DecodeError> {
-    T::try_from(value).map_err(|_| DecodeError("a value is out of range"))
+    T::try_from(value).map_err(|_| DecodeError("value out of range"))
 }
 
-/// Enters the rows of a block behind those that are there.
+/// Decodes the rows of a block and appends them to `into`.
 pub fn read_rows(names: &Names, head: &Head, body: &[u8], into: &mut Vec<Row>) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let column = |id| sections.column(id, head.rows);
@@ -350,7 +353,7 @@
     }
     let declined: Vec<bool> =
         head.paths.iter().map(|path| names.path(*path).disposition().step().is_declined()).collect();
-    let lacks = DecodeError("a column lacks values");
+    let lacks = DecodeError("column has too few values");
     into.reserve(head.rows);
     let mut at = head.from;
     for i in 0..head.rows {
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -1,32 +1,32 @@
-//! Numbers, strings and columns as bytes. Every read is checked against what is left, and no size that stands
-//! in the bytes is allocated before it is known to fit them.
+//! Encoding of numbers, strings and columns. Decoding checks every read against the remaining bytes, and checks sizes
+//! before allocating for them.
 
 use std::cell::RefCell;
 
-/// What a decoder says of bytes that no writer makes.
+/// Error of decoding malformed bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(pub &'static str);
 
-/// Rows that a block may hold.
+/// Maximum rows of a block.
 pub const MAX_BLOCK_ROWS: usize = 1 << 16;
-/// Values that one column may hold: steps are at most so many a row.
+/// Maximum values of a column; the spans of a block count as one column for each step code.
 pub const MAX_COLUMN_VALUES: usize = MAX_BLOCK_ROWS * 16;
-/// Bytes of a head, unpacked.
+/// Maximum bytes of a head after decompression.
 pub const MAX_HEAD_BYTES: usize = 8 << 20;
 
-/// Reads from a slice, front to back.
+/// Reader of a byte slice.
 #[derive(Clone, Copy)]
 pub struct Cursor<'a>(pub &'a [u8]);
 
 impl<'a> Cursor<'a> {
     pub fn take(&mut self, len: usize) -> Result<&'a [u8], DecodeError> {
-        let (front, rest) = self.0.split_at_checked(len).ok_or(DecodeError("it ends too early"))?;
+        let (front, rest) = self.0.split_at_checked(len).ok_or(DecodeError("unexpected end of data"))?;
         self.0 = rest;
         Ok(front)
     }
     fn fixed<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
-        self.take(N)?.try_into().map_err(|_| DecodeError("it ends too early"))
+        self.take(N)?.try_into().map_err(|_| DecodeError("unexpected end of data"))
     }
     pub fn u8(&mut self) -> Result<u8, DecodeError> {
         Ok(self.fixed::<1>()?[0])
@@ -46,7 +46,7 @@
     pub fn f64(&mut self) -> Result<f64, DecodeError> {
         self.fixed().map(f64::from_le_bytes)
     }
-    /// Seven bits a byte, lowest first.
+    /// Reads a LEB128 number.
     pub fn varint(&mut self) -> Result<u64, DecodeError> {
         let mut value = 0u64;
         for shift in (0..64).step_by(7) {
@@ -54,25 +54,25 @@
             value |= u64::from(byte & 0x7f) << shift;
             if byte < 0x80 {
                 return if shift == 63 && byte > 1 {
-                    Err(DecodeError("a number is too long"))
+                    Err(DecodeError("varint exceeds 64 bits"))
                 } else {
                     Ok(value)
                 };
             }
         }
-        Err(DecodeError("a number is too long"))
+        Err(DecodeError("varint exceeds 64 bits"))
     }
-    /// A number that is to stay within `most`.
+    /// Reads a number that must not exceed `most`.
     pub fn count(&mut self, most: usize) -> Result<usize, DecodeError> {
         let value = self.varint()?;
-        usize::try_from(value).ok().filter(|v| *v <= most).ok_or(DecodeError("a count is out of range"))
+        usize::try_from(value).ok().filter(|v| *v <= most).ok_or(DecodeError("count out of range"))
     }
     pub fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let len = self.count(self.0.len())?;
         self.take(len)
     }
     pub fn text(&mut self) -> Result<&'a str, DecodeError> {
-        std::str::from_utf8(self.bytes()?).map_err(|_| DecodeError("a name is not UTF-8"))
+        std::str::from_utf8(self.bytes()?).map_err(|_| DecodeError("name is not valid UTF-8"))
     }
 }
 
@@ -89,19 +89,19 @@
     out.extend_from_slice(bytes);
 }
 
-/// Significant bits that are kept of a measured span: exact below 256, within 0.2% above.
+/// Significant bits kept of a measured span: exact below 256, relative error within 0.2% above.
 pub const SPAN_BITS: u32 = 8;
-/// The same of what is rough by itself, hints and stamps of whole milliseconds: within 0.8%.
+/// Significant bits kept of estimates and of times in whole milliseconds: relative error within 0.8%.
 pub const ESTIMATE_BITS: u32 = 6;
 
-/// A size as a code of `bits` significant bits. Codes are in the order of the sizes, and a size that was rounded once
-/// stays as it is.
+/// Quantises a value to `bits` significant bits. Codes keep the order of the values, and quantising a dequantised value
+/// returns the same code.
 pub fn quantize(value: u32, bits: u32) -> u16 {
     let shift = (u32::BITS - value.leading_zeros()).saturating_sub(bits);
     ((shift << (bits - 1)) + (value >> shift)) as u16
 }
 
-/// The middle of the sizes that share a code.
+/// Returns the midpoint of the values that share a code.
 pub fn dequantize(code: u16, bits: u32) -> u32 {
     let code = u32::from(code);
     if code < 1 << bits {
@@ -112,7 +112,7 @@
     (top << shift) + (1 << shift >> 1)
 }
 
-/// A size as it will come back.
+/// Returns a value as it is after encoding and decoding.
 pub fn round_to_bits(value: u32, bits: u32) -> u32 {
     dequantize(quantize(value, bits), bits)
 }
@@ -122,16 +122,16 @@
     static UNPACK: RefCell<Option<zstd::bulk::Decompressor<'static>>> = const { RefCell::new(None) };
 }
 
-/// zstd's level: what comes here is short and mostly noise; level 3 was slower and a little larger.
+/// Compression level of zstd: the columns are short, and higher levels gain nothing.
 const LEVEL: i32 = 1;
 
-/// EncodedBlock bytes, if they are fewer.
+/// Compresses bytes. Returns `None` if the result is not smaller.
 fn packed(bytes: &[u8]) -> Option<Vec<u8>> {
     PACK.with_borrow_mut(|pack| {
         if pack.is_none() {
             *pack = zstd::bulk::Compressor::new(LEVEL).ok();
             if let Some(pack) = pack {
-                // The block has a checksum, and knows its sizes.
+                // Blocks carry their own checksums and lengths.
                 let _ = pack.include_checksum(false);
                 let _ = pack.include_contentsize(false);
             }
@@ -141,7 +141,7 @@
 }
 
 fn unpacked(bytes: &[u8], len: usize) -> Result<Vec<u8>, DecodeError> {
-    let wrong = DecodeError("packed bytes can't be unpacked");
+    let wrong = DecodeError("compressed data is corrupt");
     UNPACK.with_borrow_mut(|unpack| {
         if unpack.is_none() {
             *unpack = zstd::bulk::Decompressor::new().ok();
@@ -155,7 +155,7 @@
     })
 }
 
-/// Bytes with their length, packed where that helps.
+/// Writes bytes with their length, compressed if that is smaller.
 pub fn put_compressed(out: &mut Vec<u8>, bytes: &[u8]) {
     put_varint(out, bytes.len() as u64);
     match packed(bytes) {
@@ -177,7 +177,7 @@
     match mode {
         0 if bytes.len() == len => Ok(bytes.to_vec()),
         1 => unpacked(bytes, len),
-        _ => Err(DecodeError("unknown packing")),
+        _ => Err(DecodeError("unknown compression mode")),
     }
 }
 
@@ -185,8 +185,8 @@
 const ZSTD: u8 = 1;
 const SAME: u8 = 2;
 
-/// A column: its lowest bytes, then the next, each plane packed by itself, since the lowest are mostly noise and
-/// the upper ones mostly alike.
+/// Writes a column as planes, lowest byte first. Each plane is compressed separately, since low bytes are close to
+/// random and high bytes are mostly equal.
 pub fn put_column(out: &mut Vec<u8>, values: &[u64]) {
     put_varint(out, values.len() as u64);
     let most = values.iter().copied().fold(0, |all, value| all | value);
@@ -209,15 +209,15 @@
     }
 }
 
-/// The values of a column, of which there should be `wanted`, or at most [`MAX_COLUMN_VALUES`].
+/// Reads a column of `wanted` values, or of at most [`MAX_COLUMN_VALUES`].
 pub fn read_column(from: &mut Cursor, wanted: Option<usize>) -> Result<Vec<u64>, DecodeError> {
     let count = from.count(wanted.unwrap_or(MAX_COLUMN_VALUES))?;
     if wanted.is_some_and(|wanted| wanted != count) {
-        return Err(DecodeError("a column lacks values"));
+        return Err(DecodeError("column has too few values"));
     }
     let width = from.u8()?;
     if width > 8 {
-        return Err(DecodeError("a column is too wide"));
+        return Err(DecodeError("column is wider than 8 bytes"));
     }
     let mut values = vec![0u64; count];
     for byte in 0..width {
@@ -231,7 +231,7 @@
                 let same = u64::from(from.u8()?) << (8 * byte);
                 values.iter_mut().for_each(|value| *value |= same);
             }
-            _ => return Err(DecodeError("unknown packing")),
+            _ => return Err(DecodeError("unknown compression mode")),
         }
     }
     Ok(values)
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -1,11 +1,11 @@
-//! The language in which a trace is requests: `declined and product = bid-submit and wait > 200ms`.
+//! Query language of traces: `declined and product = bid-submit and wait > 200ms`.
 //!
 //! ```text
-//! either  = both ("or" both)*          both = one ("and" one)*
-//! one     = "not" one | "(" either ")" | flag | word = text | number < figure
+//! or    = and ("or" and)*            and = term ("and" term)*
+//! term  = "not" term | "(" or ")" | flag | word = text | number < amount
 //! ```
 //!
-//! An expression is judged by a block's head first: most blocks need not be read.
+//! An expression is first matched against a block's head, so that most blocks need not be read.
 
 use crate::block::Head;
 use crate::row::{Names, Path, Row, Step};
@@ -15,14 +15,14 @@
 use winnow::token::{take_until, take_while};
 use winnow::{ModalResult, Parser};
 
-/// What a txn may be.
+/// Properties that a request has or has not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flag {
     Settled,
     Declined,
     Voided,
     Gone,
-    /// Settled within its SLA time, or after it.
+    /// Settled within the SLA time, or after it.
     InSla,
     Late,
     Replayed,
@@ -34,21 +34,21 @@
     Referenced,
 }
 
-/// What has a name.
+/// Fields that are compared as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TextField {
     Product,
     Customer,
     Node,
     Reason,
-    /// Any of its steps, as `trace cat` writes them.
+    /// Any step, in the notation of `trace cat`.
     Step,
-    /// The keyed hashes, in hex.
+    /// Keyed hashes in hex.
     Key,
     Name,
 }
 
-/// What is measured. DurationHistogram are us, memory is bytes.
+/// Fields that are compared as numbers. Times are in us, memory in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NumberField {
     Wait,
@@ -61,7 +61,7 @@
     Rank,
     Caller,
     Value,
-    /// us since the trace began.
+    /// Time since the start of the trace.
     At,
 }
 
@@ -90,7 +90,7 @@
 pub enum TextMatch {
     Equal,
     NotEqual,
-    /// `*` stands for any characters, `?` for one.
+    /// `*` matches any characters, `?` one character.
     Like,
     NotLike,
 }
@@ -135,7 +135,7 @@
     ("at", NumberField::At),
 ];
 
-/// In us and bytes.
+/// Units in us and bytes.
 const UNITS: [(&str, f64); 9] = [
     ("us", 1.0),
     ("B", 1.0),
@@ -148,7 +148,7 @@
     ("MB", 1_048_576.0),
 ];
 
-/// Where an expression is wrong, counted in characters from 1, and what could stand there.
+/// Syntax error at a column, counted in characters from 1.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("column {column}: {message}")]
 pub struct ParseError {
@@ -156,15 +156,15 @@
     pub message: String,
 }
 
-/// How deep parentheses may nest: what reads them is a recursion.
+/// Maximum nesting depth, which bounds the parser's recursion.
 const DEEPEST: usize = 64;
 
-/// Reads an expression; an empty one is all txns.
+/// Parses an expression. An empty one selects all requests.
 pub fn parse(text: &str) -> Result<Expr, ParseError> {
     if text.trim().is_empty() {
         return Ok(Expr::All);
     }
-    // Text in quotes may hold any bracket, so this counts too many rather than too few.
+    // Parentheses in quoted text count as well, so that the limit may reject too early but never too late.
     let mut depth = 0usize;
     for (at, c) in text.chars().enumerate() {
         depth = match c {
@@ -173,11 +173,14 @@
             _ => depth,
         };
         if depth > DEEPEST || text.len() > 1 << 14 {
-            return Err(ParseError { column: at + 1, message: "too long or too deeply nested".into() });
+            return Err(ParseError {
+                column: at + 1,
+                message: "expression is too long or too deeply nested".into(),
+            });
         }
     }
     if text.split_whitespace().filter(|w| *w == "not").count() > DEEPEST {
-        return Err(ParseError { column: 1, message: "too many times 'not'".into() });
+        return Err(ParseError { column: 1, message: "too many 'not' operators".into() });
     }
     delimited(multispace0, either, multispace0).parse(text).map_err(|wrong| {
         let column = text[..wrong.offset().min(text.len())].chars().count() + 1;
@@ -188,7 +191,7 @@
             None => "the end".into(),
         };
         let message = if wanted.is_empty() {
-            format!("{found} does not belong here; 'and' or 'or' would")
+            format!("unexpected {found}, expected 'and' or 'or'")
         } else {
             format!("found {found}, {wanted}")
         };
@@ -204,7 +207,7 @@
     c.is_alphanumeric() || "-_.*?:/".contains(c)
 }
 
-/// A whole word, so that `ranking` does not begin with `ran`.
+/// Parses a whole word, so that `ranking` is not read as `ran`.
 fn bare<'a>(input: &mut &'a str) -> ModalResult<&'a str> {
     take_while(1.., letter).parse_next(input)
 }
@@ -288,7 +291,7 @@
         let known = |unit: &str| UNITS.iter().find(|(name, _)| *name == unit).map(|(_, size)| *size);
         take_while(1.., |c: char| c.is_alphabetic()).verify_map(known).parse_next(input)
     };
-    // A word behind a blank is a unit only if it is a known one.
+    // After a space, a word is a unit only if it is a known one.
     if input.starts_with(|c: char| c.is_alphabetic()) {
         return letters.map(|unit| number * unit).parse_next(input);
     }
@@ -296,7 +299,7 @@
     Ok(number * unit.unwrap_or(1.0))
 }
 
-/// A span of time by itself, as in `30m` or `1h30m`; seconds where no unit stands. In us.
+/// Parses a duration such as `30m` or `1h30m`, in seconds without a unit. Returns us.
 pub fn parse_span(text: &str) -> Option<i64> {
     let plain = text.trim();
     if let Ok(seconds) = plain.parse::<f64>() {
@@ -309,7 +312,7 @@
     Some(sum as i64)
 }
 
-/// `*` for any characters, `?` for one.
+/// Matches text against a pattern: `*` for any characters, `?` for one character.
 pub fn glob_matches(pattern: &str, text: &str) -> bool {
     let (p, t): (Vec<char>, Vec<char>) = (pattern.chars().collect(), text.chars().collect());
     let (mut at, mut from, mut star, mut mark) = (0, 0, None, 0);
@@ -329,7 +332,7 @@
     p[at..].iter().all(|c| *c == '*')
 }
 
-/// What a block's head says of its rows.
+/// Rows of a block that an expression selects, as far as the head tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockMatch {
     None,
@@ -380,7 +383,7 @@
             Comparison::NotEqual => found != wanted,
         }
     }
-    /// Whether any number from `low` to `high` could hold.
+    /// Returns whether the comparison could hold for a number from `low` to `high`.
     fn could(self, low: f64, high: f64, wanted: f64) -> bool {
         match self {
             Comparison::Less => low < wanted,
@@ -410,14 +413,14 @@
     })
 }
 
-/// Whether a path is a word's match, for words that a path tells.
+/// Matches fields that depend on the path alone. Returns `None` for other fields.
 fn path_word(word: TextField, how: TextMatch, text: &str, path: &Path) -> Option<bool> {
     match word {
         TextField::Reason => {
             let reason = path.disposition().step().reason().map_or("", |reason| reason.text());
             Some(how.matches(text, reason))
         }
-        // Unlike means: none of them is like it.
+        // A negated match must hold for every step.
         TextField::Step => Some(match how {
             TextMatch::Equal | TextMatch::Like => path.steps().any(|step| how.matches(text, &step.text())),
             TextMatch::NotEqual | TextMatch::NotLike => {
@@ -429,7 +432,7 @@
 }
 
 impl Expr {
-    /// Whether a row is meant. `begin` is when the trace begins, us.
+    /// Returns whether a row is selected. `begin` is the start of the trace in us.
     pub fn matches(&self, row: &Row, names: &Names, begin: i64) -> bool {
         match self {
             Expr::All => true,
@@ -477,7 +480,7 @@
         }
     }
 
-    /// What the head of a block tells of its rows without reading them.
+    /// Matches a block by its head alone.
     pub fn match_block(&self, head: &Head, names: &Names, begin: i64) -> BlockMatch {
         match self {
             Expr::All => BlockMatch::All,
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -1,4 +1,4 @@
-//! Files of version 2: a header, blocks, and behind them an index and a trailer once the file is sealed.
+//! Files of version 2: a header, blocks and, once sealed, an index and a trailer.
 
 use crate::block;
 use crate::codec::*;
@@ -9,13 +9,13 @@
 pub const END_MAGIC: [u8; 8] = *b"ECARTFUP";
 pub const MAJOR: u16 = 2;
 pub const MINOR: u16 = 0;
-/// Bytes of a header before its text, of a block's own header, of the trailer.
+/// Sizes of the file header without its text, a block header, the trailer and an index entry, in bytes.
 pub const HEADER_BYTES: usize = 16;
 pub const BLOCK_HEADER_BYTES: usize = 36;
 pub const TRAILER_BYTES: usize = 24;
 pub const INDEX_ENTRY_BYTES: usize = 36;
 pub const BLOCK_MAGIC: [u8; 4] = *b"\xf0BL2";
-/// Bytes of a header's text, and of a head or a body as stored: far over what a writer makes.
+/// Upper bounds of the header's text and of a stored head or body, in bytes. Writers stay far below them.
 pub const MAX_HEADER_TEXT_BYTES: usize = 1 << 16;
 pub const MAX_STORED_BYTES: usize = 64 << 20;
 
@@ -24,7 +24,7 @@
     Rows,
     Notes,
     Index,
-    /// Of a later minor version: passed over.
+    /// Kind of a later minor version, which readers skip.
     Other(u8),
 }
 
@@ -47,16 +47,16 @@
     }
 }
 
-/// What stands in the header beside the version.
+/// Fields of a file's header beside the version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FileMetadata {
-    /// Which server wrote it, or `merged`.
+    /// Name of the server that wrote the file, or `merged`.
     pub node: String,
-    /// us, by the Unix clock.
+    /// Unix time in us.
     pub created: i64,
 }
 
-/// A header of any version: this much of it never changes.
+/// Encodes a file header. Its layout is the same in all versions.
 pub fn put_header(major: u16, minor: u16, meta: &FileMetadata) -> Vec<u8> {
     let mut text = vec![1];
     put_bytes(&mut text, meta.node.as_bytes());
@@ -71,7 +71,7 @@
     out
 }
 
-/// Reads the text of a header; what is unknown is passed over.
+/// Decodes the text of a header. Unknown fields are skipped.
 pub fn read_meta(text: &[u8]) -> Result<FileMetadata, DecodeError> {
     let (mut meta, mut from) = (FileMetadata::default(), Cursor(text));
     while !from.0.is_empty() {
@@ -85,11 +85,11 @@
     Ok(meta)
 }
 
-/// Where a block lies and which span it covers.
+/// Position and time range of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexEntry {
     pub offset: u64,
-    /// Of the whole block with its header.
+    /// Length of the block with its header, in bytes.
     pub len: u64,
     pub kind: BlockKind,
     pub rows: u32,
@@ -97,7 +97,7 @@
     pub to: i64,
 }
 
-/// The header of a block: its kind, what it holds, and the checksums of it and of what follows.
+/// Header of a block: kind, record count, lengths and checksums.
 #[derive(Clone, Copy, Debug)]
 pub struct BlockHeader {
     pub kind: BlockKind,
@@ -120,7 +120,7 @@
         out.extend(crc.to_le_bytes());
         out
     }
-    /// None where the bytes are no such header.
+    /// Returns `None` if the bytes do not start with a valid block header.
     pub fn decode(bytes: &[u8]) -> Option<BlockHeader> {
         let bytes = bytes.get(..BLOCK_HEADER_BYTES)?;
         let (front, crc) = bytes.split_at(BLOCK_HEADER_BYTES - 4);
@@ -142,13 +142,13 @@
         (header.head as usize <= MAX_STORED_BYTES && header.body as usize <= MAX_STORED_BYTES)
             .then_some(header)
     }
-    /// Bytes of the block from its mark to its end.
+    /// Returns the length of the block with its header, in bytes.
     pub fn block_len(&self) -> u64 {
         BLOCK_HEADER_BYTES as u64 + u64::from(self.head) + u64::from(self.body)
     }
 }
 
-/// A block as it stands in a file.
+/// A block in its stored form.
 pub struct EncodedBlock {
     pub kind: BlockKind,
     pub rows: u32,
@@ -178,21 +178,21 @@
     packed(BlockKind::Notes, block::encode_notes(names, notes))
 }
 
-/// A block as it came from elsewhere: it is one, whole, and its checksums fit.
+/// Verifies the length and the checksums of a block that came from elsewhere.
 pub fn verify_block(bytes: Vec<u8>) -> Result<EncodedBlock, DecodeError> {
-    let header = BlockHeader::decode(&bytes).ok_or(DecodeError("its header can't be read"))?;
+    let header = BlockHeader::decode(&bytes).ok_or(DecodeError("block header is invalid"))?;
     if header.block_len() != bytes.len() as u64 {
-        return Err(DecodeError("it is cut off or too long"));
+        return Err(DecodeError("block length differs from its header"));
     }
     let (head, body) = bytes[BLOCK_HEADER_BYTES..].split_at(header.head as usize);
     if crc32c::crc32c(head) != header.crc_head || crc32c::crc32c(body) != header.crc_body {
-        return Err(DecodeError("its checksum is wrong"));
+        return Err(DecodeError("block checksum mismatch"));
     }
     let read = block::read_head(&mut Names::default(), head)?;
     Ok(EncodedBlock { kind: header.kind, rows: header.rows, from: read.from, to: read.to, bytes })
 }
 
-/// Writes a file, block by block. Dropped before [`Writer::seal`], it leaves one that opens as torn.
+/// Writer of a trace file. A file that is dropped before [`Writer::seal`] is read as torn.
 pub struct Writer<W: Write> {
     out: W,
     at: u64,
@@ -206,7 +206,7 @@
         Ok(Writer { out, at: header.len() as u64, index: Vec::new() })
     }
 
-    /// Bytes written so far.
+    /// Returns the bytes written so far.
     pub fn len(&self) -> u64 {
         self.at
     }
@@ -232,7 +232,7 @@
         self.out.flush()
     }
 
-    /// Writes index and trailer, and gives back what was written to.
+    /// Writes index and trailer and returns the inner writer.
     pub fn seal(mut self) -> io::Result<W> {
         let mut body = Vec::with_capacity(self.index.len() * INDEX_ENTRY_BYTES);
         for entry in &self.index {
@@ -263,7 +263,7 @@
     }
 }
 
-/// The entries of an index's body.
+/// Decodes the body of an index.
 pub fn read_index(body: &[u8]) -> Result<Vec<IndexEntry>, DecodeError> {
     let mut from = Cursor(body);
     let mut all = Vec::with_capacity(body.len() / INDEX_ENTRY_BYTES);
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,8 +1,8 @@
-//! A trace is a compact, versioned, indexed file of txns and what was decided on them. `docs/trace.md` tells why
-//! it is built as it is, `docs/trace-format.md` every byte of it.
+//! Compact, versioned, indexed trace files of requests and the decisions on them. `docs/trace.md` describes the design,
+//! `docs/trace-format.md` the file format.
 //!
-//! Everything here reads and writes through `Read`, `Write` and `Seek` and reads no clock; the recorder's thread
-//! in [`recorder`] is the one exception.
+//! Everything here works on `Read`, `Write` and `Seek` and reads no clock, except for the recorder's thread in
+//! [`recorder`].
 #![forbid(unsafe_code)]
 
 pub mod anonymise;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,5 +1,5 @@
-//! Rows of one file in the order of their reading, and of many files as one. Memory is bounded: of a file as many
-//! blocks are open as overlap, and a clock that steps back far costs the order there, not the memory.
+//! Reads the rows of one file or of many files in time order. Memory is bounded: only overlapping blocks of a file are
+//! held, and rows after a large backward clock step are returned out of order.
 
 use crate::file::{encode_notes, encode_rows, BlockKind, EncodedBlock, Writer};
 use crate::open::{Damage, Trace, TraceError};
@@ -8,22 +8,22 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::io::{self, Read, Seek, Write};
 
-/// Rows of one file that wait for earlier ones of blocks not yet read.
+/// Rows of one file that may wait for earlier rows in blocks not yet read.
 const MOST_WAITING: usize = 1 << 17;
 
-/// One file, row by row in the order of their reading.
+/// Rows of one file in time order.
 pub struct RowSource<R> {
     trace: Trace<R>,
-    /// us, put on every time of this file.
+    /// Offset in us added to every time of this file.
     pub offset: i64,
-    /// BlockWriter of rows that are still to be read, and the earliest time in each or behind it.
+    /// Next block to read, and for each block the earliest time in it or in any later block.
     next: usize,
     earliest: Vec<i64>,
     waiting: VecDeque<Row>,
     fresh: Vec<Row>,
-    /// BlockWriter that could not be read.
+    /// Blocks that could not be read.
     pub damage: Vec<Damage>,
-    /// Rows that came later than they should, since the node's clock stepped back too far.
+    /// Rows returned out of order, because the node's clock stepped back too far.
     pub out_of_order: u64,
     last: i64,
 }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reads on until the next row is sure, and tells its time.
+    /// Reads ahead until the next row is certain and returns its time.
     pub fn peek(&mut self, names: &mut Names) -> Result<Option<i64>, TraceError> {
         loop {
             let open = self.earliest.get(self.next).copied();
@@ -85,13 +85,13 @@
         };
         self.waiting.extend(self.fresh.drain(..));
         if late {
-            // Both parts are in order: a stable sort of two runs is a merge.
+            // Both runs are sorted, so that the stable sort merges them.
             self.waiting.make_contiguous().sort_by_key(|row| row.read);
         }
         Ok(())
     }
 
-    /// Takes the row that was peeked at.
+    /// Removes and returns the row whose time [`RowSource::peek`] returned.
     pub fn pop(&mut self) -> Option<Row> {
         let row = self.waiting.pop_front()?;
         self.out_of_order += u64::from(row.read < self.last);
@@ -100,28 +100,28 @@
     }
 }
 
-/// What a merge report.
+/// Outcome of a merge.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct MergeReport {
     pub rows: u64,
-    /// Rows that stood in more than one input, and were written once.
+    /// Rows found in more than one input and written once.
     pub duplicates: u64,
     pub out_of_order: u64,
     pub damage: Vec<(usize, Damage)>,
 }
 
-/// All rows of many files in one order: by time, then by the inputs' order.
+/// Rows of many files in the order of time, then of the inputs.
 pub struct Merge<R> {
     pub sources: Vec<RowSource<R>>,
     heads: BinaryHeap<Reverse<(i64, usize)>>,
     begun: bool,
-    /// Rows of the present moment, by which duplicates ones are known.
+    /// Input and identity of the rows with the current time, to detect duplicates.
     present: Vec<(usize, AttemptIdentity)>,
     now: i64,
     pub report: MergeReport,
 }
 
-/// By what a try of one moment is known again, whatever version wrote it: node, name, key, caller, product.
+/// Identity of an attempt at a given time, independent of the file version: node, name, key, caller, product.
 type AttemptIdentity = (u32, u32, u64, u32, u32);
 
 fn attempt_identity(row: &Row) -> AttemptIdentity {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Collects rows and notes into blocks of a size, and writes each that is full.
+/// Writer that groups rows and notes into blocks of a fixed size.
 pub struct BlockWriter<'a, W: Write> {
     rows: Vec<Row>,
     notes: Vec<Note>,
@@ -193,7 +193,7 @@
     pub fn new(most: usize, out: &'a mut Writer<W>) -> BlockWriter<'a, W> {
         BlockWriter { rows: Vec::new(), notes: Vec::new(), most, out }
     }
-    /// Whether a block was full with this row, and written.
+    /// Adds a row. Returns whether this completed a block.
     pub fn write_row(&mut self, names: &Names, row: Row) -> io::Result<bool> {
         self.rows.push(row);
         let full = self.rows.len() >= self.most;
@@ -211,7 +211,7 @@
         }
         Ok(())
     }
-    /// Writes what is left.
+    /// Writes the remaining rows and notes.
     pub fn flush(&mut self, names: &Names) -> io::Result<()> {
         if !self.rows.is_empty() {
             self.out.write_block(&encode_rows(names, &mut self.rows))?;
@@ -223,7 +223,7 @@
         }
         Ok(())
     }
-    /// Writes what is left, then a block that was packed elsewhere.
+    /// Writes the remaining rows and notes, then an encoded block.
     pub fn write_encoded(&mut self, names: &Names, block: &EncodedBlock) -> io::Result<()> {
         self.flush(names)?;
         self.out.write_block(block)
--- a/crates/trace/src/open.rs
+++ b/crates/trace/src/open.rs
@@ -1,4 +1,4 @@
-//! Opens files of every version, sealed or torn, and reads their blocks.
+//! Opens trace files of every version, sealed or torn, and reads their blocks.
 
 use crate::block::{self, Head};
 use crate::codec::{Cursor, DecodeError};
@@ -10,42 +10,42 @@
 use crate::v1;
 use std::io::{self, Read, Seek, SeekFrom};
 
-/// Why a file can't be read at all.
+/// Errors of opening a trace or reading a block.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("not a trace: {0}")]
     NotATrace(&'static str),
-    #[error("this trace has version {0}, this program reads 1 and 2: take a newer one")]
+    #[error("trace version {0} is not supported, expected 1 or 2")]
     UnsupportedVersion(u16),
     #[error("block at byte {offset}: {problem}")]
     DamagedBlock { offset: u64, problem: &'static str },
 }
 
-/// A part of a file that can't be read. What is lost is named, the rest stands.
+/// A byte range of a file that could not be read. The rest of the file stays readable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub offset: u64,
     pub len: u64,
-    /// How many rows or notes went with it, where that is known.
+    /// Rows or notes lost with the range, if known.
     pub rows: Option<u32>,
     pub problem: &'static str,
 }
 
-/// Frames of version 1 that are taken together as one block.
+/// Frames of version 1 that are grouped into one block.
 const FRAMES: u32 = 4096;
-/// Bytes looked at in one go while a damaged file is searched.
+/// Bytes read at a time while scanning a file without a usable index.
 const CHUNK: usize = 1 << 20;
 
-/// An open trace.
+/// An open trace file.
 pub struct Trace<R> {
     from: R,
     pub len: u64,
     pub major: u16,
     pub minor: u16,
     pub meta: FileMetadata,
-    /// It has its index; otherwise the blocks were found by looking for them.
+    /// Whether the file ends with a valid index. Without one, the blocks were found by scanning.
     pub sealed: bool,
     pub entries: Vec<IndexEntry>,
     pub damage: Vec<Damage>,
@@ -67,17 +67,17 @@
         let front = trace.bytes(0, len.min(HEADER_BYTES as u64) as usize)?;
         if front.len() < HEADER_BYTES {
             return Err(TraceError::NotATrace(if front.is_empty() {
-                "it is empty"
+                "file is empty"
             } else {
-                "it ends in its header"
+                "file ends within its header"
             }));
         }
         let begin = match trace.header(&front)? {
             Some(begin) => begin,
             None => {
-                // A header that can't be read costs the node's name, unless the blocks are gone as well.
+                // A damaged header loses the node's name only, as long as blocks can be read.
                 let len = len.min(HEADER_BYTES as u64);
-                trace.damage.push(Damage { offset: 0, len, rows: None, problem: "the header can't be read" });
+                trace.damage.push(Damage { offset: 0, len, rows: None, problem: "file header is invalid" });
                 8
             }
         };
@@ -91,18 +91,18 @@
                 trace.frames(begin)?;
             }
         }
-        // What is left of a damaged header is no second loss.
+        // The bytes between a damaged header and the first block belong to the same damage.
         if !known && trace.damage.get(1).is_some_and(|next| next.offset == begin && next.rows.is_none()) {
             let rest = trace.damage.remove(1);
             trace.damage[0].len = rest.offset + rest.len;
         }
         if !known && trace.entries.is_empty() {
-            return Err(TraceError::NotATrace("neither a header nor a block can be read"));
+            return Err(TraceError::NotATrace("no valid header or block found"));
         }
         Ok(trace)
     }
 
-    /// Where the blocks begin; none if the header is damaged.
+    /// Returns the offset of the first block, or `None` if the header is damaged.
     fn header(&mut self, front: &[u8]) -> Result<Option<u64>, TraceError> {
         let mut at = Cursor(&front[8..]);
         let (Ok(major), Ok(minor), Ok(text)) = (at.u16(), at.u16(), at.u32()) else { return Ok(None) };
@@ -122,7 +122,7 @@
         Ok(Some(whole.len() as u64))
     }
 
-    /// As many bytes as there are, up to `len`.
+    /// Reads up to `len` bytes, fewer at the end of the file.
     fn bytes(&mut self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
         let len = len.min(usize::try_from(self.len.saturating_sub(offset)).unwrap_or(usize::MAX));
         self.from.seek(SeekFrom::Start(offset))?;
@@ -140,7 +140,7 @@
         Ok(bytes)
     }
 
-    /// Whether trailer and index could be read.
+    /// Reads trailer and index. Returns whether both are valid.
     fn index(&mut self) -> io::Result<bool> {
         let Some(at) = self.len.checked_sub(TRAILER_BYTES as u64) else { return Ok(false) };
         let trailer = self.bytes(at, TRAILER_BYTES)?;
@@ -168,7 +168,7 @@
     fn scan(&mut self, begin: u64) -> io::Result<()> {
         let (mut at, mut behind_index) = (begin, false);
         while at < self.len {
-            // Behind an index stands the trailer: it holds nothing that is missed.
+            // The trailer follows the index and holds no records.
             if std::mem::take(&mut behind_index) && self.len - at <= TRAILER_BYTES as u64 {
                 return Ok(());
             }
@@ -176,14 +176,14 @@
             let Some(header) = BlockHeader::decode(&bytes) else {
                 let next = self.search(at + 1)?;
                 let end = next.unwrap_or(self.len);
-                let problem = if next.is_some() { "a block's header can't be read" } else { "torn end" };
+                let problem = if next.is_some() { "block header is invalid" } else { "torn end" };
                 self.damage.push(Damage { offset: at, len: end - at, rows: None, problem });
                 at = end;
                 continue;
             };
             let whole = header.block_len();
             if at + whole > self.len {
-                // Either the end is torn, or the length is a lie and more blocks follow.
+                // Either the file is torn here, or the length is wrong and more blocks follow.
                 let next = self.search(at + 1)?;
                 let end = next.unwrap_or(self.len);
                 let rows = Some(header.rows);
@@ -208,7 +208,7 @@
                         offset: at,
                         len: whole,
                         rows: Some(header.rows),
-                        problem: "a block's head can't be read",
+                        problem: "block head is invalid",
                     }),
                 }
             }
@@ -218,7 +218,7 @@
         Ok(())
     }
 
-    /// The next place at or behind `at` where a block begins.
+    /// Returns the offset of the first block header at or after `at`.
     fn search(&mut self, mut at: u64) -> io::Result<Option<u64>> {
         while at < self.len {
             let bytes = self.bytes(at, CHUNK + BLOCK_HEADER_BYTES)?;
@@ -233,13 +233,13 @@
         Ok(None)
     }
 
-    /// Finds the frames of a file of version 1.
+    /// Finds the frames of a version 1 file.
     fn frames(&mut self, begin: u64) -> io::Result<()> {
         let new = |offset, kind| IndexEntry { offset, len: 0, kind, rows: 0, from: i64::MAX, to: i64::MIN };
         let (mut rows, mut notes) = (new(begin, BlockKind::Rows), new(begin, BlockKind::Notes));
         let (mut at, mut bad) = (begin, None);
         let (mut bytes, mut base) = (Vec::new(), begin);
-        // So that a frame is never cut by the end of problem is in memory.
+        // The read-ahead covers the longest frame, so that no frame is split between reads.
         let most = v1::FRAME_HEADER_BYTES + usize::from(u16::MAX);
         while at < self.len {
             let behind = (at - base) as usize;
@@ -252,7 +252,7 @@
             let here = &bytes[behind..];
             let Some(payload) = v1::frame(here) else {
                 bad.get_or_insert(at);
-                // On to the next place where one may begin.
+                // Continue at the next byte that may start a frame.
                 let skip = here[1..].iter().position(|b| *b == v1::FRAME_MARK).map_or(here.len(), |p| p + 1);
                 at += skip as u64;
                 continue;
@@ -284,7 +284,7 @@
         if let Some(from) = bad {
             self.damage.push(Damage { offset: from, len: self.len - from, rows: None, problem: "torn end" });
         }
-        // A file of version 1 has no end mark: one that ends with a whole frame counts as sealed.
+        // Version 1 has no trailer: a file that ends with a complete frame counts as sealed.
         self.sealed = bad.is_none();
         Ok(())
     }
@@ -293,36 +293,36 @@
         TraceError::DamagedBlock { offset: entry.offset, problem: bad.0 }
     }
 
-    /// A block of version 2 as it is stored, its checksums verified, and its head's length. Without its body the bytes end
-    /// behind the head.
+    /// Reads a version 2 block, verifies its checksums and returns its bytes with the length of its head. Without
+    /// `with_body`, the bytes end after the head.
     fn block(&mut self, entry: &IndexEntry, with_body: bool) -> Result<(Vec<u8>, usize), TraceError> {
         let wrong = |problem| Self::wrong(entry, DecodeError(problem));
-        // No length of an index is trusted further than blocks may be long.
+        // The index is not trusted beyond the largest size of a block.
         let whole = usize::try_from(entry.len)
             .unwrap_or(usize::MAX)
             .min(BLOCK_HEADER_BYTES + 2 * file::MAX_STORED_BYTES);
         let mut bytes = self.bytes(entry.offset, if with_body { whole } else { BLOCK_HEADER_BYTES })?;
-        let header = BlockHeader::decode(&bytes).ok_or(wrong("its header can't be read"))?;
+        let header = BlockHeader::decode(&bytes).ok_or(wrong("block header is invalid"))?;
         if header.block_len() != entry.len || header.kind != entry.kind || header.rows != entry.rows {
-            return Err(wrong("it is another than the index says"));
+            return Err(wrong("block header differs from the index"));
         }
         let head = header.head as usize;
         if !with_body {
             bytes.extend(self.bytes(entry.offset + BLOCK_HEADER_BYTES as u64, head)?);
         }
         if bytes.len() < BLOCK_HEADER_BYTES + head || with_body && bytes.len() < whole {
-            return Err(wrong("it is cut off"));
+            return Err(wrong("block is truncated"));
         }
         if crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES..BLOCK_HEADER_BYTES + head]) != header.crc_head {
-            return Err(wrong("the checksum of its head is wrong"));
+            return Err(wrong("block head checksum mismatch"));
         }
         if with_body && crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES + head..]) != header.crc_body {
-            return Err(wrong("its checksum is wrong"));
+            return Err(wrong("block checksum mismatch"));
         }
         Ok((bytes, head))
     }
 
-    /// The same with the head read, and where the body begins.
+    /// Reads a block and decodes its head. Returns the head, the bytes and the offset of the body in them.
     fn read(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<(Head, Vec<u8>, usize), TraceError> {
         let (bytes, head) = self.block(entry, true)?;
         let body = BLOCK_HEADER_BYTES + head;
@@ -331,13 +331,13 @@
         Ok((head, bytes, body))
     }
 
-    /// The bytes of a whole block as they stand, to be written elsewhere.
+    /// Returns a whole block in its encoded form.
     pub fn encoded_block(&mut self, entry: &IndexEntry) -> Result<file::EncodedBlock, TraceError> {
         let (bytes, _) = self.block(entry, true)?;
         Ok(file::EncodedBlock { kind: entry.kind, rows: entry.rows, from: entry.from, to: entry.to, bytes })
     }
 
-    /// What a block says of itself.
+    /// Reads the head of a block.
     pub fn head(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<Head, TraceError> {
         if self.major == v1::MAJOR {
             if entry.kind == BlockKind::Notes {
@@ -352,7 +352,7 @@
         block::read_head(names, &bytes[BLOCK_HEADER_BYTES..]).map_err(|bad| Self::wrong(entry, bad))
     }
 
-    /// Enters the rows of a block behind those that are there, in the order of their reading.
+    /// Appends the rows of a block to `into`, sorted by read time.
     pub fn rows(
         &mut self,
         entry: &IndexEntry,
@@ -419,14 +419,14 @@
                     }
                     rest = &rest[v1::FRAME_HEADER_BYTES + payload.len()..];
                 }
-                // The damage was named when the file was opened.
+                // The damage was recorded when the file was opened.
                 None => rest = &rest[1..],
             }
         }
         Ok(())
     }
 
-    /// Bytes that each column takes, over all blocks of rows, with `(0, bytes)` for heads.
+    /// Returns the bytes of each column over all row blocks, with `(0, bytes)` for heads.
     pub fn column_sizes(&mut self) -> Result<Vec<(u8, u64)>, TraceError> {
         let mut sizes = [0u64; 32];
         if self.major == file::MAJOR {
@@ -441,7 +441,7 @@
         Ok((0u8..).zip(sizes).filter(|(_, size)| *size > 0).collect())
     }
 
-    /// From the first to the last row or note, us.
+    /// Returns the times of the first and the last record, in us.
     pub fn time_range(&self) -> Option<(i64, i64)> {
         let from = self.entries.iter().map(|entry| entry.from).min()?;
         Some((from, self.entries.iter().map(|entry| entry.to).max()?))
--- a/crates/trace/src/recorder/mod.rs
+++ b/crates/trace/src/recorder/mod.rs
@@ -1,6 +1,6 @@
-//! Writes a trace beside live traffic. Whoever records puts a fixed-size entry into a bounded ring and goes on: no
-//! I/O, no lock, no allocation. A thread of its own takes it out, packs it and keeps the files, as [`rotation`]
-//! decides. What it can't keep up with is dropped and counted in the file.
+//! Records a trace beside live traffic. Callers push fixed-size records into a bounded ring without I/O, locks or
+//! allocation. A dedicated thread encodes them and manages the files as [`rotation`] decides. Records that do not fit
+//! are dropped and counted in the file.
 
 pub mod rotation;
 
@@ -15,15 +15,15 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Entries that wait for the thread: two seconds of a thousand txns each.
+/// Capacity of the ring, in records.
 const RING: usize = 2048;
-/// How long the thread sleeps while nothing comes.
+/// Sleep of the recorder thread while the ring is empty.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// A txn's life, as whoever lives it writes it down.
+/// Record of one attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
-    /// s, Unix: when it was read. When it came is told by `unread`, s.
+    /// Read time in s (Unix), and the time between arrival and read in s.
     pub read: f64,
     pub unread: f64,
     pub product: u16,
@@ -41,7 +41,7 @@
     pub name: [u8; 16],
     pub key: Option<[u8; 32]>,
     steps: [u8; MAX_STEPS],
-    /// us from the step before.
+    /// Time since the previous step, in us.
     spans: [u32; MAX_STEPS],
     count: u8,
     at: f64,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Something happened to it at this time. Past the most steps only its last places change: one that says that
-    /// there were more, and what it ended with.
+    /// Adds a step. Once the path is full, a marker for omitted steps and the latest step take its last two places, and a
+    /// final step stays.
     pub fn add_step(&mut self, now: f64, step: Step) {
         let mut span = micros(now - self.at);
         self.at = now;
@@ -90,39 +90,39 @@
     }
 }
 
-/// Seconds as microseconds that a row can hold.
+/// Converts seconds to microseconds in the range of a row.
 fn micros(span: f64) -> u32 {
     (span * 1e6).clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-// A box for the larger kind would be an allocation on the txn's path; the ring is made once.
+// Boxing the larger variant would allocate on the request path.
 #[allow(clippy::large_enum_variant)]
 enum Item {
     Txn(RequestRecord),
     Note { at: f64, topic: Topic, value: f32 },
 }
 
-/// What a recorder is told.
+/// Configuration of a recorder.
 pub struct RecorderConfig {
     pub node: String,
     pub limits: RotationLimits,
     pub products: Vec<Product>,
     pub customers: Vec<String>,
-    /// By which names and keys are hashed.
+    /// Key for hashing names and request keys.
     pub key: [u8; 32],
-    /// One txn of so many is kept, all tries under a key alike.
+    /// One request in `sample` is kept; all attempts with the same key are kept or dropped together.
     pub sample: u32,
 }
 
-/// Where files are made. The real one is a [`TraceDirectory`]; tests have one that fails on cue.
+/// Storage of trace files, implemented by [`TraceDirectory`].
 pub trait TraceStorage: Send + 'static {
-    /// Files that lie there, oldest first.
+    /// Returns the existing trace files, oldest first.
     fn list(&mut self) -> io::Result<Vec<StoredFile>>;
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Write + Send>>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A folder in which only files of one prefix are touched.
+/// A directory in which only files with a prefix are touched.
 pub struct TraceDirectory {
     pub path: PathBuf,
     pub prefix: String,
@@ -152,24 +152,24 @@
 
 struct Shared {
     ring: ArrayQueue<Item>,
-    /// Entries that found the ring full since the thread last looked, and all records lost so far.
+    /// Records that found the ring full since the thread last checked, and all lost records.
     full: AtomicU64,
     lost: AtomicU64,
     ending: AtomicBool,
 }
 
-/// The end of the ring that traffic writes to.
+/// Producer side of the recorder.
 #[derive(Clone)]
 pub struct Recorder(Arc<Shared>);
 
-/// The thread behind it.
+/// Handle of the recorder thread.
 pub struct RecorderHandle {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
 }
 
 impl Recorder {
-    /// Starts to record there. `complain` hears of what fails, as a line.
+    /// Starts a recorder thread. `complain` receives a log line for each failure.
     pub fn start(
         told: RecorderConfig,
         place: impl TraceStorage,
@@ -199,14 +199,14 @@
             self.0.full.fetch_add(1, Ordering::Relaxed);
         }
     }
-    /// Records lost so far.
+    /// Returns the number of records lost so far.
     pub fn lost_records(&self) -> u64 {
         self.0.lost.load(Ordering::Relaxed) + self.0.full.load(Ordering::Relaxed)
     }
 }
 
 impl RecorderHandle {
-    /// Writes what waits and seals the file, in `within` at the most: a disk that hangs must not hold up the end.
+    /// Writes pending records and seals the file. Returns after `within` at the latest, so that a hanging disk cannot block.
     pub fn shutdown(self, within: Duration) {
         self.shared.ending.store(true, Ordering::Release);
         self.thread.thread().unpark();
@@ -217,7 +217,7 @@
     }
 }
 
-/// The thread's side.
+/// State of the recorder thread.
 struct RecorderThread<P, C> {
     rotation: Rotation,
     place: P,
@@ -238,13 +238,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64())
 }
 
-/// The hash of a name or key under a key: nobody without it can tell whose it was.
+/// Returns a keyed hash of a name or key, which cannot be reversed without `key`.
 pub fn keyed_hash(key: &[u8; 32], bytes: &[u8]) -> u64 {
     let hash = blake3::keyed_hash(key, bytes);
     hash.as_bytes().first_chunk().map_or(1, |first| u64::from_le_bytes(*first))
 }
 
-/// The same for the key of a referenced txn: 48 bits, never 0.
+/// Returns a keyed hash of a request's key: 48 bits, never 0.
 pub fn request_key_hash(key: &[u8; 32], bytes: &[u8]) -> u64 {
     (keyed_hash(key, bytes) >> 16).max(1)
 }
@@ -253,7 +253,7 @@
     fn new(told: RecorderConfig, mut place: P, shared: Arc<Shared>, mut complain: C) -> RecorderThread<P, C> {
         let mut names = Names::default();
         let files = place.list().unwrap_or_else(|e| {
-            complain(&format!("trace: the folder can't be read: {e}"));
+            complain(&format!("trace: cannot list the trace directory: {e}"));
             Vec::new()
         });
         RecorderThread {
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Takes out what came until there is something to write. Whether more may lie there: the ring holds what comes
-    /// meanwhile, and only a disk that can't be written to makes records wait here.
+    /// Moves records from the ring until a file action is due. Returns `false` once the ring is empty. Records wait in the
+    /// ring during slow writes.
     fn gather(&mut self, now: f64) -> bool {
         self.rotation.add_lost(self.shared.full.swap(0, Ordering::Relaxed));
         while self.rotation.next_action(now).is_none() {
@@ -321,7 +321,7 @@
         true
     }
 
-    /// All tries under a key are kept, or none.
+    /// Returns whether a record belongs to the sample.
     fn sampled(&self, entry: &RequestRecord) -> bool {
         let named = entry.key.as_ref().map_or(&entry.name[..], |key| &key[..]);
         self.told.sample <= 1 || keyed_hash(&self.told.key, named).is_multiple_of(u64::from(self.told.sample))
@@ -355,7 +355,7 @@
         match act {
             Action::OpenFile => {
                 let opened = self.open(now);
-                let bytes = self.failing(opened, "no file could be begun");
+                let bytes = self.failing(opened, "cannot create a trace file");
                 self.rotation.opened(now, bytes);
             }
             Action::WriteBlock => {
@@ -365,7 +365,7 @@
                     self.notes.push(Note { at, node: self.node, topic, value: lost as f32 });
                 }
                 let wrote = self.write();
-                let bytes = self.failing(wrote, "a block could not be written");
+                let bytes = self.failing(wrote, "cannot write a block");
                 if bytes.is_none() {
                     self.rotation.restore_unreported(lost);
                 }
@@ -377,7 +377,7 @@
                 let Some((name, out)) = self.out.take() else { return };
                 let bytes = out.len();
                 let sealed = out.seal().map(|_| bytes);
-                let well = self.failing(sealed, "a file could not be sealed").is_some();
+                let well = self.failing(sealed, "cannot seal the trace file").is_some();
                 self.rotation.closed(now, StoredFile { name, bytes }, well);
             }
             Action::AbandonFile => {
@@ -390,7 +390,7 @@
                     io::ErrorKind::NotFound => Ok(()),
                     _ => Err(e),
                 });
-                self.failing(removed, "an old file could not be deleted");
+                self.failing(removed, "cannot delete the oldest trace file");
                 self.rotation.removed();
             }
         }
@@ -408,7 +408,7 @@
     }
 
     fn write(&mut self) -> io::Result<u64> {
-        let Some((_, out)) = &mut self.out else { return Err(io::Error::other("no file is open")) };
+        let Some((_, out)) = &mut self.out else { return Err(io::Error::other("no trace file is open")) };
         if !self.rows.is_empty() {
             out.write_block(&file::encode_rows(&self.names, &mut self.rows))?;
         }
@@ -419,7 +419,7 @@
         Ok(out.len())
     }
 
-    /// Says what failed, once for each time that it began to fail.
+    /// Logs the first of a series of failures.
     fn failing<T>(&mut self, result: io::Result<T>, what: &str) -> Option<T> {
         result
             .map_err(|e| {
--- a/crates/trace/src/recorder/rotation.rs
+++ b/crates/trace/src/recorder/rotation.rs
@@ -1,18 +1,18 @@
-//! What the recorder does next, decided without I/O and without a clock: when a block is full, when a file is,
-//! which files go, when a disk that failed is tried again, and what is given up for it.
+//! Decides the recorder's next file action without I/O or a clock: when to write a block, seal a file, delete old files
+//! and retry a failed disk, and which records to drop.
 
 use std::collections::VecDeque;
 
-/// Sizes and times that a recorder keeps to.
+/// Size and age limits of blocks and files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RotationLimits {
-    /// Rows of a block, and s that a row waits for its block to be full.
+    /// Rows of a block, and the time in s that a row waits for its block to fill.
     pub block_rows: usize,
     pub max_block_age: f64,
-    /// Bytes of a file, and s that one is written to.
+    /// Bytes of a file, and the time in s for which it is written to.
     pub max_file_bytes: u64,
     pub max_file_age: f64,
-    /// Bytes and number of files that may lie on the disk, the open one among them.
+    /// Total bytes and number of files on disk, the open one included.
     pub max_total_bytes: u64,
     pub max_files: usize,
 }
@@ -30,28 +30,28 @@
     }
 }
 
-/// BlockWriter of rows that wait in memory for a disk that fails or is slow; what comes past them is dropped.
+/// Blocks held in memory while the disk fails or is slow. Further records are dropped.
 const MAX_PENDING_BLOCKS: usize = 2;
-/// s until a disk that failed is tried again, duplicates each time up to the most.
+/// Delay before a failed disk is retried, in s, doubled with each failure up to the maximum.
 const INITIAL_RETRY_DELAY: f64 = 1.0;
 const MAX_RETRY_DELAY: f64 = 30.0;
 
-/// What is to be done now.
+/// Next action of the recorder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Begin a new file.
+    /// Create a new file.
     OpenFile,
-    /// Write what waits as one block.
+    /// Write the pending records as a block.
     WriteBlock,
     /// Seal the open file.
     SealFile,
-    /// Let go of the open file as it is: it could not be written to.
+    /// Close the open file unsealed, after a failed write.
     AbandonFile,
     /// Delete this file, the oldest.
     RemoveFile(String),
 }
 
-/// A file on the disk.
+/// A closed file on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredFile {
     pub name: String,
@@ -61,33 +61,33 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OpenFileState {
     Closed,
-    /// Since when, and how large.
+    /// Time of creation in s, and size in bytes.
     Open(f64, u64),
-    /// A write failed half way: no more may follow in this file.
+    /// A write failed part way: nothing more may be written to this file.
     Broken,
 }
 
-/// The state of a recorder.
+/// State of blocks, files and retries.
 #[derive(Debug)]
 pub struct Rotation {
     limits: RotationLimits,
     open: OpenFileState,
-    /// Closed ones, oldest first.
+    /// Closed files, oldest first.
     files: VecDeque<StoredFile>,
-    /// Rows and notes that wait for a block, and since when.
+    /// Rows and notes pending for the next block, and the time of the first.
     pending: usize,
     pending_since: f64,
-    /// Not to be tried before, after so many failures in a row.
+    /// Time of the next retry, and the failures in a row.
     retry_at: f64,
     failures: u32,
-    /// Records given up since it was last told, and in all.
+    /// Lost records that no note reports yet, and all lost records.
     unreported: u64,
     pub dropped: u64,
     shutting_down: bool,
 }
 
 impl Rotation {
-    /// `files` are those that an earlier process left, oldest first.
+    /// `files` are those of earlier processes, oldest first.
     pub fn new(limits: RotationLimits, files: Vec<StoredFile>) -> Rotation {
         Rotation {
             limits,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A record came. Whether it may wait; if not, it is dropped and counted.
+    /// Admits a record. Returns `false` if it must be dropped, and counts it.
     pub fn admit(&mut self, now: f64) -> bool {
         if self.pending >= MAX_PENDING_BLOCKS * self.limits.block_rows {
             self.add_lost(1);
@@ -114,33 +114,33 @@
         true
     }
 
-    /// Records were lost before they came here, or with a block that failed.
+    /// Counts records lost in the ring or with a failed block.
     pub fn add_lost(&mut self, count: u64) {
         self.unreported += count;
         self.dropped += count;
     }
 
-    /// How many are to be told as lost in the block that is written now.
+    /// Takes the number of lost records to report in the block being written.
     pub fn take_unreported(&mut self) -> u64 {
         std::mem::take(&mut self.unreported)
     }
 
-    /// The block in which so many were told could not be written: they are still to be told.
+    /// Restores a count whose block could not be written.
     pub fn restore_unreported(&mut self, count: u64) {
         self.unreported += count;
     }
 
-    /// The process ends: all that waits is to be written and the file sealed. Nothing is tried twice then.
+    /// Starts the shutdown: pending records are written, the file is sealed and nothing is retried.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
 
-    /// Whether all is done after [`Rotation::begin_shutdown`].
+    /// Returns whether the shutdown started by [`Rotation::begin_shutdown`] is complete.
     pub fn is_finished(&self, now: f64) -> bool {
         self.shutting_down && self.next_action(now).is_none()
     }
 
-    /// What to do now, one thing after the other until there is nothing.
+    /// Returns the next action, or `None` if nothing is due.
     pub fn next_action(&self, now: f64) -> Option<Action> {
         if self.open == OpenFileState::Broken {
             return Some(Action::AbandonFile);
@@ -158,7 +158,7 @@
                 || self.shutting_down
                 || now - self.pending_since >= self.limits.max_block_age);
         match self.open {
-            // One that ends does not begin a file over and over on a disk that fails.
+            // During shutdown a failed disk is not retried.
             OpenFileState::Closed
                 if due && (now >= self.retry_at && (!self.shutting_down || self.failures == 0)) =>
             {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// How [`Action::OpenFile`] came out, with the size so far.
+    /// Reports the result of [`Action::OpenFile`]: the size of the new file, or `None` on failure.
     pub fn opened(&mut self, now: f64, bytes: Option<u64>) {
         match bytes {
             Some(bytes) => self.open = OpenFileState::Open(now, bytes),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// How [`Action::WriteBlock`] came out: the size now. The records of a block that failed are lost.
+    /// Reports the result of [`Action::WriteBlock`]: the size of the file, or `None` on failure, which loses the block.
     pub fn wrote(&mut self, now: f64, bytes: Option<u64>) {
         match (bytes, self.open) {
             (Some(bytes), OpenFileState::Open(since, _)) => {
@@ -199,7 +199,7 @@
         self.pending = 0;
     }
 
-    /// The open file is closed, sealed or not; this is what lies there.
+    /// Reports that the open file was closed. `well` is false if sealing failed.
     pub fn closed(&mut self, now: f64, file: StoredFile, well: bool) {
         self.open = OpenFileState::Closed;
         self.files.push_back(file);
@@ -208,7 +208,7 @@
         }
     }
 
-    /// A file was deleted, or could not be: either way it is no longer counted.
+    /// Stops counting the oldest file, whether or not its deletion succeeded.
     pub fn removed(&mut self) {
         self.files.pop_front();
     }
@@ -219,14 +219,14 @@
         self.retry_at = now + wait.min(MAX_RETRY_DELAY);
     }
 
-    /// Writes or opens that failed in a row.
+    /// Returns the number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 }
 
-/// Whether a value is news: it is told when it moved by more than a twentieth, whole numbers at once, and each
-/// topic at most ten times a second, gauges once.
+/// Filter for values that change often. A value passes if it moved by more than 5% or to another whole number, and the
+/// previous one of its topic is at least `min_interval` seconds old.
 #[derive(Debug, Default)]
 pub struct ChangeFilter {
     last: [Option<(f64, f64)>; 16],
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -1,11 +1,11 @@
-//! What a trace tells: txns as rows, the state beside them as notes, and the names both use.
+//! Data model of a trace: requests as rows, state of the server as notes, and the names both refer to.
 
 use puffinladder::{Outcome, Reason};
 use smallvec::SmallVec;
 use std::collections::HashMap;
 
-/// One thing that happened to a txn. The codes stand in files: they are never given a second meaning, and a
-/// reader keeps a code that it does not know as it is.
+/// A step of a request. Codes are stored in files and never get a second meaning; readers keep unknown codes as they
+/// are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Step(pub u8);
 
@@ -21,12 +21,12 @@
     pub const GONE: Step = Step(9);
     const RETURNED: u8 = 10;
     const ENDED: u8 = 20;
-    /// Settled within its SLA time, and after it.
+    /// Settled within the SLA time, and after it.
     pub const SETTLED: Step = Step(30);
     pub const SETTLED_LATE: Step = Step(31);
     const DECLINED: u8 = 32;
     const VOIDED: u8 = 48;
-    /// Steps were left out here, since there were too many.
+    /// Marks steps that were left out because the path was full.
     pub const MORE: Step = Step(64);
 
     pub fn returned(outcome: Outcome) -> Step {
@@ -57,11 +57,11 @@
     pub fn is_voided(self) -> bool {
         (Step::VOIDED..Step::MORE.0).contains(&self.0)
     }
-    /// Whether it says what became of the txn: its answer, or that nobody waits for one.
+    /// Returns whether the step ends the request for its caller: an answer, or no caller waits for one.
     pub fn is_final(self) -> bool {
         self.is_settled() || self.is_declined() || self.is_voided()
     }
-    /// Why, for what was declined or voided.
+    /// Returns the reason of a decline or a void.
     pub fn reason(self) -> Option<Reason> {
         let base = if self.is_declined() { Step::DECLINED } else { Step::VOIDED };
         if self.is_declined() || self.is_voided() {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// How it is written: `declined (waited)`.
+    /// Returns the printed form, such as `declined (waited)`.
     pub fn text(self) -> String {
         let outcome = |base: u8| OUTCOMES.get(usize::from(self.0 - base)).map_or("other", |o| o.1);
         match self {
@@ -96,7 +96,7 @@
     }
 }
 
-/// For whoever has no other reason to know the module's types.
+/// Outcome of a completed call, for users without a dependency on `puffinladder`.
 pub const COMPLETED: Outcome = Outcome::Completed;
 
 const OUTCOMES: [(Outcome, &str); 8] = [
@@ -114,12 +114,12 @@
     OUTCOMES.iter().position(|(o, _)| *o == outcome).unwrap_or(0) as u8
 }
 
-/// What became of a txn, as summaries count it.
+/// Final state of a request, by which summaries count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Disposition(pub u8);
 
 impl Disposition {
-    /// It left without an answer: gone, or the trace ends before it.
+    /// The caller left before an answer, or the trace ends before it.
     pub const GONE: Disposition = Disposition(Step::GONE.0);
 
     pub fn step(self) -> Step {
@@ -135,11 +135,11 @@
     }
 }
 
-/// The steps of a txn in their order. Few differ: thousands of txns share a path.
+/// Steps of a request in order. Many requests share a path.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Path(pub Box<[u8]>);
 
-/// Steps that a path may have; what comes behind is left out.
+/// Maximum steps of a path; later ones are left out.
 pub const MAX_STEPS: usize = 30;
 
 impl Path {
@@ -152,26 +152,26 @@
     pub fn disposition(&self) -> Disposition {
         self.steps().find(|s| s.is_final()).map_or(Disposition::GONE, |s| Disposition(s.0))
     }
-    /// The place of the step at which its wait ended: its run, its decline, or whatever it was answered by.
+    /// Returns the index of the step that ended the wait: the run, or the answer if it never ran.
     pub fn wait_end(&self) -> usize {
         let end = |s: Step| s == Step::RUN || s == Step::GONE || s.is_final();
         self.find(end).unwrap_or(self.0.len().saturating_sub(1))
     }
 }
 
-/// A product's name and the terms it had.
+/// A product and its terms.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Product {
     pub name: String,
-    /// What one of its txns is worth, or one second of its work.
+    /// Value of a request, or of one second of work if `by_work` is set.
     pub value: f64,
-    /// s
+    /// SLA time and expiry in s.
     pub sla: f64,
     pub expiry: f64,
     pub by_work: bool,
 }
 
-/// Names seen so far, each with a number. Rows hold the numbers.
+/// Table of interned names, products and paths. Rows hold their numbers.
 #[derive(Clone, Default, Debug)]
 pub struct Names {
     words: Vec<String>,
@@ -198,7 +198,7 @@
         &self.words
     }
 
-    /// The same product with other terms is another one.
+    /// Interns a product. The same name with other terms is a product of its own.
     pub fn intern_product(&mut self, product: &Product) -> u32 {
         match self.products.iter().position(|known| known == product) {
             Some(at) => at as u32,
@@ -231,44 +231,44 @@
         &self.paths
     }
 
-    /// Grows with every new name: names of the same size are the same, since none is ever taken out.
+    /// Returns the number of entries. Entries are never removed, so that tables of one origin with equal counts are equal.
     pub fn entry_count(&self) -> usize {
         self.words.len() + self.products.len() + self.paths.len()
     }
 }
 
-/// Set in [`Row::flags`].
+/// Flag in [`Row::flags`]: the attempt is a retry.
 pub const REPEAT: u8 = 1;
-/// The decline said to try nowhere else.
+/// Flag in [`Row::flags`]: the decline told the caller to try no other server.
 pub const LAST: u8 = 2;
 
-/// One try of a txn, from its reading to the end of its run. DurationHistogram are microseconds; version 2 rounds sizes other than
+/// One attempt of a request, from read to the end of its run. Times are in us; version 2 rounds values other than
 /// `read` as [`crate::codec::quantize`] does.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Row {
-    /// When it was read, by the node's Unix clock.
+    /// Time of the read, by the node's Unix clock.
     pub read: i64,
-    /// How long it had lain unread.
+    /// Time between arrival and read.
     pub unread: u32,
     pub node: u32,
     pub product: u32,
     pub customer: u32,
     pub caller: u32,
-    /// In 64ths.
+    /// Rank in 64ths.
     pub rank: u8,
-    /// us of core time that its gateway guessed, 0 for none.
+    /// Core time estimated by the gateway, in us; 0 if unknown.
     pub hint: u32,
-    /// Bytes.
+    /// Memory in bytes.
     pub memory: u32,
     pub flags: u8,
-    /// Keyed hash of the try's name.
+    /// Keyed hash of the attempt's name.
     pub name: u32,
-    /// Keyed hash of a referenced txn's key, 48 bits; 0 where there is none.
+    /// Keyed hash of the request's key, 48 bits; 0 without a key.
     pub key: u64,
-    /// ms that a decline told its caller to keep off.
+    /// Time for which a decline told the caller to send nothing, in ms.
     pub keep_off: u32,
     pub path: u32,
-    /// From one step to the next, the first from `read`.
+    /// Time from the previous step to each step, the first from `read`.
     pub spans: SmallVec<[u32; 5]>,
 }
 
@@ -279,48 +279,48 @@
     pub fn last(&self) -> bool {
         self.flags & LAST != 0
     }
-    /// us from its coming to the machine until it ran or was answered: what the mechanism judges.
+    /// Returns the time from arrival until the request ran or was answered, in us.
     pub fn wait(&self, path: &Path) -> u64 {
         let held = self.spans.iter().take(path.wait_end() + 1).map(|s| u64::from(*s)).sum::<u64>();
         u64::from(self.unread) + held
     }
-    /// us from the run's beginning to its end, for what ran.
+    /// Returns the duration of the run in us, if it ran to its end.
     pub fn run_time(&self, path: &Path) -> Option<u64> {
         let (from, to) = (path.find(|s| s == Step::RUN)?, path.find(Step::is_ended)?);
         self.spans.get(from + 1..=to).map(|spans| spans.iter().map(|s| u64::from(*s)).sum())
     }
-    /// us from its reading to its answer.
+    /// Returns the time from read to answer in us, if it was answered.
     pub fn response_time(&self, path: &Path) -> Option<u64> {
         let at = path.find(Step::is_final)?;
         self.spans.get(..=at).map(|spans| spans.iter().map(|s| u64::from(*s)).sum())
     }
-    /// What it was worth when asked for.
+    /// Returns the value of the request under the product's terms.
     pub fn value(&self, terms: &Product) -> f64 {
         let work = if terms.by_work && self.hint > 0 { f64::from(self.hint) / 1e6 } else { 1.0 };
         terms.value * work
     }
 }
 
-/// What a note tells of.
+/// Subject of a note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Topic(pub u8);
 
 impl Topic {
-    /// Runs allowed, calls kept open, the free value that rides on answers.
+    /// Run limit, open calls, and the signal carried on answers.
     pub const LIMIT: Topic = Topic(1);
     pub const CALLS: Topic = Topic(2);
     pub const SIGNAL: Topic = Topic(3);
-    /// 1 while this server says that it is well.
+    /// 1 while the server reports itself healthy.
     pub const HEALTH: Topic = Topic(4);
-    /// s until the kill, at the notice to leave.
+    /// Seconds until the kill, at the shutdown notice.
     pub const LEAVE: Topic = Topic(5);
-    /// 1 where the addresses changed.
+    /// 1 if the addresses changed.
     pub const RELOAD: Topic = Topic(6);
     pub const BUSY: Topic = Topic(7);
     pub const RUNNABLE: Topic = Topic(8);
     pub const MEMORY: Topic = Topic(9);
     pub const SOCKETS: Topic = Topic(10);
-    /// Records lost here since the last note of it: the writer could not keep up, or the disk failed.
+    /// Records lost since the previous note of this topic: the writer fell behind or the disk failed.
     pub const DROPPED: Topic = Topic(11);
 
     const TEXTS: [&'static str; 12] = [
@@ -333,10 +333,10 @@
     }
 }
 
-/// The state beside the txns, told when it changed.
+/// A change of the server's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Note {
-    /// us, by the node's Unix clock.
+    /// Time in us, by the node's Unix clock.
     pub at: i64,
     pub node: u32,
     pub topic: Topic,
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,28 +1,28 @@
-//! Totals over a trace: what was asked, what was settled within its SLA time, by whatever one asks for.
+//! Summaries of a trace: requests and value, in total and by group.
 
 use crate::block::Head;
 use crate::row::{Names, Row, Step};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// By what a summary is split.
+/// Key by which a summary is grouped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum GroupBy {
     Product,
     Customer,
     Caller,
-    /// What became of them, and why.
+    /// Disposition with its reason.
     Reason,
     Node,
     Interval,
 }
 
-/// Counts and values of some rows.
+/// Counts and values of a group of rows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
     pub requests: u64,
     pub settled: u64,
-    /// Of those, within the SLA time.
+    /// Requests settled within the SLA time.
     pub in_sla: u64,
     pub declined: u64,
     pub voided: u64,
@@ -49,7 +49,7 @@
             &mut self.gone
         } += count;
     }
-    /// Share of the value asked for that was settled within the SLA time.
+    /// Returns the share of the requested value that was settled within the SLA time.
     pub fn value_share(&self) -> f64 {
         if self.requested_value > 0.0 {
             self.value_in_sla / self.requested_value
@@ -59,14 +59,16 @@
     }
 }
 
-/// DurationHistogram, us.
+/// Histogram of durations in us.
 #[derive(Clone, Debug)]
 pub struct DurationHistogram(pub Histogram<u64>);
 
 impl Default for DurationHistogram {
     fn default() -> DurationHistogram {
-        // Three digits up to 72 minutes, as rows have them.
-        DurationHistogram(Histogram::new_with_bounds(1, u64::from(u32::MAX), 3).expect("bounds that hold"))
+        // Three significant digits up to 72 minutes, the largest span of a row.
+        DurationHistogram(
+            Histogram::new_with_bounds(1, u64::from(u32::MAX), 3).expect("valid histogram bounds"),
+        )
     }
 }
 
@@ -83,27 +85,27 @@
     }
 }
 
-/// A summary in the making.
+/// A summary that rows and heads are added to.
 #[derive(Debug, Default)]
 pub struct Summary {
     pub total: Totals,
     pub groups: BTreeMap<String, Totals>,
     pub waits: DurationHistogram,
     pub runs: DurationHistogram,
-    /// us of the first and the last row.
+    /// Times of the first and the last row, in us.
     pub span: Option<(i64, i64)>,
     by: Option<GroupBy>,
     interval: i64,
     begin: i64,
-    /// Parts by the number that a row has, to name each only once.
+    /// Totals by group number. [`Summary::finish`] resolves the names.
     numbered: BTreeMap<u64, Totals>,
 }
 
-/// Parts that a summary keeps; callers beyond them are taken together.
+/// Groups that a summary keeps; further callers are counted as one group.
 const MOST_PARTS: usize = 100_000;
 
 impl Summary {
-    /// `begin` is when the trace begins, us: intervals count from there.
+    /// Creates a summary. `begin` is the start of the first interval, in us.
     pub fn new(by: Option<GroupBy>, interval: i64, begin: i64) -> Summary {
         Summary { by, interval: interval.max(1), begin, ..Summary::default() }
     }
@@ -113,12 +115,12 @@
         self.span = Some((first.min(from), last.max(to)));
     }
 
-    /// The part to which a time belongs.
+    /// Returns the interval that a time falls into.
     fn slot(&self, at: i64) -> i64 {
         (at - self.begin).div_euclid(self.interval)
     }
 
-    /// Whether the head of a block tells all that is asked, percentiles aside.
+    /// Returns whether a block's head is sufficient for everything but percentiles.
     pub fn head_suffices(&self, head: &Head) -> bool {
         match self.by {
             None | Some(GroupBy::Product | GroupBy::Customer | GroupBy::Reason) => true,
@@ -166,7 +168,7 @@
         self.numbered.entry(part).or_default().add(step, 1, value);
     }
 
-    /// Adds to the percentiles alone.
+    /// Adds a row to the percentiles only.
     pub fn add_times(&mut self, row: &Row, names: &Names) {
         let path = names.path(row.path);
         self.waits.add(row.wait(path));
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Gives the parts their names, once all is added.
+    /// Resolves the names of the groups.
     pub fn finish(mut self, names: &Names) -> Summary {
         for (part, sums) in std::mem::take(&mut self.numbered) {
             let name = match self.by {
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -1,5 +1,5 @@
-//! Made-up traces, the same for the same seed: a day's traffic with a overloaded in it, during which txns are declined,
-//! repeats come and calls below go wrong.
+//! Synthetic traces, deterministic for a seed: daily traffic with periodic overload, during which requests are declined
+//! and retried and downstream calls fail.
 
 use crate::row::*;
 use puffinladder::{Outcome, Reason};
@@ -7,20 +7,20 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
-/// What a made-up trace is like.
+/// Parameters of a synthetic trace.
 #[derive(Clone, Debug)]
 pub struct SynthConfig {
     pub seed: u64,
-    /// s
+    /// Length in s.
     pub span: f64,
-    /// Txns a second, in the mean.
+    /// Mean requests per second.
     pub rate: f64,
     pub node: String,
-    /// us, of the first txn.
+    /// Time of the first request, in us.
     pub from: i64,
     pub customers: usize,
     pub callers: u32,
-    /// Share of the time that is a overloaded.
+    /// Share of the time under overload.
     pub overload_share: f64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Of each product: name, value, SLA time, expiry, share of the txns, core time, whether it has keys, calls.
+/// Product: name, value, SLA time (s), expiry (s), share of requests, core time (s), has keys, makes calls.
 type Line = (&'static str, f64, f64, f64, f64, f64, bool, bool);
 
 const PRODUCTS: [Line; 4] = [
@@ -49,10 +49,10 @@
     ("report", 0.5, 4.0, 20.0, 0.06, 0.045, false, false),
 ];
 
-/// Seconds from one overloaded to the next.
+/// Seconds from one overload to the next.
 const OVERLOAD_PERIOD: f64 = 300.0;
 
-/// Gives one record after the other.
+/// Generator of a trace's records in time order.
 pub struct Generator {
     told: SynthConfig,
     rng: ChaCha8Rng,
@@ -60,13 +60,13 @@
     products: Vec<u32>,
     customers: Vec<u32>,
     node: u32,
-    /// Keys of late, which come again in a overloaded.
+    /// Recent keys, which retries reuse.
     keys: Vec<u64>,
     limit: f32,
     noted: f64,
 }
 
-/// What a trace is made of.
+/// A record of a trace.
 pub enum Record {
     Row(Row),
     Note(Note),
@@ -96,9 +96,9 @@
         }
     }
 
-    /// The next record, until the span is over.
+    /// Returns the next record, or `None` at the end of the trace.
     pub fn next(&mut self, names: &mut Names) -> Option<Record> {
-        // From a third of the way to the next, so that a minute's file has calm and overloaded as well.
+        // The offset puts normal load and overload into traces of one minute.
         let phase = (self.at / OVERLOAD_PERIOD + 0.67).fract();
         let overloaded = phase > 1.0 - self.told.overload_share;
         if self.at - self.noted > 1.0 {
@@ -120,7 +120,7 @@
         Some(Record::Row(self.row(names, overloaded)))
     }
 
-    /// us, drawn round a median of seconds.
+    /// Draws a log-normal duration in us with a median in seconds.
     fn draw(&mut self, median: f64, spread: f64) -> u32 {
         let drawn = LogNormal::new((median * 1e6).ln(), spread).map_or(0.0, |d| d.sample(&mut self.rng));
         drawn.clamp(1.0, 4e9) as u32
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -1,5 +1,5 @@
-//! What is done with whole traces: to look through them, to cut, merge, veil and mend them. All goes from open
-//! traces to a [`Writer`]; nothing here knows files or terminals.
+//! Operations on whole traces: scan, cut, merge, anonymise, summarise. They read open traces and write to a
+//! [`Writer`], independent of files and terminals.
 
 use crate::anonymise::Anonymiser;
 use crate::expr::{BlockMatch, Expr};
@@ -15,16 +15,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::Scope;
 
-/// Rows of the blocks that tools write.
+/// Rows in a block written by these operations.
 pub const BLOCK_ROWS: usize = 16384;
 
-/// How far a long piece of work has come, in blocks; called once for each.
+/// Progress callback with the blocks done and the blocks in total.
 pub type Progress<'a> = &'a mut dyn FnMut(usize, usize);
 
-/// Which rows are meant.
+/// Selection of rows by time and expression.
 #[derive(Clone, Debug)]
 pub struct Selection {
-    /// us, the first included, the last not.
+    /// Start (inclusive) and end (exclusive) in us.
     pub from: i64,
     pub to: i64,
     pub expr: Expr,
@@ -48,17 +48,17 @@
     }
 }
 
-/// What a look through a trace report.
+/// Outcome of reading a trace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScanReport {
-    /// BlockWriter that were read, and those that their heads or times ruled out.
+    /// Blocks read, and blocks skipped because their head or time range excluded them or was sufficient.
     pub read_blocks: usize,
     pub skipped_blocks: usize,
     pub rows: u64,
     pub damage: Vec<Damage>,
 }
 
-/// Names a block that could not be read; other faults end the work.
+/// Records a damaged block and returns `None` for it. Other errors are passed on.
 fn damaged<T>(
     result: Result<T, TraceError>,
     entry: &IndexEntry,
@@ -74,8 +74,8 @@
     }
 }
 
-/// What is known of a block without reading it: whether none, some or all of it is meant. One that is ruled out is counted,
-/// one whose head can't be read is named; neither is to be read.
+/// Decides from the index and the head whether none, some or all rows of a block are selected. Counts skipped blocks;
+/// records a block whose head is damaged and skips it.
 fn ahead<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
@@ -89,7 +89,7 @@
     } else if choice.expr == Expr::All || entry.kind != BlockKind::Rows {
         BlockMatch::All
     } else if trace.major == crate::v1::MAJOR {
-        // A head of version 1 is made from its rows: it saves nothing there.
+        // Version 1 has no stored heads.
         BlockMatch::Some
     } else {
         let head = trace.head(entry, names);
@@ -100,7 +100,7 @@
     Ok(if judged == BlockMatch::All && !choice.covers(entry) { BlockMatch::Some } else { judged })
 }
 
-/// Gives every row that is meant to `each`, block by block, until it has enough.
+/// Calls `each` for every selected row until it breaks.
 pub fn scan<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
@@ -135,7 +135,7 @@
     Ok(seen)
 }
 
-/// All notes of a span, in the order of their blocks.
+/// Returns the notes in the selected time range, in block order.
 pub fn notes<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
@@ -151,7 +151,7 @@
     Ok(all)
 }
 
-/// Reads the rows or notes of a block into two empty lists. Whether they could be read; if not, the damage is named.
+/// Reads the rows or notes of a block into two empty lists. Returns `false` and records the damage on failure.
 fn records<R: Read + Seek>(
     trace: &mut Trace<R>,
     entry: &IndexEntry,
@@ -169,7 +169,7 @@
     Ok(sound)
 }
 
-/// Writes what is meant, and the notes of the span. A block that is meant as a whole goes over as it stands.
+/// Writes the selected rows and the notes of the time range. Blocks that are selected entirely are copied as they are.
 pub fn cut<R: Read + Seek, W: Write>(
     trace: &mut Trace<R>,
     choice: &Selection,
@@ -215,10 +215,10 @@
     Ok(seen)
 }
 
-/// Rows to be packed, with their place in the order and their names.
+/// Rows to encode, with their block's sequence number and their names.
 type Task = (u64, Vec<Row>, Arc<Names>);
 
-/// Threads that pack blocks, which come out in the order in which they were given.
+/// Pool of threads that encode blocks and return them in the order of submission.
 struct Packers {
     tasks: Option<SyncSender<Task>>,
     packed: Receiver<(u64, EncodedBlock)>,
@@ -247,19 +247,19 @@
         Packers { tasks: Some(tasks), packed, early, given: 0, taken: 0, names }
     }
 
-    /// Waits while all are busy, which bounds what is in memory.
+    /// Submits rows for encoding. Blocks while all threads are busy, which bounds memory.
     fn pack(&mut self, names: &Names, rows: Vec<Row>) {
         if self.names.entry_count() != names.entry_count() {
             self.names = Arc::new(names.clone());
         }
         if let Some(tasks) = &self.tasks {
-            // The threads end only once nobody gives any more.
+            // The receivers live until `tasks` is dropped, so that this cannot fail.
             let _ = tasks.send((self.given, rows, self.names.clone()));
             self.given += 1;
         }
     }
 
-    /// Gives out what is ready, or all that was given.
+    /// Passes encoded blocks to `each` in order: those that are ready, or with `all` every submitted one.
     fn take(
         &mut self,
         all: bool,
@@ -281,7 +281,7 @@
     }
 }
 
-/// Writes many traces as one, in the order of time. Each comes with what is put on its times, us.
+/// Merges traces in time order. Each trace comes with an offset in us that is added to its times.
 pub fn merge<R: Read + Seek, W: Write>(
     mut traces: Vec<(Trace<R>, i64)>,
     out: &mut Writer<W>,
@@ -289,7 +289,7 @@
 ) -> Result<MergeReport, TraceError> {
     let mut names = Names::default();
     let mut damage = Vec::new();
-    // Notes are few: they go first, in one order.
+    // Notes are few and are written first, sorted.
     let mut all: Vec<Note> = Vec::new();
     let total: u64 = traces.iter().map(|(trace, _)| trace.record_count(BlockKind::Rows)).sum();
     for (at, (trace, offset)) in traces.iter_mut().enumerate() {
@@ -333,7 +333,7 @@
     Ok(MergeReport { damage, ..merge.report })
 }
 
-/// Writes a trace with other names, and without blocks that can't be read.
+/// Writes an anonymised copy of a trace, without damaged blocks.
 pub fn anonymise<R: Read + Seek, W: Write>(
     trace: &mut Trace<R>,
     key: &[u8; 32],
@@ -377,7 +377,7 @@
     Ok(seen)
 }
 
-/// Totals over what is meant. Without percentiles whole blocks are told by their heads.
+/// Summarises the selected rows. Without percentiles, heads are used in place of rows where they suffice.
 pub fn summarise<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -1,5 +1,5 @@
-//! Version 1, the simple form that came first: each row or note in a frame of its own. It is read for good and
-//! written only to make old files again; `docs/trace-format.md` froze it.
+//! Version 1: each row or note in a frame of its own. It stays readable and is written for tests and conversions only;
+//! `docs/trace-format.md` specifies it.
 
 use crate::codec::*;
 use crate::file::{put_header, FileMetadata};
@@ -19,7 +19,8 @@
         Ok(Writer(out))
     }
     fn frame(&mut self, payload: &[u8]) -> io::Result<()> {
-        let len = u16::try_from(payload.len()).map_err(|_| io::Error::other("a row of over 65,535 bytes"))?;
+        let len = u16::try_from(payload.len())
+            .map_err(|_| io::Error::other("encoded record exceeds 65535 bytes"))?;
         let mut head = vec![FRAME_MARK];
         head.extend(len.to_le_bytes());
         head.extend(crc32c::crc32c(payload).to_le_bytes());
@@ -65,15 +66,15 @@
     }
 }
 
-/// What a frame holds.
+/// Content of a frame.
 pub enum Frame {
     Row(Row),
     Note(Note),
-    /// Of a later minor version.
+    /// Frame kind of a later minor version.
     Other,
 }
 
-/// The payload of the frame that begins here and its length, if one does.
+/// Returns the payload of the frame at the start of `bytes`, if there is a valid one.
 pub fn frame(bytes: &[u8]) -> Option<&[u8]> {
     let mut from = Cursor(bytes);
     if from.u8().ok()? != FRAME_MARK {
@@ -83,10 +84,10 @@
     from.take(len.into()).ok().filter(|payload| crc32c::crc32c(payload) == crc)
 }
 
-/// Decodes a payload. What stands behind the known fields is of a later minor version.
+/// Decodes a payload. Bytes after the known fields belong to a later minor version and are ignored.
 pub fn decode(names: &mut Names, payload: &[u8]) -> Result<Frame, DecodeError> {
     let mut from = Cursor(payload);
-    let narrow = |value: u64| u32::try_from(value).map_err(|_| DecodeError("a value is out of range"));
+    let narrow = |value: u64| u32::try_from(value).map_err(|_| DecodeError("value out of range"));
     match from.u8()? {
         1 => {
             let mut row = Row { read: from.i64()?, unread: narrow(from.varint()?)?, ..Row::default() };
@@ -94,7 +95,7 @@
             let name = from.text()?.to_owned();
             let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
             if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
-                return Err(DecodeError("a product's terms are no numbers"));
+                return Err(DecodeError("product terms are not finite numbers"));
             }
             row.product =
                 names.intern_product(&Product { name, value, sla, expiry, by_work: from.u8()? != 0 });
@@ -106,7 +107,7 @@
             row.keep_off = narrow(from.varint()?)?;
             let steps = from.bytes()?;
             if steps.len() > MAX_STEPS + 2 {
-                return Err(DecodeError("a path is too long"));
+                return Err(DecodeError("path has too many steps"));
             }
             row.path = names.intern_path(steps);
             for _ in steps {
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small traces for tests, and what a reader makes of them.
+//! Helpers that generate, open and read small traces.
 #![allow(dead_code)]
 
 use puffinladder_trace::file::{BlockKind, FileMetadata, IndexEntry, Writer};
@@ -10,7 +10,7 @@
 
 pub type Open = Trace<Cursor<Vec<u8>>>;
 
-/// The records of a made-up trace.
+/// Generates the records of a synthetic trace.
 pub fn records(told: &SynthConfig, names: &mut Names) -> (Vec<Row>, Vec<Note>) {
     let mut maker = Generator::new(told, names);
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
@@ -27,7 +27,7 @@
     FileMetadata { node: node.into(), created: 1_767_225_600_000_000 }
 }
 
-/// A file of version 2 with so many rows a block, sealed or not.
+/// Encodes a version 2 file with `block` rows in each block.
 pub fn file(names: &Names, rows: &[Row], notes: &[Note], block: usize, seal: bool) -> Vec<u8> {
     let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
     let mut blocks = BlockWriter::new(block, &mut writer);
@@ -41,7 +41,7 @@
     let whole = writer.len() as usize;
     let mut bytes = writer.seal().unwrap();
     if !seal {
-        // What is written so far, as a kill leaves it.
+        // The file as a killed process leaves it.
         bytes.truncate(whole);
     }
     bytes
@@ -58,7 +58,7 @@
     Trace::open(Cursor::new(bytes.to_vec())).unwrap()
 }
 
-/// A row by the words it stands for, whatever numbers they have.
+/// Describes a row by the names it refers to, independent of their numbers.
 pub fn told(names: &Names, row: &Row) -> String {
     let path: Vec<String> = names.path(row.path).steps().map(|step| step.text()).collect();
     let bare = Row { node: 0, product: 0, customer: 0, path: 0, ..row.clone() };
@@ -66,7 +66,7 @@
     format!("{} {terms:?} {} {path:?} {bare:?}", names.text(row.node), names.text(row.customer))
 }
 
-/// All rows that can be read, and how many blocks can't be.
+/// Returns all readable rows and the number of damaged blocks.
 pub fn readable(trace: &mut Open) -> (Vec<String>, usize) {
     let (mut names, mut all, mut bad) = (Names::default(), Vec::new(), 0);
     for entry in blocks(trace) {
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! The recorder on disks that fill up, stand still or come back.
+//! The recorder on disks that fill up, hang or recover.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// A disk of which tests say how it is.
+/// Simulated disk.
 #[derive(Default)]
 struct Disk {
     files: Vec<(String, Vec<u8>)>,
-    /// Bytes that still fit.
+    /// Free bytes; `None` for no limit.
     room: Option<usize>,
     stands_still: bool,
     removed: usize,
@@ -30,12 +30,12 @@
         self.0 .1.notify_all();
         changed
     }
-    /// Waits until the disk is as wanted.
+    /// Waits until the disk is in the wanted state.
     fn until(&self, what: &str, wanted: impl Fn(&Disk) -> bool) {
         let end = Instant::now() + Duration::from_secs(20);
         let mut disk = self.0 .0.lock().unwrap();
         while !wanted(&disk) {
-            assert!(Instant::now() < end, "waited in vain for {what}");
+            assert!(Instant::now() < end, "timed out waiting for {what}");
             disk = self.0 .1.wait_timeout(disk, Duration::from_millis(20)).unwrap().0;
         }
     }
@@ -67,7 +67,7 @@
 
 impl Write for Sheet {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.until("a disk that moves", |disk| !disk.stands_still);
+        self.0.until("the disk to respond", |disk| !disk.stands_still);
         self.0.with(|disk| {
             let len = disk.room.map_or(bytes.len(), |room| room.min(bytes.len()));
             if len == 0 {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Rows and drops told over all files.
+/// Returns the readable rows, the reported drops and the torn files.
 fn found(shelf: &Shelf) -> (usize, f64, usize) {
     let files = shelf.with(|disk| disk.files.clone());
     let (mut rows, mut dropped, mut torn) = (0, 0.0, 0);
@@ -140,20 +140,20 @@
     shelf.until("the first block", |disk| disk.files.first().is_some_and(|file| file.1.len() > 100));
     shelf.with(|disk| disk.room = Some(40));
     put(&recorder, 50, 50);
-    shelf.until("a full disk", |disk| disk.room == Some(0));
-    // More than may wait for it: two blocks wait, the others go at once.
+    shelf.until("the disk to fill up", |disk| disk.room == Some(0));
+    // Exceeds the two pending blocks, so that the other records are dropped at once.
     put(&recorder, 100, 300);
     let end = Instant::now() + Duration::from_secs(20);
     while recorder.lost_records() < 250 {
         assert!(Instant::now() < end, "lost {}", recorder.lost_records());
         std::thread::sleep(Duration::from_millis(5));
     }
-    // Room for a header, not for a block: what was to be told there as lost must not be forgotten.
+    // A file header fits, a block does not: the count of lost records must survive the failed block.
     shelf.with(|disk| disk.room = Some(60));
-    shelf.until("a disk that is full again", |disk| disk.room == Some(0));
+    shelf.until("the disk to fill up again", |disk| disk.room == Some(0));
     shelf.with(|disk| disk.room = None);
     put(&recorder, 400, 50);
-    shelf.until("a third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
+    shelf.until("the third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
     put(&recorder, 450, 10);
     running.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = found(&shelf);
@@ -167,7 +167,7 @@
     let shelf = Shelf::default();
     shelf.with(|disk| disk.stands_still = true);
     let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, |_| {}).unwrap();
-    // Far more than the ring holds: each call comes back at once, or this would never end.
+    // Far more than the ring holds: a blocking call would hang the test.
     put(&recorder, 0, 10_000);
     assert!(recorder.lost_records() > 0);
     shelf.with(|disk| disk.stands_still = false);
--- a/crates/trace/tests/torn.rs
+++ b/crates/trace/tests/torn.rs
@@ -1,4 +1,4 @@
-//! Files that were cut off, changed or made by an enemy.
+//! Files that are truncated, corrupted or malicious.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use puffinladder_trace::{Trace, TraceError};
 use std::io::Cursor;
 
-/// All rows as a sound file gives them, the file itself unsealed, and where its blocks begin.
+/// Returns the rows of an intact file, its unsealed bytes, and the offset and row count of each block.
 fn sound() -> (Vec<String>, Vec<u8>, Vec<(usize, usize)>) {
     let mut names = Names::default();
     let (rows, _) = records(&small(), &mut names);
@@ -50,7 +50,7 @@
     assert_eq!(readable(&mut whole), (all[..kept].to_vec(), 0));
 }
 
-/// Flips bytes one by one; whatever opens holds only true rows, and lacks one block at the most.
+/// Corrupts each byte in turn: only intact rows are read, and at most `most` rows are lost.
 fn flip(bytes: &[u8], all: &[String], most: usize) {
     for at in 0..bytes.len() {
         let mut wrong = bytes.to_vec();
@@ -62,11 +62,11 @@
         let (rows, bad) = readable(&mut trace);
         let named = trace.damage.len() + bad;
         assert!(named <= 1, "byte {at}: {:?}", trace.damage);
-        // In order, nothing that was not there.
+        // The rows are a subsequence of the originals.
         let mut rest = all.iter();
-        assert!(rows.iter().all(|row| rest.any(|known| known == row)), "byte {at}: a row that never was");
+        assert!(rows.iter().all(|row| rest.any(|known| known == row)), "byte {at}: row not in the original");
         assert!(rows.len() + most >= all.len(), "byte {at}: {} of {} rows", rows.len(), all.len());
-        assert!(rows.len() == all.len() || named == 1, "byte {at}: rows are lost and nothing is said");
+        assert!(rows.len() == all.len() || named == 1, "byte {at}: rows lost without reported damage");
     }
 }
 
@@ -114,7 +114,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(18), ..ProptestConfig::default() })]
-    /// A body that an enemy wrote, with checksums that fit: it is refused or read, never a panic.
+    /// A malicious body with valid checksums must not cause a panic.
     #[test]
     fn bytes_behind_a_fitting_checksum_are_read_without_a_panic(
         at in 0usize..4000, with in proptest::collection::vec(any::<u8>(), 1..24), rows in 0u32..70000,
--- a/crates/trace/tests/ways.rs
+++ b/crates/trace/tests/ways.rs
@@ -1,4 +1,4 @@
-//! What goes in comes out, whichever way it takes: versions, merges, cuts, questions, new names.
+//! Round trips through versions, merges, cuts, queries and anonymisation.
 
 mod common;
 
@@ -29,7 +29,7 @@
     rows
 }
 
-/// Rows that have one of everything, made by worker: they must never change.
+/// Fixed rows that cover every field. The golden files depend on them.
 fn by_hand(names: &mut Names) -> (Vec<Row>, Vec<puffinladder_trace::Note>) {
     use puffinladder::{Outcome, Reason};
     use puffinladder_trace::row::{Note, Topic, LAST, REPEAT};
@@ -134,7 +134,7 @@
         })
         .collect();
     assert_eq!(readable(&mut open(&bytes)).0, wanted);
-    // Once more through a merge: nothing drifts.
+    // A second round trip must not change the values again.
     let (mut again, report) = merged(vec![(&bytes, 0)]);
     assert_eq!((readable(&mut again).0, report.rows), (wanted, rows.len() as u64));
 }
@@ -158,7 +158,7 @@
     assert_eq!((nodes("n1"), nodes("n2")), (one.len(), two.len()));
     let told_once = tools::notes(&mut all, &mut fresh, &Selection::default(), &mut Vec::new()).unwrap();
     assert_eq!(told_once.len(), notes.len());
-    // Apart in time, by what one knows of a clock.
+    // With a clock offset the inputs do not overlap.
     let (mut apart, report) = merged(vec![(&first, 3_600_000_000), (&second, 0)]);
     assert_eq!(report.duplicates, 0);
     let rows = rows_of(&mut apart, &mut Names::default());
@@ -256,7 +256,7 @@
         assert_eq!(sums.total.requests, wanted, "{text}");
         passed += seen.skipped_blocks;
     }
-    assert!(passed > 100, "heads ruled out {passed} blocks only");
+    assert!(passed > 100, "heads skipped only {passed} blocks");
     let choice = Selection { expr: parse("customer = nobody or run > 1h").unwrap(), ..Selection::default() };
     let each = |_: &Row, _: &Names| ControlFlow::Continue(());
     let seen = tools::scan(&mut open(&bytes), &mut Names::default(), &choice, &mut |_, _| {}, each).unwrap();
@@ -304,7 +304,7 @@
 fn a_veiled_file_holds_no_name_of_the_old_one_and_the_same_key_gives_the_same_names() {
     let mut names = Names::default();
     let (mut rows, _) = records(&small(), &mut names);
-    // Callers that can be told from other bytes.
+    // Large caller numbers, recognisable in the encoded bytes.
     rows.iter_mut()
         .for_each(|row| row.caller = row.caller.wrapping_mul(0x1000_0001).wrapping_add(0x5ea1_0000));
     let bytes = file(&names, &rows, &[], 100, true);
@@ -321,14 +321,14 @@
     assert_eq!(new.len(), rows.len());
     let old: std::collections::HashSet<&str> = rows.iter().map(|row| names.text(row.customer)).collect();
     assert!(old.iter().all(|name| !fresh.words().iter().any(|word| word.contains(name))));
-    // Neither in what blocks unpack to, nor in the bytes as they lie.
+    // Neither the decoded rows nor the encoded bytes hold the originals.
     for (before, after) in rows.iter().zip(&new) {
         assert!(before.caller != after.caller && before.name != after.name);
         assert!(before.key == 0 || before.key != after.key);
         assert!(!veiled.windows(6).any(|w| before.key != 0 && w == &before.key.to_le_bytes()[..6]));
     }
     assert!(old.iter().all(|name| !veiled.windows(name.len()).any(|w| w == name.as_bytes())));
-    // Repeats still belong together.
+    // Retries still share a key.
     let same = |rows: &[Row]| -> Vec<usize> {
         rows.iter().map(|row| rows.iter().position(|other| other.key == row.key).unwrap()).collect()
     };
@@ -349,7 +349,7 @@
     let mut names = Names::default();
     let (rows, notes) = by_hand(&mut names);
     let mut payloads = first_version(&names, &rows, &notes);
-    // A frame of an unknown kind, and a header text with an unknown field.
+    // A frame of an unknown kind.
     let payload = [9u8, 1, 2, 3];
     payloads.push(puffinladder_trace::v1::FRAME_MARK);
     payloads.extend((payload.len() as u16).to_le_bytes());
