--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -130,12 +130,12 @@
         if disposition.step().is_declined() {
             columns[usize::from(column::KEEP_OFF)].push(quantize(row.keep_off, SPAN_BITS).into());
         }
-        let mut held = u64::from(row.unread);
+        let mut wait = u64::from(row.unread);
         for (at, (code, span)) in path.0.iter().zip(&row.spans).enumerate() {
             spans[usize::from(*code)].push(quantize(*span, SPAN_BITS).into());
-            held += if at <= waited { u64::from(*span) } else { 0 };
+            wait += if at <= waited { u64::from(*span) } else { 0 };
         }
-        head.longest_wait = head.longest_wait.max(held);
+        head.longest_wait = head.longest_wait.max(wait);
         head.longest_run = head.longest_run.max(row.run_time(path).unwrap_or(0));
         let group = groups.entry((product, customer, disposition)).or_default();
         *group = (group.0 + 1, group.1 + row.value(names.product(row.product)));
@@ -147,10 +147,10 @@
     for (id, column) in columns.iter().enumerate() {
         let id = id as u8;
         if id == column::KEY {
-            let has: Vec<u64> = keys.iter().map(|key| u64::from(*key != 0)).collect();
+            let present: Vec<u64> = keys.iter().map(|key| u64::from(*key != 0)).collect();
             let some: Vec<u64> = keys.iter().copied().filter(|key| *key != 0).collect();
             let mut bytes = Vec::new();
-            put_column(&mut bytes, &has);
+            put_column(&mut bytes, &present);
             put_column(&mut bytes, &some);
             body.push(id);
             put_bytes(&mut body, &bytes);
@@ -221,8 +221,8 @@
     for product in &head.products {
         let terms = names.product(*product);
         put_bytes(&mut all, terms.name.as_bytes());
-        for figure in [terms.value, terms.sla, terms.expiry] {
-            all.extend(figure.to_le_bytes());
+        for term in [terms.value, terms.sla, terms.expiry] {
+            all.extend(term.to_le_bytes());
         }
         all.push(terms.by_work.into());
     }
@@ -230,10 +230,11 @@
     put_varint(&mut all, head.paths.len() as u64);
     head.paths.iter().for_each(|path| put_bytes(&mut all, &names.path(*path).0));
     put_varint(&mut all, head.groups.len() as u64);
-    let place = |all: &[u32], one| all.iter().position(|at| *at == one).unwrap_or(0) as u64;
+    let position =
+        |numbers: &[u32], wanted| numbers.iter().position(|number| *number == wanted).unwrap_or(0) as u64;
     for group in &head.groups {
-        put_varint(&mut all, place(&head.products, group.product));
-        put_varint(&mut all, place(&head.customers, group.customer));
+        put_varint(&mut all, position(&head.products, group.product));
+        put_varint(&mut all, position(&head.customers, group.customer));
         all.push(group.disposition.0);
         put_varint(&mut all, group.count);
         all.extend(group.value.to_le_bytes());
@@ -256,7 +257,7 @@
     for _ in 0..from.count(MAX_BLOCK_ROWS)? {
         let name = from.text()?.to_owned();
         let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
-        if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
+        if ![value, sla, expiry].iter().all(|term| term.is_finite()) {
             return Err(DecodeError("product terms are not finite numbers"));
         }
         head.products.push(names.intern_product(&Product {
@@ -279,10 +280,10 @@
     }
     for _ in 0..from.count(MAX_COLUMN_VALUES)? {
         let (product, customer) = (from.count(MAX_BLOCK_ROWS)?, from.count(MAX_BLOCK_ROWS)?);
-        let wrong = DecodeError("group refers to an unknown product or customer");
+        let unknown = DecodeError("group refers to an unknown product or customer");
         head.groups.push(Group {
-            product: *head.products.get(product).ok_or(wrong)?,
-            customer: *head.customers.get(customer).ok_or(wrong)?,
+            product: *head.products.get(product).ok_or(unknown)?,
+            customer: *head.customers.get(customer).ok_or(unknown)?,
             disposition: Disposition(from.u8()?),
             count: from.varint()?,
             value: from.f64()?,
@@ -318,7 +319,7 @@
     }
 }
 
-fn pick(all: &[u32], at: u64) -> Result<u32, DecodeError> {
+fn lookup(all: &[u32], at: u64) -> Result<u32, DecodeError> {
     usize::try_from(at)
         .ok()
         .and_then(|at| all.get(at))
@@ -353,34 +354,34 @@
     }
     let declined: Vec<bool> =
         head.paths.iter().map(|path| names.path(*path).disposition().step().is_declined()).collect();
-    let lacks = DecodeError("column has too few values");
+    let missing = DecodeError("column has too few values");
     into.reserve(head.rows);
     let mut at = head.from;
     for i in 0..head.rows {
         at = at.wrapping_add(read[i] as i64);
-        let global = pick(&head.paths, path[i])?;
+        let path_number = lookup(&head.paths, path[i])?;
         let mut row = Row {
             read: at,
             unread: dequantize(narrow(unread[i])?, ESTIMATE_BITS),
-            node: pick(&head.nodes, node[i])?,
-            product: pick(&head.products, product[i])?,
-            customer: pick(&head.customers, customer[i])?,
+            node: lookup(&head.nodes, node[i])?,
+            product: lookup(&head.products, product[i])?,
+            customer: lookup(&head.customers, customer[i])?,
             caller: narrow(caller[i])?,
             rank: narrow(rank[i])?,
             hint: dequantize(narrow(hint[i])?, ESTIMATE_BITS),
             memory: dequantize(narrow(memory[i])?, ESTIMATE_BITS),
             flags: narrow(flags[i])?,
             name: narrow(name[i])?,
-            key: if has_key[i] != 0 { keys.next().ok_or(lacks)? } else { 0 },
-            path: global,
+            key: if has_key[i] != 0 { keys.next().ok_or(missing)? } else { 0 },
+            path: path_number,
             ..Row::default()
         };
         if declined[path[i] as usize] {
-            row.keep_off = dequantize(narrow(keep_off.next().ok_or(lacks)?)?, SPAN_BITS);
+            row.keep_off = dequantize(narrow(keep_off.next().ok_or(missing)?)?, SPAN_BITS);
         }
-        for code in &names.path(global).0 {
-            let stream = streams.get_mut(by_code[usize::from(*code)]).ok_or(lacks)?;
-            row.spans.push(dequantize(narrow(stream.next().ok_or(lacks)?)?, SPAN_BITS));
+        for code in &names.path(path_number).0 {
+            let stream = streams.get_mut(by_code[usize::from(*code)]).ok_or(missing)?;
+            row.spans.push(dequantize(narrow(stream.next().ok_or(missing)?)?, SPAN_BITS));
         }
         into.push(row);
     }
@@ -397,7 +398,7 @@
         at = at.wrapping_add(read[i] as i64);
         into.push(Note {
             at,
-            node: pick(&head.nodes, node[i])?,
+            node: lookup(&head.nodes, node[i])?,
             topic: Topic(narrow(topic[i])?),
             value: f32::from_bits(narrow(value[i])?),
         });
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -63,9 +63,9 @@
         Err(DecodeError("varint exceeds 64 bits"))
     }
     /// Reads a number that must not exceed `most`.
-    pub fn count(&mut self, most: usize) -> Result<usize, DecodeError> {
+    pub fn count(&mut self, max: usize) -> Result<usize, DecodeError> {
         let value = self.varint()?;
-        usize::try_from(value).ok().filter(|v| *v <= most).ok_or(DecodeError("count out of range"))
+        usize::try_from(value).ok().filter(|v| *v <= max).ok_or(DecodeError("count out of range"))
     }
     pub fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let len = self.count(self.0.len())?;
@@ -118,39 +118,39 @@
 }
 
 thread_local! {
-    static PACK: RefCell<Option<zstd::bulk::Compressor<'static>>> = const { RefCell::new(None) };
-    static UNPACK: RefCell<Option<zstd::bulk::Decompressor<'static>>> = const { RefCell::new(None) };
+    static COMPRESSOR: RefCell<Option<zstd::bulk::Compressor<'static>>> = const { RefCell::new(None) };
+    static DECOMPRESSOR: RefCell<Option<zstd::bulk::Decompressor<'static>>> = const { RefCell::new(None) };
 }
 
 /// Compression level of zstd: the columns are short, and higher levels gain nothing.
-const LEVEL: i32 = 1;
+const ZSTD_LEVEL: i32 = 1;
 
 /// Compresses bytes. Returns `None` if the result is not smaller.
-fn packed(bytes: &[u8]) -> Option<Vec<u8>> {
-    PACK.with_borrow_mut(|pack| {
-        if pack.is_none() {
-            *pack = zstd::bulk::Compressor::new(LEVEL).ok();
-            if let Some(pack) = pack {
+fn compress(bytes: &[u8]) -> Option<Vec<u8>> {
+    COMPRESSOR.with_borrow_mut(|compressor| {
+        if compressor.is_none() {
+            *compressor = zstd::bulk::Compressor::new(ZSTD_LEVEL).ok();
+            if let Some(compressor) = compressor {
                 // Blocks carry their own checksums and lengths.
-                let _ = pack.include_checksum(false);
-                let _ = pack.include_contentsize(false);
+                let _ = compressor.include_checksum(false);
+                let _ = compressor.include_contentsize(false);
             }
         }
-        pack.as_mut()?.compress(bytes).ok().filter(|small| small.len() < bytes.len())
+        compressor.as_mut()?.compress(bytes).ok().filter(|compressed| compressed.len() < bytes.len())
     })
 }
 
-fn unpacked(bytes: &[u8], len: usize) -> Result<Vec<u8>, DecodeError> {
-    let wrong = DecodeError("compressed data is corrupt");
-    UNPACK.with_borrow_mut(|unpack| {
-        if unpack.is_none() {
-            *unpack = zstd::bulk::Decompressor::new().ok();
+fn decompress(bytes: &[u8], len: usize) -> Result<Vec<u8>, DecodeError> {
+    let corrupt = DecodeError("compressed data is corrupt");
+    DECOMPRESSOR.with_borrow_mut(|decompressor| {
+        if decompressor.is_none() {
+            *decompressor = zstd::bulk::Decompressor::new().ok();
         }
-        let all = unpack.as_mut().ok_or(wrong)?.decompress(bytes, len).map_err(|_| wrong)?;
+        let all = decompressor.as_mut().ok_or(corrupt)?.decompress(bytes, len).map_err(|_| corrupt)?;
         if all.len() == len {
             Ok(all)
         } else {
-            Err(wrong)
+            Err(corrupt)
         }
     })
 }
@@ -158,10 +158,10 @@
 /// Writes bytes with their length, compressed if that is smaller.
 pub fn put_compressed(out: &mut Vec<u8>, bytes: &[u8]) {
     put_varint(out, bytes.len() as u64);
-    match packed(bytes) {
-        Some(small) => {
+    match compress(bytes) {
+        Some(compressed) => {
             out.push(1);
-            put_bytes(out, &small);
+            put_bytes(out, &compressed);
         }
         None => {
             out.push(0);
@@ -170,38 +170,38 @@
     }
 }
 
-pub fn read_compressed(from: &mut Cursor, most: usize) -> Result<Vec<u8>, DecodeError> {
-    let len = from.count(most)?;
+pub fn read_compressed(from: &mut Cursor, max: usize) -> Result<Vec<u8>, DecodeError> {
+    let len = from.count(max)?;
     let mode = from.u8()?;
     let bytes = from.bytes()?;
     match mode {
         0 if bytes.len() == len => Ok(bytes.to_vec()),
-        1 => unpacked(bytes, len),
+        1 => decompress(bytes, len),
         _ => Err(DecodeError("unknown compression mode")),
     }
 }
 
 const RAW: u8 = 0;
 const ZSTD: u8 = 1;
-const SAME: u8 = 2;
+const CONSTANT: u8 = 2;
 
 /// Writes a column as planes, lowest byte first. Each plane is compressed separately, since low bytes are close to
 /// random and high bytes are mostly equal.
 pub fn put_column(out: &mut Vec<u8>, values: &[u64]) {
     put_varint(out, values.len() as u64);
-    let most = values.iter().copied().fold(0, |all, value| all | value);
-    let width = (u64::BITS - most.leading_zeros()).div_ceil(8) as u8;
+    let max = values.iter().copied().fold(0, |all, value| all | value);
+    let width = (u64::BITS - max.leading_zeros()).div_ceil(8) as u8;
     out.push(width);
     let mut plane = Vec::with_capacity(values.len());
     for byte in 0..width {
         plane.clear();
         plane.extend(values.iter().map(|value| (value >> (8 * byte)) as u8));
         if plane.iter().all(|b| *b == plane[0]) {
-            out.push(SAME);
+            out.push(CONSTANT);
             out.push(plane[0]);
-        } else if let Some(small) = packed(&plane) {
+        } else if let Some(compressed) = compress(&plane) {
             out.push(ZSTD);
-            put_bytes(out, &small);
+            put_bytes(out, &compressed);
         } else {
             out.push(RAW);
             out.extend_from_slice(&plane);
@@ -221,15 +221,15 @@
     }
     let mut values = vec![0u64; count];
     for byte in 0..width {
-        let mut enter = |plane: &[u8]| {
+        let mut add_plane = |plane: &[u8]| {
             values.iter_mut().zip(plane).for_each(|(value, b)| *value |= u64::from(*b) << (8 * byte));
         };
         match from.u8()? {
-            RAW => enter(from.take(count)?),
-            ZSTD => enter(&unpacked(from.bytes()?, count)?),
-            SAME => {
-                let same = u64::from(from.u8()?) << (8 * byte);
-                values.iter_mut().for_each(|value| *value |= same);
+            RAW => add_plane(from.take(count)?),
+            ZSTD => add_plane(&decompress(from.bytes()?, count)?),
+            CONSTANT => {
+                let constant = u64::from(from.u8()?) << (8 * byte);
+                values.iter_mut().for_each(|value| *value |= constant);
             }
             _ => return Err(DecodeError("unknown compression mode")),
         }
--- a/crates/trace/src/codec/tests.rs
+++ b/crates/trace/src/codec/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_size_rounded_once_stays_and_keeps_its_order() {
+fn quantisation_is_idempotent_and_keeps_order() {
     for bits in [SPAN_BITS, ESTIMATE_BITS] {
         let corners = (12..32).flat_map(|b| [1 << b, (1 << b) - 1, (1 << b) + 77]);
         for value in (0..4096).chain(corners).chain([u32::MAX]) {
@@ -19,13 +19,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(16), ..ProptestConfig::default() })]
     #[test]
-    fn columns_come_back(values in proptest::collection::vec(any::<u64>().prop_map(|v| v >> (v % 61)), 0..600)) {
+    fn columns_round_trip(values in proptest::collection::vec(any::<u64>().prop_map(|v| v >> (v % 61)), 0..600)) {
         let mut bytes = Vec::new();
         put_column(&mut bytes, &values);
         prop_assert_eq!(read_column(&mut Cursor(&bytes), Some(values.len())).unwrap(), values);
     }
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = read_column(&mut Cursor(&bytes), None);
         let _ = read_compressed(&mut Cursor(&bytes), MAX_HEAD_BYTES);
     }
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -111,7 +111,7 @@
     ("referenced", Flag::Referenced),
 ];
 
-const WORDS: [(&str, TextField); 7] = [
+const TEXT_FIELDS: [(&str, TextField); 7] = [
     ("product", TextField::Product),
     ("customer", TextField::Customer),
     ("node", TextField::Node),
@@ -121,7 +121,7 @@
     ("name", TextField::Name),
 ];
 
-const FIGURES: [(&str, NumberField); 11] = [
+const NUMBER_FIELDS: [(&str, NumberField); 11] = [
     ("wait", NumberField::Wait),
     ("run", NumberField::Run),
     ("unread", NumberField::Unread),
@@ -157,7 +157,7 @@
 }
 
 /// Maximum nesting depth, which bounds the parser's recursion.
-const DEEPEST: usize = 64;
+const MAX_DEPTH: usize = 64;
 
 /// Parses an expression. An empty one selects all requests.
 pub fn parse(text: &str) -> Result<Expr, ParseError> {
@@ -172,97 +172,97 @@
             ')' => depth.saturating_sub(1),
             _ => depth,
         };
-        if depth > DEEPEST || text.len() > 1 << 14 {
+        if depth > MAX_DEPTH || text.len() > 1 << 14 {
             return Err(ParseError {
                 column: at + 1,
                 message: "expression is too long or too deeply nested".into(),
             });
         }
     }
-    if text.split_whitespace().filter(|w| *w == "not").count() > DEEPEST {
+    if text.split_whitespace().filter(|w| *w == "not").count() > MAX_DEPTH {
         return Err(ParseError { column: 1, message: "too many 'not' operators".into() });
     }
-    delimited(multispace0, either, multispace0).parse(text).map_err(|wrong| {
-        let column = text[..wrong.offset().min(text.len())].chars().count() + 1;
-        let wanted = wrong.inner().to_string().replace('\n', ", ");
-        let rest = &text[wrong.offset().min(text.len())..];
+    delimited(multispace0, or_expr, multispace0).parse(text).map_err(|error| {
+        let column = text[..error.offset().min(text.len())].chars().count() + 1;
+        let expected = error.inner().to_string().replace('\n', ", ");
+        let rest = &text[error.offset().min(text.len())..];
         let found = match rest.split_whitespace().next() {
             Some(word) => format!("'{word}'"),
             None => "the end".into(),
         };
-        let message = if wanted.is_empty() {
+        let message = if expected.is_empty() {
             format!("unexpected {found}, expected 'and' or 'or'")
         } else {
-            format!("found {found}, {wanted}")
+            format!("found {found}, {expected}")
         };
         ParseError { column, message }
     })
 }
 
-fn wanted(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+fn expected(description: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(description))
 }
 
-fn letter(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_alphanumeric() || "-_.*?:/".contains(c)
 }
 
 /// Parses a whole word, so that `ranking` is not read as `ran`.
-fn bare<'a>(input: &mut &'a str) -> ModalResult<&'a str> {
-    take_while(1.., letter).parse_next(input)
+fn bare_word<'a>(input: &mut &'a str) -> ModalResult<&'a str> {
+    take_while(1.., is_word_char).parse_next(input)
 }
 
 fn keyword<'a>(word: &'static str) -> impl Parser<&'a str, (), ErrMode<ContextError>> {
-    delimited(multispace0, bare.verify(move |found: &str| found == word), multispace0).void()
+    delimited(multispace0, bare_word.verify(move |found: &str| found == word), multispace0).void()
 }
 
-fn either(input: &mut &str) -> ModalResult<Expr> {
-    let first = both.parse_next(input)?;
-    let mut more: Vec<Expr> = repeat(0.., preceded(keyword("or"), cut_err(both))).parse_next(input)?;
+fn or_expr(input: &mut &str) -> ModalResult<Expr> {
+    let first = and_expr.parse_next(input)?;
+    let mut more: Vec<Expr> = repeat(0.., preceded(keyword("or"), cut_err(and_expr))).parse_next(input)?;
     more.insert(0, first);
     Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::Or(more) })
 }
 
-fn both(input: &mut &str) -> ModalResult<Expr> {
-    let first = one.parse_next(input)?;
-    let mut more: Vec<Expr> = repeat(0.., preceded(keyword("and"), cut_err(one))).parse_next(input)?;
+fn and_expr(input: &mut &str) -> ModalResult<Expr> {
+    let first = term.parse_next(input)?;
+    let mut more: Vec<Expr> = repeat(0.., preceded(keyword("and"), cut_err(term))).parse_next(input)?;
     more.insert(0, first);
     Ok(if more.len() == 1 { more.swap_remove(0) } else { Expr::And(more) })
 }
 
-fn one(input: &mut &str) -> ModalResult<Expr> {
+fn term(input: &mut &str) -> ModalResult<Expr> {
     alt((
-        preceded(keyword("not"), cut_err(one)).map(|inner| Expr::Not(Box::new(inner))),
-        delimited(('(', multispace0), cut_err(either), cut_err((multispace0, ')').context(wanted("')'")))),
-        test,
+        preceded(keyword("not"), cut_err(term)).map(|inner| Expr::Not(Box::new(inner))),
+        delimited(('(', multispace0), cut_err(or_expr), cut_err((multispace0, ')').context(expected("')'")))),
+        condition,
     ))
-    .context(wanted("a test such as declined, product = NAME or wait > 200ms"))
+    .context(expected("a test such as declined, product = NAME or wait > 200ms"))
     .parse_next(input)
 }
 
-fn test(input: &mut &str) -> ModalResult<Expr> {
+fn condition(input: &mut &str) -> ModalResult<Expr> {
     let begin = *input;
-    let word = bare.parse_next(input)?;
+    let word = bare_word.parse_next(input)?;
     if let Some((_, flag)) = FLAGS.iter().find(|(name, _)| *name == word) {
         return Ok(Expr::Flag(*flag));
     }
     multispace0.parse_next(input)?;
-    if let Some((_, what)) = WORDS.iter().find(|(name, _)| *name == word) {
-        let how = cut_err(alt((
+    if let Some((_, field)) = TEXT_FIELDS.iter().find(|(name, _)| *name == word) {
+        let operator = cut_err(alt((
             "!=".value(TextMatch::NotEqual),
             "!~".value(TextMatch::NotLike),
             "=".value(TextMatch::Equal),
             "~".value(TextMatch::Like),
         )))
-        .context(wanted("=, !=, ~ or !~"))
+        .context(expected("=, !=, ~ or !~"))
         .parse_next(input)?;
-        let text = cut_err(preceded(multispace0, alt((quoted, bare))))
-            .context(wanted("a name, in quotes if it has blanks"))
+        let text = cut_err(preceded(multispace0, alt((quoted, bare_word))))
+            .context(expected("a name, in quotes if it has blanks"))
             .parse_next(input)?;
-        return Ok(Expr::Text(*what, how, text.into()));
+        return Ok(Expr::Text(*field, operator, text.into()));
     }
-    if let Some((_, what)) = FIGURES.iter().find(|(name, _)| *name == word) {
-        let how = cut_err(alt((
+    if let Some((_, field)) = NUMBER_FIELDS.iter().find(|(name, _)| *name == word) {
+        let operator = cut_err(alt((
             "<=".value(Comparison::LessOrEqual),
             ">=".value(Comparison::GreaterOrEqual),
             "!=".value(Comparison::NotEqual),
@@ -270,12 +270,12 @@
             ">".value(Comparison::Greater),
             "=".value(Comparison::Equal),
         )))
-        .context(wanted("<, <=, =, !=, >= or >"))
+        .context(expected("<, <=, =, !=, >= or >"))
         .parse_next(input)?;
-        let value = cut_err(preceded(multispace0, amount))
-            .context(wanted("a number with a unit: us, ms, s, m, h, KB or MB"))
+        let value = cut_err(preceded(multispace0, number_with_unit))
+            .context(expected("a number with a unit: us, ms, s, m, h, KB or MB"))
             .parse_next(input)?;
-        return Ok(Expr::Number(*what, how, value));
+        return Ok(Expr::Number(*field, operator, value));
     }
     *input = begin;
     Err(ErrMode::Backtrack(ContextError::new()))
@@ -285,51 +285,53 @@
     delimited('"', take_until(0.., '"'), '"').parse_next(input)
 }
 
-fn amount(input: &mut &str) -> ModalResult<f64> {
+fn number_with_unit(input: &mut &str) -> ModalResult<f64> {
     let number: f64 = float.verify(|n: &f64| n.is_finite()).parse_next(input)?;
-    let letters = |input: &mut &str| -> ModalResult<f64> {
+    let unit = |input: &mut &str| -> ModalResult<f64> {
         let known = |unit: &str| UNITS.iter().find(|(name, _)| *name == unit).map(|(_, size)| *size);
         take_while(1.., |c: char| c.is_alphabetic()).verify_map(known).parse_next(input)
     };
     // After a space, a word is a unit only if it is a known one.
     if input.starts_with(|c: char| c.is_alphabetic()) {
-        return letters.map(|unit| number * unit).parse_next(input);
+        return unit.map(|unit| number * unit).parse_next(input);
     }
-    let unit = opt(preceded(' ', letters)).parse_next(input)?;
+    let unit = opt(preceded(' ', unit)).parse_next(input)?;
     Ok(number * unit.unwrap_or(1.0))
 }
 
 /// Parses a duration such as `30m` or `1h30m`, in seconds without a unit. Returns us.
 pub fn parse_span(text: &str) -> Option<i64> {
-    let plain = text.trim();
-    if let Ok(seconds) = plain.parse::<f64>() {
+    let trimmed = text.trim();
+    if let Ok(seconds) = trimmed.parse::<f64>() {
         return seconds.is_finite().then_some((seconds * 1e6) as i64);
     }
-    let (mut rest, mut sum) = (plain, 0.0);
+    let (mut rest, mut sum) = (trimmed, 0.0);
     while !rest.is_empty() {
-        sum += amount.parse_next(&mut rest).ok()?;
+        sum += number_with_unit.parse_next(&mut rest).ok()?;
     }
     Some(sum as i64)
 }
 
 /// Matches text against a pattern: `*` for any characters, `?` for one character.
 pub fn glob_matches(pattern: &str, text: &str) -> bool {
-    let (p, t): (Vec<char>, Vec<char>) = (pattern.chars().collect(), text.chars().collect());
-    let (mut at, mut from, mut star, mut mark) = (0, 0, None, 0);
-    while from < t.len() {
-        if at < p.len() && (p[at] == '?' || p[at] == t[from]) && p[at] != '*' {
-            (at, from) = (at + 1, from + 1);
-        } else if at < p.len() && p[at] == '*' {
-            (star, mark) = (Some(at), from);
-            at += 1;
-        } else if let Some(back) = star {
-            mark += 1;
-            (at, from) = (back + 1, mark);
+    let (pattern, text): (Vec<char>, Vec<char>) = (pattern.chars().collect(), text.chars().collect());
+    let (mut pattern_at, mut text_at) = (0, 0);
+    let (mut last_star, mut star_end) = (None, 0);
+    while text_at < text.len() {
+        let symbol = pattern.get(pattern_at).copied();
+        if symbol != Some('*') && (symbol == Some('?') || symbol == Some(text[text_at])) {
+            (pattern_at, text_at) = (pattern_at + 1, text_at + 1);
+        } else if symbol == Some('*') {
+            (last_star, star_end) = (Some(pattern_at), text_at);
+            pattern_at += 1;
+        } else if let Some(star) = last_star {
+            star_end += 1;
+            (pattern_at, text_at) = (star + 1, star_end);
         } else {
             return false;
         }
     }
-    p[at..].iter().all(|c| *c == '*')
+    pattern[pattern_at..].iter().all(|symbol| *symbol == '*')
 }
 
 /// Rows of a block that an expression selects, as far as the head tells.
@@ -343,8 +345,8 @@
 impl BlockMatch {
     fn of(all: impl Iterator<Item = bool>) -> BlockMatch {
         let (mut any, mut every) = (false, true);
-        for one in all {
-            (any, every) = (any || one, every && one);
+        for selected in all {
+            (any, every) = (any || selected, every && selected);
         }
         match (any, every) {
             (false, _) => BlockMatch::None,
@@ -352,7 +354,7 @@
             _ => BlockMatch::Some,
         }
     }
-    fn bound(some: bool) -> BlockMatch {
+    fn possible(some: bool) -> BlockMatch {
         if some {
             BlockMatch::Some
         } else {
@@ -384,7 +386,7 @@
         }
     }
     /// Returns whether the comparison could hold for a number from `low` to `high`.
-    fn could(self, low: f64, high: f64, wanted: f64) -> bool {
+    fn could_match(self, low: f64, high: f64, wanted: f64) -> bool {
         match self {
             Comparison::Less => low < wanted,
             Comparison::LessOrEqual => low <= wanted,
@@ -396,7 +398,7 @@
     }
 }
 
-fn path_has(flag: Flag, path: &Path) -> Option<bool> {
+fn path_has_flag(flag: Flag, path: &Path) -> Option<bool> {
     let disposition = path.disposition().step();
     Some(match flag {
         Flag::Settled => disposition.is_settled(),
@@ -414,17 +416,19 @@
 }
 
 /// Matches fields that depend on the path alone. Returns `None` for other fields.
-fn path_word(word: TextField, how: TextMatch, text: &str, path: &Path) -> Option<bool> {
-    match word {
+fn path_matches(field: TextField, operator: TextMatch, text: &str, path: &Path) -> Option<bool> {
+    match field {
         TextField::Reason => {
             let reason = path.disposition().step().reason().map_or("", |reason| reason.text());
-            Some(how.matches(text, reason))
+            Some(operator.matches(text, reason))
         }
         // A negated match must hold for every step.
-        TextField::Step => Some(match how {
-            TextMatch::Equal | TextMatch::Like => path.steps().any(|step| how.matches(text, &step.text())),
+        TextField::Step => Some(match operator {
+            TextMatch::Equal | TextMatch::Like => {
+                path.steps().any(|step| operator.matches(text, &step.text()))
+            }
             TextMatch::NotEqual | TextMatch::NotLike => {
-                path.steps().all(|step| how.matches(text, &step.text()))
+                path.steps().all(|step| operator.matches(text, &step.text()))
             }
         }),
         _ => None,
@@ -437,26 +441,26 @@
         match self {
             Expr::All => true,
             Expr::Not(inner) => !inner.matches(row, names, begin),
-            Expr::And(all) => all.iter().all(|one| one.matches(row, names, begin)),
-            Expr::Or(all) => all.iter().any(|one| one.matches(row, names, begin)),
-            Expr::Flag(flag) => path_has(*flag, names.path(row.path)).unwrap_or_else(|| match flag {
+            Expr::And(all) => all.iter().all(|part| part.matches(row, names, begin)),
+            Expr::Or(all) => all.iter().any(|part| part.matches(row, names, begin)),
+            Expr::Flag(flag) => path_has_flag(*flag, names.path(row.path)).unwrap_or_else(|| match flag {
                 Flag::Repeat => row.repeat(),
                 Flag::Last => row.last(),
                 _ => row.key != 0,
             }),
-            Expr::Text(word, how, text) => {
+            Expr::Text(field, operator, text) => {
                 let path = names.path(row.path);
-                path_word(*word, *how, text, path).unwrap_or_else(|| match word {
-                    TextField::Product => how.matches(text, &names.product(row.product).name),
-                    TextField::Customer => how.matches(text, names.text(row.customer)),
-                    TextField::Node => how.matches(text, names.text(row.node)),
-                    TextField::Key => how.matches(text, &format!("{:012x}", row.key)),
-                    _ => how.matches(text, &format!("{:08x}", row.name)),
+                path_matches(*field, *operator, text, path).unwrap_or_else(|| match field {
+                    TextField::Product => operator.matches(text, &names.product(row.product).name),
+                    TextField::Customer => operator.matches(text, names.text(row.customer)),
+                    TextField::Node => operator.matches(text, names.text(row.node)),
+                    TextField::Key => operator.matches(text, &format!("{:012x}", row.key)),
+                    _ => operator.matches(text, &format!("{:08x}", row.name)),
                 })
             }
-            Expr::Number(figure, order, wanted) => {
+            Expr::Number(field, comparison, wanted) => {
                 let path = names.path(row.path);
-                let found = match figure {
+                let found = match field {
                     NumberField::Wait => row.wait(path) as f64,
                     NumberField::Run => match row.run_time(path) {
                         Some(took) => took as f64,
@@ -475,7 +479,7 @@
                     NumberField::Value => row.value(names.product(row.product)),
                     NumberField::At => (row.read - begin) as f64,
                 };
-                order.matches(found, *wanted)
+                comparison.matches(found, *wanted)
             }
         }
     }
@@ -491,7 +495,7 @@
             },
             Expr::And(all) => {
                 let parts: Vec<BlockMatch> =
-                    all.iter().map(|one| one.match_block(head, names, begin)).collect();
+                    all.iter().map(|part| part.match_block(head, names, begin)).collect();
                 if parts.contains(&BlockMatch::None) {
                     BlockMatch::None
                 } else if parts.iter().all(|part| *part == BlockMatch::All) {
@@ -502,7 +506,7 @@
             }
             Expr::Or(all) => {
                 let parts: Vec<BlockMatch> =
-                    all.iter().map(|one| one.match_block(head, names, begin)).collect();
+                    all.iter().map(|part| part.match_block(head, names, begin)).collect();
                 if parts.contains(&BlockMatch::All) {
                     BlockMatch::All
                 } else if parts.iter().all(|part| *part == BlockMatch::None) {
@@ -512,39 +516,43 @@
                 }
             }
             Expr::Flag(flag) => {
-                let told: Option<Vec<bool>> =
-                    head.paths.iter().map(|path| path_has(*flag, names.path(*path))).collect();
-                told.map_or(BlockMatch::Some, |told| BlockMatch::of(told.into_iter()))
+                let matching: Option<Vec<bool>> =
+                    head.paths.iter().map(|path| path_has_flag(*flag, names.path(*path))).collect();
+                matching.map_or(BlockMatch::Some, |matching| BlockMatch::of(matching.into_iter()))
             }
-            Expr::Text(word, how, text) => match word {
-                TextField::Product => {
-                    BlockMatch::of(head.products.iter().map(|p| how.matches(text, &names.product(*p).name)))
+            Expr::Text(field, operator, text) => {
+                match field {
+                    TextField::Product => BlockMatch::of(
+                        head.products.iter().map(|p| operator.matches(text, &names.product(*p).name)),
+                    ),
+                    TextField::Customer => {
+                        BlockMatch::of(head.customers.iter().map(|c| operator.matches(text, names.text(*c))))
+                    }
+                    TextField::Node => {
+                        BlockMatch::of(head.nodes.iter().map(|n| operator.matches(text, names.text(*n))))
+                    }
+                    TextField::Reason | TextField::Step => BlockMatch::of(head.paths.iter().map(|path| {
+                        path_matches(*field, *operator, text, names.path(*path)).unwrap_or(true)
+                    })),
+                    TextField::Key | TextField::Name => BlockMatch::Some,
                 }
-                TextField::Customer => {
-                    BlockMatch::of(head.customers.iter().map(|c| how.matches(text, names.text(*c))))
+            }
+            Expr::Number(field, comparison, wanted) => match field {
+                NumberField::Wait => {
+                    BlockMatch::possible(comparison.could_match(0.0, head.longest_wait as f64, *wanted))
                 }
-                TextField::Node => {
-                    BlockMatch::of(head.nodes.iter().map(|n| how.matches(text, names.text(*n))))
+                NumberField::Run => {
+                    BlockMatch::possible(comparison.could_match(0.0, head.longest_run as f64, *wanted))
                 }
-                TextField::Reason | TextField::Step => BlockMatch::of(
-                    head.paths
-                        .iter()
-                        .map(|path| path_word(*word, *how, text, names.path(*path)).unwrap_or(true)),
-                ),
-                TextField::Key | TextField::Name => BlockMatch::Some,
-            },
-            Expr::Number(figure, order, wanted) => match figure {
-                NumberField::Wait => BlockMatch::bound(order.could(0.0, head.longest_wait as f64, *wanted)),
-                NumberField::Run => BlockMatch::bound(order.could(0.0, head.longest_run as f64, *wanted)),
                 NumberField::At => {
                     let (low, high) = ((head.from - begin) as f64, (head.to - begin) as f64);
                     match (
-                        order.could(low, high, *wanted),
-                        order.matches(low, *wanted),
-                        order.matches(high, *wanted),
+                        comparison.could_match(low, high, *wanted),
+                        comparison.matches(low, *wanted),
+                        comparison.matches(high, *wanted),
                     ) {
                         (false, ..) => BlockMatch::None,
-                        (_, true, true) if !matches!(order, Comparison::NotEqual) => BlockMatch::All,
+                        (_, true, true) if !matches!(comparison, Comparison::NotEqual) => BlockMatch::All,
                         _ => BlockMatch::Some,
                     }
                 }
--- a/crates/trace/src/expr/tests.rs
+++ b/crates/trace/src/expr/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn an_expression_reads_as_it_is_meant() {
+fn parses_precedence_and_units() {
     let declined = || Expr::Flag(Flag::Declined);
     assert_eq!(parse(" ").unwrap(), Expr::All);
     assert_eq!(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_fault_points_at_its_column() {
+fn syntax_error_names_its_column() {
     for (text, column, hint) in [
         ("declined and", 13, "a test"),
         ("declined und late", 10, "'und'"),
@@ -31,15 +31,15 @@
         ("(declined or late", 18, "')'"),
         ("shoe = 5", 1, "a test"),
     ] {
-        let wrong = parse(text).unwrap_err();
-        assert_eq!(wrong.column, column, "{text}: {wrong}");
-        assert!(wrong.message.contains(hint), "{text}: {wrong}");
+        let error = parse(text).unwrap_err();
+        assert_eq!(error.column, column, "{text}: {error}");
+        assert!(error.message.contains(hint), "{text}: {error}");
     }
     assert!(parse(&"(".repeat(100_000)).is_err() && parse(&"not ".repeat(5_000)).is_err());
 }
 
 #[test]
-fn patterns_and_spans() {
+fn matches_patterns_and_parses_durations() {
     assert!(
         glob_matches("k*1?", "kab12")
             && glob_matches("*", "")
@@ -56,7 +56,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() })]
     #[test]
-    fn any_text_is_read_without_a_panic(text in "[a-z()=<>~!\"0-9 .µ*-]{0,60}|\\PC{0,40}") {
+    fn arbitrary_text_does_not_panic(text in "[a-z()=<>~!\"0-9 .µ*-]{0,60}|\\PC{0,40}") {
         let _ = parse(&text);
         let _ = parse_span(&text);
     }
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -157,7 +157,7 @@
     pub bytes: Vec<u8>,
 }
 
-fn packed(kind: BlockKind, (head, head_bytes, body): (block::Head, Vec<u8>, Vec<u8>)) -> EncodedBlock {
+fn encoded_block(kind: BlockKind, (head, head_bytes, body): (block::Head, Vec<u8>, Vec<u8>)) -> EncodedBlock {
     let header = BlockHeader {
         kind,
         rows: head.rows as u32,
@@ -171,11 +171,11 @@
 }
 
 pub fn encode_rows(names: &Names, rows: &mut [Row]) -> EncodedBlock {
-    packed(BlockKind::Rows, block::encode_rows(names, rows))
+    encoded_block(BlockKind::Rows, block::encode_rows(names, rows))
 }
 
 pub fn encode_notes(names: &Names, notes: &mut [Note]) -> EncodedBlock {
-    packed(BlockKind::Notes, block::encode_notes(names, notes))
+    encoded_block(BlockKind::Notes, block::encode_notes(names, notes))
 }
 
 /// Verifies the length and the checksums of a block that came from elsewhere.
@@ -266,12 +266,12 @@
 /// Decodes the body of an index.
 pub fn read_index(body: &[u8]) -> Result<Vec<IndexEntry>, DecodeError> {
     let mut from = Cursor(body);
-    let mut all = Vec::with_capacity(body.len() / INDEX_ENTRY_BYTES);
+    let mut entries = Vec::with_capacity(body.len() / INDEX_ENTRY_BYTES);
     while !from.0.is_empty() {
         let (offset, len, kind) = (from.u64()?, from.u32()?, BlockKind::from_code(from.u8()?));
         from.take(3)?;
         let (rows, start, end) = (from.u32()?, from.i64()?, from.i64()?);
-        all.push(IndexEntry { offset, len: len.into(), kind, rows, from: start, to: end });
+        entries.push(IndexEntry { offset, len: len.into(), kind, rows, from: start, to: end });
     }
-    Ok(all)
+    Ok(entries)
 }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -9,7 +9,7 @@
 use std::io::{self, Read, Seek, Write};
 
 /// Rows of one file that may wait for earlier rows in blocks not yet read.
-const MOST_WAITING: usize = 1 << 17;
+const MAX_WAITING_ROWS: usize = 1 << 17;
 
 /// Rows of one file in time order.
 pub struct RowSource<R> {
@@ -20,7 +20,7 @@
     next: usize,
     earliest: Vec<i64>,
     waiting: VecDeque<Row>,
-    fresh: Vec<Row>,
+    loaded: Vec<Row>,
     /// Blocks that could not be read.
     pub damage: Vec<Damage>,
     /// Rows returned out of order, because the node's clock stepped back too far.
@@ -36,14 +36,14 @@
             earliest[at - 1] = earliest[at - 1].min(earliest[at]);
         }
         let damage = trace.damage.clone();
-        let (waiting, fresh) = (VecDeque::new(), Vec::new());
+        let (waiting, loaded) = (VecDeque::new(), Vec::new());
         RowSource {
             trace,
             offset,
             next: 0,
             earliest,
             waiting,
-            fresh,
+            loaded,
             damage,
             out_of_order: 0,
             last: i64::MIN,
@@ -53,13 +53,13 @@
     /// Reads ahead until the next row is certain and returns its time.
     pub fn peek(&mut self, names: &mut Names) -> Result<Option<i64>, TraceError> {
         loop {
-            let open = self.earliest.get(self.next).copied();
-            match (self.waiting.front(), open) {
+            let next_block = self.earliest.get(self.next).copied();
+            match (self.waiting.front(), next_block) {
                 (Some(row), None) => return Ok(Some(row.read)),
-                (Some(row), Some(open)) if row.read <= open.saturating_add(self.offset) => {
+                (Some(row), Some(next_block)) if row.read <= next_block.saturating_add(self.offset) => {
                     return Ok(Some(row.read))
                 }
-                (Some(row), Some(_)) if self.waiting.len() > MOST_WAITING => return Ok(Some(row.read)),
+                (Some(row), Some(_)) if self.waiting.len() > MAX_WAITING_ROWS => return Ok(Some(row.read)),
                 (None, None) => return Ok(None),
                 _ => self.load(names)?,
             }
@@ -69,8 +69,8 @@
     fn load(&mut self, names: &mut Names) -> Result<(), TraceError> {
         let entry = self.trace.entries[self.next];
         self.next += 1;
-        self.fresh.clear();
-        match self.trace.rows(&entry, names, &mut self.fresh) {
+        self.loaded.clear();
+        match self.trace.rows(&entry, names, &mut self.loaded) {
             Ok(()) => {}
             Err(TraceError::DamagedBlock { offset, problem }) => {
                 self.damage.push(Damage { offset, len: entry.len, rows: Some(entry.rows), problem });
@@ -78,13 +78,13 @@
             }
             Err(fault) => return Err(fault),
         }
-        self.fresh.iter_mut().for_each(|row| row.read = row.read.saturating_add(self.offset));
-        let late = match (self.fresh.first(), self.waiting.back()) {
+        self.loaded.iter_mut().for_each(|row| row.read = row.read.saturating_add(self.offset));
+        let overlapping = match (self.loaded.first(), self.waiting.back()) {
             (Some(first), Some(last)) => first.read < last.read,
             _ => false,
         };
-        self.waiting.extend(self.fresh.drain(..));
-        if late {
+        self.waiting.extend(self.loaded.drain(..));
+        if overlapping {
             // Both runs are sorted, so that the stable sort merges them.
             self.waiting.make_contiguous().sort_by_key(|row| row.read);
         }
@@ -113,10 +113,10 @@
 /// Rows of many files in the order of time, then of the inputs.
 pub struct Merge<R> {
     pub sources: Vec<RowSource<R>>,
-    heads: BinaryHeap<Reverse<(i64, usize)>>,
-    begun: bool,
+    next_times: BinaryHeap<Reverse<(i64, usize)>>,
+    started: bool,
     /// Input and identity of the rows with the current time, to detect duplicates.
-    present: Vec<(usize, AttemptIdentity)>,
+    current: Vec<(usize, AttemptIdentity)>,
     now: i64,
     pub report: MergeReport,
 }
@@ -130,19 +130,19 @@
 
 impl<R: Read + Seek> Merge<R> {
     pub fn new(sources: Vec<RowSource<R>>) -> Merge<R> {
-        let (heads, present) = (BinaryHeap::new(), Vec::new());
-        Merge { sources, heads, begun: false, present, now: i64::MIN, report: MergeReport::default() }
+        let (next_times, current) = (BinaryHeap::new(), Vec::new());
+        Merge { sources, next_times, started: false, current, now: i64::MIN, report: MergeReport::default() }
     }
 
     pub fn next(&mut self, names: &mut Names) -> Result<Option<Row>, TraceError> {
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.started, true) {
             for at in 0..self.sources.len() {
                 if let Some(time) = self.sources[at].peek(names)? {
-                    self.heads.push(Reverse((time, at)));
+                    self.next_times.push(Reverse((time, at)));
                 }
             }
         }
-        while let Some(mut top) = self.heads.peek_mut() {
+        while let Some(mut top) = self.next_times.peek_mut() {
             let at = top.0 .1;
             let source = &mut self.sources[at];
             let Some(row) = source.pop() else {
@@ -158,14 +158,14 @@
             if self.sources.len() > 1 {
                 if self.now != row.read {
                     self.now = row.read;
-                    self.present.clear();
+                    self.current.clear();
                 }
-                let own = attempt_identity(&row);
-                if self.present.iter().any(|(from, known)| *from != at && *known == own) {
+                let identity = attempt_identity(&row);
+                if self.current.iter().any(|(from, known)| *from != at && *known == identity) {
                     self.report.duplicates += 1;
                     continue;
                 }
-                self.present.push((at, own));
+                self.current.push((at, identity));
             }
             self.report.rows += 1;
             return Ok(Some(row));
@@ -185,18 +185,18 @@
 pub struct BlockWriter<'a, W: Write> {
     rows: Vec<Row>,
     notes: Vec<Note>,
-    most: usize,
+    block_rows: usize,
     out: &'a mut Writer<W>,
 }
 
 impl<'a, W: Write> BlockWriter<'a, W> {
-    pub fn new(most: usize, out: &'a mut Writer<W>) -> BlockWriter<'a, W> {
-        BlockWriter { rows: Vec::new(), notes: Vec::new(), most, out }
+    pub fn new(block_rows: usize, out: &'a mut Writer<W>) -> BlockWriter<'a, W> {
+        BlockWriter { rows: Vec::new(), notes: Vec::new(), block_rows, out }
     }
     /// Adds a row. Returns whether this completed a block.
     pub fn write_row(&mut self, names: &Names, row: Row) -> io::Result<bool> {
         self.rows.push(row);
-        let full = self.rows.len() >= self.most;
+        let full = self.rows.len() >= self.block_rows;
         if full {
             self.out.write_block(&encode_rows(names, &mut self.rows))?;
             self.rows.clear();
@@ -205,7 +205,7 @@
     }
     pub fn write_note(&mut self, names: &Names, note: Note) -> io::Result<()> {
         self.notes.push(note);
-        if self.notes.len() >= self.most {
+        if self.notes.len() >= self.block_rows {
             self.out.write_block(&encode_notes(names, &mut self.notes))?;
             self.notes.clear();
         }
--- a/crates/trace/src/open.rs
+++ b/crates/trace/src/open.rs
@@ -34,13 +34,13 @@
 }
 
 /// Frames of version 1 that are grouped into one block.
-const FRAMES: u32 = 4096;
+const FRAMES_PER_BLOCK: u32 = 4096;
 /// Bytes read at a time while scanning a file without a usable index.
-const CHUNK: usize = 1 << 20;
+const SCAN_CHUNK_BYTES: usize = 1 << 20;
 
 /// An open trace file.
 pub struct Trace<R> {
-    from: R,
+    source: R,
     pub len: u64,
     pub major: u16,
     pub minor: u16,
@@ -52,10 +52,10 @@
 }
 
 impl<R: Read + Seek> Trace<R> {
-    pub fn open(mut from: R) -> Result<Trace<R>, TraceError> {
-        let len = from.seek(SeekFrom::End(0))?;
+    pub fn open(mut source: R) -> Result<Trace<R>, TraceError> {
+        let len = source.seek(SeekFrom::End(0))?;
         let mut trace = Trace {
-            from,
+            source,
             len,
             major: file::MAJOR,
             minor: 0,
@@ -64,7 +64,7 @@
             entries: Vec::new(),
             damage: Vec::new(),
         };
-        let front = trace.bytes(0, len.min(HEADER_BYTES as u64) as usize)?;
+        let front = trace.read_at(0, len.min(HEADER_BYTES as u64) as usize)?;
         if front.len() < HEADER_BYTES {
             return Err(TraceError::NotATrace(if front.is_empty() {
                 "file is empty"
@@ -72,7 +72,7 @@
                 "file ends within its header"
             }));
         }
-        let begin = match trace.header(&front)? {
+        let begin = match trace.read_header(&front)? {
             Some(begin) => begin,
             None => {
                 // A damaged header loses the node's name only, as long as blocks can be read.
@@ -81,35 +81,37 @@
                 8
             }
         };
-        let known = trace.damage.is_empty();
+        let header_valid = trace.damage.is_empty();
         if trace.major == v1::MAJOR {
-            trace.frames(begin)?;
-        } else if !trace.index()? {
-            trace.scan(begin)?;
-            if !known && trace.entries.is_empty() {
+            trace.scan_frames(begin)?;
+        } else if !trace.read_index()? {
+            trace.scan_blocks(begin)?;
+            if !header_valid && trace.entries.is_empty() {
                 (trace.major, trace.damage) = (v1::MAJOR, trace.damage.drain(..1).collect());
-                trace.frames(begin)?;
+                trace.scan_frames(begin)?;
             }
         }
         // The bytes between a damaged header and the first block belong to the same damage.
-        if !known && trace.damage.get(1).is_some_and(|next| next.offset == begin && next.rows.is_none()) {
+        if !header_valid
+            && trace.damage.get(1).is_some_and(|next| next.offset == begin && next.rows.is_none())
+        {
             let rest = trace.damage.remove(1);
             trace.damage[0].len = rest.offset + rest.len;
         }
-        if !known && trace.entries.is_empty() {
+        if !header_valid && trace.entries.is_empty() {
             return Err(TraceError::NotATrace("no valid header or block found"));
         }
         Ok(trace)
     }
 
     /// Returns the offset of the first block, or `None` if the header is damaged.
-    fn header(&mut self, front: &[u8]) -> Result<Option<u64>, TraceError> {
+    fn read_header(&mut self, front: &[u8]) -> Result<Option<u64>, TraceError> {
         let mut at = Cursor(&front[8..]);
         let (Ok(major), Ok(minor), Ok(text)) = (at.u16(), at.u16(), at.u32()) else { return Ok(None) };
         if front[..8] != MAGIC || text as usize > file::MAX_HEADER_TEXT_BYTES {
             return Ok(None);
         }
-        let whole = self.bytes(0, HEADER_BYTES + text as usize + 4)?;
+        let whole = self.read_at(0, HEADER_BYTES + text as usize + 4)?;
         let Some((bytes, crc)) = whole.split_last_chunk::<4>() else { return Ok(None) };
         if whole.len() < HEADER_BYTES + text as usize + 4 || crc32c::crc32c(bytes).to_le_bytes() != *crc {
             return Ok(None);
@@ -123,13 +125,13 @@
     }
 
     /// Reads up to `len` bytes, fewer at the end of the file.
-    fn bytes(&mut self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
+    fn read_at(&mut self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
         let len = len.min(usize::try_from(self.len.saturating_sub(offset)).unwrap_or(usize::MAX));
-        self.from.seek(SeekFrom::Start(offset))?;
+        self.source.seek(SeekFrom::Start(offset))?;
         let mut bytes = vec![0; len];
         let mut have = 0;
         while have < len {
-            match self.from.read(&mut bytes[have..]) {
+            match self.source.read(&mut bytes[have..]) {
                 Ok(0) => break,
                 Ok(count) => have += count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -141,16 +143,16 @@
     }
 
     /// Reads trailer and index. Returns whether both are valid.
-    fn index(&mut self) -> io::Result<bool> {
+    fn read_index(&mut self) -> io::Result<bool> {
         let Some(at) = self.len.checked_sub(TRAILER_BYTES as u64) else { return Ok(false) };
-        let trailer = self.bytes(at, TRAILER_BYTES)?;
+        let trailer = self.read_at(at, TRAILER_BYTES)?;
         let mut from = Cursor(&trailer);
         let (Ok(offset), Ok(len), Ok(crc)) = (from.u64(), from.u32(), from.u32()) else { return Ok(false) };
-        let sound = from.0 == file::END_MAGIC && crc32c::crc32c(&trailer[..12]) == crc;
-        if !sound || offset.checked_add(BLOCK_HEADER_BYTES as u64 + u64::from(len)) != Some(at) {
+        let valid = from.0 == file::END_MAGIC && crc32c::crc32c(&trailer[..12]) == crc;
+        if !valid || offset.checked_add(BLOCK_HEADER_BYTES as u64 + u64::from(len)) != Some(at) {
             return Ok(false);
         }
-        let block = self.bytes(offset, BLOCK_HEADER_BYTES + len as usize)?;
+        let block = self.read_at(offset, BLOCK_HEADER_BYTES + len as usize)?;
         let Some(header) = BlockHeader::decode(&block) else { return Ok(false) };
         let body = &block[BLOCK_HEADER_BYTES..];
         if header.kind != BlockKind::Index || crc32c::crc32c(body) != header.crc_body {
@@ -165,16 +167,16 @@
     }
 
     /// Finds the blocks of a file without an index.
-    fn scan(&mut self, begin: u64) -> io::Result<()> {
+    fn scan_blocks(&mut self, begin: u64) -> io::Result<()> {
         let (mut at, mut behind_index) = (begin, false);
         while at < self.len {
             // The trailer follows the index and holds no records.
             if std::mem::take(&mut behind_index) && self.len - at <= TRAILER_BYTES as u64 {
                 return Ok(());
             }
-            let bytes = self.bytes(at, BLOCK_HEADER_BYTES)?;
+            let bytes = self.read_at(at, BLOCK_HEADER_BYTES)?;
             let Some(header) = BlockHeader::decode(&bytes) else {
-                let next = self.search(at + 1)?;
+                let next = self.find_block(at + 1)?;
                 let end = next.unwrap_or(self.len);
                 let problem = if next.is_some() { "block header is invalid" } else { "torn end" };
                 self.damage.push(Damage { offset: at, len: end - at, rows: None, problem });
@@ -184,7 +186,7 @@
             let whole = header.block_len();
             if at + whole > self.len {
                 // Either the file is torn here, or the length is wrong and more blocks follow.
-                let next = self.search(at + 1)?;
+                let next = self.find_block(at + 1)?;
                 let end = next.unwrap_or(self.len);
                 let rows = Some(header.rows);
                 self.damage.push(Damage { offset: at, len: end - at, rows, problem: "torn end" });
@@ -192,7 +194,7 @@
                 continue;
             }
             if matches!(header.kind, BlockKind::Rows | BlockKind::Notes) {
-                let head = self.bytes(at + BLOCK_HEADER_BYTES as u64, header.head as usize)?;
+                let head = self.read_at(at + BLOCK_HEADER_BYTES as u64, header.head as usize)?;
                 let read = (crc32c::crc32c(&head) == header.crc_head)
                     .then(|| block::read_head(&mut Names::default(), &head).ok());
                 match read.flatten() {
@@ -219,45 +221,45 @@
     }
 
     /// Returns the offset of the first block header at or after `at`.
-    fn search(&mut self, mut at: u64) -> io::Result<Option<u64>> {
+    fn find_block(&mut self, mut at: u64) -> io::Result<Option<u64>> {
         while at < self.len {
-            let bytes = self.bytes(at, CHUNK + BLOCK_HEADER_BYTES)?;
-            let found = (0..bytes.len().min(CHUNK)).find(|place| {
-                bytes[*place] == file::BLOCK_MAGIC[0] && BlockHeader::decode(&bytes[*place..]).is_some()
+            let bytes = self.read_at(at, SCAN_CHUNK_BYTES + BLOCK_HEADER_BYTES)?;
+            let found = (0..bytes.len().min(SCAN_CHUNK_BYTES)).find(|position| {
+                bytes[*position] == file::BLOCK_MAGIC[0] && BlockHeader::decode(&bytes[*position..]).is_some()
             });
-            if let Some(place) = found {
-                return Ok(Some(at + place as u64));
+            if let Some(position) = found {
+                return Ok(Some(at + position as u64));
             }
-            at += CHUNK as u64;
+            at += SCAN_CHUNK_BYTES as u64;
         }
         Ok(None)
     }
 
     /// Finds the frames of a version 1 file.
-    fn frames(&mut self, begin: u64) -> io::Result<()> {
+    fn scan_frames(&mut self, begin: u64) -> io::Result<()> {
         let new = |offset, kind| IndexEntry { offset, len: 0, kind, rows: 0, from: i64::MAX, to: i64::MIN };
         let (mut rows, mut notes) = (new(begin, BlockKind::Rows), new(begin, BlockKind::Notes));
-        let (mut at, mut bad) = (begin, None);
+        let (mut at, mut damage_start) = (begin, None);
         let (mut bytes, mut base) = (Vec::new(), begin);
         // The read-ahead covers the longest frame, so that no frame is split between reads.
-        let most = v1::FRAME_HEADER_BYTES + usize::from(u16::MAX);
+        let max_frame_bytes = v1::FRAME_HEADER_BYTES + usize::from(u16::MAX);
         while at < self.len {
             let behind = (at - base) as usize;
-            if bytes.len().saturating_sub(behind) < most && base + (bytes.len() as u64) < self.len
+            if bytes.len().saturating_sub(behind) < max_frame_bytes && base + (bytes.len() as u64) < self.len
                 || bytes.is_empty()
             {
-                (bytes, base) = (self.bytes(at, CHUNK + most)?, at);
+                (bytes, base) = (self.read_at(at, SCAN_CHUNK_BYTES + max_frame_bytes)?, at);
                 continue;
             }
             let here = &bytes[behind..];
             let Some(payload) = v1::frame(here) else {
-                bad.get_or_insert(at);
+                damage_start.get_or_insert(at);
                 // Continue at the next byte that may start a frame.
                 let skip = here[1..].iter().position(|b| *b == v1::FRAME_MARK).map_or(here.len(), |p| p + 1);
                 at += skip as u64;
                 continue;
             };
-            if let Some(from) = bad.take() {
+            if let Some(from) = damage_start.take() {
                 self.damage.push(Damage {
                     offset: from,
                     len: at - from,
@@ -274,66 +276,70 @@
                 }
                 entry.len = end - entry.offset;
             }
-            if rows.rows >= FRAMES || notes.rows >= FRAMES {
+            if rows.rows >= FRAMES_PER_BLOCK || notes.rows >= FRAMES_PER_BLOCK {
                 self.entries.extend([rows, notes].into_iter().filter(|entry| entry.rows > 0));
                 (rows, notes) = (new(end, BlockKind::Rows), new(end, BlockKind::Notes));
             }
             at = end;
         }
         self.entries.extend([rows, notes].into_iter().filter(|entry| entry.rows > 0));
-        if let Some(from) = bad {
+        if let Some(from) = damage_start {
             self.damage.push(Damage { offset: from, len: self.len - from, rows: None, problem: "torn end" });
         }
         // Version 1 has no trailer: a file that ends with a complete frame counts as sealed.
-        self.sealed = bad.is_none();
+        self.sealed = damage_start.is_none();
         Ok(())
     }
 
-    fn wrong(entry: &IndexEntry, bad: DecodeError) -> TraceError {
+    fn damaged_block(entry: &IndexEntry, bad: DecodeError) -> TraceError {
         TraceError::DamagedBlock { offset: entry.offset, problem: bad.0 }
     }
 
     /// Reads a version 2 block, verifies its checksums and returns its bytes with the length of its head. Without
     /// `with_body`, the bytes end after the head.
-    fn block(&mut self, entry: &IndexEntry, with_body: bool) -> Result<(Vec<u8>, usize), TraceError> {
-        let wrong = |problem| Self::wrong(entry, DecodeError(problem));
+    fn read_block(&mut self, entry: &IndexEntry, with_body: bool) -> Result<(Vec<u8>, usize), TraceError> {
+        let damaged = |problem| Self::damaged_block(entry, DecodeError(problem));
         // The index is not trusted beyond the largest size of a block.
         let whole = usize::try_from(entry.len)
             .unwrap_or(usize::MAX)
             .min(BLOCK_HEADER_BYTES + 2 * file::MAX_STORED_BYTES);
-        let mut bytes = self.bytes(entry.offset, if with_body { whole } else { BLOCK_HEADER_BYTES })?;
-        let header = BlockHeader::decode(&bytes).ok_or(wrong("block header is invalid"))?;
+        let mut bytes = self.read_at(entry.offset, if with_body { whole } else { BLOCK_HEADER_BYTES })?;
+        let header = BlockHeader::decode(&bytes).ok_or(damaged("block header is invalid"))?;
         if header.block_len() != entry.len || header.kind != entry.kind || header.rows != entry.rows {
-            return Err(wrong("block header differs from the index"));
+            return Err(damaged("block header differs from the index"));
         }
         let head = header.head as usize;
         if !with_body {
-            bytes.extend(self.bytes(entry.offset + BLOCK_HEADER_BYTES as u64, head)?);
+            bytes.extend(self.read_at(entry.offset + BLOCK_HEADER_BYTES as u64, head)?);
         }
         if bytes.len() < BLOCK_HEADER_BYTES + head || with_body && bytes.len() < whole {
-            return Err(wrong("block is truncated"));
+            return Err(damaged("block is truncated"));
         }
         if crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES..BLOCK_HEADER_BYTES + head]) != header.crc_head {
-            return Err(wrong("block head checksum mismatch"));
+            return Err(damaged("block head checksum mismatch"));
         }
         if with_body && crc32c::crc32c(&bytes[BLOCK_HEADER_BYTES + head..]) != header.crc_body {
-            return Err(wrong("block checksum mismatch"));
+            return Err(damaged("block checksum mismatch"));
         }
         Ok((bytes, head))
     }
 
     /// Reads a block and decodes its head. Returns the head, the bytes and the offset of the body in them.
-    fn read(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<(Head, Vec<u8>, usize), TraceError> {
-        let (bytes, head) = self.block(entry, true)?;
+    fn read_block_with_head(
+        &mut self,
+        entry: &IndexEntry,
+        names: &mut Names,
+    ) -> Result<(Head, Vec<u8>, usize), TraceError> {
+        let (bytes, head) = self.read_block(entry, true)?;
         let body = BLOCK_HEADER_BYTES + head;
         let head = block::read_head(names, &bytes[BLOCK_HEADER_BYTES..body])
-            .map_err(|bad| Self::wrong(entry, bad))?;
+            .map_err(|bad| Self::damaged_block(entry, bad))?;
         Ok((head, bytes, body))
     }
 
     /// Returns a whole block in its encoded form.
     pub fn encoded_block(&mut self, entry: &IndexEntry) -> Result<file::EncodedBlock, TraceError> {
-        let (bytes, _) = self.block(entry, true)?;
+        let (bytes, _) = self.read_block(entry, true)?;
         Ok(file::EncodedBlock { kind: entry.kind, rows: entry.rows, from: entry.from, to: entry.to, bytes })
     }
 
@@ -348,8 +354,8 @@
             self.rows(entry, names, &mut rows)?;
             return Ok(block::encode_rows(names, &mut rows).0);
         }
-        let (bytes, _) = self.block(entry, false)?;
-        block::read_head(names, &bytes[BLOCK_HEADER_BYTES..]).map_err(|bad| Self::wrong(entry, bad))
+        let (bytes, _) = self.read_block(entry, false)?;
+        block::read_head(names, &bytes[BLOCK_HEADER_BYTES..]).map_err(|bad| Self::damaged_block(entry, bad))
     }
 
     /// Appends the rows of a block to `into`, sorted by read time.
@@ -372,10 +378,10 @@
             into[had..].sort_by_key(|row| row.read);
             return Ok(());
         }
-        let (head, bytes, body) = self.read(entry, names)?;
+        let (head, bytes, body) = self.read_block_with_head(entry, names)?;
         block::read_rows(names, &head, &bytes[body..], into).map_err(|bad| {
             into.truncate(had);
-            Self::wrong(entry, bad)
+            Self::damaged_block(entry, bad)
         })
     }
 
@@ -396,10 +402,10 @@
                 }
             });
         }
-        let (head, bytes, body) = self.read(entry, names)?;
+        let (head, bytes, body) = self.read_block_with_head(entry, names)?;
         block::read_notes(&head, &bytes[body..], into).map_err(|bad| {
             into.truncate(had);
-            Self::wrong(entry, bad)
+            Self::damaged_block(entry, bad)
         })
     }
 
@@ -409,7 +415,7 @@
         names: &mut Names,
         mut each: impl FnMut(v1::Frame),
     ) -> Result<(), TraceError> {
-        let bytes = self.bytes(entry.offset, entry.len as usize)?;
+        let bytes = self.read_at(entry.offset, entry.len as usize)?;
         let mut rest = &bytes[..];
         while !rest.is_empty() {
             match v1::frame(rest) {
@@ -431,10 +437,10 @@
         let mut sizes = [0u64; 32];
         if self.major == file::MAJOR {
             for entry in self.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
-                let (bytes, head) = self.block(entry, true)?;
+                let (bytes, head) = self.read_block(entry, true)?;
                 sizes[0] += (head + BLOCK_HEADER_BYTES) as u64;
                 let sections = block::Sections::new(&bytes[BLOCK_HEADER_BYTES + head..])
-                    .map_err(|bad| Self::wrong(entry, bad))?;
+                    .map_err(|bad| Self::damaged_block(entry, bad))?;
                 sections.sizes().for_each(|(id, len)| sizes[usize::from(id) % 32] += len as u64);
             }
         }
--- a/crates/trace/src/recorder/mod.rs
+++ b/crates/trace/src/recorder/mod.rs
@@ -16,9 +16,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Capacity of the ring, in records.
-const RING: usize = 2048;
+const RING_CAPACITY: usize = 2048;
 /// Sleep of the recorder thread while the ring is empty.
-const LOOK: Duration = Duration::from_millis(100);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Record of one attempt of a request.
 #[derive(Clone, Copy, Debug)]
@@ -43,8 +43,8 @@
     steps: [u8; MAX_STEPS],
     /// Time since the previous step, in us.
     spans: [u32; MAX_STEPS],
-    count: u8,
-    at: f64,
+    step_count: u8,
+    last_step_at: f64,
 }
 
 impl RequestRecord {
@@ -65,28 +65,28 @@
             key: None,
             steps: [0; MAX_STEPS],
             spans: [0; MAX_STEPS],
-            count: 0,
-            at: read,
+            step_count: 0,
+            last_step_at: read,
         }
     }
 
     /// Adds a step. Once the path is full, a marker for omitted steps and the latest step take its last two places, and a
     /// final step stays.
     pub fn add_step(&mut self, now: f64, step: Step) {
-        let mut span = micros(now - self.at);
-        self.at = now;
-        if usize::from(self.count) == MAX_STEPS {
-            let decisive = Step(self.steps[MAX_STEPS - 1]).is_final();
-            if decisive {
+        let mut span = micros(now - self.last_step_at);
+        self.last_step_at = now;
+        if usize::from(self.step_count) == MAX_STEPS {
+            let is_final = Step(self.steps[MAX_STEPS - 1]).is_final();
+            if is_final {
                 return;
             }
             span = span.saturating_add(self.spans[MAX_STEPS - 1]);
             self.steps[MAX_STEPS - 2] = Step::MORE.0;
-            self.count -= 1;
+            self.step_count -= 1;
         }
-        let at = usize::from(self.count);
-        (self.steps[at], self.spans[at]) = (step.0, span);
-        self.count += 1;
+        let index = usize::from(self.step_count);
+        (self.steps[index], self.spans[index]) = (step.0, span);
+        self.step_count += 1;
     }
 }
 
@@ -98,7 +98,7 @@
 // Boxing the larger variant would allocate on the request path.
 #[allow(clippy::large_enum_variant)]
 enum Item {
-    Txn(RequestRecord),
+    Request(RequestRecord),
     Note { at: f64, topic: Topic, value: f32 },
 }
 
@@ -130,16 +130,16 @@
 
 impl TraceStorage for TraceDirectory {
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
-        let mut all = Vec::new();
+        let mut files = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
             if name.starts_with(&self.prefix) && name.ends_with(".trace") {
-                all.push(StoredFile { name, bytes: entry.metadata().map_or(0, |meta| meta.len()) });
+                files.push(StoredFile { name, bytes: entry.metadata().map_or(0, |meta| meta.len()) });
             }
         }
-        all.sort_by(|a, b| a.name.cmp(&b.name));
-        Ok(all)
+        files.sort_by(|a, b| a.name.cmp(&b.name));
+        Ok(files)
     }
     fn create(&mut self, name: &str) -> io::Result<Box<dyn Write + Send>> {
         let file = std::fs::OpenOptions::new().write(true).create_new(true).open(self.path.join(name))?;
@@ -153,9 +153,9 @@
 struct Shared {
     ring: ArrayQueue<Item>,
     /// Records that found the ring full since the thread last checked, and all lost records.
-    full: AtomicU64,
-    lost: AtomicU64,
-    ending: AtomicBool,
+    ring_overflows: AtomicU64,
+    lost_records: AtomicU64,
+    shutting_down: AtomicBool,
 }
 
 /// Producer side of the recorder.
@@ -171,47 +171,47 @@
 impl Recorder {
     /// Starts a recorder thread. `complain` receives a log line for each failure.
     pub fn start(
-        told: RecorderConfig,
-        place: impl TraceStorage,
-        stack: usize,
-        complain: impl FnMut(&str) + Send + 'static,
+        config: RecorderConfig,
+        storage: impl TraceStorage,
+        stack_bytes: usize,
+        on_error: impl FnMut(&str) + Send + 'static,
     ) -> io::Result<(Recorder, RecorderHandle)> {
         let shared = Arc::new(Shared {
-            ring: ArrayQueue::new(RING),
-            full: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
-            ending: AtomicBool::new(false),
+            ring: ArrayQueue::new(RING_CAPACITY),
+            ring_overflows: AtomicU64::new(0),
+            lost_records: AtomicU64::new(0),
+            shutting_down: AtomicBool::new(false),
         });
-        let worker = RecorderThread::new(told, place, shared.clone(), complain);
-        let builder = thread::Builder::new().name("trace".into()).stack_size(stack);
-        let thread = builder.spawn(move || worker.work())?;
+        let worker = RecorderThread::new(config, storage, shared.clone(), on_error);
+        let builder = thread::Builder::new().name("trace".into()).stack_size(stack_bytes);
+        let thread = builder.spawn(move || worker.run())?;
         Ok((Recorder(shared.clone()), RecorderHandle { shared, thread }))
     }
 
-    pub fn record_request(&self, entry: &RequestRecord) {
-        self.put(Item::Txn(*entry));
+    pub fn record_request(&self, record: &RequestRecord) {
+        self.push(Item::Request(*record));
     }
     pub fn record_note(&self, at: f64, topic: Topic, value: f64) {
-        self.put(Item::Note { at, topic, value: value as f32 });
+        self.push(Item::Note { at, topic, value: value as f32 });
     }
-    fn put(&self, item: Item) {
+    fn push(&self, item: Item) {
         if self.0.ring.push(item).is_err() {
-            self.0.full.fetch_add(1, Ordering::Relaxed);
+            self.0.ring_overflows.fetch_add(1, Ordering::Relaxed);
         }
     }
     /// Returns the number of records lost so far.
     pub fn lost_records(&self) -> u64 {
-        self.0.lost.load(Ordering::Relaxed) + self.0.full.load(Ordering::Relaxed)
+        self.0.lost_records.load(Ordering::Relaxed) + self.0.ring_overflows.load(Ordering::Relaxed)
     }
 }
 
 impl RecorderHandle {
     /// Writes pending records and seals the file. Returns after `within` at the latest, so that a hanging disk cannot block.
-    pub fn shutdown(self, within: Duration) {
-        self.shared.ending.store(true, Ordering::Release);
+    pub fn shutdown(self, timeout: Duration) {
+        self.shared.shutting_down.store(true, Ordering::Release);
         self.thread.thread().unpark();
-        let begun = std::time::Instant::now();
-        while !self.thread.is_finished() && begun.elapsed() < within {
+        let started = std::time::Instant::now();
+        while !self.thread.is_finished() && started.elapsed() < timeout {
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -220,10 +220,10 @@
 /// State of the recorder thread.
 struct RecorderThread<P, C> {
     rotation: Rotation,
-    place: P,
-    complain: C,
+    storage: P,
+    on_error: C,
     shared: Arc<Shared>,
-    told: RecorderConfig,
+    config: RecorderConfig,
     names: Names,
     node: u32,
     products: Vec<u32>,
@@ -231,10 +231,10 @@
     rows: Vec<Row>,
     notes: Vec<Note>,
     out: Option<(String, Writer<Box<dyn Write + Send>>)>,
-    serial: u32,
+    file_count: u32,
 }
 
-fn unix() -> f64 {
+fn unix_now() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |span| span.as_secs_f64())
 }
 
@@ -250,58 +250,63 @@
 }
 
 impl<P: TraceStorage, C: FnMut(&str)> RecorderThread<P, C> {
-    fn new(told: RecorderConfig, mut place: P, shared: Arc<Shared>, mut complain: C) -> RecorderThread<P, C> {
+    fn new(
+        config: RecorderConfig,
+        mut storage: P,
+        shared: Arc<Shared>,
+        mut on_error: C,
+    ) -> RecorderThread<P, C> {
         let mut names = Names::default();
-        let files = place.list().unwrap_or_else(|e| {
-            complain(&format!("trace: cannot list the trace directory: {e}"));
+        let files = storage.list().unwrap_or_else(|e| {
+            on_error(&format!("trace: cannot list the trace directory: {e}"));
             Vec::new()
         });
         RecorderThread {
-            rotation: Rotation::new(told.limits.clone(), files),
-            node: names.intern(&told.node),
-            products: told.products.iter().map(|product| names.intern_product(product)).collect(),
-            customers: told.customers.iter().map(|customer| names.intern(customer)).collect(),
+            rotation: Rotation::new(config.limits.clone(), files),
+            node: names.intern(&config.node),
+            products: config.products.iter().map(|product| names.intern_product(product)).collect(),
+            customers: config.customers.iter().map(|customer| names.intern(customer)).collect(),
             names,
-            place,
-            complain,
+            storage,
+            on_error,
             shared,
-            told,
+            config,
             rows: Vec::new(),
             notes: Vec::new(),
             out: None,
-            serial: 0,
+            file_count: 0,
         }
     }
 
-    fn work(mut self) {
+    fn run(mut self) {
         loop {
-            let ending = self.shared.ending.load(Ordering::Acquire);
-            let now = unix();
-            let more = self.gather(now);
-            if ending && !more {
+            let shutting_down = self.shared.shutting_down.load(Ordering::Acquire);
+            let now = unix_now();
+            let ring_has_more = self.drain_ring(now);
+            if shutting_down && !ring_has_more {
                 self.rotation.begin_shutdown();
             }
-            while let Some(act) = self.rotation.next_action(now) {
-                self.act(now, act);
+            while let Some(action) = self.rotation.next_action(now) {
+                self.perform(now, action);
             }
-            self.shared.lost.store(self.rotation.dropped, Ordering::Relaxed);
-            if ending && !more && self.rotation.is_finished(now) {
+            self.shared.lost_records.store(self.rotation.dropped, Ordering::Relaxed);
+            if shutting_down && !ring_has_more && self.rotation.is_finished(now) {
                 return;
             }
-            if !more {
-                thread::park_timeout(LOOK);
+            if !ring_has_more {
+                thread::park_timeout(IDLE_POLL_INTERVAL);
             }
         }
     }
 
     /// Moves records from the ring until a file action is due. Returns `false` once the ring is empty. Records wait in the
     /// ring during slow writes.
-    fn gather(&mut self, now: f64) -> bool {
-        self.rotation.add_lost(self.shared.full.swap(0, Ordering::Relaxed));
+    fn drain_ring(&mut self, now: f64) -> bool {
+        self.rotation.add_lost(self.shared.ring_overflows.swap(0, Ordering::Relaxed));
         while self.rotation.next_action(now).is_none() {
             let Some(item) = self.shared.ring.pop() else { return false };
-            if let Item::Txn(entry) = &item {
-                if !self.sampled(entry) {
+            if let Item::Request(record) = &item {
+                if !self.is_sampled(record) {
                     continue;
                 }
             }
@@ -309,8 +314,8 @@
                 continue;
             }
             match item {
-                Item::Txn(entry) => {
-                    let row = self.row(&entry);
+                Item::Request(record) => {
+                    let row = self.row(&record);
                     self.rows.push(row);
                 }
                 Item::Note { at, topic, value } => {
@@ -322,40 +327,41 @@
     }
 
     /// Returns whether a record belongs to the sample.
-    fn sampled(&self, entry: &RequestRecord) -> bool {
-        let named = entry.key.as_ref().map_or(&entry.name[..], |key| &key[..]);
-        self.told.sample <= 1 || keyed_hash(&self.told.key, named).is_multiple_of(u64::from(self.told.sample))
+    fn is_sampled(&self, record: &RequestRecord) -> bool {
+        let sample_key = record.key.as_ref().map_or(&record.name[..], |key| &key[..]);
+        self.config.sample <= 1
+            || keyed_hash(&self.config.key, sample_key).is_multiple_of(u64::from(self.config.sample))
     }
 
-    fn row(&mut self, entry: &RequestRecord) -> Row {
-        let count = usize::from(entry.count);
-        let name = |at: usize, all: &[u32], names: &mut Names| {
-            all.get(at).copied().unwrap_or_else(|| names.intern(""))
+    fn row(&mut self, record: &RequestRecord) -> Row {
+        let count = usize::from(record.step_count);
+        let number = |index: usize, numbers: &[u32], names: &mut Names| {
+            numbers.get(index).copied().unwrap_or_else(|| names.intern(""))
         };
         Row {
-            read: (entry.read * 1e6) as i64,
-            unread: micros(entry.unread),
+            read: (record.read * 1e6) as i64,
+            unread: micros(record.unread),
             node: self.node,
-            product: self.products.get(usize::from(entry.product)).copied().unwrap_or(0),
-            customer: name(entry.customer as usize, &self.customers, &mut self.names),
-            caller: entry.caller,
-            rank: (entry.rank * 64.0) as u8,
-            hint: micros(entry.hint),
-            memory: (entry.memory * 1024.0).clamp(0.0, f64::from(u32::MAX)) as u32,
-            flags: if entry.repeat { REPEAT } else { 0 } | if entry.last { LAST } else { 0 },
-            name: keyed_hash(&self.told.key, &entry.name) as u32,
-            key: entry.key.map_or(0, |key| request_key_hash(&self.told.key, &key)),
-            keep_off: (entry.keep_off * 1e3).ceil().clamp(0.0, f64::from(u32::MAX)) as u32,
-            path: self.names.intern_path(&entry.steps[..count]),
-            spans: entry.spans[..count].iter().copied().collect(),
+            product: self.products.get(usize::from(record.product)).copied().unwrap_or(0),
+            customer: number(record.customer as usize, &self.customers, &mut self.names),
+            caller: record.caller,
+            rank: (record.rank * 64.0) as u8,
+            hint: micros(record.hint),
+            memory: (record.memory * 1024.0).clamp(0.0, f64::from(u32::MAX)) as u32,
+            flags: if record.repeat { REPEAT } else { 0 } | if record.last { LAST } else { 0 },
+            name: keyed_hash(&self.config.key, &record.name) as u32,
+            key: record.key.map_or(0, |key| request_key_hash(&self.config.key, &key)),
+            keep_off: (record.keep_off * 1e3).ceil().clamp(0.0, f64::from(u32::MAX)) as u32,
+            path: self.names.intern_path(&record.steps[..count]),
+            spans: record.spans[..count].iter().copied().collect(),
         }
     }
 
-    fn act(&mut self, now: f64, act: Action) {
-        match act {
+    fn perform(&mut self, now: f64, action: Action) {
+        match action {
             Action::OpenFile => {
                 let opened = self.open(now);
-                let bytes = self.failing(opened, "cannot create a trace file");
+                let bytes = self.report_failure(opened, "cannot create a trace file");
                 self.rotation.opened(now, bytes);
             }
             Action::WriteBlock => {
@@ -365,7 +371,7 @@
                     self.notes.push(Note { at, node: self.node, topic, value: lost as f32 });
                 }
                 let wrote = self.write();
-                let bytes = self.failing(wrote, "cannot write a block");
+                let bytes = self.report_failure(wrote, "cannot write a block");
                 if bytes.is_none() {
                     self.rotation.restore_unreported(lost);
                 }
@@ -376,9 +382,9 @@
             Action::SealFile => {
                 let Some((name, out)) = self.out.take() else { return };
                 let bytes = out.len();
-                let sealed = out.seal().map(|_| bytes);
-                let well = self.failing(sealed, "cannot seal the trace file").is_some();
-                self.rotation.closed(now, StoredFile { name, bytes }, well);
+                let result = out.seal().map(|_| bytes);
+                let sealed = self.report_failure(result, "cannot seal the trace file").is_some();
+                self.rotation.closed(now, StoredFile { name, bytes }, sealed);
             }
             Action::AbandonFile => {
                 let (name, bytes) =
@@ -386,21 +392,21 @@
                 self.rotation.closed(now, StoredFile { name, bytes }, true);
             }
             Action::RemoveFile(name) => {
-                let removed = self.place.remove(&name).or_else(|e| match e.kind() {
+                let removed = self.storage.remove(&name).or_else(|e| match e.kind() {
                     io::ErrorKind::NotFound => Ok(()),
                     _ => Err(e),
                 });
-                self.failing(removed, "cannot delete the oldest trace file");
+                self.report_failure(removed, "cannot delete the oldest trace file");
                 self.rotation.removed();
             }
         }
     }
 
     fn open(&mut self, now: f64) -> io::Result<u64> {
-        self.serial += 1;
-        let name = format!("{}-{:010}-{:04}.trace", self.told.node, now as u64, self.serial);
-        let out = self.place.create(&name)?;
-        let meta = FileMetadata { node: self.told.node.clone(), created: (now * 1e6) as i64 };
+        self.file_count += 1;
+        let name = format!("{}-{:010}-{:04}.trace", self.config.node, now as u64, self.file_count);
+        let out = self.storage.create(&name)?;
+        let meta = FileMetadata { node: self.config.node.clone(), created: (now * 1e6) as i64 };
         let writer = Writer::new(out, &meta)?;
         let len = writer.len();
         self.out = Some((name, writer));
@@ -420,11 +426,11 @@
     }
 
     /// Logs the first of a series of failures.
-    fn failing<T>(&mut self, result: io::Result<T>, what: &str) -> Option<T> {
+    fn report_failure<T>(&mut self, result: io::Result<T>, context: &str) -> Option<T> {
         result
             .map_err(|e| {
                 if self.rotation.failures() == 0 {
-                    (self.complain)(&format!("trace: {what}: {e}"));
+                    (self.on_error)(&format!("trace: {context}: {e}"));
                 }
             })
             .ok()
--- a/crates/trace/src/recorder/rotation.rs
+++ b/crates/trace/src/recorder/rotation.rs
@@ -146,9 +146,9 @@
             return Some(Action::AbandonFile);
         }
         let open = if let OpenFileState::Open(_, bytes) = self.open { bytes } else { 0 };
-        let lying: u64 = self.files.iter().map(|file| file.bytes).sum::<u64>() + open;
+        let total_bytes: u64 = self.files.iter().map(|file| file.bytes).sum::<u64>() + open;
         let count = self.files.len() + usize::from(self.open != OpenFileState::Closed);
-        if lying > self.limits.max_total_bytes || count > self.limits.max_files {
+        if total_bytes > self.limits.max_total_bytes || count > self.limits.max_files {
             if let Some(oldest) = self.files.front() {
                 return Some(Action::RemoveFile(oldest.name.clone()));
             }
@@ -200,10 +200,10 @@
     }
 
     /// Reports that the open file was closed. `well` is false if sealing failed.
-    pub fn closed(&mut self, now: f64, file: StoredFile, well: bool) {
+    pub fn closed(&mut self, now: f64, file: StoredFile, sealed: bool) {
         self.open = OpenFileState::Closed;
         self.files.push_back(file);
-        if !well {
+        if !sealed {
             self.record_failure(now);
         }
     }
@@ -234,15 +234,15 @@
 
 impl ChangeFilter {
     pub fn accept(&mut self, now: f64, topic: u8, value: f64, min_interval: f64) -> bool {
-        let Some(told) = self.last.get_mut(usize::from(topic)) else { return true };
-        let moved = told.is_none_or(|(at, last)| {
+        let Some(previous) = self.last.get_mut(usize::from(topic)) else { return true };
+        let passes = previous.is_none_or(|(at, last)| {
             now - at >= min_interval
                 && ((value - last).abs() > 0.05 * last.abs() || value.floor() != last.floor())
         });
-        if moved {
-            *told = Some((now, value));
+        if passes {
+            *previous = Some((now, value));
         }
-        moved
+        passes
     }
 }
 
--- a/crates/trace/src/recorder/rotation/tests.rs
+++ b/crates/trace/src/recorder/rotation/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_block_is_written_when_it_is_full_or_old_and_a_file_is_begun_for_it() {
+fn writes_block_when_full_or_old() {
     let mut rotation = small_rotation();
     assert!(rotation.admit(1.0));
     assert_eq!(rotation.next_action(5.9), None);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn files_are_sealed_by_size_and_by_age_and_the_oldest_go_first() {
+fn seals_by_size_and_age_and_deletes_oldest() {
     let mut rotation = small_rotation();
     for (name, bytes) in [("a", 1200), ("b", 1200)] {
         rotation.admit(1.0);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_failing_disk_costs_the_block_is_tried_ever_more_rarely_and_the_loss_is_told_once() {
+fn failed_disk_drops_block_and_backs_off() {
     let mut rotation = small_rotation();
     (0..4).for_each(|_| assert!(rotation.admit(0.0)));
     rotation.opened(0.0, Some(40));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_the_end_all_is_written_and_sealed_and_a_dead_disk_holds_up_nothing() {
+fn shutdown_writes_everything_and_skips_failed_disk() {
     let mut rotation = small_rotation();
     rotation.admit(1.0);
     rotation.begin_shutdown();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_hardly_moves_is_no_news() {
+fn filter_rejects_small_and_frequent_changes() {
     let mut filter = ChangeFilter::default();
     assert!(
         filter.accept(0.0, 1, 4.0, 0.1)
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -98,11 +98,11 @@
     interval: i64,
     begin: i64,
     /// Totals by group number. [`Summary::finish`] resolves the names.
-    numbered: BTreeMap<u64, Totals>,
+    by_number: BTreeMap<u64, Totals>,
 }
 
 /// Groups that a summary keeps; further callers are counted as one group.
-const MOST_PARTS: usize = 100_000;
+const MAX_GROUPS: usize = 100_000;
 
 impl Summary {
     /// Creates a summary. `begin` is the start of the first interval, in us.
@@ -116,7 +116,7 @@
     }
 
     /// Returns the interval that a time falls into.
-    fn slot(&self, at: i64) -> i64 {
+    fn interval_of(&self, at: i64) -> i64 {
         (at - self.begin).div_euclid(self.interval)
     }
 
@@ -124,7 +124,7 @@
     pub fn head_suffices(&self, head: &Head) -> bool {
         match self.by {
             None | Some(GroupBy::Product | GroupBy::Customer | GroupBy::Reason) => true,
-            Some(GroupBy::Interval) => self.slot(head.from) == self.slot(head.to),
+            Some(GroupBy::Interval) => self.interval_of(head.from) == self.interval_of(head.to),
             Some(GroupBy::Node) => head.nodes.len() == 1,
             Some(GroupBy::Caller) => false,
         }
@@ -136,16 +136,16 @@
         for group in &head.groups {
             let step = group.disposition.step();
             self.total.add(step, group.count, group.value);
-            let part = match self.by {
+            let number = match self.by {
                 None => continue,
                 Some(GroupBy::Product) => group.product.into(),
                 Some(GroupBy::Customer) => group.customer.into(),
                 Some(GroupBy::Reason) => group.disposition.0.into(),
-                Some(GroupBy::Interval) => self.slot(head.from) as u64,
+                Some(GroupBy::Interval) => self.interval_of(head.from) as u64,
                 Some(GroupBy::Node) => head.nodes.first().copied().unwrap_or(0).into(),
                 Some(GroupBy::Caller) => u64::MAX,
             };
-            self.numbered.entry(part).or_default().add(step, group.count, group.value);
+            self.by_number.entry(number).or_default().add(step, group.count, group.value);
         }
     }
 
@@ -155,17 +155,17 @@
         let (step, value) = (path.disposition().step(), row.value(names.product(row.product)));
         self.total.add(step, 1, value);
         self.add_times(row, names);
-        let part = match self.by {
+        let group = match self.by {
             None => return,
             Some(GroupBy::Product) => row.product.into(),
             Some(GroupBy::Customer) => row.customer.into(),
-            Some(GroupBy::Caller) if self.numbered.len() >= MOST_PARTS => u64::MAX,
+            Some(GroupBy::Caller) if self.by_number.len() >= MAX_GROUPS => u64::MAX,
             Some(GroupBy::Caller) => row.caller.into(),
             Some(GroupBy::Reason) => step.0.into(),
             Some(GroupBy::Node) => row.node.into(),
-            Some(GroupBy::Interval) => self.slot(row.read) as u64,
+            Some(GroupBy::Interval) => self.interval_of(row.read) as u64,
         };
-        self.numbered.entry(part).or_default().add(step, 1, value);
+        self.by_number.entry(group).or_default().add(step, 1, value);
     }
 
     /// Adds a row to the percentiles only.
@@ -179,14 +179,14 @@
 
     /// Resolves the names of the groups.
     pub fn finish(mut self, names: &Names) -> Summary {
-        for (part, sums) in std::mem::take(&mut self.numbered) {
+        for (group, sums) in std::mem::take(&mut self.by_number) {
             let name = match self.by {
-                Some(GroupBy::Product) => names.product(part as u32).name.clone(),
-                Some(GroupBy::Customer | GroupBy::Node) => names.text(part as u32).to_owned(),
-                Some(GroupBy::Caller) if part == u64::MAX => "others".into(),
-                Some(GroupBy::Caller) => part.to_string(),
-                Some(GroupBy::Reason) => Step(part as u8).text(),
-                Some(GroupBy::Interval) => format!("{:>9.0}s", (part as i64 * self.interval) as f64 / 1e6),
+                Some(GroupBy::Product) => names.product(group as u32).name.clone(),
+                Some(GroupBy::Customer | GroupBy::Node) => names.text(group as u32).to_owned(),
+                Some(GroupBy::Caller) if group == u64::MAX => "others".into(),
+                Some(GroupBy::Caller) => group.to_string(),
+                Some(GroupBy::Reason) => Step(group as u8).text(),
+                Some(GroupBy::Interval) => format!("{:>9.0}s", (group as i64 * self.interval) as f64 / 1e6),
                 None => continue,
             };
             let all = self.groups.entry(name).or_default();
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -40,9 +40,9 @@
 }
 
 /// Product: name, value, SLA time (s), expiry (s), share of requests, core time (s), has keys, makes calls.
-type Line = (&'static str, f64, f64, f64, f64, f64, bool, bool);
+type ProductSpec = (&'static str, f64, f64, f64, f64, f64, bool, bool);
 
-const PRODUCTS: [Line; 4] = [
+const PRODUCTS: [ProductSpec; 4] = [
     ("bid-submit", 3.0, 0.4, 2.0, 0.22, 0.012, true, true),
     ("bid-status", 1.0, 0.3, 1.5, 0.48, 0.003, false, false),
     ("catalogue", 1.0, 0.8, 4.0, 0.24, 0.008, false, true),
@@ -54,7 +54,7 @@
 
 /// Generator of a trace's records in time order.
 pub struct Generator {
-    told: SynthConfig,
+    config: SynthConfig,
     rng: ChaCha8Rng,
     at: f64,
     products: Vec<u32>,
@@ -63,7 +63,7 @@
     /// Recent keys, which retries reuse.
     keys: Vec<u64>,
     limit: f32,
-    noted: f64,
+    last_note_at: f64,
 }
 
 /// A record of a trace.
@@ -73,8 +73,8 @@
 }
 
 impl Generator {
-    pub fn new(told: &SynthConfig, names: &mut Names) -> Generator {
-        let product = |p: &Line, names: &mut Names| {
+    pub fn new(config: &SynthConfig, names: &mut Names) -> Generator {
+        let product = |p: &ProductSpec, names: &mut Names| {
             names.intern_product(&Product {
                 name: p.0.into(),
                 value: p.1,
@@ -84,15 +84,15 @@
             })
         };
         Generator {
-            rng: ChaCha8Rng::seed_from_u64(told.seed),
+            rng: ChaCha8Rng::seed_from_u64(config.seed),
             at: 0.0,
             products: PRODUCTS.iter().map(|p| product(p, names)).collect(),
-            customers: (0..told.customers.max(1)).map(|at| names.intern(&format!("k{at:03}"))).collect(),
-            node: names.intern(&told.node),
+            customers: (0..config.customers.max(1)).map(|at| names.intern(&format!("k{at:03}"))).collect(),
+            node: names.intern(&config.node),
             keys: Vec::new(),
             limit: 4.0,
-            noted: 0.0,
-            told: told.clone(),
+            last_note_at: 0.0,
+            config: config.clone(),
         }
     }
 
@@ -100,21 +100,21 @@
     pub fn next(&mut self, names: &mut Names) -> Option<Record> {
         // The offset puts normal load and overload into traces of one minute.
         let phase = (self.at / OVERLOAD_PERIOD + 0.67).fract();
-        let overloaded = phase > 1.0 - self.told.overload_share;
-        if self.at - self.noted > 1.0 {
-            self.noted = self.at;
+        let overloaded = phase > 1.0 - self.config.overload_share;
+        if self.at - self.last_note_at > 1.0 {
+            self.last_note_at = self.at;
             let limit = if overloaded { self.rng.random_range(6..10) } else { 4 } as f32;
             if limit != self.limit {
                 self.limit = limit;
-                let at = self.told.from + (self.at * 1e6) as i64;
+                let at = self.config.from + (self.at * 1e6) as i64;
                 return Some(Record::Note(Note { at, node: self.node, topic: Topic::LIMIT, value: limit }));
             }
         }
-        let calm = 1.0 / (1.0 + 0.6 * self.told.overload_share);
-        let rate = self.told.rate * calm * if overloaded { 1.6 } else { 1.0 };
+        let normal_share = 1.0 / (1.0 + 0.6 * self.config.overload_share);
+        let rate = self.config.rate * normal_share * if overloaded { 1.6 } else { 1.0 };
         let gap: f64 = Exp1.sample(&mut self.rng);
         self.at += gap / rate;
-        if self.at >= self.told.span {
+        if self.at >= self.config.span {
             return None;
         }
         Some(Record::Row(self.row(names, overloaded)))
@@ -127,22 +127,22 @@
     }
 
     fn row(&mut self, names: &mut Names, overloaded: bool) -> Row {
-        let mut pick = self.rng.random::<f64>();
-        let which = PRODUCTS.iter().position(|p| {
-            pick -= p.4;
-            pick < 0.0
+        let mut draw = self.rng.random::<f64>();
+        let index = PRODUCTS.iter().position(|p| {
+            draw -= p.4;
+            draw < 0.0
         });
-        let which = which.unwrap_or(1);
-        let (_, _, sla, expiry, _, work, keyed, calls) = PRODUCTS[which];
+        let index = index.unwrap_or(1);
+        let (_, _, sla, expiry, _, work, keyed, calls) = PRODUCTS[index];
         let customer = Zipf::new(self.customers.len() as f64, 1.1).map_or(1.0, |z| z.sample(&mut self.rng));
         let repeat = self.rng.random_bool(if overloaded { 0.22 } else { 0.01 });
         let mut row = Row {
-            read: self.told.from + (self.at * 1e6) as i64,
+            read: self.config.from + (self.at * 1e6) as i64,
             unread: self.draw(if overloaded { 0.006 } else { 0.0004 }, 0.8),
             node: self.node,
-            product: self.products[which],
+            product: self.products[index],
             customer: self.customers[(customer as usize).clamp(1, self.customers.len()) - 1],
-            caller: self.rng.random_range(0..self.told.callers.max(1)),
+            caller: self.rng.random_range(0..self.config.callers.max(1)),
             rank: self.rng.random_range(0..64),
             hint: self.draw(work, 0.5),
             memory: 512 * self.rng.random_range(4..64u32),
@@ -165,11 +165,11 @@
                 self.keys.push(row.key);
             }
         }
-        self.life(names, &mut row, sla, expiry, calls && self.rng.clone().random_bool(0.5), overloaded);
+        self.add_steps(names, &mut row, sla, expiry, calls && self.rng.clone().random_bool(0.5), overloaded);
         row
     }
 
-    fn life(
+    fn add_steps(
         &mut self,
         names: &mut Names,
         row: &mut Row,
@@ -199,8 +199,8 @@
             step(row, Step::voided(Reason::DuplicateName), 20);
         } else if row.key != 0 && row.repeat() {
             step(row, Step::REPLAYED, 40);
-            let till = self.draw(0.004, 1.0);
-            step(row, Step::SETTLED, till);
+            let reply_span = self.draw(0.004, 1.0);
+            step(row, Step::SETTLED, reply_span);
         } else if chance < 0.003 {
             step(row, Step::GONE, wait);
         } else {
@@ -229,8 +229,8 @@
             } else {
                 step(row, Step::ended(Outcome::Completed), run);
                 let late = row.spans.iter().map(|s| f64::from(*s) / 1e6).sum::<f64>() > sla;
-                let told = self.draw(0.00002, 0.4);
-                step(row, if late { Step::SETTLED_LATE } else { Step::SETTLED }, told);
+                let reply_span = self.draw(0.00002, 0.4);
+                step(row, if late { Step::SETTLED_LATE } else { Step::SETTLED }, reply_span);
             }
         }
         row.path = names.intern_path(&steps);
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -37,7 +37,7 @@
 }
 
 impl Selection {
-    fn touches(&self, entry: &IndexEntry) -> bool {
+    fn overlaps(&self, entry: &IndexEntry) -> bool {
         entry.from < self.to && entry.to >= self.from
     }
     fn covers(&self, entry: &IndexEntry) -> bool {
@@ -59,7 +59,7 @@
 }
 
 /// Records a damaged block and returns `None` for it. Other errors are passed on.
-fn damaged<T>(
+fn record_damage<T>(
     result: Result<T, TraceError>,
     entry: &IndexEntry,
     damage: &mut Vec<Damage>,
@@ -76,191 +76,192 @@
 
 /// Decides from the index and the head whether none, some or all rows of a block are selected. Counts skipped blocks;
 /// records a block whose head is damaged and skips it.
-fn ahead<R: Read + Seek>(
+fn match_block<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Selection,
+    selection: &Selection,
     entry: &IndexEntry,
     begin: i64,
-    seen: &mut ScanReport,
+    report: &mut ScanReport,
 ) -> Result<BlockMatch, TraceError> {
-    let judged = if !choice.touches(entry) {
+    let matched = if !selection.overlaps(entry) {
         BlockMatch::None
-    } else if choice.expr == Expr::All || entry.kind != BlockKind::Rows {
+    } else if selection.expr == Expr::All || entry.kind != BlockKind::Rows {
         BlockMatch::All
     } else if trace.major == crate::v1::MAJOR {
         // Version 1 has no stored heads.
         BlockMatch::Some
     } else {
         let head = trace.head(entry, names);
-        let Some(head) = damaged(head, entry, &mut seen.damage)? else { return Ok(BlockMatch::None) };
-        choice.expr.match_block(&head, names, begin)
+        let Some(head) = record_damage(head, entry, &mut report.damage)? else { return Ok(BlockMatch::None) };
+        selection.expr.match_block(&head, names, begin)
     };
-    seen.skipped_blocks += usize::from(judged == BlockMatch::None);
-    Ok(if judged == BlockMatch::All && !choice.covers(entry) { BlockMatch::Some } else { judged })
+    report.skipped_blocks += usize::from(matched == BlockMatch::None);
+    Ok(if matched == BlockMatch::All && !selection.covers(entry) { BlockMatch::Some } else { matched })
 }
 
 /// Calls `each` for every selected row until it breaks.
 pub fn scan<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Selection,
+    selection: &Selection,
     progress: Progress,
     mut each: impl FnMut(&Row, &Names) -> ControlFlow<()>,
 ) -> Result<ScanReport, TraceError> {
     let begin = trace.time_range().map_or(0, |span| span.0);
-    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let entries: Vec<IndexEntry> =
         trace.entries.iter().filter(|e| e.kind == BlockKind::Rows).copied().collect();
     let mut rows = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        if ahead(trace, names, choice, entry, begin, &mut seen)? == BlockMatch::None {
+        if match_block(trace, names, selection, entry, begin, &mut report)? == BlockMatch::None {
             continue;
         }
         rows.clear();
         let read = trace.rows(entry, names, &mut rows);
-        if damaged(read, entry, &mut seen.damage)?.is_none() {
+        if record_damage(read, entry, &mut report.damage)?.is_none() {
             continue;
         }
-        seen.read_blocks += 1;
-        for row in rows.iter().filter(|row| choice.matches(row, names, begin)) {
-            seen.rows += 1;
+        report.read_blocks += 1;
+        for row in rows.iter().filter(|row| selection.matches(row, names, begin)) {
+            report.rows += 1;
             if each(row, names).is_break() {
-                return Ok(seen);
+                return Ok(report);
             }
         }
     }
     progress(entries.len(), entries.len());
-    Ok(seen)
+    Ok(report)
 }
 
 /// Returns the notes in the selected time range, in block order.
 pub fn notes<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Selection,
+    selection: &Selection,
     damage: &mut Vec<Damage>,
 ) -> Result<Vec<Note>, TraceError> {
     let mut all = Vec::new();
-    for entry in trace.entries.clone().iter().filter(|e| e.kind == BlockKind::Notes && choice.touches(e)) {
+    for entry in trace.entries.clone().iter().filter(|e| e.kind == BlockKind::Notes && selection.overlaps(e))
+    {
         let read = trace.notes(entry, names, &mut all);
-        damaged(read, entry, damage)?;
+        record_damage(read, entry, damage)?;
     }
-    all.retain(|note| note.at >= choice.from && note.at < choice.to);
+    all.retain(|note| note.at >= selection.from && note.at < selection.to);
     Ok(all)
 }
 
 /// Reads the rows or notes of a block into two empty lists. Returns `false` and records the damage on failure.
-fn records<R: Read + Seek>(
+fn read_records<R: Read + Seek>(
     trace: &mut Trace<R>,
     entry: &IndexEntry,
     names: &mut Names,
     rows: &mut Vec<Row>,
     notes: &mut Vec<Note>,
-    seen: &mut ScanReport,
+    report: &mut ScanReport,
 ) -> Result<bool, TraceError> {
     let read = match entry.kind {
         BlockKind::Rows => trace.rows(entry, names, rows),
         _ => trace.notes(entry, names, notes),
     };
-    let sound = damaged(read, entry, &mut seen.damage)?.is_some();
-    seen.read_blocks += usize::from(sound);
-    Ok(sound)
+    let readable = record_damage(read, entry, &mut report.damage)?.is_some();
+    report.read_blocks += usize::from(readable);
+    Ok(readable)
 }
 
 /// Writes the selected rows and the notes of the time range. Blocks that are selected entirely are copied as they are.
 pub fn cut<R: Read + Seek, W: Write>(
     trace: &mut Trace<R>,
-    choice: &Selection,
+    selection: &Selection,
     out: &mut Writer<W>,
     progress: Progress,
 ) -> Result<ScanReport, TraceError> {
     let begin = trace.time_range().map_or(0, |span| span.0);
-    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let mut names = Names::default();
     let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     let entries = trace.entries.clone();
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        let whole = match ahead(trace, &mut names, choice, entry, begin, &mut seen)? {
+        let whole = match match_block(trace, &mut names, selection, entry, begin, &mut report)? {
             BlockMatch::None => continue,
             BlockMatch::Some => false,
             BlockMatch::All => trace.major == crate::file::MAJOR,
         };
         if whole {
             let read = trace.encoded_block(entry);
-            if let Some(raw) = damaged(read, entry, &mut seen.damage)? {
-                seen.rows += if entry.kind == BlockKind::Rows { u64::from(entry.rows) } else { 0 };
+            if let Some(raw) = record_damage(read, entry, &mut report.damage)? {
+                report.rows += if entry.kind == BlockKind::Rows { u64::from(entry.rows) } else { 0 };
                 blocks.write_encoded(&names, &raw)?;
             }
             continue;
         }
-        if !records(trace, entry, &mut names, &mut rows, &mut notes, &mut seen)? {
+        if !read_records(trace, entry, &mut names, &mut rows, &mut notes, &mut report)? {
             continue;
         }
         for row in rows.drain(..) {
-            if choice.matches(&row, &names, begin) {
-                seen.rows += 1;
+            if selection.matches(&row, &names, begin) {
+                report.rows += 1;
                 blocks.write_row(&names, row)?;
             }
         }
-        for note in notes.drain(..).filter(|note| note.at >= choice.from && note.at < choice.to) {
+        for note in notes.drain(..).filter(|note| note.at >= selection.from && note.at < selection.to) {
             blocks.write_note(&names, note)?;
         }
     }
     blocks.flush(&names)?;
     progress(entries.len(), entries.len());
-    Ok(seen)
+    Ok(report)
 }
 
 /// Rows to encode, with their block's sequence number and their names.
-type Task = (u64, Vec<Row>, Arc<Names>);
+type EncodeTask = (u64, Vec<Row>, Arc<Names>);
 
 /// Pool of threads that encode blocks and return them in the order of submission.
-struct Packers {
-    tasks: Option<SyncSender<Task>>,
-    packed: Receiver<(u64, EncodedBlock)>,
-    early: BTreeMap<u64, EncodedBlock>,
-    given: u64,
-    taken: u64,
+struct BlockEncoders {
+    tasks: Option<SyncSender<EncodeTask>>,
+    encoded: Receiver<(u64, EncodedBlock)>,
+    completed: BTreeMap<u64, EncodedBlock>,
+    submitted: u64,
+    returned: u64,
     names: Arc<Names>,
 }
 
-impl Packers {
-    fn new<'s>(scope: &'s Scope<'s, '_>, workers: usize) -> Packers {
-        let (tasks, todo) = sync_channel::<Task>(workers);
-        let (done, packed) = channel();
-        let todo = Arc::new(Mutex::new(todo));
+impl BlockEncoders {
+    fn new<'s>(scope: &'s Scope<'s, '_>, workers: usize) -> BlockEncoders {
+        let (tasks, queue) = sync_channel::<EncodeTask>(workers);
+        let (encoded_sender, encoded) = channel();
+        let queue = Arc::new(Mutex::new(queue));
         for _ in 0..workers {
-            let (todo, done) = (todo.clone(), done.clone());
+            let (queue, encoded_sender) = (queue.clone(), encoded_sender.clone());
             scope.spawn(move || loop {
-                let task = todo.lock().unwrap_or_else(PoisonError::into_inner).recv();
+                let task = queue.lock().unwrap_or_else(PoisonError::into_inner).recv();
                 let Ok((at, mut rows, names)) = task else { return };
-                if done.send((at, encode_rows(&names, &mut rows))).is_err() {
+                if encoded_sender.send((at, encode_rows(&names, &mut rows))).is_err() {
                     return;
                 }
             });
         }
-        let (early, names) = (BTreeMap::new(), Arc::default());
-        Packers { tasks: Some(tasks), packed, early, given: 0, taken: 0, names }
+        let (completed, names) = (BTreeMap::new(), Arc::default());
+        BlockEncoders { tasks: Some(tasks), encoded, completed, submitted: 0, returned: 0, names }
     }
 
     /// Submits rows for encoding. Blocks while all threads are busy, which bounds memory.
-    fn pack(&mut self, names: &Names, rows: Vec<Row>) {
+    fn submit(&mut self, names: &Names, rows: Vec<Row>) {
         if self.names.entry_count() != names.entry_count() {
             self.names = Arc::new(names.clone());
         }
         if let Some(tasks) = &self.tasks {
             // The receivers live until `tasks` is dropped, so that this cannot fail.
-            let _ = tasks.send((self.given, rows, self.names.clone()));
-            self.given += 1;
+            let _ = tasks.send((self.submitted, rows, self.names.clone()));
+            self.submitted += 1;
         }
     }
 
     /// Passes encoded blocks to `each` in order: those that are ready, or with `all` every submitted one.
-    fn take(
+    fn drain(
         &mut self,
         all: bool,
         mut each: impl FnMut(&EncodedBlock) -> Result<(), TraceError>,
@@ -268,12 +269,12 @@
         if all {
             self.tasks = None;
         }
-        while self.taken < self.given {
-            let next = if all { self.packed.recv().ok() } else { self.packed.try_recv().ok() };
+        while self.returned < self.submitted {
+            let next = if all { self.encoded.recv().ok() } else { self.encoded.try_recv().ok() };
             let Some((at, block)) = next else { return Ok(()) };
-            self.early.insert(at, block);
-            while let Some(block) = self.early.remove(&self.taken) {
-                self.taken += 1;
+            self.completed.insert(at, block);
+            while let Some(block) = self.completed.remove(&self.returned) {
+                self.returned += 1;
                 each(&block)?;
             }
         }
@@ -294,14 +295,14 @@
     let total: u64 = traces.iter().map(|(trace, _)| trace.record_count(BlockKind::Rows)).sum();
     for (at, (trace, offset)) in traces.iter_mut().enumerate() {
         let mut found = Vec::new();
-        let mut these = notes(trace, &mut names, &Selection::default(), &mut found)?;
-        these.iter_mut().for_each(|note| note.at = note.at.saturating_add(*offset));
-        all.extend(these);
-        damage.extend(found.into_iter().map(|one| (at, one)));
+        let mut trace_notes = notes(trace, &mut names, &Selection::default(), &mut found)?;
+        trace_notes.iter_mut().for_each(|note| note.at = note.at.saturating_add(*offset));
+        all.extend(trace_notes);
+        damage.extend(found.into_iter().map(|damage| (at, damage)));
     }
-    let told = |n: &Note| (n.at, n.node, n.topic, n.value.to_bits());
-    all.sort_by_key(told);
-    all.dedup_by_key(|note| told(note));
+    let note_key = |n: &Note| (n.at, n.node, n.topic, n.value.to_bits());
+    all.sort_by_key(note_key);
+    all.dedup_by_key(|note| note_key(note));
     let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     for note in all {
         blocks.write_note(&names, note)?;
@@ -312,21 +313,21 @@
     );
     let workers = std::thread::available_parallelism().map_or(1, |n| n.get().saturating_sub(1)).clamp(1, 4);
     std::thread::scope(|scope| -> Result<(), TraceError> {
-        let mut packers = Packers::new(scope, workers);
+        let mut encoders = BlockEncoders::new(scope, workers);
         let (mut rows, mut sent) = (Vec::with_capacity(BLOCK_ROWS), 0);
         while let Some(row) = merge.next(&mut names)? {
             rows.push(row);
             if rows.len() == BLOCK_ROWS {
                 sent += BLOCK_ROWS;
-                packers.pack(&names, std::mem::replace(&mut rows, Vec::with_capacity(BLOCK_ROWS)));
-                packers.take(false, |block| Ok(out.write_block(block)?))?;
+                encoders.submit(&names, std::mem::replace(&mut rows, Vec::with_capacity(BLOCK_ROWS)));
+                encoders.drain(false, |block| Ok(out.write_block(block)?))?;
                 progress(sent.min(total as usize), total as usize);
             }
         }
         if !rows.is_empty() {
-            packers.pack(&names, rows);
+            encoders.submit(&names, rows);
         }
-        packers.take(true, |block| Ok(out.write_block(block)?))
+        encoders.drain(true, |block| Ok(out.write_block(block)?))
     })?;
     progress(total as usize, total as usize);
     damage.extend(std::mem::take(&mut merge.report.damage));
@@ -338,50 +339,50 @@
     trace: &mut Trace<R>,
     key: &[u8; 32],
     floor: u64,
-    nodes_too: bool,
+    anonymise_nodes: bool,
     out: &mut Writer<W>,
     progress: Progress,
 ) -> Result<ScanReport, TraceError> {
     let mut names = Names::default();
-    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let entries = trace.entries.clone();
     let mut counts: HashMap<u32, u64> = HashMap::new();
     if floor > 0 {
         for entry in entries.iter().filter(|entry| entry.kind == BlockKind::Rows) {
-            let Some(head) = damaged(trace.head(entry, &mut names), entry, &mut Vec::new())? else {
+            let Some(head) = record_damage(trace.head(entry, &mut names), entry, &mut Vec::new())? else {
                 continue;
             };
             head.groups.iter().for_each(|group| *counts.entry(group.customer).or_default() += group.count);
         }
     }
-    let mut veil = Anonymiser::new(key, &counts, floor, nodes_too);
+    let mut anonymiser = Anonymiser::new(key, &counts, floor, anonymise_nodes);
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
     let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        if !records(trace, entry, &mut names, &mut rows, &mut notes, &mut seen)? {
+        if !read_records(trace, entry, &mut names, &mut rows, &mut notes, &mut report)? {
             continue;
         }
         for mut row in rows.drain(..) {
-            veil.anonymise_row(&mut names, &mut row);
-            seen.rows += 1;
+            anonymiser.anonymise_row(&mut names, &mut row);
+            report.rows += 1;
             blocks.write_row(&names, row)?;
         }
         for mut note in notes.drain(..) {
-            note.node = veil.anonymise_node(&mut names, note.node);
+            note.node = anonymiser.anonymise_node(&mut names, note.node);
             blocks.write_note(&names, note)?;
         }
     }
     blocks.flush(&names)?;
     progress(entries.len(), entries.len());
-    Ok(seen)
+    Ok(report)
 }
 
 /// Summarises the selected rows. Without percentiles, heads are used in place of rows where they suffice.
 pub fn summarise<R: Read + Seek>(
     trace: &mut Trace<R>,
     names: &mut Names,
-    choice: &Selection,
+    selection: &Selection,
     by: Option<GroupBy>,
     interval: i64,
     percentiles: bool,
@@ -390,37 +391,39 @@
     let begin = trace.time_range().map_or(0, |span| span.0);
     let mut summary = Summary::new(by, interval, begin);
     if percentiles || trace.major == crate::v1::MAJOR {
-        let seen = scan(trace, names, choice, progress, |row, names| {
+        let report = scan(trace, names, selection, progress, |row, names| {
             summary.add_row(row, names);
             ControlFlow::Continue(())
         })?;
-        return Ok((summary.finish(names), seen));
+        return Ok((summary.finish(names), report));
     }
-    let mut seen = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
+    let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let entries: Vec<IndexEntry> =
         trace.entries.iter().filter(|e| e.kind == BlockKind::Rows).copied().collect();
     let mut rows = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        if !choice.touches(entry) {
-            seen.skipped_blocks += 1;
+        if !selection.overlaps(entry) {
+            report.skipped_blocks += 1;
             continue;
         }
-        let Some(head) = damaged(trace.head(entry, names), entry, &mut seen.damage)? else { continue };
-        match choice.expr.match_block(&head, names, begin) {
-            BlockMatch::None => seen.skipped_blocks += 1,
-            BlockMatch::All if choice.covers(entry) && summary.head_suffices(&head) => {
-                seen.skipped_blocks += 1;
-                seen.rows += u64::from(entry.rows);
+        let Some(head) = record_damage(trace.head(entry, names), entry, &mut report.damage)? else {
+            continue;
+        };
+        match selection.expr.match_block(&head, names, begin) {
+            BlockMatch::None => report.skipped_blocks += 1,
+            BlockMatch::All if selection.covers(entry) && summary.head_suffices(&head) => {
+                report.skipped_blocks += 1;
+                report.rows += u64::from(entry.rows);
                 summary.add_block(&head);
             }
             _ => {
                 rows.clear();
                 let read = trace.rows(entry, names, &mut rows);
-                if damaged(read, entry, &mut seen.damage)?.is_some() {
-                    seen.read_blocks += 1;
-                    for row in rows.iter().filter(|row| choice.matches(row, names, begin)) {
-                        seen.rows += 1;
+                if record_damage(read, entry, &mut report.damage)?.is_some() {
+                    report.read_blocks += 1;
+                    for row in rows.iter().filter(|row| selection.matches(row, names, begin)) {
+                        report.rows += 1;
                         summary.add_row(row, names);
                     }
                 }
@@ -428,5 +431,5 @@
         }
     }
     progress(entries.len(), entries.len());
-    Ok((summary.finish(names), seen))
+    Ok((summary.finish(names), report))
 }
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -34,8 +34,8 @@
         put_bytes(&mut out, names.text(row.node).as_bytes());
         let terms = names.product(row.product);
         put_bytes(&mut out, terms.name.as_bytes());
-        for figure in [terms.value, terms.sla, terms.expiry] {
-            out.extend(figure.to_le_bytes());
+        for term in [terms.value, terms.sla, terms.expiry] {
+            out.extend(term.to_le_bytes());
         }
         out.push(terms.by_work.into());
         put_bytes(&mut out, names.text(row.customer).as_bytes());
@@ -94,7 +94,7 @@
             row.node = names.intern(from.text()?);
             let name = from.text()?.to_owned();
             let (value, sla, expiry) = (from.f64()?, from.f64()?, from.f64()?);
-            if ![value, sla, expiry].iter().all(|figure| figure.is_finite()) {
+            if ![value, sla, expiry].iter().all(|term| term.is_finite()) {
                 return Err(DecodeError("product terms are not finite numbers"));
             }
             row.product =
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -11,10 +11,10 @@
 pub type Open = Trace<Cursor<Vec<u8>>>;
 
 /// Generates the records of a synthetic trace.
-pub fn records(told: &SynthConfig, names: &mut Names) -> (Vec<Row>, Vec<Note>) {
-    let mut maker = Generator::new(told, names);
+pub fn records(config: &SynthConfig, names: &mut Names) -> (Vec<Row>, Vec<Note>) {
+    let mut generator = Generator::new(config, names);
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
-    while let Some(record) = maker.next(names) {
+    while let Some(record) = generator.next(names) {
         match record {
             Record::Row(row) => rows.push(row),
             Record::Note(note) => notes.push(note),
@@ -47,7 +47,7 @@
     bytes
 }
 
-pub fn first_version(names: &Names, rows: &[Row], notes: &[Note]) -> Vec<u8> {
+pub fn version_1_file(names: &Names, rows: &[Row], notes: &[Note]) -> Vec<u8> {
     let mut writer = v1::Writer::new(Vec::new(), &meta("n1")).unwrap();
     rows.iter().for_each(|row| writer.write_row(names, row).unwrap());
     notes.iter().for_each(|note| writer.write_note(names, note).unwrap());
@@ -59,7 +59,7 @@
 }
 
 /// Describes a row by the names it refers to, independent of their numbers.
-pub fn told(names: &Names, row: &Row) -> String {
+pub fn describe(names: &Names, row: &Row) -> String {
     let path: Vec<String> = names.path(row.path).steps().map(|step| step.text()).collect();
     let bare = Row { node: 0, product: 0, customer: 0, path: 0, ..row.clone() };
     let terms = names.product(row.product);
@@ -68,15 +68,15 @@
 
 /// Returns all readable rows and the number of damaged blocks.
 pub fn readable(trace: &mut Open) -> (Vec<String>, usize) {
-    let (mut names, mut all, mut bad) = (Names::default(), Vec::new(), 0);
+    let (mut names, mut rows, mut damaged) = (Names::default(), Vec::new(), 0);
     for entry in blocks(trace) {
-        let mut rows = Vec::new();
-        match trace.rows(&entry, &mut names, &mut rows) {
-            Ok(()) => all.extend(rows.iter().map(|row| told(&names, row))),
-            Err(_) => bad += 1,
+        let mut block_rows = Vec::new();
+        match trace.rows(&entry, &mut names, &mut block_rows) {
+            Ok(()) => rows.extend(block_rows.iter().map(|row| describe(&names, row))),
+            Err(_) => damaged += 1,
         }
     }
-    (all, bad)
+    (rows, damaged)
 }
 
 pub fn blocks(trace: &Open) -> Vec<IndexEntry> {
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -16,15 +16,15 @@
 struct Disk {
     files: Vec<(String, Vec<u8>)>,
     /// Free bytes; `None` for no limit.
-    room: Option<usize>,
-    stands_still: bool,
+    free_bytes: Option<usize>,
+    hangs: bool,
     removed: usize,
 }
 
 #[derive(Clone, Default)]
-struct Shelf(Arc<(Mutex<Disk>, Condvar)>);
+struct SharedDisk(Arc<(Mutex<Disk>, Condvar)>);
 
-impl Shelf {
+impl SharedDisk {
     fn with<T>(&self, change: impl FnOnce(&mut Disk) -> T) -> T {
         let changed = change(&mut self.0 .0.lock().unwrap());
         self.0 .1.notify_all();
@@ -41,7 +41,7 @@
     }
 }
 
-impl TraceStorage for Shelf {
+impl TraceStorage for SharedDisk {
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         Ok(Vec::new())
     }
@@ -50,7 +50,7 @@
             disk.files.push((name.into(), Vec::new()));
             disk.files.len() - 1
         });
-        Ok(Box::new(Sheet(self.clone(), at)))
+        Ok(Box::new(DiskFile(self.clone(), at)))
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.with(|disk| {
@@ -63,17 +63,17 @@
     }
 }
 
-struct Sheet(Shelf, usize);
+struct DiskFile(SharedDisk, usize);
 
-impl Write for Sheet {
+impl Write for DiskFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.until("the disk to respond", |disk| !disk.stands_still);
+        self.0.until("the disk to respond", |disk| !disk.hangs);
         self.0.with(|disk| {
-            let len = disk.room.map_or(bytes.len(), |room| room.min(bytes.len()));
+            let len = disk.free_bytes.map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
             if len == 0 {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            disk.room = disk.room.map(|room| room - len);
+            disk.free_bytes = disk.free_bytes.map(|free_bytes| free_bytes - len);
             disk.files[self.1].1.extend(&bytes[..len]);
             Ok(len)
         })
@@ -83,7 +83,7 @@
     }
 }
 
-fn told(rows: usize) -> RecorderConfig {
+fn config(rows: usize) -> RecorderConfig {
     let limits = RotationLimits { block_rows: rows, max_block_age: 3600.0, ..RotationLimits::default() };
     let product = Default::default();
     RecorderConfig {
@@ -106,41 +106,42 @@
 }
 
 /// Returns the readable rows, the reported drops and the torn files.
-fn found(shelf: &Shelf) -> (usize, f64, usize) {
-    let files = shelf.with(|disk| disk.files.clone());
+fn totals(disk: &SharedDisk) -> (usize, f64, usize) {
+    let files = disk.with(|disk| disk.files.clone());
     let (mut rows, mut dropped, mut torn) = (0, 0.0, 0);
     for (_, bytes) in files.iter().filter(|file| !file.1.is_empty()) {
         let mut trace = open(bytes);
         torn += usize::from(!trace.sealed);
         rows += readable(&mut trace).0.len();
-        let told = notes(&mut trace, &mut Names::default(), &Selection::default(), &mut Vec::new()).unwrap();
-        dropped += told.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| f64::from(n.value)).sum::<f64>();
+        let notes = notes(&mut trace, &mut Names::default(), &Selection::default(), &mut Vec::new()).unwrap();
+        dropped +=
+            notes.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| f64::from(n.value)).sum::<f64>();
     }
     (rows, dropped, torn)
 }
 
 #[test]
-fn all_that_is_recorded_lies_in_a_sealed_file_at_the_end() {
-    let shelf = Shelf::default();
-    let (recorder, running) = Recorder::start(told(100), shelf.clone(), 1 << 20, |_| {}).unwrap();
+fn records_end_up_in_sealed_file() {
+    let disk = SharedDisk::default();
+    let (recorder, running) = Recorder::start(config(100), disk.clone(), 1 << 20, |_| {}).unwrap();
     put(&recorder, 0, 250);
     running.shutdown(Duration::from_secs(20));
-    assert_eq!(found(&shelf), (250, 0.0, 0));
+    assert_eq!(totals(&disk), (250, 0.0, 0));
     assert_eq!(recorder.lost_records(), 0);
 }
 
 #[test]
-fn a_full_disk_costs_whole_records_which_are_counted_in_the_next_file() {
-    let shelf = Shelf::default();
-    let said = Arc::new(Mutex::new(Vec::new()));
-    let heard = said.clone();
-    let complain = move |line: &str| heard.lock().unwrap().push(line.to_owned());
-    let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, complain).unwrap();
+fn full_disk_drops_records_and_counts_them_in_next_file() {
+    let disk = SharedDisk::default();
+    let logged = Arc::new(Mutex::new(Vec::new()));
+    let log = logged.clone();
+    let on_error = move |line: &str| log.lock().unwrap().push(line.to_owned());
+    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, on_error).unwrap();
     put(&recorder, 0, 50);
-    shelf.until("the first block", |disk| disk.files.first().is_some_and(|file| file.1.len() > 100));
-    shelf.with(|disk| disk.room = Some(40));
+    disk.until("the first block", |disk| disk.files.first().is_some_and(|file| file.1.len() > 100));
+    disk.with(|disk| disk.free_bytes = Some(40));
     put(&recorder, 50, 50);
-    shelf.until("the disk to fill up", |disk| disk.room == Some(0));
+    disk.until("the disk to fill up", |disk| disk.free_bytes == Some(0));
     // Exceeds the two pending blocks, so that the other records are dropped at once.
     put(&recorder, 100, 300);
     let end = Instant::now() + Duration::from_secs(20);
@@ -149,50 +150,50 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     // A file header fits, a block does not: the count of lost records must survive the failed block.
-    shelf.with(|disk| disk.room = Some(60));
-    shelf.until("the disk to fill up again", |disk| disk.room == Some(0));
-    shelf.with(|disk| disk.room = None);
+    disk.with(|disk| disk.free_bytes = Some(60));
+    disk.until("the disk to fill up again", |disk| disk.free_bytes == Some(0));
+    disk.with(|disk| disk.free_bytes = None);
     put(&recorder, 400, 50);
-    shelf.until("the third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
+    disk.until("the third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
     put(&recorder, 450, 10);
     running.shutdown(Duration::from_secs(20));
-    let (rows, dropped, torn) = found(&shelf);
+    let (rows, dropped, torn) = totals(&disk);
     assert_eq!((rows + dropped as usize, torn), (460, 2), "{rows} rows, {dropped} dropped");
     assert_eq!(dropped as u64, recorder.lost_records());
-    assert_eq!(said.lock().unwrap().len(), 1, "{said:?}");
+    assert_eq!(logged.lock().unwrap().len(), 1, "{logged:?}");
 }
 
 #[test]
-fn a_disk_that_stands_still_stops_nobody_and_what_the_ring_cannot_hold_is_counted() {
-    let shelf = Shelf::default();
-    shelf.with(|disk| disk.stands_still = true);
-    let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, |_| {}).unwrap();
+fn hanging_disk_never_blocks_recording_and_drops_are_counted() {
+    let disk = SharedDisk::default();
+    disk.with(|disk| disk.hangs = true);
+    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
     // Far more than the ring holds: a blocking call would hang the test.
     put(&recorder, 0, 10_000);
     assert!(recorder.lost_records() > 0);
-    shelf.with(|disk| disk.stands_still = false);
+    disk.with(|disk| disk.hangs = false);
     running.shutdown(Duration::from_secs(20));
-    let (rows, dropped, torn) = found(&shelf);
+    let (rows, dropped, torn) = totals(&disk);
     assert_eq!((rows + dropped as usize, torn), (10_000, 0), "{rows} rows, {dropped} dropped");
 }
 
 #[test]
-fn a_disk_that_never_answers_does_not_hold_up_the_end() {
-    let shelf = Shelf::default();
-    shelf.with(|disk| disk.stands_still = true);
-    let (recorder, running) = Recorder::start(told(50), shelf.clone(), 1 << 20, |_| {}).unwrap();
+fn shutdown_times_out_on_hanging_disk() {
+    let disk = SharedDisk::default();
+    disk.with(|disk| disk.hangs = true);
+    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
     put(&recorder, 0, 60);
     running.shutdown(Duration::from_millis(50));
-    shelf.with(|disk| disk.stands_still = false);
+    disk.with(|disk| disk.hangs = false);
 }
 
 #[test]
-fn old_files_make_room_and_a_sample_keeps_all_tries_of_a_key_or_none() {
-    let shelf = Shelf::default();
-    let mut few = told(20);
-    few.limits = RotationLimits { max_file_bytes: 1, max_files: 3, ..few.limits };
-    few.sample = 4;
-    let (recorder, running) = Recorder::start(few, shelf.clone(), 1 << 20, |_| {}).unwrap();
+fn deletes_old_files_and_samples_attempts_by_key() {
+    let disk = SharedDisk::default();
+    let mut sampled = config(20);
+    sampled.limits = RotationLimits { max_file_bytes: 1, max_files: 3, ..sampled.limits };
+    sampled.sample = 4;
+    let (recorder, running) = Recorder::start(sampled, disk.clone(), 1 << 20, |_| {}).unwrap();
     for at in 0..400u32 {
         let mut entry = RequestRecord::new(1000.0 + f64::from(at), [b'0'; 16]);
         (entry.key, entry.caller) = (Some([(at / 4) as u8; 32]), at / 4);
@@ -203,17 +204,17 @@
         }
     }
     running.shutdown(Duration::from_secs(20));
-    let files = shelf.with(|disk| disk.files.clone());
+    let files = disk.with(|disk| disk.files.clone());
     let mut names = Names::default();
     let mut rows = Vec::new();
-    let lying = files.iter().filter(|file| !file.1.is_empty()).count();
+    let remaining = files.iter().filter(|file| !file.1.is_empty()).count();
     for (_, bytes) in files.iter().filter(|file| !file.1.is_empty()) {
         let mut trace = open(bytes);
         for entry in common::blocks(&trace) {
             trace.rows(&entry, &mut names, &mut rows).unwrap();
         }
     }
-    assert!(lying <= 3 && shelf.with(|disk| disk.removed) + lying == files.len());
+    assert!(remaining <= 3 && disk.with(|disk| disk.removed) + remaining == files.len());
     let mut tries = std::collections::BTreeMap::new();
     rows.iter().for_each(|row| *tries.entry(row.caller).or_insert(0) += 1);
     assert!(!tries.is_empty() && tries.len() < 60, "{tries:?}");
--- a/crates/trace/tests/torn.rs
+++ b/crates/trace/tests/torn.rs
@@ -11,51 +11,51 @@
 use std::io::Cursor;
 
 /// Returns the rows of an intact file, its unsealed bytes, and the offset and row count of each block.
-fn sound() -> (Vec<String>, Vec<u8>, Vec<(usize, usize)>) {
+fn intact_file() -> (Vec<String>, Vec<u8>, Vec<(usize, usize)>) {
     let mut names = Names::default();
     let (rows, _) = records(&small(), &mut names);
     let bytes = file(&names, &rows[..160], &[], 24, false);
     let mut trace = open(&bytes);
-    let places = blocks(&trace).iter().map(|e| (e.offset as usize, e.rows as usize)).collect();
-    (readable(&mut trace).0, bytes, places)
+    let block_positions = blocks(&trace).iter().map(|e| (e.offset as usize, e.rows as usize)).collect();
+    (readable(&mut trace).0, bytes, block_positions)
 }
 
 #[test]
-fn a_node_that_dies_at_any_byte_of_its_last_two_blocks_loses_only_the_block_it_wrote() {
-    let (all, bytes, places) = sound();
-    assert!(places.len() > 5);
-    for cut in places[places.len() - 2].0..=bytes.len() {
+fn truncation_loses_only_the_block_being_written() {
+    let (all, bytes, block_positions) = intact_file();
+    assert!(block_positions.len() > 5);
+    for cut in block_positions[block_positions.len() - 2].0..=bytes.len() {
         let mut trace = open(&bytes[..cut]);
-        let whole: usize = (0..places.len())
-            .filter(|at| places.get(at + 1).map_or(bytes.len(), |next| next.0) <= cut)
-            .map(|at| places[at].1)
+        let whole: usize = (0..block_positions.len())
+            .filter(|at| block_positions.get(at + 1).map_or(bytes.len(), |next| next.0) <= cut)
+            .map(|at| block_positions[at].1)
             .sum();
-        let torn = !places.iter().any(|place| place.0 == cut) && cut < bytes.len();
+        let torn = !block_positions.iter().any(|place| place.0 == cut) && cut < bytes.len();
         assert_eq!((trace.sealed, trace.damage.len()), (false, usize::from(torn)), "cut at {cut}");
         assert_eq!(readable(&mut trace).0, all[..whole], "cut at {cut}");
     }
 }
 
 #[test]
-fn a_mended_file_is_sealed_and_holds_what_could_be_read() {
-    let (all, bytes, places) = sound();
+fn repaired_file_is_sealed_and_holds_readable_rows() {
+    let (all, bytes, block_positions) = intact_file();
     let mut torn = open(&bytes[..bytes.len() - 10]);
     let mut writer = Writer::new(Vec::new(), &torn.meta).unwrap();
-    let seen = tools::cut(&mut torn, &Selection::default(), &mut writer, &mut |_, _| {}).unwrap();
-    assert_eq!(seen.damage.len(), 1);
-    assert_eq!(seen.damage[0].rows, Some(places[places.len() - 1].1 as u32));
+    let report = tools::cut(&mut torn, &Selection::default(), &mut writer, &mut |_, _| {}).unwrap();
+    assert_eq!(report.damage.len(), 1);
+    assert_eq!(report.damage[0].rows, Some(block_positions[block_positions.len() - 1].1 as u32));
     let mut whole = open(&writer.seal().unwrap());
     assert!(whole.sealed && whole.damage.is_empty());
-    let kept = all.len() - places[places.len() - 1].1;
+    let kept = all.len() - block_positions[block_positions.len() - 1].1;
     assert_eq!(readable(&mut whole), (all[..kept].to_vec(), 0));
 }
 
 /// Corrupts each byte in turn: only intact rows are read, and at most `most` rows are lost.
-fn flip(bytes: &[u8], all: &[String], most: usize) {
+fn check_corruption_of_each_byte(bytes: &[u8], all: &[String], most: usize) {
     for at in 0..bytes.len() {
-        let mut wrong = bytes.to_vec();
-        wrong[at] ^= 0x41;
-        let mut trace = match Trace::open(Cursor::new(wrong)) {
+        let mut corrupt = bytes.to_vec();
+        corrupt[at] ^= 0x41;
+        let mut trace = match Trace::open(Cursor::new(corrupt)) {
             Ok(trace) => trace,
             Err(fault) => panic!("byte {at}: {fault}"),
         };
@@ -71,37 +71,37 @@
 }
 
 #[test]
-fn a_changed_byte_costs_one_block_at_the_most_and_never_makes_a_wrong_row() {
+fn corrupt_byte_loses_at_most_one_block() {
     let mut names = Names::default();
     let (rows, _) = records(&small(), &mut names);
     let rows = &rows[..18];
     let sealed = file(&names, rows, &[], 6, true);
     let all = readable(&mut open(&sealed)).0;
-    flip(&sealed, &all, 6);
-    flip(&file(&names, rows, &[], 6, false), &all, 6);
-    let first = first_version(&names, rows, &[]);
+    check_corruption_of_each_byte(&sealed, &all, 6);
+    check_corruption_of_each_byte(&file(&names, rows, &[], 6, false), &all, 6);
+    let first = version_1_file(&names, rows, &[]);
     let all = readable(&mut open(&first)).0;
-    flip(&first, &all, 1);
+    check_corruption_of_each_byte(&first, &all, 1);
 }
 
 #[test]
-fn lengths_that_claim_gigabytes_are_no_blocks() {
-    let (_, bytes, places) = sound();
-    let last = places[places.len() - 1].0;
+fn rejects_implausible_block_lengths() {
+    let (_, bytes, block_positions) = intact_file();
+    let last = block_positions[block_positions.len() - 1].0;
     for (head, body) in [(u32::MAX, 0), (0, u32::MAX), (64 << 20, 64 << 20)] {
-        let mut lie = bytes.clone();
+        let mut corrupt = bytes.clone();
         let header =
             BlockHeader { kind: BlockKind::Rows, rows: u32::MAX, head, body, crc_head: 0, crc_body: 0 };
-        lie.splice(last..last + BLOCK_HEADER_BYTES, header.encode());
-        let mut trace = open(&lie);
+        corrupt.splice(last..last + BLOCK_HEADER_BYTES, header.encode());
+        let mut trace = open(&corrupt);
         assert_eq!(trace.damage.len(), 1);
-        assert_eq!(blocks(&trace).len(), places.len() - 1);
+        assert_eq!(blocks(&trace).len(), block_positions.len() - 1);
         readable(&mut trace);
     }
 }
 
 #[test]
-fn a_later_version_is_named_and_what_is_no_trace_is_refused() {
+fn rejects_later_versions_and_other_files() {
     let later = puffinladder_trace::file::put_header(3, 0, &meta("n1"));
     assert!(matches!(Trace::open(Cursor::new(later)), Err(TraceError::UnsupportedVersion(3))));
     for bytes in [&b""[..], b"PUF", b"PUFTRACE", &[0u8; 4096], &[0xa7; 4096], &[0xf0; 4096]] {
@@ -116,7 +116,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(18), ..ProptestConfig::default() })]
     /// A malicious body with valid checksums must not cause a panic.
     #[test]
-    fn bytes_behind_a_fitting_checksum_are_read_without_a_panic(
+    fn malicious_body_with_valid_checksum_does_not_panic(
         at in 0usize..4000, with in proptest::collection::vec(any::<u8>(), 1..24), rows in 0u32..70000,
     ) {
         let mut names = Names::default();
@@ -137,7 +137,7 @@
         }
     }
     #[test]
-    fn any_bytes_behind_a_header_are_read_without_a_panic(
+    fn arbitrary_bytes_after_header_do_not_panic(
         major in 1u16..3, bytes in proptest::collection::vec(any::<u8>(), 0..400),
     ) {
         let mut all = puffinladder_trace::file::put_header(major, 9, &meta("n1"));
--- a/crates/trace/tests/ways.rs
+++ b/crates/trace/tests/ways.rs
@@ -30,7 +30,7 @@
 }
 
 /// Fixed rows that cover every field. The golden files depend on them.
-fn by_hand(names: &mut Names) -> (Vec<Row>, Vec<puffinladder_trace::Note>) {
+fn fixed_records(names: &mut Names) -> (Vec<Row>, Vec<puffinladder_trace::Note>) {
     use puffinladder::{Outcome, Reason};
     use puffinladder_trace::row::{Note, Topic, LAST, REPEAT};
     let order = names.intern_product(&Product {
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn the_first_version_stays_as_it_was_to_the_byte_and_the_second_can_still_be_read() {
+fn version_1_is_stable_and_version_2_stays_readable() {
     let mut names = Names::default();
-    let (rows, notes) = by_hand(&mut names);
+    let (rows, notes) = fixed_records(&mut names);
     let golden = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
-    let wanted: Vec<String> = rows.iter().map(|row| told(&names, row)).collect();
-    let first = first_version(&names, &rows, &notes);
+    let wanted: Vec<String> = rows.iter().map(|row| describe(&names, row)).collect();
+    let first = version_1_file(&names, &rows, &notes);
     if std::env::var_os("GOLDEN_MAKE").is_some() {
         std::fs::write(golden.join("v1.trace"), &first).unwrap();
         std::fs::write(golden.join("v2.trace"), file(&names, &rows, &notes, 16, true)).unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn rows_come_back_with_their_sizes_rounded_once() {
+fn rows_round_trip_with_values_rounded_once() {
     let mut names = Names::default();
     let (rows, notes) = records(&small(), &mut names);
     let bytes = file(&names, &rows, &notes, 100, true);
@@ -130,7 +130,7 @@
             near.memory = round_to_bits(row.memory, ESTIMATE_BITS);
             near.keep_off = round_to_bits(row.keep_off, SPAN_BITS);
             near.spans.iter_mut().for_each(|span| *span = round_to_bits(*span, SPAN_BITS));
-            told(&names, &near)
+            describe(&names, &near)
         })
         .collect();
     assert_eq!(readable(&mut open(&bytes)).0, wanted);
@@ -140,12 +140,12 @@
 }
 
 #[test]
-fn files_of_both_versions_merge_in_one_order_and_a_doubled_input_counts_once() {
+fn merges_versions_in_time_order_without_duplicates() {
     let mut names = Names::default();
-    let told = |seed, node: &str| SynthConfig { seed, node: node.into(), ..small() };
-    let (one, _) = records(&told(1, "n1"), &mut names);
-    let (two, notes) = records(&told(2, "n2"), &mut names);
-    let (first, second) = (first_version(&names, &one, &notes), file(&names, &two, &notes, 50, true));
+    let config = |seed, node: &str| SynthConfig { seed, node: node.into(), ..small() };
+    let (one, _) = records(&config(1, "n1"), &mut names);
+    let (two, notes) = records(&config(2, "n2"), &mut names);
+    let (first, second) = (version_1_file(&names, &one, &notes), file(&names, &two, &notes, 50, true));
     let (mut all, report) = merged(vec![(&second, 0), (&first, 0), (&second, 0)]);
     assert_eq!(
         (report.rows, report.duplicates, report.out_of_order),
@@ -156,8 +156,8 @@
     assert!(rows.is_sorted_by_key(|row| row.read));
     let nodes = |node: &str| rows.iter().filter(|row| fresh.text(row.node) == node).count();
     assert_eq!((nodes("n1"), nodes("n2")), (one.len(), two.len()));
-    let told_once = tools::notes(&mut all, &mut fresh, &Selection::default(), &mut Vec::new()).unwrap();
-    assert_eq!(told_once.len(), notes.len());
+    let merged_notes = tools::notes(&mut all, &mut fresh, &Selection::default(), &mut Vec::new()).unwrap();
+    assert_eq!(merged_notes.len(), notes.len());
     // With a clock offset the inputs do not overlap.
     let (mut apart, report) = merged(vec![(&first, 3_600_000_000), (&second, 0)]);
     assert_eq!(report.duplicates, 0);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_loses_no_row_and_a_small_step_not_even_the_order() {
+fn backward_clock_step_keeps_rows_and_order() {
     let mut names = Names::default();
     let (mut rows, _) = records(&small(), &mut names);
     let half = rows.len() / 2;
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_block_that_cannot_be_read_costs_a_merge_that_block_and_is_named() {
+fn merge_skips_and_reports_damaged_block() {
     let mut names = Names::default();
     let (rows, _) = records(&small(), &mut names);
     let mut bytes = file(&names, &rows, &[], 50, true);
@@ -194,27 +194,30 @@
 }
 
 #[test]
-fn a_cut_holds_its_span_and_nothing_else_and_passes_over_the_rest() {
+fn cut_returns_only_its_time_range_and_skips_other_blocks() {
     let mut names = Names::default();
     let (rows, notes) = records(&SynthConfig { span: 120.0, ..small() }, &mut names);
-    for bytes in [file(&names, &rows, &notes, 40, true), first_version(&names, &rows, &notes)] {
+    for bytes in [file(&names, &rows, &notes, 40, true), version_1_file(&names, &rows, &notes)] {
         let from = rows[0].read + 41_000_000;
-        let choice = Selection { from, to: from + 10_000_000, ..Selection::default() };
+        let selection = Selection { from, to: from + 10_000_000, ..Selection::default() };
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
-        let seen = tools::cut(&mut open(&bytes), &choice, &mut writer, &mut |_, _| {}).unwrap();
+        let report = tools::cut(&mut open(&bytes), &selection, &mut writer, &mut |_, _| {}).unwrap();
         let cut = rows_of(&mut open(&writer.seal().unwrap()), &mut Names::default());
-        let wanted: Vec<i64> =
-            rows.iter().map(|row| row.read).filter(|at| (choice.from..choice.to).contains(at)).collect();
+        let wanted: Vec<i64> = rows
+            .iter()
+            .map(|row| row.read)
+            .filter(|at| (selection.from..selection.to).contains(at))
+            .collect();
         assert_eq!(cut.iter().map(|row| row.read).collect::<Vec<_>>(), wanted);
         assert!(
-            seen.rows == wanted.len() as u64
-                && (seen.skipped_blocks > seen.read_blocks || blocks(&open(&bytes)).len() == 1)
+            report.rows == wanted.len() as u64
+                && (report.skipped_blocks > report.read_blocks || blocks(&open(&bytes)).len() == 1)
         );
     }
 }
 
 #[test]
-fn what_heads_rule_out_is_what_rows_would() {
+fn heads_and_rows_select_the_same_requests() {
     let mut names = Names::default();
     let (rows, _) = records(&SynthConfig { span: 200.0, overload_share: 0.3, ..small() }, &mut names);
     let bytes = file(&names, &rows, &[], 37, true);
@@ -244,27 +247,29 @@
         let begin = trace.time_range().unwrap().0;
         let all = rows_of(&mut trace, &mut names);
         let wanted = all.iter().filter(|row| expr.matches(row, &names, begin)).count() as u64;
-        let choice = Selection { expr, ..Selection::default() };
+        let selection = Selection { expr, ..Selection::default() };
         let each = |_: &Row, _: &Names| ControlFlow::Continue(());
-        let seen = tools::scan(&mut trace, &mut names, &choice, &mut |_, _| {}, each).unwrap();
-        assert_eq!(seen.rows, wanted, "{text}");
+        let report = tools::scan(&mut trace, &mut names, &selection, &mut |_, _| {}, each).unwrap();
+        assert_eq!(report.rows, wanted, "{text}");
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
-        let cut = tools::cut(&mut trace, &choice, &mut writer, &mut |_, _| {}).unwrap();
+        let cut = tools::cut(&mut trace, &selection, &mut writer, &mut |_, _| {}).unwrap();
         assert_eq!(cut.rows, wanted, "{text}");
         let (sums, _) =
-            tools::summarise(&mut trace, &mut names, &choice, None, 1, false, &mut |_, _| {}).unwrap();
+            tools::summarise(&mut trace, &mut names, &selection, None, 1, false, &mut |_, _| {}).unwrap();
         assert_eq!(sums.total.requests, wanted, "{text}");
-        passed += seen.skipped_blocks;
+        passed += report.skipped_blocks;
     }
     assert!(passed > 100, "heads skipped only {passed} blocks");
-    let choice = Selection { expr: parse("customer = nobody or run > 1h").unwrap(), ..Selection::default() };
+    let selection =
+        Selection { expr: parse("customer = nobody or run > 1h").unwrap(), ..Selection::default() };
     let each = |_: &Row, _: &Names| ControlFlow::Continue(());
-    let seen = tools::scan(&mut open(&bytes), &mut Names::default(), &choice, &mut |_, _| {}, each).unwrap();
-    assert_eq!((seen.read_blocks, seen.skipped_blocks), (0, blocks(&open(&bytes)).len()));
+    let report =
+        tools::scan(&mut open(&bytes), &mut Names::default(), &selection, &mut |_, _| {}, each).unwrap();
+    assert_eq!((report.read_blocks, report.skipped_blocks), (0, blocks(&open(&bytes)).len()));
 }
 
 #[test]
-fn sums_from_heads_are_those_from_rows() {
+fn heads_and_rows_give_the_same_totals() {
     let mut names = Names::default();
     let (rows, _) = records(&SynthConfig { span: 120.0, ..small() }, &mut names);
     let bytes = file(&names, &rows, &[], 50, true);
@@ -277,11 +282,11 @@
         GroupBy::Interval,
     ] {
         let sum = |percentiles| {
-            let (mut trace, mut names, choice) = (open(&bytes), Names::default(), Selection::default());
+            let (mut trace, mut names, selection) = (open(&bytes), Names::default(), Selection::default());
             tools::summarise(
                 &mut trace,
                 &mut names,
-                &choice,
+                &selection,
                 Some(by),
                 10_000_000,
                 percentiles,
@@ -289,35 +294,35 @@
             )
             .unwrap()
         };
-        let ((full, _), (quick, seen)) = (sum(true), sum(false));
+        let ((full, _), (quick, report)) = (sum(true), sum(false));
         assert_eq!(
             (&full.total, &full.groups, full.span),
             (&quick.total, &quick.groups, quick.span),
             "{by:?}"
         );
         assert_eq!(full.total.requests, rows.len() as u64);
-        assert!(seen.skipped_blocks > 0 || by == GroupBy::Caller, "{by:?}: no head was used");
+        assert!(report.skipped_blocks > 0 || by == GroupBy::Caller, "{by:?}: no head was used");
     }
 }
 
 #[test]
-fn a_veiled_file_holds_no_name_of_the_old_one_and_the_same_key_gives_the_same_names() {
+fn anonymised_file_is_consistent_and_holds_no_original_names() {
     let mut names = Names::default();
     let (mut rows, _) = records(&small(), &mut names);
     // Large caller numbers, recognisable in the encoded bytes.
     rows.iter_mut()
         .for_each(|row| row.caller = row.caller.wrapping_mul(0x1000_0001).wrapping_add(0x5ea1_0000));
     let bytes = file(&names, &rows, &[], 100, true);
-    let veil = |key: u8, floor| {
+    let anonymise = |key: u8, floor| {
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
         tools::anonymise(&mut open(&bytes), &[key; 32], floor, false, &mut writer, &mut |_, _| {}).unwrap();
-        let veiled = writer.seal().unwrap();
+        let anonymised = writer.seal().unwrap();
         let mut fresh = Names::default();
-        let rows = rows_of(&mut open(&veiled), &mut fresh);
+        let rows = rows_of(&mut open(&anonymised), &mut fresh);
         let customers: Vec<String> = rows.iter().map(|row| fresh.text(row.customer).to_owned()).collect();
-        (veiled, rows, fresh, customers)
+        (anonymised, rows, fresh, customers)
     };
-    let (veiled, new, fresh, customers) = veil(1, 0);
+    let (anonymised, new, fresh, customers) = anonymise(1, 0);
     assert_eq!(new.len(), rows.len());
     let old: std::collections::HashSet<&str> = rows.iter().map(|row| names.text(row.customer)).collect();
     assert!(old.iter().all(|name| !fresh.words().iter().any(|word| word.contains(name))));
@@ -325,18 +330,18 @@
     for (before, after) in rows.iter().zip(&new) {
         assert!(before.caller != after.caller && before.name != after.name);
         assert!(before.key == 0 || before.key != after.key);
-        assert!(!veiled.windows(6).any(|w| before.key != 0 && w == &before.key.to_le_bytes()[..6]));
+        assert!(!anonymised.windows(6).any(|w| before.key != 0 && w == &before.key.to_le_bytes()[..6]));
     }
-    assert!(old.iter().all(|name| !veiled.windows(name.len()).any(|w| w == name.as_bytes())));
+    assert!(old.iter().all(|name| !anonymised.windows(name.len()).any(|w| w == name.as_bytes())));
     // Retries still share a key.
     let same = |rows: &[Row]| -> Vec<usize> {
         rows.iter().map(|row| rows.iter().position(|other| other.key == row.key).unwrap()).collect()
     };
     assert_eq!(same(&rows), same(&new));
-    assert_eq!(customers, veil(1, 0).3);
-    let other = veil(2, 0).3;
+    assert_eq!(customers, anonymise(1, 0).3);
+    let other = anonymise(2, 0).3;
     assert!(customers.iter().zip(&other).all(|(a, b)| a != b));
-    let floored = veil(1, 40).3;
+    let floored = anonymise(1, 40).3;
     let count = |name: &str| customers.iter().filter(|c| *c == name).count();
     for (plain, under) in customers.iter().zip(&floored) {
         assert_eq!(if count(plain) < 40 { "rare" } else { plain }, under);
@@ -345,10 +350,10 @@
 }
 
 #[test]
-fn a_later_minor_version_is_read_without_its_news() {
+fn skips_unknown_frames_of_later_minor_version() {
     let mut names = Names::default();
-    let (rows, notes) = by_hand(&mut names);
-    let mut payloads = first_version(&names, &rows, &notes);
+    let (rows, notes) = fixed_records(&mut names);
+    let mut payloads = version_1_file(&names, &rows, &notes);
     // A frame of an unknown kind.
     let payload = [9u8, 1, 2, 3];
     payloads.push(puffinladder_trace::v1::FRAME_MARK);
