--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -36,7 +36,8 @@
 pub const RARE: &str = "rare";
 
 impl Anonymiser {
-    /// Creates a mapping. `counts` holds the requests of each customer; customers with fewer than `floor` become [`RARE`].
+    /// Creates a mapping. `counts` holds the requests of each customer; customers with fewer than `floor` become
+    /// [`RARE`].
     pub fn new(key: &[u8; 32], counts: &HashMap<u32, u64>, floor: u64, nodes: bool) -> Anonymiser {
         // Separate derived keys, so that equal bytes of different kinds get different hashes.
         let derived = |kind: &str| blake3::derive_key(&format!("puffinladder trace 2026 {kind}"), key);
@@ -73,6 +74,7 @@
         }
     }
 
+    /// Returns the number of a node's pseudonym, or `node` itself if nodes stay.
     pub fn anonymise_node(&mut self, names: &mut Names, node: u32) -> u32 {
         let Some(key) = &self.nodes_key else { return node };
         *self.nodes.entry(node).or_insert_with_key(|old| {
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Section ids of the columns.
 mod column {
     pub const READ: u8 = 1;
     pub const UNREAD: u8 = 2;
@@ -78,6 +79,7 @@
     TEXTS.get(usize::from(id)).copied().unwrap_or("?")
 }
 
+/// Appends a column with its id.
 fn put_section(out: &mut Vec<u8>, id: u8, values: &[u64]) {
     let mut bytes = Vec::new();
     put_column(&mut bytes, values);
@@ -206,48 +208,48 @@
 }
 
 fn put_head(names: &Names, head: &Head) -> Vec<u8> {
-    let mut all = Vec::new();
-    all.extend(head.from.to_le_bytes());
-    all.extend(head.to.to_le_bytes());
-    put_varint(&mut all, head.rows as u64);
-    put_varint(&mut all, head.longest_wait);
-    put_varint(&mut all, head.longest_run);
-    let put_words = |all: &mut Vec<u8>, words: &[u32]| {
-        put_varint(all, words.len() as u64);
-        words.iter().for_each(|word| put_bytes(all, names.text(*word).as_bytes()));
+    let mut bytes = Vec::new();
+    bytes.extend(head.from.to_le_bytes());
+    bytes.extend(head.to.to_le_bytes());
+    put_varint(&mut bytes, head.rows as u64);
+    put_varint(&mut bytes, head.longest_wait);
+    put_varint(&mut bytes, head.longest_run);
+    let put_words = |bytes: &mut Vec<u8>, words: &[u32]| {
+        put_varint(bytes, words.len() as u64);
+        words.iter().for_each(|word| put_bytes(bytes, names.text(*word).as_bytes()));
     };
-    put_words(&mut all, &head.nodes);
-    put_varint(&mut all, head.products.len() as u64);
+    put_words(&mut bytes, &head.nodes);
+    put_varint(&mut bytes, head.products.len() as u64);
     for product in &head.products {
         let terms = names.product(*product);
-        put_bytes(&mut all, terms.name.as_bytes());
+        put_bytes(&mut bytes, terms.name.as_bytes());
         for term in [terms.value, terms.sla, terms.expiry] {
-            all.extend(term.to_le_bytes());
+            bytes.extend(term.to_le_bytes());
         }
-        all.push(terms.by_work.into());
+        bytes.push(terms.by_work.into());
     }
-    put_words(&mut all, &head.customers);
-    put_varint(&mut all, head.paths.len() as u64);
-    head.paths.iter().for_each(|path| put_bytes(&mut all, &names.path(*path).0));
-    put_varint(&mut all, head.groups.len() as u64);
+    put_words(&mut bytes, &head.customers);
+    put_varint(&mut bytes, head.paths.len() as u64);
+    head.paths.iter().for_each(|path| put_bytes(&mut bytes, &names.path(*path).0));
+    put_varint(&mut bytes, head.groups.len() as u64);
     let position =
         |numbers: &[u32], wanted| numbers.iter().position(|number| *number == wanted).unwrap_or(0) as u64;
     for group in &head.groups {
-        put_varint(&mut all, position(&head.products, group.product));
-        put_varint(&mut all, position(&head.customers, group.customer));
-        all.push(group.disposition.0);
-        put_varint(&mut all, group.count);
-        all.extend(group.value.to_le_bytes());
+        put_varint(&mut bytes, position(&head.products, group.product));
+        put_varint(&mut bytes, position(&head.customers, group.customer));
+        bytes.push(group.disposition.0);
+        put_varint(&mut bytes, group.count);
+        bytes.extend(group.value.to_le_bytes());
     }
-    let mut bytes = Vec::new();
-    put_compressed(&mut bytes, &all);
-    bytes
+    let mut compressed = Vec::new();
+    put_compressed(&mut compressed, &bytes);
+    compressed
 }
 
 /// Decodes a head and interns its names.
 pub fn read_head(names: &mut Names, bytes: &[u8]) -> Result<Head, DecodeError> {
-    let all = read_compressed(&mut Cursor(bytes), MAX_HEAD_BYTES)?;
-    let from = &mut Cursor(&all);
+    let decompressed = read_compressed(&mut Cursor(bytes), MAX_HEAD_BYTES)?;
+    let from = &mut Cursor(&decompressed);
     let mut head = Head { from: from.i64()?, to: from.i64()?, ..Head::default() };
     head.rows = from.count(MAX_BLOCK_ROWS)?;
     (head.longest_wait, head.longest_run) = (from.varint()?, from.varint()?);
@@ -296,14 +298,16 @@
 pub struct Sections<'a>(Vec<(u8, &'a [u8])>);
 
 impl<'a> Sections<'a> {
+    /// Splits a body into its sections.
     pub fn new(body: &'a [u8]) -> Result<Sections<'a>, DecodeError> {
         let mut from = Cursor(body);
-        let mut all = Vec::new();
+        let mut sections = Vec::new();
         while !from.0.is_empty() {
-            all.push((from.u8()?, from.bytes()?));
+            sections.push((from.u8()?, from.bytes()?));
         }
-        Ok(Sections(all))
+        Ok(Sections(sections))
     }
+    /// Returns id and length in bytes of each section.
     pub fn sizes(&self) -> impl Iterator<Item = (u8, usize)> + '_ {
         self.0.iter().map(|(id, bytes)| (*id, bytes.len()))
     }
@@ -319,10 +323,11 @@
     }
 }
 
-fn lookup(all: &[u32], at: u64) -> Result<u32, DecodeError> {
+/// Resolves a block-local number.
+fn lookup(numbers: &[u32], at: u64) -> Result<u32, DecodeError> {
     usize::try_from(at)
         .ok()
-        .and_then(|at| all.get(at))
+        .and_then(|at| numbers.get(at))
         .copied()
         .ok_or(DecodeError("record refers to an unknown name"))
 }
@@ -388,6 +393,7 @@
     Ok(())
 }
 
+/// Decodes the notes of a block and appends them to `into`.
 pub fn read_notes(head: &Head, body: &[u8], into: &mut Vec<Note>) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let (read, node) = (sections.column(column::READ, head.rows)?, sections.column(column::NODE, head.rows)?);
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -20,6 +20,7 @@
 pub struct Cursor<'a>(pub &'a [u8]);
 
 impl<'a> Cursor<'a> {
+    /// Takes the next `len` bytes.
     pub fn take(&mut self, len: usize) -> Result<&'a [u8], DecodeError> {
         let (front, rest) = self.0.split_at_checked(len).ok_or(DecodeError("unexpected end of data"))?;
         self.0 = rest;
@@ -67,15 +68,18 @@
         let value = self.varint()?;
         usize::try_from(value).ok().filter(|v| *v <= max).ok_or(DecodeError("count out of range"))
     }
+    /// Reads bytes preceded by their length.
     pub fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let len = self.count(self.0.len())?;
         self.take(len)
     }
+    /// Reads a UTF-8 string preceded by its length.
     pub fn text(&mut self) -> Result<&'a str, DecodeError> {
         std::str::from_utf8(self.bytes()?).map_err(|_| DecodeError("name is not valid UTF-8"))
     }
 }
 
+/// Writes a LEB128 number.
 pub fn put_varint(out: &mut Vec<u8>, mut value: u64) {
     while value >= 0x80 {
         out.push(value as u8 | 0x80);
@@ -84,6 +88,7 @@
     out.push(value as u8);
 }
 
+/// Writes bytes preceded by their length.
 pub fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     put_varint(out, bytes.len() as u64);
     out.extend_from_slice(bytes);
@@ -146,9 +151,10 @@
         if decompressor.is_none() {
             *decompressor = zstd::bulk::Decompressor::new().ok();
         }
-        let all = decompressor.as_mut().ok_or(corrupt)?.decompress(bytes, len).map_err(|_| corrupt)?;
-        if all.len() == len {
-            Ok(all)
+        let decompressed =
+            decompressor.as_mut().ok_or(corrupt)?.decompress(bytes, len).map_err(|_| corrupt)?;
+        if decompressed.len() == len {
+            Ok(decompressed)
         } else {
             Err(corrupt)
         }
@@ -170,6 +176,7 @@
     }
 }
 
+/// Reads bytes written by [`put_compressed`], of which there may be `max` at most.
 pub fn read_compressed(from: &mut Cursor, max: usize) -> Result<Vec<u8>, DecodeError> {
     let len = from.count(max)?;
     let mode = from.u8()?;
@@ -181,6 +188,7 @@
     }
 }
 
+/// Storage modes of a plane.
 const RAW: u8 = 0;
 const ZSTD: u8 = 1;
 const CONSTANT: u8 = 2;
@@ -189,8 +197,8 @@
 /// random and high bytes are mostly equal.
 pub fn put_column(out: &mut Vec<u8>, values: &[u64]) {
     put_varint(out, values.len() as u64);
-    let max = values.iter().copied().fold(0, |all, value| all | value);
-    let width = (u64::BITS - max.leading_zeros()).div_ceil(8) as u8;
+    let used_bits = values.iter().copied().fold(0, |bits, value| bits | value);
+    let width = (u64::BITS - used_bits.leading_zeros()).div_ceil(8) as u8;
     out.push(width);
     let mut plane = Vec::with_capacity(values.len());
     for byte in 0..width {
--- a/crates/trace/src/codec/tests.rs
+++ b/crates/trace/src/codec/tests.rs
@@ -6,10 +6,10 @@
     for bits in [SPAN_BITS, ESTIMATE_BITS] {
         let corners = (12..32).flat_map(|b| [1 << b, (1 << b) - 1, (1 << b) + 77]);
         for value in (0..4096).chain(corners).chain([u32::MAX]) {
-            let near = round_to_bits(value, bits);
-            assert_eq!(round_to_bits(near, bits), near, "{value}");
-            let off = (f64::from(near) - f64::from(value)).abs();
-            assert!(off <= f64::from(value) / f64::from(1 << bits), "{value}: {near}");
+            let rounded = round_to_bits(value, bits);
+            assert_eq!(round_to_bits(rounded, bits), rounded, "{value}");
+            let error = (f64::from(rounded) - f64::from(value)).abs();
+            assert!(error <= f64::from(value) / f64::from(1 << bits), "{value}: {rounded}");
         }
         let last = quantize(u32::MAX, bits);
         assert!((0..last).all(|c| dequantize(c, bits) < dequantize(c + 1, bits)));
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -65,6 +65,7 @@
     At,
 }
 
+/// Comparison operators of numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     Less,
@@ -75,6 +76,7 @@
     NotEqual,
 }
 
+/// A parsed expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expr {
     All,
@@ -86,6 +88,7 @@
     Or(Vec<Expr>),
 }
 
+/// Comparison operators of text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TextMatch {
     Equal,
@@ -158,6 +161,8 @@
 
 /// Maximum nesting depth, which bounds the parser's recursion.
 const MAX_DEPTH: usize = 64;
+/// Maximum length of an expression in bytes.
+const MAX_LENGTH_BYTES: usize = 1 << 14;
 
 /// Parses an expression. An empty one selects all requests.
 pub fn parse(text: &str) -> Result<Expr, ParseError> {
@@ -172,7 +177,7 @@
             ')' => depth.saturating_sub(1),
             _ => depth,
         };
-        if depth > MAX_DEPTH || text.len() > 1 << 14 {
+        if depth > MAX_DEPTH || text.len() > MAX_LENGTH_BYTES {
             return Err(ParseError {
                 column: at + 1,
                 message: "expression is too long or too deeply nested".into(),
@@ -241,7 +246,7 @@
 }
 
 fn condition(input: &mut &str) -> ModalResult<Expr> {
-    let begin = *input;
+    let start = *input;
     let word = bare_word.parse_next(input)?;
     if let Some((_, flag)) = FLAGS.iter().find(|(name, _)| *name == word) {
         return Ok(Expr::Flag(*flag));
@@ -277,7 +282,7 @@
             .parse_next(input)?;
         return Ok(Expr::Number(*field, operator, value));
     }
-    *input = begin;
+    *input = start;
     Err(ErrMode::Backtrack(ContextError::new()))
 }
 
@@ -343,9 +348,9 @@
 }
 
 impl BlockMatch {
-    fn of(all: impl Iterator<Item = bool>) -> BlockMatch {
+    fn of(results: impl Iterator<Item = bool>) -> BlockMatch {
         let (mut any, mut every) = (false, true);
-        for selected in all {
+        for selected in results {
             (any, every) = (any || selected, every && selected);
         }
         match (any, every) {
@@ -354,8 +359,8 @@
             _ => BlockMatch::Some,
         }
     }
-    fn possible(some: bool) -> BlockMatch {
-        if some {
+    fn possible(any: bool) -> BlockMatch {
+        if any {
             BlockMatch::Some
         } else {
             BlockMatch::None
@@ -437,12 +442,12 @@
 
 impl Expr {
     /// Returns whether a row is selected. `begin` is the start of the trace in us.
-    pub fn matches(&self, row: &Row, names: &Names, begin: i64) -> bool {
+    pub fn matches(&self, row: &Row, names: &Names, trace_start: i64) -> bool {
         match self {
             Expr::All => true,
-            Expr::Not(inner) => !inner.matches(row, names, begin),
-            Expr::And(all) => all.iter().all(|part| part.matches(row, names, begin)),
-            Expr::Or(all) => all.iter().any(|part| part.matches(row, names, begin)),
+            Expr::Not(inner) => !inner.matches(row, names, trace_start),
+            Expr::And(terms) => terms.iter().all(|part| part.matches(row, names, trace_start)),
+            Expr::Or(terms) => terms.iter().any(|part| part.matches(row, names, trace_start)),
             Expr::Flag(flag) => path_has_flag(*flag, names.path(row.path)).unwrap_or_else(|| match flag {
                 Flag::Repeat => row.repeat(),
                 Flag::Last => row.last(),
@@ -477,7 +482,7 @@
                     NumberField::Rank => f64::from(row.rank) / 64.0,
                     NumberField::Caller => row.caller.into(),
                     NumberField::Value => row.value(names.product(row.product)),
-                    NumberField::At => (row.read - begin) as f64,
+                    NumberField::At => (row.read - trace_start) as f64,
                 };
                 comparison.matches(found, *wanted)
             }
@@ -485,17 +490,17 @@
     }
 
     /// Matches a block by its head alone.
-    pub fn match_block(&self, head: &Head, names: &Names, begin: i64) -> BlockMatch {
+    pub fn match_block(&self, head: &Head, names: &Names, trace_start: i64) -> BlockMatch {
         match self {
             Expr::All => BlockMatch::All,
-            Expr::Not(inner) => match inner.match_block(head, names, begin) {
+            Expr::Not(inner) => match inner.match_block(head, names, trace_start) {
                 BlockMatch::None => BlockMatch::All,
                 BlockMatch::Some => BlockMatch::Some,
                 BlockMatch::All => BlockMatch::None,
             },
-            Expr::And(all) => {
+            Expr::And(terms) => {
                 let parts: Vec<BlockMatch> =
-                    all.iter().map(|part| part.match_block(head, names, begin)).collect();
+                    terms.iter().map(|part| part.match_block(head, names, trace_start)).collect();
                 if parts.contains(&BlockMatch::None) {
                     BlockMatch::None
                 } else if parts.iter().all(|part| *part == BlockMatch::All) {
@@ -504,9 +509,9 @@
                     BlockMatch::Some
                 }
             }
-            Expr::Or(all) => {
+            Expr::Or(terms) => {
                 let parts: Vec<BlockMatch> =
-                    all.iter().map(|part| part.match_block(head, names, begin)).collect();
+                    terms.iter().map(|part| part.match_block(head, names, trace_start)).collect();
                 if parts.contains(&BlockMatch::All) {
                     BlockMatch::All
                 } else if parts.iter().all(|part| *part == BlockMatch::None) {
@@ -545,7 +550,7 @@
                     BlockMatch::possible(comparison.could_match(0.0, head.longest_run as f64, *wanted))
                 }
                 NumberField::At => {
-                    let (low, high) = ((head.from - begin) as f64, (head.to - begin) as f64);
+                    let (low, high) = ((head.from - trace_start) as f64, (head.to - trace_start) as f64);
                     match (
                         comparison.could_match(low, high, *wanted),
                         comparison.matches(low, *wanted),
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -5,8 +5,11 @@
 use crate::row::*;
 use std::io::{self, Write};
 
+/// First bytes of a trace file.
 pub const MAGIC: [u8; 8] = *b"PUFTRACE";
+/// Last bytes of a sealed trace file.
 pub const END_MAGIC: [u8; 8] = *b"ECARTFUP";
+/// Version written: readers reject other major versions and skip what later minor versions add.
 pub const MAJOR: u16 = 2;
 pub const MINOR: u16 = 0;
 /// Sizes of the file header without its text, a block header, the trailer and an index entry, in bytes.
@@ -14,11 +17,13 @@
 pub const BLOCK_HEADER_BYTES: usize = 36;
 pub const TRAILER_BYTES: usize = 24;
 pub const INDEX_ENTRY_BYTES: usize = 36;
+/// First bytes of a block header.
 pub const BLOCK_MAGIC: [u8; 4] = *b"\xf0BL2";
 /// Upper bounds of the header's text and of a stored head or body, in bytes. Writers stay far below them.
 pub const MAX_HEADER_TEXT_BYTES: usize = 1 << 16;
 pub const MAX_STORED_BYTES: usize = 64 << 20;
 
+/// Kinds of blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockKind {
     Rows,
@@ -29,6 +34,7 @@
 }
 
 impl BlockKind {
+    /// Returns the stored code.
     pub fn code(self) -> u8 {
         match self {
             BlockKind::Rows => 1,
@@ -37,6 +43,7 @@
             BlockKind::Other(code) => code,
         }
     }
+    /// Returns the kind of a stored code.
     pub fn from_code(code: u8) -> BlockKind {
         match code {
             1 => BlockKind::Rows,
@@ -109,6 +116,7 @@
 }
 
 impl BlockHeader {
+    /// Encodes the header with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = BLOCK_MAGIC.to_vec();
         out.extend([self.kind.code(), 0, 0, 0]);
@@ -170,10 +178,12 @@
     EncodedBlock { kind, rows: head.rows as u32, from: head.from, to: head.to, bytes }
 }
 
+/// Encodes rows as a block, sorted by read time.
 pub fn encode_rows(names: &Names, rows: &mut [Row]) -> EncodedBlock {
     encoded_block(BlockKind::Rows, block::encode_rows(names, rows))
 }
 
+/// Encodes notes as a block, sorted by time.
 pub fn encode_notes(names: &Names, notes: &mut [Note]) -> EncodedBlock {
     encoded_block(BlockKind::Notes, block::encode_notes(names, notes))
 }
@@ -200,6 +210,7 @@
 }
 
 impl<W: Write> Writer<W> {
+    /// Writes the file header and returns the writer.
     pub fn new(mut out: W, meta: &FileMetadata) -> io::Result<Writer<W>> {
         let header = put_header(MAJOR, MINOR, meta);
         out.write_all(&header)?;
@@ -210,10 +221,12 @@
     pub fn len(&self) -> u64 {
         self.at
     }
+    /// Returns whether no block was written.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
+    /// Appends a block and its index entry.
     pub fn write_block(&mut self, block: &EncodedBlock) -> io::Result<()> {
         self.out.write_all(&block.bytes)?;
         self.index.push(IndexEntry {
@@ -228,6 +241,7 @@
         Ok(())
     }
 
+    /// Flushes the inner writer.
     pub fn flush(&mut self) -> io::Result<()> {
         self.out.flush()
     }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -29,6 +29,7 @@
 }
 
 impl<R: Read + Seek> RowSource<R> {
+    /// Creates a source that adds `offset` (us) to every time.
     pub fn new(mut trace: Trace<R>, offset: i64) -> RowSource<R> {
         trace.entries.retain(|entry| entry.kind == BlockKind::Rows);
         let mut earliest: Vec<i64> = trace.entries.iter().map(|entry| entry.from).collect();
@@ -129,11 +130,13 @@
 }
 
 impl<R: Read + Seek> Merge<R> {
+    /// Merges the sources.
     pub fn new(sources: Vec<RowSource<R>>) -> Merge<R> {
         let (next_times, current) = (BinaryHeap::new(), Vec::new());
         Merge { sources, next_times, started: false, current, now: i64::MIN, report: MergeReport::default() }
     }
 
+    /// Returns the next row, or `None` at the end, when `report` is complete.
     pub fn next(&mut self, names: &mut Names) -> Result<Option<Row>, TraceError> {
         if !std::mem::replace(&mut self.started, true) {
             for at in 0..self.sources.len() {
@@ -190,6 +193,7 @@
 }
 
 impl<'a, W: Write> BlockWriter<'a, W> {
+    /// Creates a writer with `block_rows` records in each block.
     pub fn new(block_rows: usize, out: &'a mut Writer<W>) -> BlockWriter<'a, W> {
         BlockWriter { rows: Vec::new(), notes: Vec::new(), block_rows, out }
     }
@@ -203,6 +207,7 @@
         }
         Ok(full)
     }
+    /// Adds a note.
     pub fn write_note(&mut self, names: &Names, note: Note) -> io::Result<()> {
         self.notes.push(note);
         if self.notes.len() >= self.block_rows {
--- a/crates/trace/src/open.rs
+++ b/crates/trace/src/open.rs
@@ -52,6 +52,11 @@
 }
 
 impl<R: Read + Seek> Trace<R> {
+    /// Opens a trace: reads header and index, or finds the blocks by scanning. Damage is listed in `damage`.
+    ///
+    /// # Errors
+    ///
+    /// [`TraceError`] if the source cannot be read, is not a trace or has an unsupported version.
     pub fn open(mut source: R) -> Result<Trace<R>, TraceError> {
         let len = source.seek(SeekFrom::End(0))?;
         let mut trace = Trace {
@@ -72,8 +77,8 @@
                 "file ends within its header"
             }));
         }
-        let begin = match trace.read_header(&front)? {
-            Some(begin) => begin,
+        let first_block = match trace.read_header(&front)? {
+            Some(first_block) => first_block,
             None => {
                 // A damaged header loses the node's name only, as long as blocks can be read.
                 let len = len.min(HEADER_BYTES as u64);
@@ -83,17 +88,17 @@
         };
         let header_valid = trace.damage.is_empty();
         if trace.major == v1::MAJOR {
-            trace.scan_frames(begin)?;
+            trace.scan_frames(first_block)?;
         } else if !trace.read_index()? {
-            trace.scan_blocks(begin)?;
+            trace.scan_blocks(first_block)?;
             if !header_valid && trace.entries.is_empty() {
                 (trace.major, trace.damage) = (v1::MAJOR, trace.damage.drain(..1).collect());
-                trace.scan_frames(begin)?;
+                trace.scan_frames(first_block)?;
             }
         }
         // The bytes between a damaged header and the first block belong to the same damage.
         if !header_valid
-            && trace.damage.get(1).is_some_and(|next| next.offset == begin && next.rows.is_none())
+            && trace.damage.get(1).is_some_and(|next| next.offset == first_block && next.rows.is_none())
         {
             let rest = trace.damage.remove(1);
             trace.damage[0].len = rest.offset + rest.len;
@@ -129,16 +134,16 @@
         let len = len.min(usize::try_from(self.len.saturating_sub(offset)).unwrap_or(usize::MAX));
         self.source.seek(SeekFrom::Start(offset))?;
         let mut bytes = vec![0; len];
-        let mut have = 0;
-        while have < len {
-            match self.source.read(&mut bytes[have..]) {
+        let mut filled = 0;
+        while filled < len {
+            match self.source.read(&mut bytes[filled..]) {
                 Ok(0) => break,
-                Ok(count) => have += count,
+                Ok(count) => filled += count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        bytes.truncate(have);
+        bytes.truncate(filled);
         Ok(bytes)
     }
 
@@ -167,11 +172,11 @@
     }
 
     /// Finds the blocks of a file without an index.
-    fn scan_blocks(&mut self, begin: u64) -> io::Result<()> {
-        let (mut at, mut behind_index) = (begin, false);
+    fn scan_blocks(&mut self, start: u64) -> io::Result<()> {
+        let (mut at, mut after_index) = (start, false);
         while at < self.len {
             // The trailer follows the index and holds no records.
-            if std::mem::take(&mut behind_index) && self.len - at <= TRAILER_BYTES as u64 {
+            if std::mem::take(&mut after_index) && self.len - at <= TRAILER_BYTES as u64 {
                 return Ok(());
             }
             let bytes = self.read_at(at, BLOCK_HEADER_BYTES)?;
@@ -214,7 +219,7 @@
                     }),
                 }
             }
-            behind_index = header.kind == BlockKind::Index;
+            after_index = header.kind == BlockKind::Index;
             at += whole;
         }
         Ok(())
@@ -236,11 +241,11 @@
     }
 
     /// Finds the frames of a version 1 file.
-    fn scan_frames(&mut self, begin: u64) -> io::Result<()> {
+    fn scan_frames(&mut self, start: u64) -> io::Result<()> {
         let new = |offset, kind| IndexEntry { offset, len: 0, kind, rows: 0, from: i64::MAX, to: i64::MIN };
-        let (mut rows, mut notes) = (new(begin, BlockKind::Rows), new(begin, BlockKind::Notes));
-        let (mut at, mut damage_start) = (begin, None);
-        let (mut bytes, mut base) = (Vec::new(), begin);
+        let (mut rows, mut notes) = (new(start, BlockKind::Rows), new(start, BlockKind::Notes));
+        let (mut at, mut damage_start) = (start, None);
+        let (mut bytes, mut base) = (Vec::new(), start);
         // The read-ahead covers the longest frame, so that no frame is split between reads.
         let max_frame_bytes = v1::FRAME_HEADER_BYTES + usize::from(u16::MAX);
         while at < self.len {
@@ -251,11 +256,14 @@
                 (bytes, base) = (self.read_at(at, SCAN_CHUNK_BYTES + max_frame_bytes)?, at);
                 continue;
             }
-            let here = &bytes[behind..];
-            let Some(payload) = v1::frame(here) else {
+            let remaining = &bytes[behind..];
+            let Some(payload) = v1::frame(remaining) else {
                 damage_start.get_or_insert(at);
                 // Continue at the next byte that may start a frame.
-                let skip = here[1..].iter().position(|b| *b == v1::FRAME_MARK).map_or(here.len(), |p| p + 1);
+                let skip = remaining[1..]
+                    .iter()
+                    .position(|b| *b == v1::FRAME_MARK)
+                    .map_or(remaining.len(), |p| p + 1);
                 at += skip as u64;
                 continue;
             };
@@ -291,8 +299,9 @@
         Ok(())
     }
 
-    fn damaged_block(entry: &IndexEntry, bad: DecodeError) -> TraceError {
-        TraceError::DamagedBlock { offset: entry.offset, problem: bad.0 }
+    /// Returns the error for a block that cannot be decoded.
+    fn damaged_block(entry: &IndexEntry, error: DecodeError) -> TraceError {
+        TraceError::DamagedBlock { offset: entry.offset, problem: error.0 }
     }
 
     /// Reads a version 2 block, verifies its checksums and returns its bytes with the length of its head. Without
@@ -333,7 +342,7 @@
         let (bytes, head) = self.read_block(entry, true)?;
         let body = BLOCK_HEADER_BYTES + head;
         let head = block::read_head(names, &bytes[BLOCK_HEADER_BYTES..body])
-            .map_err(|bad| Self::damaged_block(entry, bad))?;
+            .map_err(|error| Self::damaged_block(entry, error))?;
         Ok((head, bytes, body))
     }
 
@@ -355,7 +364,8 @@
             return Ok(block::encode_rows(names, &mut rows).0);
         }
         let (bytes, _) = self.read_block(entry, false)?;
-        block::read_head(names, &bytes[BLOCK_HEADER_BYTES..]).map_err(|bad| Self::damaged_block(entry, bad))
+        block::read_head(names, &bytes[BLOCK_HEADER_BYTES..])
+            .map_err(|error| Self::damaged_block(entry, error))
     }
 
     /// Appends the rows of a block to `into`, sorted by read time.
@@ -379,12 +389,13 @@
             return Ok(());
         }
         let (head, bytes, body) = self.read_block_with_head(entry, names)?;
-        block::read_rows(names, &head, &bytes[body..], into).map_err(|bad| {
+        block::read_rows(names, &head, &bytes[body..], into).map_err(|error| {
             into.truncate(had);
-            Self::damaged_block(entry, bad)
+            Self::damaged_block(entry, error)
         })
     }
 
+    /// Appends the notes of a block to `into`, in order of time.
     pub fn notes(
         &mut self,
         entry: &IndexEntry,
@@ -403,9 +414,9 @@
             });
         }
         let (head, bytes, body) = self.read_block_with_head(entry, names)?;
-        block::read_notes(&head, &bytes[body..], into).map_err(|bad| {
+        block::read_notes(&head, &bytes[body..], into).map_err(|error| {
             into.truncate(had);
-            Self::damaged_block(entry, bad)
+            Self::damaged_block(entry, error)
         })
     }
 
@@ -440,7 +451,7 @@
                 let (bytes, head) = self.read_block(entry, true)?;
                 sizes[0] += (head + BLOCK_HEADER_BYTES) as u64;
                 let sections = block::Sections::new(&bytes[BLOCK_HEADER_BYTES + head..])
-                    .map_err(|bad| Self::damaged_block(entry, bad))?;
+                    .map_err(|error| Self::damaged_block(entry, error))?;
                 sections.sizes().for_each(|(id, len)| sizes[usize::from(id) % 32] += len as u64);
             }
         }
@@ -452,6 +463,7 @@
         let from = self.entries.iter().map(|entry| entry.from).min()?;
         Some((from, self.entries.iter().map(|entry| entry.to).max()?))
     }
+    /// Returns the rows or notes in all blocks of a kind.
     pub fn record_count(&self, kind: BlockKind) -> u64 {
         self.entries.iter().filter(|entry| entry.kind == kind).map(|entry| u64::from(entry.rows)).sum()
     }
--- a/crates/trace/src/recorder/mod.rs
+++ b/crates/trace/src/recorder/mod.rs
@@ -26,18 +26,23 @@
     /// Read time in s (Unix), and the time between arrival and read in s.
     pub read: f64,
     pub unread: f64,
+    /// Indices into the lists of [`RecorderConfig`].
     pub product: u16,
     pub customer: u32,
     pub caller: u32,
+    /// Stored in 64ths.
     pub rank: f64,
-    /// s
+    /// Estimated core time in s, 0 if unknown.
     pub hint: f64,
-    /// KB
+    /// Memory in KB.
     pub memory: f64,
+    /// Whether the attempt is a retry.
     pub repeat: bool,
+    /// Whether the decline told the caller to try no other server.
     pub last: bool,
-    /// s
+    /// Time in s for which a decline told the caller to send nothing.
     pub keep_off: f64,
+    /// Name of the attempt and key of the request. The file holds hashes of them only.
     pub name: [u8; 16],
     pub key: Option<[u8; 32]>,
     steps: [u8; MAX_STEPS],
@@ -48,6 +53,7 @@
 }
 
 impl RequestRecord {
+    /// Creates a record of an attempt that was read at `read` (s, Unix).
     pub fn new(read: f64, name: [u8; 16]) -> RequestRecord {
         RequestRecord {
             read,
@@ -169,7 +175,7 @@
 }
 
 impl Recorder {
-    /// Starts a recorder thread. `complain` receives a log line for each failure.
+    /// Starts a recorder thread. `on_error` receives a log line for each failure.
     pub fn start(
         config: RecorderConfig,
         storage: impl TraceStorage,
@@ -188,9 +194,11 @@
         Ok((Recorder(shared.clone()), RecorderHandle { shared, thread }))
     }
 
+    /// Queues the record of a request. Never blocks; a full ring drops it.
     pub fn record_request(&self, record: &RequestRecord) {
         self.push(Item::Request(*record));
     }
+    /// Queues a state change at `at` (s, Unix). Never blocks; a full ring drops it.
     pub fn record_note(&self, at: f64, topic: Topic, value: f64) {
         self.push(Item::Note { at, topic, value: value as f32 });
     }
@@ -206,7 +214,8 @@
 }
 
 impl RecorderHandle {
-    /// Writes pending records and seals the file. Returns after `within` at the latest, so that a hanging disk cannot block.
+    /// Writes pending records and seals the file. Returns after `timeout` at the latest, so that a hanging disk cannot
+    /// block the caller.
     pub fn shutdown(self, timeout: Duration) {
         self.shared.shutting_down.store(true, Ordering::Release);
         self.thread.thread().unpark();
@@ -299,8 +308,7 @@
         }
     }
 
-    /// Moves records from the ring until a file action is due. Returns `false` once the ring is empty. Records wait in the
-    /// ring during slow writes.
+    /// Moves records from the ring until a file action is due. Returns `false` once the ring is empty.
     fn drain_ring(&mut self, now: f64) -> bool {
         self.rotation.add_lost(self.shared.ring_overflows.swap(0, Ordering::Relaxed));
         while self.rotation.next_action(now).is_none() {
--- a/crates/trace/src/recorder/rotation.rs
+++ b/crates/trace/src/recorder/rotation.rs
@@ -33,8 +33,8 @@
 /// Blocks held in memory while the disk fails or is slow. Further records are dropped.
 const MAX_PENDING_BLOCKS: usize = 2;
 /// Delay before a failed disk is retried, in s, doubled with each failure up to the maximum.
-const INITIAL_RETRY_DELAY: f64 = 1.0;
-const MAX_RETRY_DELAY: f64 = 30.0;
+const INITIAL_RETRY_SECONDS: f64 = 1.0;
+const MAX_RETRY_SECONDS: f64 = 30.0;
 
 /// Next action of the recorder.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -199,11 +199,11 @@
         self.pending = 0;
     }
 
-    /// Reports that the open file was closed. `well` is false if sealing failed.
-    pub fn closed(&mut self, now: f64, file: StoredFile, sealed: bool) {
+    /// Reports that the open file was closed. `succeeded` is false if sealing failed.
+    pub fn closed(&mut self, now: f64, file: StoredFile, succeeded: bool) {
         self.open = OpenFileState::Closed;
         self.files.push_back(file);
-        if !sealed {
+        if !succeeded {
             self.record_failure(now);
         }
     }
@@ -214,9 +214,9 @@
     }
 
     fn record_failure(&mut self, now: f64) {
-        let wait = INITIAL_RETRY_DELAY * f64::from(1u32 << self.failures.min(10));
+        let wait = INITIAL_RETRY_SECONDS * f64::from(1u32 << self.failures.min(10));
         self.failures += 1;
-        self.retry_at = now + wait.min(MAX_RETRY_DELAY);
+        self.retry_at = now + wait.min(MAX_RETRY_SECONDS);
     }
 
     /// Returns the number of consecutive failures.
@@ -233,6 +233,7 @@
 }
 
 impl ChangeFilter {
+    /// Returns whether a value passes, and remembers it if so.
     pub fn accept(&mut self, now: f64, topic: u8, value: f64, min_interval: f64) -> bool {
         let Some(previous) = self.last.get_mut(usize::from(topic)) else { return true };
         let passes = previous.is_none_or(|(at, last)| {
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -29,15 +29,19 @@
     /// Marks steps that were left out because the path was full.
     pub const MORE: Step = Step(64);
 
+    /// Returns the step of a downstream call that returned.
     pub fn returned(outcome: Outcome) -> Step {
         Step(Step::RETURNED + outcome_code(outcome))
     }
+    /// Returns the step of a run that ended.
     pub fn ended(outcome: Outcome) -> Step {
         Step(Step::ENDED + outcome_code(outcome))
     }
+    /// Returns the step of a decline.
     pub fn declined(reason: Reason) -> Step {
         Step(Step::DECLINED + reason.code())
     }
+    /// Returns the step of a void.
     pub fn voided(reason: Reason) -> Step {
         Step(Step::VOIDED + reason.code())
     }
@@ -122,9 +126,11 @@
     /// The caller left before an answer, or the trace ends before it.
     pub const GONE: Disposition = Disposition(Step::GONE.0);
 
+    /// Returns the step that the disposition stands for.
     pub fn step(self) -> Step {
         Step(self.0)
     }
+    /// Returns the printed form without the reason.
     pub fn label(self) -> &'static str {
         match self.step() {
             step if step.is_settled() => "settled",
@@ -143,12 +149,15 @@
 pub const MAX_STEPS: usize = 30;
 
 impl Path {
+    /// Returns the steps in order.
     pub fn steps(&self) -> impl Iterator<Item = Step> + '_ {
         self.0.iter().map(|code| Step(*code))
     }
+    /// Returns the index of the first matching step.
     pub fn find(&self, like: impl Fn(Step) -> bool) -> Option<usize> {
         self.steps().position(like)
     }
+    /// Returns the final state.
     pub fn disposition(&self) -> Disposition {
         self.steps().find(|s| s.is_final()).map_or(Disposition::GONE, |s| Disposition(s.0))
     }
@@ -182,6 +191,7 @@
 }
 
 impl Names {
+    /// Returns the number of a word, adding it if new.
     pub fn intern(&mut self, word: &str) -> u32 {
         if let Some(at) = self.by_word.get(word) {
             return *at;
@@ -191,9 +201,11 @@
         self.by_word.insert(word.to_owned(), at);
         at
     }
+    /// Returns the word with a number, `?` if unknown.
     pub fn text(&self, word: u32) -> &str {
         self.words.get(word as usize).map_or("?", String::as_str)
     }
+    /// Returns all words by number.
     pub fn words(&self) -> &[String] {
         &self.words
     }
@@ -208,13 +220,16 @@
             }
         }
     }
+    /// Returns all products by number.
     pub fn products(&self) -> &[Product] {
         &self.products
     }
+    /// Returns the product with a number. Panics if unknown.
     pub fn product(&self, product: u32) -> &Product {
         &self.products[product as usize]
     }
 
+    /// Returns the number of a path, adding it if new.
     pub fn intern_path(&mut self, codes: &[u8]) -> u32 {
         if let Some(at) = self.by_path.get(codes) {
             return *at;
@@ -224,14 +239,16 @@
         self.by_path.insert(codes.into(), at);
         at
     }
+    /// Returns the path with a number. Panics if unknown.
     pub fn path(&self, path: u32) -> &Path {
         &self.paths[path as usize]
     }
+    /// Returns all paths by number.
     pub fn paths(&self) -> &[Path] {
         &self.paths
     }
 
-    /// Returns the number of entries. Entries are never removed, so that tables of one origin with equal counts are equal.
+    /// Returns the number of entries. Entries are never removed, so that an unchanged count means an unchanged table.
     pub fn entry_count(&self) -> usize {
         self.words.len() + self.products.len() + self.paths.len()
     }
@@ -273,9 +290,11 @@
 }
 
 impl Row {
+    /// Returns whether the attempt is a retry.
     pub fn repeat(&self) -> bool {
         self.flags & REPEAT != 0
     }
+    /// Returns whether the decline told the caller to try no other server.
     pub fn last(&self) -> bool {
         self.flags & LAST != 0
     }
@@ -328,6 +347,7 @@
         "sockets", "dropped",
     ];
 
+    /// Returns the printed form.
     pub fn text(self) -> &'static str {
         Topic::TEXTS.get(usize::from(self.0)).copied().unwrap_or("?")
     }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -32,6 +32,7 @@
 }
 
 impl Totals {
+    /// Adds `count` requests with a total `value` that ended with `step`.
     pub fn add(&mut self, step: Step, count: u64, value: f64) {
         self.requests += count;
         self.requested_value += value;
@@ -73,9 +74,11 @@
 }
 
 impl DurationHistogram {
+    /// Records a duration in us.
     pub fn add(&mut self, value: u64) {
         self.0.saturating_record(value.max(1));
     }
+    /// Returns a percentile in us, 0 if empty.
     pub fn at(&self, percentile: f64) -> u64 {
         if self.0.is_empty() {
             0
@@ -96,7 +99,7 @@
     pub span: Option<(i64, i64)>,
     by: Option<GroupBy>,
     interval: i64,
-    begin: i64,
+    trace_start: i64,
     /// Totals by group number. [`Summary::finish`] resolves the names.
     by_number: BTreeMap<u64, Totals>,
 }
@@ -106,8 +109,8 @@
 
 impl Summary {
     /// Creates a summary. `begin` is the start of the first interval, in us.
-    pub fn new(by: Option<GroupBy>, interval: i64, begin: i64) -> Summary {
-        Summary { by, interval: interval.max(1), begin, ..Summary::default() }
+    pub fn new(by: Option<GroupBy>, interval: i64, trace_start: i64) -> Summary {
+        Summary { by, interval: interval.max(1), trace_start, ..Summary::default() }
     }
 
     fn extend_span(&mut self, from: i64, to: i64) {
@@ -117,7 +120,7 @@
 
     /// Returns the interval that a time falls into.
     fn interval_of(&self, at: i64) -> i64 {
-        (at - self.begin).div_euclid(self.interval)
+        (at - self.trace_start).div_euclid(self.interval)
     }
 
     /// Returns whether a block's head is sufficient for everything but percentiles.
@@ -149,6 +152,7 @@
         }
     }
 
+    /// Adds a row, with its durations.
     pub fn add_row(&mut self, row: &Row, names: &Names) {
         self.extend_span(row.read, row.read);
         let path = names.path(row.path);
@@ -179,7 +183,7 @@
 
     /// Resolves the names of the groups.
     pub fn finish(mut self, names: &Names) -> Summary {
-        for (group, sums) in std::mem::take(&mut self.by_number) {
+        for (group, added) in std::mem::take(&mut self.by_number) {
             let name = match self.by {
                 Some(GroupBy::Product) => names.product(group as u32).name.clone(),
                 Some(GroupBy::Customer | GroupBy::Node) => names.text(group as u32).to_owned(),
@@ -189,16 +193,16 @@
                 Some(GroupBy::Interval) => format!("{:>9.0}s", (group as i64 * self.interval) as f64 / 1e6),
                 None => continue,
             };
-            let all = self.groups.entry(name).or_default();
-            *all = Totals {
-                requests: all.requests + sums.requests,
-                settled: all.settled + sums.settled,
-                in_sla: all.in_sla + sums.in_sla,
-                declined: all.declined + sums.declined,
-                voided: all.voided + sums.voided,
-                gone: all.gone + sums.gone,
-                requested_value: all.requested_value + sums.requested_value,
-                value_in_sla: all.value_in_sla + sums.value_in_sla,
+            let totals = self.groups.entry(name).or_default();
+            *totals = Totals {
+                requests: totals.requests + added.requests,
+                settled: totals.settled + added.settled,
+                in_sla: totals.in_sla + added.in_sla,
+                declined: totals.declined + added.declined,
+                voided: totals.voided + added.voided,
+                gone: totals.gone + added.gone,
+                requested_value: totals.requested_value + added.requested_value,
+                value_in_sla: totals.value_in_sla + added.value_in_sla,
             };
         }
         self
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -73,6 +73,7 @@
 }
 
 impl Generator {
+    /// Creates a generator and interns its products, customers and node.
     pub fn new(config: &SynthConfig, names: &mut Names) -> Generator {
         let product = |p: &ProductSpec, names: &mut Names| {
             names.intern_product(&Product {
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -43,8 +43,8 @@
     fn covers(&self, entry: &IndexEntry) -> bool {
         entry.from >= self.from && entry.to < self.to
     }
-    fn matches(&self, row: &Row, names: &Names, begin: i64) -> bool {
-        row.read >= self.from && row.read < self.to && self.expr.matches(row, names, begin)
+    fn matches(&self, row: &Row, names: &Names, trace_start: i64) -> bool {
+        row.read >= self.from && row.read < self.to && self.expr.matches(row, names, trace_start)
     }
 }
 
@@ -81,7 +81,7 @@
     names: &mut Names,
     selection: &Selection,
     entry: &IndexEntry,
-    begin: i64,
+    trace_start: i64,
     report: &mut ScanReport,
 ) -> Result<BlockMatch, TraceError> {
     let matched = if !selection.overlaps(entry) {
@@ -94,7 +94,7 @@
     } else {
         let head = trace.head(entry, names);
         let Some(head) = record_damage(head, entry, &mut report.damage)? else { return Ok(BlockMatch::None) };
-        selection.expr.match_block(&head, names, begin)
+        selection.expr.match_block(&head, names, trace_start)
     };
     report.skipped_blocks += usize::from(matched == BlockMatch::None);
     Ok(if matched == BlockMatch::All && !selection.covers(entry) { BlockMatch::Some } else { matched })
@@ -108,14 +108,14 @@
     progress: Progress,
     mut each: impl FnMut(&Row, &Names) -> ControlFlow<()>,
 ) -> Result<ScanReport, TraceError> {
-    let begin = trace.time_range().map_or(0, |span| span.0);
+    let trace_start = trace.time_range().map_or(0, |span| span.0);
     let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let entries: Vec<IndexEntry> =
         trace.entries.iter().filter(|e| e.kind == BlockKind::Rows).copied().collect();
     let mut rows = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        if match_block(trace, names, selection, entry, begin, &mut report)? == BlockMatch::None {
+        if match_block(trace, names, selection, entry, trace_start, &mut report)? == BlockMatch::None {
             continue;
         }
         rows.clear();
@@ -124,7 +124,7 @@
             continue;
         }
         report.read_blocks += 1;
-        for row in rows.iter().filter(|row| selection.matches(row, names, begin)) {
+        for row in rows.iter().filter(|row| selection.matches(row, names, trace_start)) {
             report.rows += 1;
             if each(row, names).is_break() {
                 return Ok(report);
@@ -142,14 +142,14 @@
     selection: &Selection,
     damage: &mut Vec<Damage>,
 ) -> Result<Vec<Note>, TraceError> {
-    let mut all = Vec::new();
+    let mut found = Vec::new();
     for entry in trace.entries.clone().iter().filter(|e| e.kind == BlockKind::Notes && selection.overlaps(e))
     {
-        let read = trace.notes(entry, names, &mut all);
+        let read = trace.notes(entry, names, &mut found);
         record_damage(read, entry, damage)?;
     }
-    all.retain(|note| note.at >= selection.from && note.at < selection.to);
-    Ok(all)
+    found.retain(|note| note.at >= selection.from && note.at < selection.to);
+    Ok(found)
 }
 
 /// Reads the rows or notes of a block into two empty lists. Returns `false` and records the damage on failure.
@@ -177,7 +177,7 @@
     out: &mut Writer<W>,
     progress: Progress,
 ) -> Result<ScanReport, TraceError> {
-    let begin = trace.time_range().map_or(0, |span| span.0);
+    let trace_start = trace.time_range().map_or(0, |span| span.0);
     let mut report = ScanReport { damage: trace.damage.clone(), ..ScanReport::default() };
     let mut names = Names::default();
     let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
@@ -185,7 +185,7 @@
     let (mut rows, mut notes) = (Vec::new(), Vec::new());
     for (at, entry) in entries.iter().enumerate() {
         progress(at, entries.len());
-        let whole = match match_block(trace, &mut names, selection, entry, begin, &mut report)? {
+        let whole = match match_block(trace, &mut names, selection, entry, trace_start, &mut report)? {
             BlockMatch::None => continue,
             BlockMatch::Some => false,
             BlockMatch::All => trace.major == crate::file::MAJOR,
@@ -202,7 +202,7 @@
             continue;
         }
         for row in rows.drain(..) {
-            if selection.matches(&row, &names, begin) {
+            if selection.matches(&row, &names, trace_start) {
                 report.rows += 1;
                 blocks.write_row(&names, row)?;
             }
@@ -263,14 +263,14 @@
     /// Passes encoded blocks to `each` in order: those that are ready, or with `all` every submitted one.
     fn drain(
         &mut self,
-        all: bool,
+        finish: bool,
         mut each: impl FnMut(&EncodedBlock) -> Result<(), TraceError>,
     ) -> Result<(), TraceError> {
-        if all {
+        if finish {
             self.tasks = None;
         }
         while self.returned < self.submitted {
-            let next = if all { self.encoded.recv().ok() } else { self.encoded.try_recv().ok() };
+            let next = if finish { self.encoded.recv().ok() } else { self.encoded.try_recv().ok() };
             let Some((at, block)) = next else { return Ok(()) };
             self.completed.insert(at, block);
             while let Some(block) = self.completed.remove(&self.returned) {
@@ -291,20 +291,20 @@
     let mut names = Names::default();
     let mut damage = Vec::new();
     // Notes are few and are written first, sorted.
-    let mut all: Vec<Note> = Vec::new();
+    let mut merged_notes: Vec<Note> = Vec::new();
     let total: u64 = traces.iter().map(|(trace, _)| trace.record_count(BlockKind::Rows)).sum();
     for (at, (trace, offset)) in traces.iter_mut().enumerate() {
         let mut found = Vec::new();
         let mut trace_notes = notes(trace, &mut names, &Selection::default(), &mut found)?;
         trace_notes.iter_mut().for_each(|note| note.at = note.at.saturating_add(*offset));
-        all.extend(trace_notes);
+        merged_notes.extend(trace_notes);
         damage.extend(found.into_iter().map(|damage| (at, damage)));
     }
     let note_key = |n: &Note| (n.at, n.node, n.topic, n.value.to_bits());
-    all.sort_by_key(note_key);
-    all.dedup_by_key(|note| note_key(note));
+    merged_notes.sort_by_key(note_key);
+    merged_notes.dedup_by_key(|note| note_key(note));
     let mut blocks = BlockWriter::new(BLOCK_ROWS, out);
-    for note in all {
+    for note in merged_notes {
         blocks.write_note(&names, note)?;
     }
     blocks.flush(&names)?;
@@ -388,8 +388,8 @@
     percentiles: bool,
     progress: Progress,
 ) -> Result<(Summary, ScanReport), TraceError> {
-    let begin = trace.time_range().map_or(0, |span| span.0);
-    let mut summary = Summary::new(by, interval, begin);
+    let trace_start = trace.time_range().map_or(0, |span| span.0);
+    let mut summary = Summary::new(by, interval, trace_start);
     if percentiles || trace.major == crate::v1::MAJOR {
         let report = scan(trace, names, selection, progress, |row, names| {
             summary.add_row(row, names);
@@ -410,7 +410,7 @@
         let Some(head) = record_damage(trace.head(entry, names), entry, &mut report.damage)? else {
             continue;
         };
-        match selection.expr.match_block(&head, names, begin) {
+        match selection.expr.match_block(&head, names, trace_start) {
             BlockMatch::None => report.skipped_blocks += 1,
             BlockMatch::All if selection.covers(entry) && summary.head_suffices(&head) => {
                 report.skipped_blocks += 1;
@@ -422,7 +422,7 @@
                 let read = trace.rows(entry, names, &mut rows);
                 if record_damage(read, entry, &mut report.damage)?.is_some() {
                     report.read_blocks += 1;
-                    for row in rows.iter().filter(|row| selection.matches(row, names, begin)) {
+                    for row in rows.iter().filter(|row| selection.matches(row, names, trace_start)) {
                         report.rows += 1;
                         summary.add_row(row, names);
                     }
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -7,13 +7,16 @@
 use std::io::{self, Write};
 
 pub const MAJOR: u16 = 1;
+/// First byte of a frame.
 pub const FRAME_MARK: u8 = 0xa7;
 /// Bytes before a frame's payload: mark, length, checksum.
 pub const FRAME_HEADER_BYTES: usize = 7;
 
+/// Writer of a version 1 file.
 pub struct Writer<W: Write>(W);
 
 impl<W: Write> Writer<W> {
+    /// Writes the file header and returns the writer.
     pub fn new(mut out: W, meta: &FileMetadata) -> io::Result<Writer<W>> {
         out.write_all(&put_header(MAJOR, 0, meta))?;
         Ok(Writer(out))
@@ -27,6 +30,7 @@
         self.0.write_all(&head)?;
         self.0.write_all(payload)
     }
+    /// Writes a row. Fails if its frame exceeds 65535 bytes.
     pub fn write_row(&mut self, names: &Names, row: &Row) -> io::Result<()> {
         let mut out = vec![1];
         out.extend(row.read.to_le_bytes());
@@ -52,6 +56,7 @@
         row.spans.iter().for_each(|span| put_varint(&mut out, (*span).into()));
         self.frame(&out)
     }
+    /// Writes a note.
     pub fn write_note(&mut self, names: &Names, note: &Note) -> io::Result<()> {
         let mut out = vec![2];
         out.extend(note.at.to_le_bytes());
@@ -60,6 +65,7 @@
         out.extend(note.value.to_le_bytes());
         self.frame(&out)
     }
+    /// Flushes and returns the inner writer.
     pub fn finish(mut self) -> io::Result<W> {
         self.0.flush()?;
         Ok(self.0)
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -38,11 +38,11 @@
         blocks.write_note(names, *note).unwrap();
     }
     blocks.flush(names).unwrap();
-    let whole = writer.len() as usize;
+    let unsealed_len = writer.len() as usize;
     let mut bytes = writer.seal().unwrap();
     if !seal {
         // The file as a killed process leaves it.
-        bytes.truncate(whole);
+        bytes.truncate(unsealed_len);
     }
     bytes
 }
@@ -61,9 +61,9 @@
 /// Describes a row by the names it refers to, independent of their numbers.
 pub fn describe(names: &Names, row: &Row) -> String {
     let path: Vec<String> = names.path(row.path).steps().map(|step| step.text()).collect();
-    let bare = Row { node: 0, product: 0, customer: 0, path: 0, ..row.clone() };
+    let unnamed = Row { node: 0, product: 0, customer: 0, path: 0, ..row.clone() };
     let terms = names.product(row.product);
-    format!("{} {terms:?} {} {path:?} {bare:?}", names.text(row.node), names.text(row.customer))
+    format!("{} {terms:?} {} {path:?} {unnamed:?}", names.text(row.node), names.text(row.customer))
 }
 
 /// Returns all readable rows and the number of damaged blocks.
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -31,11 +31,11 @@
         changed
     }
     /// Waits until the disk is in the wanted state.
-    fn until(&self, what: &str, wanted: impl Fn(&Disk) -> bool) {
+    fn until(&self, state: &str, wanted: impl Fn(&Disk) -> bool) {
         let end = Instant::now() + Duration::from_secs(20);
         let mut disk = self.0 .0.lock().unwrap();
         while !wanted(&disk) {
-            assert!(Instant::now() < end, "timed out waiting for {what}");
+            assert!(Instant::now() < end, "timed out waiting for {state}");
             disk = self.0 .1.wait_timeout(disk, Duration::from_millis(20)).unwrap().0;
         }
     }
@@ -96,12 +96,12 @@
     }
 }
 
-fn put(recorder: &Recorder, from: u32, count: u32) {
+fn record(recorder: &Recorder, from: u32, count: u32) {
     for caller in from..from + count {
-        let mut entry = RequestRecord::new(1000.0 + f64::from(caller), [b'0'; 16]);
-        entry.caller = caller;
-        entry.add_step(1001.0 + f64::from(caller), Step::SETTLED);
-        recorder.record_request(&entry);
+        let mut record = RequestRecord::new(1000.0 + f64::from(caller), [b'0'; 16]);
+        record.caller = caller;
+        record.add_step(1001.0 + f64::from(caller), Step::SETTLED);
+        recorder.record_request(&record);
     }
 }
 
@@ -124,7 +124,7 @@
 fn records_end_up_in_sealed_file() {
     let disk = SharedDisk::default();
     let (recorder, running) = Recorder::start(config(100), disk.clone(), 1 << 20, |_| {}).unwrap();
-    put(&recorder, 0, 250);
+    record(&recorder, 0, 250);
     running.shutdown(Duration::from_secs(20));
     assert_eq!(totals(&disk), (250, 0.0, 0));
     assert_eq!(recorder.lost_records(), 0);
@@ -137,13 +137,13 @@
     let log = logged.clone();
     let on_error = move |line: &str| log.lock().unwrap().push(line.to_owned());
     let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, on_error).unwrap();
-    put(&recorder, 0, 50);
+    record(&recorder, 0, 50);
     disk.until("the first block", |disk| disk.files.first().is_some_and(|file| file.1.len() > 100));
     disk.with(|disk| disk.free_bytes = Some(40));
-    put(&recorder, 50, 50);
+    record(&recorder, 50, 50);
     disk.until("the disk to fill up", |disk| disk.free_bytes == Some(0));
     // Exceeds the two pending blocks, so that the other records are dropped at once.
-    put(&recorder, 100, 300);
+    record(&recorder, 100, 300);
     let end = Instant::now() + Duration::from_secs(20);
     while recorder.lost_records() < 250 {
         assert!(Instant::now() < end, "lost {}", recorder.lost_records());
@@ -153,9 +153,9 @@
     disk.with(|disk| disk.free_bytes = Some(60));
     disk.until("the disk to fill up again", |disk| disk.free_bytes == Some(0));
     disk.with(|disk| disk.free_bytes = None);
-    put(&recorder, 400, 50);
+    record(&recorder, 400, 50);
     disk.until("the third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
-    put(&recorder, 450, 10);
+    record(&recorder, 450, 10);
     running.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = totals(&disk);
     assert_eq!((rows + dropped as usize, torn), (460, 2), "{rows} rows, {dropped} dropped");
@@ -169,7 +169,7 @@
     disk.with(|disk| disk.hangs = true);
     let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
     // Far more than the ring holds: a blocking call would hang the test.
-    put(&recorder, 0, 10_000);
+    record(&recorder, 0, 10_000);
     assert!(recorder.lost_records() > 0);
     disk.with(|disk| disk.hangs = false);
     running.shutdown(Duration::from_secs(20));
@@ -182,7 +182,7 @@
     let disk = SharedDisk::default();
     disk.with(|disk| disk.hangs = true);
     let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
-    put(&recorder, 0, 60);
+    record(&recorder, 0, 60);
     running.shutdown(Duration::from_millis(50));
     disk.with(|disk| disk.hangs = false);
 }
@@ -195,10 +195,10 @@
     sampled.sample = 4;
     let (recorder, running) = Recorder::start(sampled, disk.clone(), 1 << 20, |_| {}).unwrap();
     for at in 0..400u32 {
-        let mut entry = RequestRecord::new(1000.0 + f64::from(at), [b'0'; 16]);
-        (entry.key, entry.caller) = (Some([(at / 4) as u8; 32]), at / 4);
-        entry.add_step(entry.read, Step::SETTLED);
-        recorder.record_request(&entry);
+        let mut record = RequestRecord::new(1000.0 + f64::from(at), [b'0'; 16]);
+        (record.key, record.caller) = (Some([(at / 4) as u8; 32]), at / 4);
+        record.add_step(record.read, Step::SETTLED);
+        recorder.record_request(&record);
         if at % 40 == 0 {
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -215,7 +215,7 @@
         }
     }
     assert!(remaining <= 3 && disk.with(|disk| disk.removed) + remaining == files.len());
-    let mut tries = std::collections::BTreeMap::new();
-    rows.iter().for_each(|row| *tries.entry(row.caller).or_insert(0) += 1);
-    assert!(!tries.is_empty() && tries.len() < 60, "{tries:?}");
+    let mut attempts = std::collections::BTreeMap::new();
+    rows.iter().for_each(|row| *attempts.entry(row.caller).or_insert(0) += 1);
+    assert!(!attempts.is_empty() && attempts.len() < 60, "{attempts:?}");
 }
--- a/crates/trace/tests/torn.rs
+++ b/crates/trace/tests/torn.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn truncation_loses_only_the_block_being_written() {
-    let (all, bytes, block_positions) = intact_file();
+    let (original, bytes, block_positions) = intact_file();
     assert!(block_positions.len() > 5);
     for cut in block_positions[block_positions.len() - 2].0..=bytes.len() {
         let mut trace = open(&bytes[..cut]);
@@ -30,15 +30,15 @@
             .filter(|at| block_positions.get(at + 1).map_or(bytes.len(), |next| next.0) <= cut)
             .map(|at| block_positions[at].1)
             .sum();
-        let torn = !block_positions.iter().any(|place| place.0 == cut) && cut < bytes.len();
+        let torn = !block_positions.iter().any(|position| position.0 == cut) && cut < bytes.len();
         assert_eq!((trace.sealed, trace.damage.len()), (false, usize::from(torn)), "cut at {cut}");
-        assert_eq!(readable(&mut trace).0, all[..whole], "cut at {cut}");
+        assert_eq!(readable(&mut trace).0, original[..whole], "cut at {cut}");
     }
 }
 
 #[test]
 fn repaired_file_is_sealed_and_holds_readable_rows() {
-    let (all, bytes, block_positions) = intact_file();
+    let (original, bytes, block_positions) = intact_file();
     let mut torn = open(&bytes[..bytes.len() - 10]);
     let mut writer = Writer::new(Vec::new(), &torn.meta).unwrap();
     let report = tools::cut(&mut torn, &Selection::default(), &mut writer, &mut |_, _| {}).unwrap();
@@ -46,12 +46,12 @@
     assert_eq!(report.damage[0].rows, Some(block_positions[block_positions.len() - 1].1 as u32));
     let mut whole = open(&writer.seal().unwrap());
     assert!(whole.sealed && whole.damage.is_empty());
-    let kept = all.len() - block_positions[block_positions.len() - 1].1;
-    assert_eq!(readable(&mut whole), (all[..kept].to_vec(), 0));
+    let kept = original.len() - block_positions[block_positions.len() - 1].1;
+    assert_eq!(readable(&mut whole), (original[..kept].to_vec(), 0));
 }
 
 /// Corrupts each byte in turn: only intact rows are read, and at most `most` rows are lost.
-fn check_corruption_of_each_byte(bytes: &[u8], all: &[String], most: usize) {
+fn check_corruption_of_each_byte(bytes: &[u8], original: &[String], max_lost: usize) {
     for at in 0..bytes.len() {
         let mut corrupt = bytes.to_vec();
         corrupt[at] ^= 0x41;
@@ -60,13 +60,21 @@
             Err(fault) => panic!("byte {at}: {fault}"),
         };
         let (rows, bad) = readable(&mut trace);
-        let named = trace.damage.len() + bad;
-        assert!(named <= 1, "byte {at}: {:?}", trace.damage);
+        let reported = trace.damage.len() + bad;
+        assert!(reported <= 1, "byte {at}: {:?}", trace.damage);
         // The rows are a subsequence of the originals.
-        let mut rest = all.iter();
+        let mut rest = original.iter();
         assert!(rows.iter().all(|row| rest.any(|known| known == row)), "byte {at}: row not in the original");
-        assert!(rows.len() + most >= all.len(), "byte {at}: {} of {} rows", rows.len(), all.len());
-        assert!(rows.len() == all.len() || named == 1, "byte {at}: rows lost without reported damage");
+        assert!(
+            rows.len() + max_lost >= original.len(),
+            "byte {at}: {} of {} rows",
+            rows.len(),
+            original.len()
+        );
+        assert!(
+            rows.len() == original.len() || reported == 1,
+            "byte {at}: rows lost without reported damage"
+        );
     }
 }
 
@@ -76,12 +84,12 @@
     let (rows, _) = records(&small(), &mut names);
     let rows = &rows[..18];
     let sealed = file(&names, rows, &[], 6, true);
-    let all = readable(&mut open(&sealed)).0;
-    check_corruption_of_each_byte(&sealed, &all, 6);
-    check_corruption_of_each_byte(&file(&names, rows, &[], 6, false), &all, 6);
+    let original = readable(&mut open(&sealed)).0;
+    check_corruption_of_each_byte(&sealed, &original, 6);
+    check_corruption_of_each_byte(&file(&names, rows, &[], 6, false), &original, 6);
     let first = version_1_file(&names, rows, &[]);
-    let all = readable(&mut open(&first)).0;
-    check_corruption_of_each_byte(&first, &all, 1);
+    let original = readable(&mut open(&first)).0;
+    check_corruption_of_each_byte(&first, &original, 1);
 }
 
 #[test]
@@ -122,16 +130,16 @@
         let mut names = Names::default();
         let (made, _) = records(&small(), &mut names);
         let mut bytes = file(&names, &made[..40], &[], 40, false);
-        let place = blocks(&open(&bytes))[0].offset as usize;
-        let old = BlockHeader::decode(&bytes[place..]).unwrap();
-        let inner = place + BLOCK_HEADER_BYTES..bytes.len();
-        let at = inner.start + at % (inner.len() - with.len().min(inner.len() - 1));
+        let block_start = blocks(&open(&bytes))[0].offset as usize;
+        let original = BlockHeader::decode(&bytes[block_start..]).unwrap();
+        let content = block_start + BLOCK_HEADER_BYTES..bytes.len();
+        let at = content.start + at % (content.len() - with.len().min(content.len() - 1));
         let end = (at + with.len()).min(bytes.len());
         bytes.splice(at..end, with.iter().copied().take(end - at));
-        let (head, body) = bytes[place + BLOCK_HEADER_BYTES..].split_at(old.head as usize);
-        let rows = if rows % 2 == 0 { old.rows } else { rows };
-        let new = BlockHeader { rows, crc_head: crc32c::crc32c(head), crc_body: crc32c::crc32c(body), ..old };
-        bytes.splice(place..place + BLOCK_HEADER_BYTES, new.encode());
+        let (head, body) = bytes[block_start + BLOCK_HEADER_BYTES..].split_at(original.head as usize);
+        let rows = if rows % 2 == 0 { original.rows } else { rows };
+        let new = BlockHeader { rows, crc_head: crc32c::crc32c(head), crc_body: crc32c::crc32c(body), ..original };
+        bytes.splice(block_start..block_start + BLOCK_HEADER_BYTES, new.encode());
         if let Ok(mut trace) = Trace::open(Cursor::new(bytes)) {
             readable(&mut trace);
         }
@@ -140,8 +148,8 @@
     fn arbitrary_bytes_after_header_do_not_panic(
         major in 1u16..3, bytes in proptest::collection::vec(any::<u8>(), 0..400),
     ) {
-        let mut all = puffinladder_trace::file::put_header(major, 9, &meta("n1"));
-        all.extend(bytes);
-        readable(&mut open(&all));
+        let mut bytes_of_file = puffinladder_trace::file::put_header(major, 9, &meta("n1"));
+        bytes_of_file.extend(bytes);
+        readable(&mut open(&bytes_of_file));
     }
 }
--- a/crates/trace/tests/ways.rs
+++ b/crates/trace/tests/ways.rs
@@ -124,13 +124,13 @@
     let wanted: Vec<String> = rows
         .iter()
         .map(|row| {
-            let mut near = row.clone();
-            near.unread = round_to_bits(row.unread, ESTIMATE_BITS);
-            near.hint = round_to_bits(row.hint, ESTIMATE_BITS);
-            near.memory = round_to_bits(row.memory, ESTIMATE_BITS);
-            near.keep_off = round_to_bits(row.keep_off, SPAN_BITS);
-            near.spans.iter_mut().for_each(|span| *span = round_to_bits(*span, SPAN_BITS));
-            describe(&names, &near)
+            let mut rounded = row.clone();
+            rounded.unread = round_to_bits(row.unread, ESTIMATE_BITS);
+            rounded.hint = round_to_bits(row.hint, ESTIMATE_BITS);
+            rounded.memory = round_to_bits(row.memory, ESTIMATE_BITS);
+            rounded.keep_off = round_to_bits(row.keep_off, SPAN_BITS);
+            rounded.spans.iter_mut().for_each(|span| *span = round_to_bits(*span, SPAN_BITS));
+            describe(&names, &rounded)
         })
         .collect();
     assert_eq!(readable(&mut open(&bytes)).0, wanted);
@@ -143,27 +143,29 @@
 fn merges_versions_in_time_order_without_duplicates() {
     let mut names = Names::default();
     let config = |seed, node: &str| SynthConfig { seed, node: node.into(), ..small() };
-    let (one, _) = records(&config(1, "n1"), &mut names);
-    let (two, notes) = records(&config(2, "n2"), &mut names);
-    let (first, second) = (version_1_file(&names, &one, &notes), file(&names, &two, &notes, 50, true));
-    let (mut all, report) = merged(vec![(&second, 0), (&first, 0), (&second, 0)]);
+    let (first_rows, _) = records(&config(1, "n1"), &mut names);
+    let (second_rows, notes) = records(&config(2, "n2"), &mut names);
+    let (first, second) =
+        (version_1_file(&names, &first_rows, &notes), file(&names, &second_rows, &notes, 50, true));
+    let (mut merged_trace, report) = merged(vec![(&second, 0), (&first, 0), (&second, 0)]);
     assert_eq!(
         (report.rows, report.duplicates, report.out_of_order),
-        ((one.len() + two.len()) as u64, two.len() as u64, 0)
+        ((first_rows.len() + second_rows.len()) as u64, second_rows.len() as u64, 0)
     );
-    let mut fresh = Names::default();
-    let rows = rows_of(&mut all, &mut fresh);
+    let mut read_names = Names::default();
+    let rows = rows_of(&mut merged_trace, &mut read_names);
     assert!(rows.is_sorted_by_key(|row| row.read));
-    let nodes = |node: &str| rows.iter().filter(|row| fresh.text(row.node) == node).count();
-    assert_eq!((nodes("n1"), nodes("n2")), (one.len(), two.len()));
-    let merged_notes = tools::notes(&mut all, &mut fresh, &Selection::default(), &mut Vec::new()).unwrap();
+    let nodes = |node: &str| rows.iter().filter(|row| read_names.text(row.node) == node).count();
+    assert_eq!((nodes("n1"), nodes("n2")), (first_rows.len(), second_rows.len()));
+    let merged_notes =
+        tools::notes(&mut merged_trace, &mut read_names, &Selection::default(), &mut Vec::new()).unwrap();
     assert_eq!(merged_notes.len(), notes.len());
     // With a clock offset the inputs do not overlap.
     let (mut apart, report) = merged(vec![(&first, 3_600_000_000), (&second, 0)]);
     assert_eq!(report.duplicates, 0);
     let rows = rows_of(&mut apart, &mut Names::default());
     assert!(rows.is_sorted_by_key(|row| row.read));
-    assert_eq!(rows[two.len()].read, one[0].read + 3_600_000_000);
+    assert_eq!(rows[second_rows.len()].read, first_rows[0].read + 3_600_000_000);
 }
 
 #[test]
@@ -173,9 +175,9 @@
     let half = rows.len() / 2;
     rows[half..].iter_mut().for_each(|row| row.read -= 5_000_000);
     let bytes = file(&names, &rows, &[], 30, true);
-    let (mut all, report) = merged(vec![(&bytes, 0)]);
+    let (mut merged_trace, report) = merged(vec![(&bytes, 0)]);
     assert_eq!((report.rows, report.out_of_order), (rows.len() as u64, 0));
-    assert!(rows_of(&mut all, &mut Names::default()).is_sorted_by_key(|row| row.read));
+    assert!(rows_of(&mut merged_trace, &mut Names::default()).is_sorted_by_key(|row| row.read));
 }
 
 #[test]
@@ -221,7 +223,7 @@
     let mut names = Names::default();
     let (rows, _) = records(&SynthConfig { span: 200.0, overload_share: 0.3, ..small() }, &mut names);
     let bytes = file(&names, &rows, &[], 37, true);
-    let mut passed = 0;
+    let mut skipped = 0;
     for text in [
         "declined",
         "not declined and not settled",
@@ -244,9 +246,9 @@
     ] {
         let expr = parse(text).unwrap();
         let (mut trace, mut names) = (open(&bytes), Names::default());
-        let begin = trace.time_range().unwrap().0;
-        let all = rows_of(&mut trace, &mut names);
-        let wanted = all.iter().filter(|row| expr.matches(row, &names, begin)).count() as u64;
+        let trace_start = trace.time_range().unwrap().0;
+        let rows = rows_of(&mut trace, &mut names);
+        let wanted = rows.iter().filter(|row| expr.matches(row, &names, trace_start)).count() as u64;
         let selection = Selection { expr, ..Selection::default() };
         let each = |_: &Row, _: &Names| ControlFlow::Continue(());
         let report = tools::scan(&mut trace, &mut names, &selection, &mut |_, _| {}, each).unwrap();
@@ -254,12 +256,12 @@
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
         let cut = tools::cut(&mut trace, &selection, &mut writer, &mut |_, _| {}).unwrap();
         assert_eq!(cut.rows, wanted, "{text}");
-        let (sums, _) =
+        let (summary, _) =
             tools::summarise(&mut trace, &mut names, &selection, None, 1, false, &mut |_, _| {}).unwrap();
-        assert_eq!(sums.total.requests, wanted, "{text}");
-        passed += report.skipped_blocks;
+        assert_eq!(summary.total.requests, wanted, "{text}");
+        skipped += report.skipped_blocks;
     }
-    assert!(passed > 100, "heads skipped only {passed} blocks");
+    assert!(skipped > 100, "heads skipped only {skipped} blocks");
     let selection =
         Selection { expr: parse("customer = nobody or run > 1h").unwrap(), ..Selection::default() };
     let each = |_: &Row, _: &Names| ControlFlow::Continue(());
@@ -317,15 +319,16 @@
         let mut writer = Writer::new(Vec::new(), &meta("n1")).unwrap();
         tools::anonymise(&mut open(&bytes), &[key; 32], floor, false, &mut writer, &mut |_, _| {}).unwrap();
         let anonymised = writer.seal().unwrap();
-        let mut fresh = Names::default();
-        let rows = rows_of(&mut open(&anonymised), &mut fresh);
-        let customers: Vec<String> = rows.iter().map(|row| fresh.text(row.customer).to_owned()).collect();
-        (anonymised, rows, fresh, customers)
+        let mut read_names = Names::default();
+        let rows = rows_of(&mut open(&anonymised), &mut read_names);
+        let customers: Vec<String> =
+            rows.iter().map(|row| read_names.text(row.customer).to_owned()).collect();
+        (anonymised, rows, read_names, customers)
     };
-    let (anonymised, new, fresh, customers) = anonymise(1, 0);
+    let (anonymised, new, read_names, customers) = anonymise(1, 0);
     assert_eq!(new.len(), rows.len());
     let old: std::collections::HashSet<&str> = rows.iter().map(|row| names.text(row.customer)).collect();
-    assert!(old.iter().all(|name| !fresh.words().iter().any(|word| word.contains(name))));
+    assert!(old.iter().all(|name| !read_names.words().iter().any(|word| word.contains(name))));
     // Neither the decoded rows nor the encoded bytes hold the originals.
     for (before, after) in rows.iter().zip(&new) {
         assert!(before.caller != after.caller && before.name != after.name);
