--- a/crates/cli/src/trace/ask.rs
+++ b/crates/cli/src/trace/ask.rs
@@ -256,7 +256,7 @@
 fn summary_json(summary: &Summary) -> Value {
     let parts: serde_json::Map<String, Value> =
         summary.groups.iter().map(|(name, sums)| (name.trim().to_owned(), sums_json(sums))).collect();
-    let times = |t: &puffinladder_trace::summary::DurationHistogram| json!({"count": t.0.len(), "p50": t.at(50.0), "p90": t.at(90.0), "p99": t.at(99.0), "p999": t.at(99.9), "max": t.0.max()});
+    let times = |t: &puffinladder_trace::summary::DurationHistogram| json!({"count": t.0.len(), "p50": t.percentile(50.0), "p90": t.percentile(90.0), "p99": t.percentile(99.0), "p999": t.percentile(99.9), "max": t.0.max()});
     json!({"total": sums_json(&summary.total), "parts": parts, "wait_us": times(&summary.waits), "run_us": times(&summary.runs)})
 }
 
@@ -300,7 +300,7 @@
     }
     if asked.percentiles {
         for (what, times) in [("wait", &summary.waits), ("run", &summary.runs)] {
-            let at = |p| span(times.at(p));
+            let at = |p| span(times.percentile(p));
             writeln!(
                 out,
                 "{what:<5} p50 {} p90 {} p99 {} p99.9 {} most {} of {} txns",
@@ -370,7 +370,7 @@
     }
     for (what, a, b) in [("wait", &before.waits, &after.waits), ("run", &before.runs, &after.runs)] {
         for p in [50.0, 99.0, 99.9] {
-            writeln!(out, "{what} p{p}: {} then {}", span(a.at(p)), span(b.at(p)))?;
+            writeln!(out, "{what} p{p}: {} then {}", span(a.percentile(p)), span(b.percentile(p)))?;
         }
     }
     out.flush()?;
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -18,7 +18,7 @@
 
 /// Summary of a block's rows, from which most queries are answered without reading the body. Numbers refer to [`Names`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Head {
+pub struct BlockHead {
     /// Time of the first and the last record, in us.
     pub from: i64,
     pub to: i64,
@@ -88,7 +88,7 @@
 }
 
 /// Encodes rows as head and columns, sorted by read time.
-pub fn encode_rows(names: &Names, rows: &mut [Row]) -> (Head, Vec<u8>, Vec<u8>) {
+pub fn encode_rows(names: &Names, rows: &mut [Row]) -> (BlockHead, Vec<u8>, Vec<u8>) {
     rows.sort_by_key(|row| row.read);
     let rows = &*rows;
     debug_assert!(!rows.is_empty() && rows.len() <= MAX_BLOCK_ROWS);
@@ -97,8 +97,12 @@
     let mut groups: BTreeMap<(u64, u64, Disposition), (u64, f64)> = BTreeMap::new();
     let dispositions: Vec<(Disposition, usize)> =
         names.paths().iter().map(|path| (path.disposition(), path.wait_end())).collect();
-    let mut head =
-        Head { from: rows[0].read, to: rows[rows.len() - 1].read, rows: rows.len(), ..Head::default() };
+    let mut head = BlockHead {
+        from: rows[0].read,
+        to: rows[rows.len() - 1].read,
+        rows: rows.len(),
+        ..BlockHead::default()
+    };
     let mut columns: [Vec<u64>; 16] = Default::default();
     for column in &mut columns[1..15] {
         column.reserve(rows.len());
@@ -185,7 +189,7 @@
 }
 
 /// Encodes notes as head and columns, sorted by time.
-pub fn encode_notes(names: &Names, notes: &mut [Note]) -> (Head, Vec<u8>, Vec<u8>) {
+pub fn encode_notes(names: &Names, notes: &mut [Note]) -> (BlockHead, Vec<u8>, Vec<u8>) {
     notes.sort_by_key(|note| note.at);
     let mut nodes = LocalNumbers::default();
     let mut columns: [Vec<u64>; 4] = Default::default();
@@ -202,12 +206,12 @@
         put_section(&mut body, id, values);
     }
     let (from, to) = (notes[0].at, last);
-    let head = Head { from, to, rows: notes.len(), nodes: nodes.keys, ..Head::default() };
+    let head = BlockHead { from, to, rows: notes.len(), nodes: nodes.keys, ..BlockHead::default() };
     let bytes = put_head(names, &head);
     (head, bytes, body)
 }
 
-fn put_head(names: &Names, head: &Head) -> Vec<u8> {
+fn put_head(names: &Names, head: &BlockHead) -> Vec<u8> {
     let mut bytes = Vec::new();
     bytes.extend(head.from.to_le_bytes());
     bytes.extend(head.to.to_le_bytes());
@@ -247,10 +251,10 @@
 }
 
 /// Decodes a head and interns its names.
-pub fn read_head(names: &mut Names, bytes: &[u8]) -> Result<Head, DecodeError> {
+pub fn read_head(names: &mut Names, bytes: &[u8]) -> Result<BlockHead, DecodeError> {
     let decompressed = read_compressed(&mut Cursor(bytes), MAX_HEAD_BYTES)?;
     let from = &mut Cursor(&decompressed);
-    let mut head = Head { from: from.i64()?, to: from.i64()?, ..Head::default() };
+    let mut head = BlockHead { from: from.i64()?, to: from.i64()?, ..BlockHead::default() };
     head.rows = from.count(MAX_BLOCK_ROWS)?;
     (head.longest_wait, head.longest_run) = (from.varint()?, from.varint()?);
     for _ in 0..from.count(MAX_BLOCK_ROWS)? {
@@ -337,7 +341,12 @@
 }
 
 /// Decodes the rows of a block and appends them to `into`.
-pub fn read_rows(names: &Names, head: &Head, body: &[u8], into: &mut Vec<Row>) -> Result<(), DecodeError> {
+pub fn read_rows(
+    names: &Names,
+    head: &BlockHead,
+    body: &[u8],
+    into: &mut Vec<Row>,
+) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let column = |id| sections.column(id, head.rows);
     let (read, unread, node) = (column(column::READ)?, column(column::UNREAD)?, column(column::NODE)?);
@@ -394,7 +403,7 @@
 }
 
 /// Decodes the notes of a block and appends them to `into`.
-pub fn read_notes(head: &Head, body: &[u8], into: &mut Vec<Note>) -> Result<(), DecodeError> {
+pub fn read_notes(head: &BlockHead, body: &[u8], into: &mut Vec<Note>) -> Result<(), DecodeError> {
     let sections = Sections::new(body)?;
     let (read, node) = (sections.column(column::READ, head.rows)?, sections.column(column::NODE, head.rows)?);
     let topic = sections.column(column::TOPIC, head.rows)?;
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -7,7 +7,7 @@
 //!
 //! An expression is first matched against a block's head, so that most blocks need not be read.
 
-use crate::block::Head;
+use crate::block::BlockHead;
 use crate::row::{Names, Path, Row, Step};
 use winnow::ascii::{float, multispace0};
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat};
@@ -490,7 +490,7 @@
     }
 
     /// Matches a block by its head alone.
-    pub fn match_block(&self, head: &Head, names: &Names, trace_start: i64) -> BlockMatch {
+    pub fn match_block(&self, head: &BlockHead, names: &Names, trace_start: i64) -> BlockMatch {
         match self {
             Expr::All => BlockMatch::All,
             Expr::Not(inner) => match inner.match_block(head, names, trace_start) {
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -165,7 +165,10 @@
     pub bytes: Vec<u8>,
 }
 
-fn encoded_block(kind: BlockKind, (head, head_bytes, body): (block::Head, Vec<u8>, Vec<u8>)) -> EncodedBlock {
+fn encoded_block(
+    kind: BlockKind,
+    (head, head_bytes, body): (block::BlockHead, Vec<u8>, Vec<u8>),
+) -> EncodedBlock {
     let header = BlockHeader {
         kind,
         rows: head.rows as u32,
--- a/crates/trace/src/open.rs
+++ b/crates/trace/src/open.rs
@@ -1,6 +1,6 @@
 //! Opens trace files of every version, sealed or torn, and reads their blocks.
 
-use crate::block::{self, Head};
+use crate::block::{self, BlockHead};
 use crate::codec::{Cursor, DecodeError};
 use crate::file::{
     self, BlockHeader, BlockKind, FileMetadata, IndexEntry, BLOCK_HEADER_BYTES, HEADER_BYTES, MAGIC,
@@ -257,7 +257,7 @@
                 continue;
             }
             let remaining = &bytes[behind..];
-            let Some(payload) = v1::frame(remaining) else {
+            let Some(payload) = v1::parse_frame(remaining) else {
                 damage_start.get_or_insert(at);
                 // Continue at the next byte that may start a frame.
                 let skip = remaining[1..]
@@ -338,7 +338,7 @@
         &mut self,
         entry: &IndexEntry,
         names: &mut Names,
-    ) -> Result<(Head, Vec<u8>, usize), TraceError> {
+    ) -> Result<(BlockHead, Vec<u8>, usize), TraceError> {
         let (bytes, head) = self.read_block(entry, true)?;
         let body = BLOCK_HEADER_BYTES + head;
         let head = block::read_head(names, &bytes[BLOCK_HEADER_BYTES..body])
@@ -353,11 +353,11 @@
     }
 
     /// Reads the head of a block.
-    pub fn head(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<Head, TraceError> {
+    pub fn head(&mut self, entry: &IndexEntry, names: &mut Names) -> Result<BlockHead, TraceError> {
         if self.major == v1::MAJOR {
             if entry.kind == BlockKind::Notes {
                 let (from, to) = (entry.from, entry.to);
-                return Ok(Head { from, to, rows: entry.rows as usize, ..Head::default() });
+                return Ok(BlockHead { from, to, rows: entry.rows as usize, ..BlockHead::default() });
             }
             let mut rows = Vec::new();
             self.rows(entry, names, &mut rows)?;
@@ -429,7 +429,7 @@
         let bytes = self.read_at(entry.offset, entry.len as usize)?;
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            match v1::frame(rest) {
+            match v1::parse_frame(rest) {
                 Some(payload) => {
                     if let Ok(frame) = v1::decode(names, payload) {
                         each(frame);
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,6 +1,6 @@
 //! Summaries of a trace: requests and value, in total and by group.
 
-use crate::block::Head;
+use crate::block::BlockHead;
 use crate::row::{Names, Row, Step};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -79,7 +79,7 @@
         self.0.saturating_record(value.max(1));
     }
     /// Returns a percentile in us, 0 if empty.
-    pub fn at(&self, percentile: f64) -> u64 {
+    pub fn percentile(&self, percentile: f64) -> u64 {
         if self.0.is_empty() {
             0
         } else {
@@ -124,7 +124,7 @@
     }
 
     /// Returns whether a block's head is sufficient for everything but percentiles.
-    pub fn head_suffices(&self, head: &Head) -> bool {
+    pub fn head_suffices(&self, head: &BlockHead) -> bool {
         match self.by {
             None | Some(GroupBy::Product | GroupBy::Customer | GroupBy::Reason) => true,
             Some(GroupBy::Interval) => self.interval_of(head.from) == self.interval_of(head.to),
@@ -134,7 +134,7 @@
     }
 
     /// Adds a whole block by its head.
-    pub fn add_block(&mut self, head: &Head) {
+    pub fn add_block(&mut self, head: &BlockHead) {
         self.extend_span(head.from, head.to);
         for group in &head.groups {
             let step = group.disposition.step();
--- a/crates/trace/src/synth.rs
+++ b/crates/trace/src/synth.rs
@@ -50,7 +50,7 @@
 ];
 
 /// Seconds from one overload to the next.
-const OVERLOAD_PERIOD: f64 = 300.0;
+const OVERLOAD_PERIOD_SECONDS: f64 = 300.0;
 
 /// Generator of a trace's records in time order.
 pub struct Generator {
@@ -100,7 +100,7 @@
     /// Returns the next record, or `None` at the end of the trace.
     pub fn next(&mut self, names: &mut Names) -> Option<Record> {
         // The offset puts normal load and overload into traces of one minute.
-        let phase = (self.at / OVERLOAD_PERIOD + 0.67).fract();
+        let phase = (self.at / OVERLOAD_PERIOD_SECONDS + 0.67).fract();
         let overloaded = phase > 1.0 - self.config.overload_share;
         if self.at - self.last_note_at > 1.0 {
             self.last_note_at = self.at;
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -21,7 +21,7 @@
         out.write_all(&put_header(MAJOR, 0, meta))?;
         Ok(Writer(out))
     }
-    fn frame(&mut self, payload: &[u8]) -> io::Result<()> {
+    fn write_frame(&mut self, payload: &[u8]) -> io::Result<()> {
         let len = u16::try_from(payload.len())
             .map_err(|_| io::Error::other("encoded record exceeds 65535 bytes"))?;
         let mut head = vec![FRAME_MARK];
@@ -54,7 +54,7 @@
         put_varint(&mut out, row.keep_off.into());
         put_bytes(&mut out, &names.path(row.path).0);
         row.spans.iter().for_each(|span| put_varint(&mut out, (*span).into()));
-        self.frame(&out)
+        self.write_frame(&out)
     }
     /// Writes a note.
     pub fn write_note(&mut self, names: &Names, note: &Note) -> io::Result<()> {
@@ -63,7 +63,7 @@
         put_bytes(&mut out, names.text(note.node).as_bytes());
         out.push(note.topic.0);
         out.extend(note.value.to_le_bytes());
-        self.frame(&out)
+        self.write_frame(&out)
     }
     /// Flushes and returns the inner writer.
     pub fn finish(mut self) -> io::Result<W> {
@@ -81,7 +81,7 @@
 }
 
 /// Returns the payload of the frame at the start of `bytes`, if there is a valid one.
-pub fn frame(bytes: &[u8]) -> Option<&[u8]> {
+pub fn parse_frame(bytes: &[u8]) -> Option<&[u8]> {
     let mut from = Cursor(bytes);
     if from.u8().ok()? != FRAME_MARK {
         return None;
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -123,9 +123,9 @@
 #[test]
 fn records_end_up_in_sealed_file() {
     let disk = SharedDisk::default();
-    let (recorder, running) = Recorder::start(config(100), disk.clone(), 1 << 20, |_| {}).unwrap();
+    let (recorder, handle) = Recorder::start(config(100), disk.clone(), 1 << 20, |_| {}).unwrap();
     record(&recorder, 0, 250);
-    running.shutdown(Duration::from_secs(20));
+    handle.shutdown(Duration::from_secs(20));
     assert_eq!(totals(&disk), (250, 0.0, 0));
     assert_eq!(recorder.lost_records(), 0);
 }
@@ -136,7 +136,7 @@
     let logged = Arc::new(Mutex::new(Vec::new()));
     let log = logged.clone();
     let on_error = move |line: &str| log.lock().unwrap().push(line.to_owned());
-    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, on_error).unwrap();
+    let (recorder, handle) = Recorder::start(config(50), disk.clone(), 1 << 20, on_error).unwrap();
     record(&recorder, 0, 50);
     disk.until("the first block", |disk| disk.files.first().is_some_and(|file| file.1.len() > 100));
     disk.with(|disk| disk.free_bytes = Some(40));
@@ -156,7 +156,7 @@
     record(&recorder, 400, 50);
     disk.until("the third file", |disk| disk.files.len() > 2 && disk.files[2].1.len() > 100);
     record(&recorder, 450, 10);
-    running.shutdown(Duration::from_secs(20));
+    handle.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = totals(&disk);
     assert_eq!((rows + dropped as usize, torn), (460, 2), "{rows} rows, {dropped} dropped");
     assert_eq!(dropped as u64, recorder.lost_records());
@@ -167,12 +167,12 @@
 fn hanging_disk_never_blocks_recording_and_drops_are_counted() {
     let disk = SharedDisk::default();
     disk.with(|disk| disk.hangs = true);
-    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
+    let (recorder, handle) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
     // Far more than the ring holds: a blocking call would hang the test.
     record(&recorder, 0, 10_000);
     assert!(recorder.lost_records() > 0);
     disk.with(|disk| disk.hangs = false);
-    running.shutdown(Duration::from_secs(20));
+    handle.shutdown(Duration::from_secs(20));
     let (rows, dropped, torn) = totals(&disk);
     assert_eq!((rows + dropped as usize, torn), (10_000, 0), "{rows} rows, {dropped} dropped");
 }
@@ -181,9 +181,9 @@
 fn shutdown_times_out_on_hanging_disk() {
     let disk = SharedDisk::default();
     disk.with(|disk| disk.hangs = true);
-    let (recorder, running) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
+    let (recorder, handle) = Recorder::start(config(50), disk.clone(), 1 << 20, |_| {}).unwrap();
     record(&recorder, 0, 60);
-    running.shutdown(Duration::from_millis(50));
+    handle.shutdown(Duration::from_millis(50));
     disk.with(|disk| disk.hangs = false);
 }
 
@@ -193,7 +193,7 @@
     let mut sampled = config(20);
     sampled.limits = RotationLimits { max_file_bytes: 1, max_files: 3, ..sampled.limits };
     sampled.sample = 4;
-    let (recorder, running) = Recorder::start(sampled, disk.clone(), 1 << 20, |_| {}).unwrap();
+    let (recorder, handle) = Recorder::start(sampled, disk.clone(), 1 << 20, |_| {}).unwrap();
     for at in 0..400u32 {
         let mut record = RequestRecord::new(1000.0 + f64::from(at), [b'0'; 16]);
         (record.key, record.caller) = (Some([(at / 4) as u8; 32]), at / 4);
@@ -203,7 +203,7 @@
             std::thread::sleep(Duration::from_millis(1));
         }
     }
-    running.shutdown(Duration::from_secs(20));
+    handle.shutdown(Duration::from_secs(20));
     let files = disk.with(|disk| disk.files.clone());
     let mut names = Names::default();
     let mut rows = Vec::new();
