--- a/crates/cli/src/prove/bench.rs
+++ b/crates/cli/src/prove/bench.rs
@@ -3,10 +3,10 @@
 use crate::say::{bar, Done, Wrong};
 use crate::serve;
 use puffinladder_leases::protocol::{Event, EventSink, ReplicaReply, ReplicaRequest, ReplicaStatus};
-use puffinladder_proving::ground::{ask, ask_leader, play, Setup};
-use puffinladder_proving::measure::{gaps, quantile};
-use puffinladder_proving::process::{News, Process};
-use puffinladder_proving::schedule::{Fault, Schedule, What, Who};
+use puffinladder_proving::cluster::{request, request_leader, run_schedule, ClusterConfig};
+use puffinladder_proving::measure::{ownership_gaps, quantile};
+use puffinladder_proving::process::{Process, ProcessOutput};
+use puffinladder_proving::schedule::{Fault, FaultKind, ProcessId, Schedule};
 use puffinladder_transport::Clock;
 use puffinladder_worker::config::WorkerConfig;
 use puffinladder_worker::service::{self, RunningWorker};
@@ -17,7 +17,7 @@
 /// The term that figures are given for, s.
 const TERM: f64 = 2.0;
 
-pub fn bench(setup: &Setup, rounds: u64, instances: &[usize], parts: usize, span: f64) -> Done {
+pub fn bench(setup: &ClusterConfig, rounds: u64, instances: &[usize], parts: usize, span: f64) -> Done {
     let runtime = serve::runtime()?;
     runtime.block_on(owners(setup, rounds))?;
     println!();
@@ -30,35 +30,35 @@
 }
 
 /// Three stewards are hit one after the other in each run.
-fn three(what: What, with: Option<What>, seed: u64) -> Schedule {
+fn three(what: FaultKind, with: Option<FaultKind>, seed: u64) -> Schedule {
     let mut faults = Vec::new();
     for steward in 1..=3 {
         let at = 3.0 + 7.0 * (steward - 1) as f64 + 0.1 * (seed % 10) as f64;
-        faults.extend(with.map(|with| Fault::new(at, with, Who::Keeper(1), 2.0)));
-        faults.push(Fault::new(at, what, Who::Steward(steward), 3.0));
+        faults.extend(with.map(|with| Fault::new(at, with, ProcessId::Replica(1), 2.0)));
+        faults.push(Fault::new(at, what, ProcessId::Worker(steward), 3.0));
     }
     Schedule {
         seed,
-        stewards: 4,
+        workers: 4,
         servers: 24,
         parts: 12,
-        backlog: 8,
-        files: 0.004,
-        span: 24.0,
-        term: TERM,
+        backlog_files: 8,
+        file_interval: 0.004,
+        duration: 24.0,
+        lease_term: TERM,
         faults,
         ..Schedule::default()
     }
 }
 
-async fn owners(setup: &Setup, rounds: u64) -> Done {
+async fn owners(setup: &ClusterConfig, rounds: u64) -> Done {
     println!("From what was done to an owner to its successor's first accepted effect, term {TERM} s, {rounds} runs of three each, s:");
     println!("{:<34} {:>6} {:>8} {:>8} {:>8} {:>8}", "", "parts", "least", "median", "p99", "most");
     let kinds = [
-        ("killed", What::Kill, None),
-        ("told to leave (SIGTERM)", What::Leave, None),
-        ("killed, with the keeper that leads", What::Kill, Some(What::KillLeader)),
-        ("stopped (SIGSTOP)", What::Pause, None),
+        ("killed", FaultKind::Kill, None),
+        ("told to leave (SIGTERM)", FaultKind::Terminate, None),
+        ("killed, with the keeper that leads", FaultKind::Kill, Some(FaultKind::KillLeader)),
+        ("stopped (SIGSTOP)", FaultKind::Pause, None),
     ];
     let shown = bar("runs");
     shown.set_length(rounds * kinds.len() as u64);
@@ -66,14 +66,14 @@
         let (mut all, mut open, mut late) = (Vec::new(), 0, 0.0f64);
         for seed in 1..=rounds {
             let schedule = three(what, with, seed);
-            let run = play(&schedule, setup).await.map_err(Wrong::Failed)?;
+            let run = run_schedule(&schedule, setup).await.map_err(Wrong::Failed)?;
             super::tell(&run, seed)?;
             if !run.failures.is_empty() {
                 return Err(Wrong::Failed("a run failed: its figures would mean nothing".into()));
             }
-            let (closed, left) = gaps(&run.history, what.word());
+            let (closed, left) = ownership_gaps(&run.history, what.keyword());
             all.extend(closed);
-            (open, late) = (open + left, late.max(run.late));
+            (open, late) = (open + left, late.max(run.scheduling_delay));
             shown.inc(1);
         }
         all.sort_by(f64::total_cmp);
@@ -102,14 +102,14 @@
 }
 
 async fn status(at: SocketAddr) -> Option<ReplicaStatus> {
-    match ask(at, &ReplicaRequest::Status).await? {
+    match request(at, &ReplicaRequest::Status).await? {
         ReplicaReply::Status(status) => Some(*status),
         _ => None,
     }
 }
 
 /// Keepers are processes; the instances are tasks of this one, each with its own holder and connection.
-async fn cost(setup: &Setup, count: usize, parts: usize, span: f64) -> Done<String> {
+async fn cost(setup: &ClusterConfig, count: usize, parts: usize, span: f64) -> Done<String> {
     let folder = tempfile::tempdir()?;
     let (tell, mut news) = tokio::sync::mpsc::unbounded_channel();
     // Places that no other process listens at: the ground's processes have addresses of their own.
@@ -133,7 +133,7 @@
     let mut ready = 0;
     while ready < 3 {
         match tokio::time::timeout(Duration::from_secs(20), news.recv()).await {
-            Ok(Some(News { event: Some(Event::Ready { .. }), .. })) => ready += 1,
+            Ok(Some(ProcessOutput { event: Some(Event::Ready { .. }), .. })) => ready += 1,
             Ok(Some(_)) => {}
             _ => return Err(Wrong::Failed("keepers are not ready".into())),
         }
@@ -166,7 +166,7 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         let Some(ReplicaReply::Tasks { leases: rows, instances: seats, .. }) =
-            ask_leader(&keepers_at, &ReplicaRequest::Tasks).await
+            request_leader(&keepers_at, &ReplicaRequest::Tasks).await
         else {
             continue;
         };
--- a/crates/cli/src/prove/mod.rs
+++ b/crates/cli/src/prove/mod.rs
@@ -11,12 +11,12 @@
 use clap::{Args, Subcommand, ValueEnum};
 use puffinladder_leases::protocol::EventSink;
 use puffinladder_proving::check::Counts;
-use puffinladder_proving::ground::{play, Run, Setup};
+use puffinladder_proving::cluster::{run_schedule, ClusterConfig, RunReport};
 use puffinladder_proving::measure::quantile;
-use puffinladder_proving::picture;
 use puffinladder_proving::process::Program;
 use puffinladder_proving::schedule::Schedule;
 use puffinladder_proving::shrink::shrink;
+use puffinladder_proving::timeline;
 use puffinladder_trace_store::injected_bug::InjectedBug;
 use puffinladder_transport::Clock;
 use std::io::BufRead;
@@ -158,13 +158,13 @@
         (None, Some(path)) => one(&path, line.keep, line.injected_bug),
         (Some(Command::Random { seed, count, jobs, failed, shrink, injected_bug, size }), _) => {
             let size = Schedule {
-                keepers: size.replicas,
-                stewards: size.workers,
-                seats: size.quota_servers,
+                replicas: size.replicas,
+                workers: size.workers,
+                quota_servers: size.quota_servers,
                 servers: size.servers,
                 parts: size.parts,
-                span: size.span,
-                term: size.term,
+                duration: size.span,
+                lease_term: size.term,
                 ..Schedule::default()
             };
             random(seed, count, jobs.max(1), failed, shrink, injected_bug, &size)
@@ -188,10 +188,10 @@
 }
 
 /// How the ground starts the processes: as this program's hidden command.
-fn ground(folder: PathBuf, keep: bool, plant: Option<InjectedBug>) -> Done<Setup> {
+fn ground(folder: PathBuf, keep: bool, plant: Option<InjectedBug>) -> Done<ClusterConfig> {
     let path = std::env::current_exe()?;
-    let program = Program { path, before: vec!["prove".into(), "part".into()] };
-    Ok(Setup { program, folder, keep, planted: plant })
+    let program = Program { path, leading_args: vec!["prove".into(), "part".into()] };
+    Ok(ClusterConfig { program, folder, keep, injected_bug: plant })
 }
 
 fn one(path: &Path, keep: Option<PathBuf>, plant: Option<InjectedBug>) -> Done {
@@ -202,7 +202,7 @@
     })?;
     let folder = keep.clone().unwrap_or_else(|| "prove-failed".into());
     let setup = ground(folder, keep.is_some(), plant)?;
-    let run = serve::runtime()?.block_on(play(&schedule, &setup)).map_err(Wrong::Failed)?;
+    let run = serve::runtime()?.block_on(run_schedule(&schedule, &setup)).map_err(Wrong::Failed)?;
     tell(&run, schedule.seed)?;
     if run.failures.is_empty() {
         println!("{}", sum(&run.counts, run.rows));
@@ -215,17 +215,17 @@
     format!(
         "{rows} rows gathered once each, {} effects, {} grants, {} leaders, {} repeats, {} late effects refused; \
          {} parts of a quota held, {} servers left by a turn",
-        counts.effects, counts.grants, counts.leaders, counts.repeats, counts.late, counts.parts, counts.turns
+        counts.effects, counts.grants, counts.leaders, counts.duplicate_effects, counts.stale_effects, counts.quota_parts, counts.drain_slots
     )
 }
 
 /// Says what failed, and draws what is kept.
-fn tell(run: &Run, seed: u64) -> Done {
+fn tell(run: &RunReport, seed: u64) -> Done {
     for failure in &run.failures {
         eprintln!("puffinladder: seed {seed}: {failure}");
     }
     if let Some(folder) = &run.folder {
-        let drawn = picture::draw(&format!("schedule {seed}"), &run.history)
+        let drawn = timeline::render_svg(&format!("schedule {seed}"), &run.history)
             .map_err(|e| Wrong::Failed(e.to_string()))?;
         std::fs::write(folder.join("run.svg"), drawn)?;
         eprintln!("puffinladder: seed {seed}: kept in {}", folder.display());
@@ -251,8 +251,8 @@
     let mut next = seed;
     let mut done = 0;
     let begin = |seed: u64| {
-        let (schedule, setup) = (Schedule::draw(seed, size), setup.clone());
-        async move { (seed, play(&schedule, &setup).await) }
+        let (schedule, setup) = (Schedule::generate(seed, size), setup.clone());
+        async move { (seed, run_schedule(&schedule, &setup).await) }
     };
     runtime.block_on(async {
         let mut under_way = tokio::task::JoinSet::new();
@@ -269,9 +269,9 @@
             tell(&run, of)?;
             counts += run.counts;
             rows += run.rows;
-            late = late.max(run.late);
+            late = late.max(run.scheduling_delay);
             if run.failures.is_empty() {
-                owned.push(run.owned);
+                owned.push(run.reassignment_time);
             } else {
                 bad.push(of);
             }
@@ -286,10 +286,10 @@
         return Ok(());
     }
     if tries > 0 {
-        let first = Schedule::draw(bad[0], size);
+        let first = Schedule::generate(bad[0], size);
         eprintln!("puffinladder: cuts seed {} down", bad[0]);
         let fails = |schedule: &Schedule| {
-            runtime.block_on(play(schedule, &setup)).is_ok_and(|run| !run.failures.is_empty())
+            runtime.block_on(run_schedule(schedule, &setup)).is_ok_and(|run| !run.failures.is_empty())
         };
         println!("{}", shrink(&first, tries, fails));
     }
--- a/crates/cli/src/prove/scale.rs
+++ b/crates/cli/src/prove/scale.rs
@@ -3,15 +3,15 @@
 use crate::say::{Done, Wrong};
 use crate::serve;
 use clap::Args;
-use puffinladder_proving::scale::stories::play;
-use puffinladder_proving::scale::{Row, Setup, Size, Story};
+use puffinladder_proving::scale::scenarios::run_scenario;
+use puffinladder_proving::scale::{Assertion, FleetConfig, FleetSize, Scenario};
 use std::io::Write;
 use std::path::PathBuf;
 
 #[derive(Args)]
 pub struct Line {
     /// steady, budget, change, restart, zone, cut, slow, dead [default: all]
-    stories: Vec<Story>,
+    stories: Vec<Scenario>,
     #[arg(long, default_value_t = 60)]
     servers: usize,
     #[arg(long, default_value_t = 200)]
@@ -33,31 +33,31 @@
             return Err(Wrong::Asked(format!("{key}: should be from {LEAST} to {MOST}")));
         }
     }
-    let size = Size { servers: line.servers, callers: line.callers };
-    let setup = Setup {
+    let size = FleetSize { servers: line.servers, callers: line.callers };
+    let setup = FleetConfig {
         program: std::env::current_exe()?,
         folder: line.keep.clone().unwrap_or_else(|| "prove-failed".into()),
         keep: line.keep.is_some(),
         seed: line.seed,
     };
-    let stories = if line.stories.is_empty() { Story::ALL.to_vec() } else { line.stories };
+    let stories = if line.stories.is_empty() { Scenario::ALL.to_vec() } else { line.stories };
     let runtime = serve::runtime()?;
     let mut out = std::io::stdout().lock();
     let (mut asserted, mut bad) = (0, Vec::new());
     for story in stories {
-        let told = runtime.block_on(play(story, size, &setup));
+        let told = runtime.block_on(run_scenario(story, size, &setup));
         write!(out, "{told}")?;
         out.flush()?;
-        asserted += told.rows.len();
-        for folder in &told.kept {
+        asserted += told.assertions.len();
+        for folder in &told.kept_folders {
             eprintln!("puffinladder: {story}: kept in {}", folder.display());
         }
-        if !told.holds() {
-            let count = told.rows.iter().filter(|row| !Row::holds(row)).count();
+        if !told.passed() {
+            let count = told.assertions.iter().filter(|row| !Assertion::passed(row)).count();
             bad.push(format!(
                 "{story} ({} of {})",
-                count + usize::from(told.fault.is_some()),
-                told.rows.len()
+                count + usize::from(told.error.is_some()),
+                told.assertions.len()
             ));
         }
     }
--- a/crates/cli/tests/proving.rs
+++ b/crates/cli/tests/proving.rs
@@ -4,27 +4,27 @@
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::protocol::Event;
 use puffinladder_leases::table::ChangeKind;
-use puffinladder_proving::ground::{play, Run, Setup};
+use puffinladder_proving::cluster::{run_schedule, ClusterConfig, RunReport};
 use puffinladder_proving::process::Program;
-use puffinladder_proving::schedule::{Schedule, Who};
+use puffinladder_proving::schedule::{ProcessId, Schedule};
 use puffinladder_trace_store::injected_bug::InjectedBug;
 use std::path::Path;
 
-fn setup(folder: &Path) -> Setup {
+fn setup(folder: &Path) -> ClusterConfig {
     let program = Program {
         path: env!("CARGO_BIN_EXE_puffinladder").into(),
-        before: vec!["prove".into(), "part".into()],
+        leading_args: vec!["prove".into(), "part".into()],
     };
-    Setup { program, folder: folder.into(), keep: false, planted: None }
+    ClusterConfig { program, folder: folder.into(), keep: false, injected_bug: None }
 }
 
-fn run(schedule: &Schedule, change: impl Fn(&mut Setup)) -> Run {
+fn run(schedule: &Schedule, change: impl Fn(&mut ClusterConfig)) -> RunReport {
     // What failed stays beside the build, to be looked at.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let mut setup = setup(folder);
     change(&mut setup);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    runtime.block_on(play(schedule, &setup)).unwrap()
+    runtime.block_on(run_schedule(schedule, &setup)).unwrap()
 }
 
 fn read(text: &str) -> Schedule {
@@ -32,7 +32,7 @@
 }
 
 /// Plays a story that has to hold.
-fn holds(text: &str) -> Run {
+fn holds(text: &str) -> RunReport {
     let run = run(&read(text), |_| {});
     assert_eq!(run.failures, Vec::<String>::new(), "kept in {:?}", run.folder);
     assert!(run.rows > 500 && run.counts.effects > 50, "{:?}", run.counts);
@@ -40,9 +40,9 @@
 }
 
 /// Times at which an instance stood down, and from what.
-fn downs(run: &Run, who: Who, why: &str) -> usize {
+fn downs(run: &RunReport, who: ProcessId, why: &str) -> usize {
     let down = |event: &Event| matches!(event, Event::LeaseEnded { reason: of, .. } if of == why);
-    run.history.told().filter(|(entry, event)| entry.who == who.to_string() && down(event)).count()
+    run.history.events().filter(|(entry, event)| entry.process == who.to_string() && down(event)).count()
 }
 
 #[test]
@@ -54,8 +54,8 @@
            (fault (at 1s) (do hold) (who \"s1\") (to \"archive\") (way there) (span 3s))
            (fault (at 1100ms) (do pause) (who \"s1\") (span 3100ms)))",
     );
-    assert!(run.counts.late >= 1, "{:?}", run.counts);
-    assert_eq!(downs(&run, Who::Steward(1), "its term is over"), 1, "it says so once");
+    assert!(run.counts.stale_effects >= 1, "{:?}", run.counts);
+    assert_eq!(downs(&run, ProcessId::Worker(1), "its term is over"), 1, "it says so once");
 }
 
 /// s1 owns the one part, and what it says to the archive is held back; s2 comes after it, and the archive starts anew in between. s1 dials
@@ -72,12 +72,16 @@
 fn bytes_held_back_while_the_fence_starts_anew_are_refused_by_its_next_life() {
     let run = holds(HELD);
     let late = |event: &Event| matches!(event, Event::EffectChecked { verdict: Verdict::Stale { .. }, .. });
-    assert!(run.history.told().any(|(entry, event)| entry.life == 2 && late(event)), "{:?}", run.counts);
+    assert!(
+        run.history.events().any(|(entry, event)| entry.incarnation == 2 && late(event)),
+        "{:?}",
+        run.counts
+    );
 }
 
 #[test]
 fn a_fence_that_is_kept_in_memory_only_is_found_out() {
-    let run = run(&read(HELD), |setup| setup.planted = Some(InjectedBug::ForgetsEpochs));
+    let run = run(&read(HELD), |setup| setup.injected_bug = Some(InjectedBug::ForgetsEpochs));
     let found = |what: &String| what.contains("had been seen");
     assert!(run.failures.iter().any(found), "{:?}", run.failures);
     if let Some(folder) = run.folder {
@@ -96,7 +100,7 @@
         kills.join(" ")
     );
     assert_eq!(run(&read(&story), |_| {}).failures, Vec::<String>::new());
-    let run = run(&read(&story), |setup| setup.planted = Some(InjectedBug::TwoSteps));
+    let run = run(&read(&story), |setup| setup.injected_bug = Some(InjectedBug::TwoSteps));
     assert!(run.failures.iter().any(|what| what.contains("are missing")), "{:?}", run.failures);
     if let Some(folder) = run.folder {
         std::fs::remove_dir_all(folder).unwrap();
@@ -110,14 +114,14 @@
            (fault (at 1s) (do cut) (who \"s1\") (to \"k1\") (span 3s)) (fault (at 1s) (do cut) (who \"s1\") (to \"k2\") (span 3s))
            (fault (at 1s) (do cut) (who \"s1\") (to \"k3\") (span 3s)))",
     );
-    assert!(downs(&cut, Who::Steward(1), "its term is over") >= 1);
+    assert!(downs(&cut, ProcessId::Worker(1), "its term is over") >= 1);
     // It renews, has work, and gets nothing done: ten terms later it has lost its parts.
     let grey = holds(
         "(schedule (stewards 3) (parts 3) (servers 6) (span 10s)
            (fault (at 1s) (do cut) (who \"s1\") (to \"archive\") (span 9s)))",
     );
     let stalled = |event: &Event| matches!(event, Event::Change(c) if c.cause == puffinladder_leases::table::Cause::Stalled);
-    assert!(grey.history.told().any(|(_, event)| stalled(event)));
+    assert!(grey.history.events().any(|(_, event)| stalled(event)));
 }
 
 #[test]
@@ -149,7 +153,7 @@
     );
     let given = |from: f64, to: f64| {
         let given = |event: &Event| matches!(event, Event::Change(c) if c.kind == ChangeKind::Granted);
-        run.history.told().filter(|(entry, event)| given(event) && entry.at > from && entry.at < to).count()
+        run.history.events().filter(|(entry, event)| given(event) && entry.at > from && entry.at < to).count()
     };
     assert_eq!(given(1.2, 3.9), 0);
     assert!(given(4.0, 60.0) >= 4, "all stood down at their terms");
@@ -161,7 +165,7 @@
         "(schedule (stewards 3) (parts 4) (servers 6) (span 5s)
            (fault (at 1s) (do lose) (who \"k2\") (span 500ms)) (fault (at 2s) (do sync) (who \"k1\") (value 2) (span 2s)))",
     );
-    assert!(run.history.told().any(|(entry, _)| entry.who == "k4"), "it hears all that was agreed");
+    assert!(run.history.events().any(|(entry, _)| entry.process == "k4"), "it hears all that was agreed");
 }
 
 #[test]
@@ -181,7 +185,7 @@
            (fault (at 3s) (do kill) (who \"s1\") (span 200ms)) (fault (at 3s) (do kill) (who \"s2\") (span 200ms))
            (fault (at 3s) (do kill) (who \"s3\") (span 200ms)))",
     );
-    let lives = run.history.told().filter_map(|(_, event)| match event {
+    let lives = run.history.events().filter_map(|(_, event)| match event {
         Event::LeaseStarted { holder: owner, .. } if owner.instance == "s1" => Some(owner.incarnation),
         _ => None,
     });
@@ -209,9 +213,9 @@
            (fault (at 4500ms) (do hold) (who \"n1\") (way back) (span 1200ms)) (fault (at 5s) (do pause) (who \"n2\") (span 2s))
            (fault (at 6s) (do cut) (who \"n3\") (span 1s)) (fault (at 6500ms) (do kill) (who \"n4\") (span 300ms)))",
     );
-    assert!(run.counts.parts > 50, "{:?}", run.counts);
-    let most = run.history.told().filter_map(|(entry, event)| match event {
-        Event::QuotaApplied { rate, .. } if entry.who == "n1" => Some(*rate),
+    assert!(run.counts.quota_parts > 50, "{:?}", run.counts);
+    let most = run.history.events().filter_map(|(entry, event)| match event {
+        Event::QuotaApplied { rate, .. } if entry.process == "n1" => Some(*rate),
         _ => None,
     });
     assert!(most.fold(0.0, f64::max) > 40.0, "more than twice the equal share");
@@ -226,11 +230,11 @@
            (fault (at 5300ms) (do kill) (who \"s1\") (span 300ms)))",
         all.join(" ")
     ));
-    assert!(run.counts.turns >= 4, "{:?}", run.counts);
+    assert!(run.counts.drain_slots >= 4, "{:?}", run.counts);
     let back = |who: &str| {
-        run.history
-            .told()
-            .any(|(entry, event)| entry.who == who && entry.life == 2 && matches!(event, Event::Ready { .. }))
+        run.history.events().any(|(entry, event)| {
+            entry.process == who && entry.incarnation == 2 && matches!(event, Event::Ready { .. })
+        })
     };
     assert!((1..=6).all(|at| back(&format!("n{at}"))), "{:?}", run.counts);
 }
@@ -238,8 +242,8 @@
 #[test]
 fn drawn_schedules_hold() {
     for seed in [1, 5, 16] {
-        let size = Schedule { stewards: 4, servers: 6, parts: 6, span: 6.0, ..Schedule::default() };
-        let run = run(&Schedule::draw(seed, &size), |_| {});
+        let size = Schedule { workers: 4, servers: 6, parts: 6, duration: 6.0, ..Schedule::default() };
+        let run = run(&Schedule::generate(seed, &size), |_| {});
         assert_eq!(run.failures, Vec::<String>::new(), "seed {seed}, kept in {:?}", run.folder);
     }
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,8 +1,8 @@
 //! Scale tests at small sizes: what must not grow with the number of servers and callers, nor stay of a dead one. Large ones by
 //! `puffinladder prove scale`; what each story asserts stands in docs/proving.md.
 
-use puffinladder_proving::scale::stories::play;
-use puffinladder_proving::scale::{Setup, Size, Story};
+use puffinladder_proving::scale::scenarios::run_scenario;
+use puffinladder_proving::scale::{FleetConfig, FleetSize, Scenario};
 use std::sync::{Condvar, Mutex, PoisonError};
 
 /// So many worlds at once: all of them together would be a matter of the machine.
@@ -27,57 +27,57 @@
     }
 }
 
-fn holds(story: Story, asserted: usize) {
+fn holds(story: Scenario, asserted: usize) {
     let _seat = Seat::take();
-    let setup = Setup {
+    let setup = FleetConfig {
         program: env!("CARGO_BIN_EXE_puffinladder").into(),
         folder: env!("CARGO_TARGET_TMPDIR").into(),
         keep: false,
         seed: 1,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let told = runtime.block_on(play(story, Size { servers: 24, callers: 36 }, &setup));
-    assert!(told.holds(), "seed {}, kept in {:?}\n{told}", setup.seed, told.kept);
-    assert_eq!(told.rows.len(), asserted, "as many things as docs/proving.md says\n{told}");
+    let told = runtime.block_on(run_scenario(story, FleetSize { servers: 24, callers: 36 }, &setup));
+    assert!(told.passed(), "seed {}, kept in {:?}\n{told}", setup.seed, told.kept_folders);
+    assert_eq!(told.assertions.len(), asserted, "as many things as docs/proving.md says\n{told}");
     println!("{told}");
 }
 
 #[test]
 fn what_a_server_and_a_caller_cost_does_not_grow_with_how_many_there_are() {
-    holds(Story::Steady, 16);
+    holds(Scenario::Steady, 16);
 }
 
 #[test]
 fn a_server_spends_no_more_on_control_than_the_plan_gives_it() {
-    holds(Story::Budget, 1);
+    holds(Scenario::Budget, 1);
 }
 
 #[test]
 fn a_change_costs_callers_that_it_does_not_concern_nothing() {
-    holds(Story::Change, 7);
+    holds(Scenario::Change, 7);
 }
 
 #[test]
 fn a_restart_of_the_service_of_all_peers_and_of_everything_ends_where_it_began() {
-    holds(Story::Restart, 22);
+    holds(Scenario::Restart, 22);
 }
 
 #[test]
 fn a_zone_s_worth_that_goes_and_comes_back_at_once_disturbs_nobody_else() {
-    holds(Story::Zone, 9);
+    holds(Scenario::Zone, 9);
 }
 
 #[test]
 fn two_regions_that_are_cut_and_healed_leave_nothing_behind() {
-    holds(Story::Cut, 14);
+    holds(Scenario::Cut, 14);
 }
 
 #[test]
 fn callers_that_read_slowly_are_ended_and_the_others_wait_for_none_of_them() {
-    holds(Story::Slow, 7);
+    holds(Scenario::Slow, 7);
 }
 
 #[test]
 fn a_hundred_dead_connections_leave_no_connection_stream_or_view() {
-    holds(Story::Dead, 10);
+    holds(Scenario::Dead, 10);
 }
--- a/crates/gauging/src/fleet.rs
+++ b/crates/gauging/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::Gauge;
 use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest, ReplicaStatus};
 use puffinladder_leases::table::{InstanceRow, LeaseRow};
-use puffinladder_proving::ground::{ask, ask_leader};
+use puffinladder_proving::cluster::{request, request_leader};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -66,7 +66,7 @@
     }
 
     pub async fn status(&self, place: usize) -> Option<ReplicaStatus> {
-        match ask(*self.at.get(place)?, &ReplicaRequest::Status).await? {
+        match request(*self.at.get(place)?, &ReplicaRequest::Status).await? {
             ReplicaReply::Status(status) => Some(*status),
             _ => None,
         }
@@ -77,7 +77,7 @@
         let at = self.at.clone();
         let leads = async || {
             for (place, at) in at.iter().enumerate() {
-                if matches!(ask(*at, &ReplicaRequest::Status).await, Some(ReplicaReply::Status(status)) if status.is_leader)
+                if matches!(request(*at, &ReplicaRequest::Status).await, Some(ReplicaReply::Status(status)) if status.is_leader)
                 {
                     return Some(place);
                 }
@@ -89,7 +89,7 @@
 
     /// Who owns what and who is there, from the one that leads.
     pub async fn duties(&self) -> Option<(Vec<LeaseRow>, Vec<InstanceRow>)> {
-        match ask_leader(&self.at, &ReplicaRequest::Tasks).await? {
+        match request_leader(&self.at, &ReplicaRequest::Tasks).await? {
             ReplicaReply::Tasks { leases: rows, instances: seats, .. } => Some((rows, seats)),
             _ => None,
         }
@@ -98,7 +98,7 @@
     /// Waits until every part is owned.
     pub async fn all_owned(&mut self) -> Result<(), String> {
         let at = self.at.clone();
-        let owned = async || match ask_leader(&at, &ReplicaRequest::Tasks).await? {
+        let owned = async || match request_leader(&at, &ReplicaRequest::Tasks).await? {
             ReplicaReply::Tasks { leases: rows, .. } => {
                 rows.iter().all(|row| row.holder.is_some()).then_some(())
             }
--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -10,7 +10,7 @@
 
 /// What is wrong in a history.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Broken {
+pub enum Violation {
     /// An epoch was given to two, or a duty's epochs did not rise.
     EpochTwice {
         epoch: Epoch,
@@ -75,35 +75,35 @@
     },
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Broken::EpochTwice { epoch, first, then } => {
+            Violation::EpochTwice { epoch, first, then } => {
                 write!(out, "epoch {epoch} was given twice: {first}, then {then}")
             }
-            Broken::EpochFell { duty, from, to } => write!(out, "{duty}: epochs fell from {from} to {to}"),
-            Broken::KeepersDiffer { keeper, epoch } => {
+            Violation::EpochFell { duty, from, to } => write!(out, "{duty}: epochs fell from {from} to {to}"),
+            Violation::KeepersDiffer { keeper, epoch } => {
                 write!(out, "{keeper} saw something else under epoch {epoch} than another keeper")
             }
-            Broken::TwoLead { term, one, other } => write!(out, "{one} and {other} led in term {term}"),
-            Broken::LateLanded { duty, epoch, seen, piece } => {
+            Violation::TwoLead { term, one, other } => write!(out, "{one} and {other} led in term {term}"),
+            Violation::LateLanded { duty, epoch, seen, piece } => {
                 write!(out, "{duty}: {piece} landed under epoch {epoch} though {seen} had been seen")
             }
-            Broken::NobodysEpoch { duty, epoch } => {
+            Violation::NobodysEpoch { duty, epoch } => {
                 write!(out, "{duty}: an effect landed under epoch {epoch}, which nobody was given for it")
             }
-            Broken::OutOfOrder { duty, epoch, number } => {
+            Violation::OutOfOrder { duty, epoch, number } => {
                 write!(out, "{duty}: effect {number} of epoch {epoch} landed out of its order")
             }
-            Broken::PieceTwice { piece } => write!(out, "{piece} was taken twice"),
-            Broken::OverQuota { at, sum, quota } => {
+            Violation::PieceTwice { piece } => write!(out, "{piece} was taken twice"),
+            Violation::OverQuota { at, sum, quota } => {
                 write!(out, "at {at:.3} s servers went by {sum:.3} of a quota of {quota}")
             }
-            Broken::TooManyAway { at, zone, away, most } => {
+            Violation::TooManyAway { at, zone, away, most } => {
                 let zone = zone.as_deref().unwrap_or("the fleet");
                 write!(out, "at {at:.3} s {away} servers of {zone} were away by a turn, {most} may be")
             }
-            Broken::NotGiven { owner, duty, epoch } => {
+            Violation::NotGiven { owner, duty, epoch } => {
                 write!(out, "{owner} began with {duty} under epoch {epoch}, which it was not given")
             }
         }
@@ -119,38 +119,38 @@
     pub grants: u64,
     pub effects: u64,
     /// Effects that came late and were refused.
-    pub late: u64,
-    pub repeats: u64,
+    pub stale_effects: u64,
+    pub duplicate_effects: u64,
     pub leaders: u64,
     /// Parts of quotas that servers went by, and turns by which they left.
-    pub parts: u64,
-    pub turns: u64,
+    pub quota_parts: u64,
+    pub drain_slots: u64,
 }
 
 impl std::ops::AddAssign for Counts {
     fn add_assign(&mut self, other: Counts) {
         self.grants += other.grants;
         self.effects += other.effects;
-        self.late += other.late;
-        self.repeats += other.repeats;
+        self.stale_effects += other.stale_effects;
+        self.duplicate_effects += other.duplicate_effects;
         self.leaders += other.leaders;
-        self.parts += other.parts;
-        self.turns += other.turns;
+        self.quota_parts += other.quota_parts;
+        self.drain_slots += other.drain_slots;
     }
 }
 
 /// Reads a whole history.
-pub fn check(history: &History) -> (Counts, Vec<Broken>) {
+pub fn check(history: &History) -> (Counts, Vec<Violation>) {
     let mut counts = Counts::default();
     let mut broken = Vec::new();
     let given = grants(history, &mut counts, &mut broken);
     leaders(history, &mut counts, &mut broken);
     fence(history, &given, &mut counts, &mut broken);
-    for (_, event) in history.told() {
+    for (_, event) in history.events() {
         if let Event::LeaseStarted { holder: owner, task: duty, epoch } = event {
             if given.get(epoch) != Some(&(duty.clone(), owner.clone())) {
                 let (owner, duty, epoch) = (owner.clone(), duty.clone(), *epoch);
-                broken.push(Broken::NotGiven { owner, duty, epoch });
+                broken.push(Violation::NotGiven { owner, duty, epoch });
             }
         }
     }
@@ -159,7 +159,7 @@
 
 /// What servers went by at each moment, by the machine's own clock: it never sums to more than the quota. A server that starts anew knows of no part and
 /// begins with the equal share; it is granted that on top until its part before has run out and the owner has heard, `span` s.
-pub fn quota(history: &History, quota: f64, span: f64, counts: &mut Counts) -> Option<Broken> {
+pub fn check_quota(history: &History, quota: f64, span: f64, counts: &mut Counts) -> Option<Violation> {
     /// A server's rate from a moment on: until when, and what then.
     #[derive(Clone, Copy)]
     struct Goes {
@@ -178,11 +178,11 @@
         until: Option<f64>,
     }
     let mut all: Vec<Told> = Vec::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         if let Event::QuotaApplied { rate, equal_share: equal, at, valid_until: until, .. } = event {
-            counts.parts += u64::from(until.is_some());
+            counts.quota_parts += u64::from(until.is_some());
             let (at, rate, equal, until) = (*at, *rate, *equal, *until);
-            all.push(Told { at, who: &entry.who, life: entry.life, rate, equal, until });
+            all.push(Told { at, who: &entry.process, life: entry.incarnation, rate, equal, until });
         }
     }
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -200,32 +200,32 @@
         let anew = now.values().filter(|goes| at < goes.anew).count() as f64;
         let bound = quota * 1.0001 + anew * equal;
         if sum > bound {
-            return Some(Broken::OverQuota { at: at - begun, sum, quota });
+            return Some(Violation::OverQuota { at: at - begun, sum, quota });
         }
     }
     None
 }
 
 /// Servers away by a turn, from their leave to the next life's beginning, in all and by zone.
-pub fn turns(
+pub fn check_drain_slots(
     history: &History,
     most: usize,
     of_zone: &BTreeMap<String, usize>,
     counts: &mut Counts,
-) -> Option<Broken> {
+) -> Option<Violation> {
     let mut away: BTreeMap<&str, &str> = BTreeMap::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         match event {
-            Event::Ready { .. } => drop(away.remove(entry.who.as_str())),
+            Event::Ready { .. } => drop(away.remove(entry.process.as_str())),
             Event::ServerDraining { zone, slot_epoch: Some(_) } => {
-                counts.turns += 1;
-                away.insert(&entry.who, zone);
+                counts.drain_slots += 1;
+                away.insert(&entry.process, zone);
                 let here = away.values().filter(|of| **of == zone).count();
                 let may = of_zone.get(zone).copied().unwrap_or(usize::MAX);
                 if away.len() > most || here > may {
                     let (zone, away, most) =
                         if here > may { (Some(zone.clone()), here, may) } else { (None, away.len(), most) };
-                    return Some(Broken::TooManyAway { at: entry.at, zone, away, most });
+                    return Some(Violation::TooManyAway { at: entry.at, zone, away, most });
                 }
             }
             _ => {}
@@ -238,12 +238,12 @@
 fn grants(
     history: &History,
     counts: &mut Counts,
-    broken: &mut Vec<Broken>,
+    broken: &mut Vec<Violation>,
 ) -> BTreeMap<Epoch, (Task, HolderId)> {
     let mut seen: BTreeMap<(Epoch, u8), &Change> = BTreeMap::new();
     let mut given = BTreeMap::new();
     let mut highest: BTreeMap<(&str, u32, &Task), Epoch> = BTreeMap::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         let Event::Change(change) = event else { continue };
         match seen.get(&(change.epoch, change.kind as u8)) {
             None => drop(seen.insert((change.epoch, change.kind as u8), change)),
@@ -251,21 +251,21 @@
             Some(first) if change.kind == ChangeKind::Granted => {
                 let text = |change: &Change| format!("{} to {}", change.task, change.holder);
                 let (first, then) = (text(first), text(change));
-                broken.push(Broken::EpochTwice { epoch: change.epoch, first, then });
+                broken.push(Violation::EpochTwice { epoch: change.epoch, first, then });
             }
             Some(_) => {
-                let (keeper, epoch) = (entry.who.clone(), change.epoch);
-                broken.push(Broken::KeepersDiffer { keeper, epoch });
+                let (keeper, epoch) = (entry.process.clone(), change.epoch);
+                broken.push(Violation::KeepersDiffer { keeper, epoch });
             }
         }
         if change.kind == ChangeKind::Granted {
             if given.insert(change.epoch, (change.task.clone(), change.holder.clone())).is_none() {
                 counts.grants += 1;
             }
-            let last = highest.entry((&entry.who, entry.life, &change.task)).or_default();
+            let last = highest.entry((&entry.process, entry.incarnation, &change.task)).or_default();
             if change.epoch <= *last {
                 let (duty, from, to) = (change.task.clone(), *last, change.epoch);
-                broken.push(Broken::EpochFell { duty, from, to });
+                broken.push(Violation::EpochFell { duty, from, to });
             }
             *last = change.epoch;
         }
@@ -273,14 +273,14 @@
     given
 }
 
-fn leaders(history: &History, counts: &mut Counts, broken: &mut Vec<Broken>) {
+fn leaders(history: &History, counts: &mut Counts, broken: &mut Vec<Violation>) {
     let mut of: BTreeMap<u64, &str> = BTreeMap::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         let Event::BecameLeader { term, .. } = event else { continue };
-        match of.insert(*term, &entry.who) {
-            Some(one) if one != entry.who => {
-                let (one, other) = (one.to_string(), entry.who.clone());
-                broken.push(Broken::TwoLead { term: *term, one, other });
+        match of.insert(*term, &entry.process) {
+            Some(one) if one != entry.process => {
+                let (one, other) = (one.to_string(), entry.process.clone());
+                broken.push(Violation::TwoLead { term: *term, one, other });
             }
             Some(_) => {}
             None => counts.leaders += 1,
@@ -293,23 +293,23 @@
     history: &History,
     given: &BTreeMap<Epoch, (Task, HolderId)>,
     counts: &mut Counts,
-    broken: &mut Vec<Broken>,
+    broken: &mut Vec<Violation>,
 ) {
     let mut seen: BTreeMap<&Task, (Epoch, u64)> = BTreeMap::new();
     let mut lives: BTreeMap<&Task, u32> = BTreeMap::new();
     let mut pieces: BTreeSet<&str> = BTreeSet::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         let Event::EffectChecked { task: duty, epoch, number, block: piece, verdict } = event else {
             continue;
         };
         match verdict {
-            Verdict::Stale { .. } => counts.late += u64::from(piece.is_some()),
-            Verdict::Duplicate if piece.is_some() => counts.repeats += 1,
+            Verdict::Stale { .. } => counts.stale_effects += u64::from(piece.is_some()),
+            Verdict::Duplicate if piece.is_some() => counts.duplicate_effects += 1,
             _ => {}
         }
         let last = seen.entry(duty).or_default();
-        let life = lives.insert(duty, entry.life).unwrap_or(entry.life);
-        if *verdict == Verdict::Duplicate && piece.is_none() && entry.life > life {
+        let life = lives.insert(duty, entry.incarnation).unwrap_or(entry.incarnation);
+        if *verdict == Verdict::Duplicate && piece.is_none() && entry.incarnation > life {
             // Killed between disk and answer: what it wrote last it never told, and says now that it stands.
             let told = (*epoch, *number);
             if told >= *last && (epoch > &last.0 || number - last.1 <= UNTOLD) {
@@ -321,11 +321,11 @@
         }
         if *epoch < last.0 {
             let piece = piece.clone().unwrap_or_else(|| "an announcement".into());
-            broken.push(Broken::LateLanded { duty: duty.clone(), epoch: *epoch, seen: last.0, piece });
+            broken.push(Violation::LateLanded { duty: duty.clone(), epoch: *epoch, seen: last.0, piece });
             continue;
         }
         if given.get(epoch).is_none_or(|(of, _)| of != duty) {
-            broken.push(Broken::NobodysEpoch { duty: duty.clone(), epoch: *epoch });
+            broken.push(Violation::NobodysEpoch { duty: duty.clone(), epoch: *epoch });
         }
         let Some(piece) = piece else {
             *last = (*epoch, 0);
@@ -333,11 +333,11 @@
         };
         counts.effects += 1;
         if (*epoch, *number) != (last.0, last.1 + 1) {
-            broken.push(Broken::OutOfOrder { duty: duty.clone(), epoch: *epoch, number: *number });
+            broken.push(Violation::OutOfOrder { duty: duty.clone(), epoch: *epoch, number: *number });
         }
         *last = (*epoch, *number);
         if !pieces.insert(piece) {
-            broken.push(Broken::PieceTwice { piece: piece.clone() });
+            broken.push(Violation::PieceTwice { piece: piece.clone() });
         }
     }
 }
--- a/crates/proving/src/check/tests.rs
+++ b/crates/proving/src/check/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::history::Happened;
+use crate::history::HistoryEvent;
 use puffinladder_leases::table::Cause;
 
 fn duty() -> Task {
@@ -25,7 +25,7 @@
 fn history(events: Vec<(&str, Event)>) -> History {
     let mut history = History::default();
     for (who, event) in events {
-        history.tell(0.0, who, 1, Happened::Told(event));
+        history.record(0.0, who, 1, HistoryEvent::Reported(event));
     }
     history
 }
@@ -49,16 +49,21 @@
 fn a_sound_history_passes_and_says_what_was_tried() {
     let (counts, broken) = check(&history(sound()));
     assert_eq!(broken, []);
-    assert_eq!((counts.grants, counts.effects, counts.late), (2, 2, 1));
+    assert_eq!((counts.grants, counts.effects, counts.stale_effects), (2, 2, 1));
 }
 
 #[test]
 fn what_a_killed_archive_had_written_and_not_told_is_no_hole_but_more_than_that_is() {
     for (number, sound_still) in [(2, true), (3, false)] {
         let mut history = history(sound());
-        history.tell(1.0, "archive", 2, Happened::Told(judged(2, number, None, Verdict::Duplicate)));
+        history.record(
+            1.0,
+            "archive",
+            2,
+            HistoryEvent::Reported(judged(2, number, None, Verdict::Duplicate)),
+        );
         let next = judged(2, number + 1, Some("a#9"), Verdict::New);
-        history.tell(1.0, "archive", 2, Happened::Told(next));
+        history.record(1.0, "archive", 2, HistoryEvent::Reported(next));
         assert_eq!(check(&history).1.is_empty(), sound_still, "{number}");
     }
 }
@@ -79,14 +84,14 @@
         ("n1", goes(80.0, 1.5, Some(3.5))),
     ];
     let mut counts = Counts::default();
-    assert_eq!(quota(&history(sound.clone()), 100.0, 2.0, &mut counts), None);
-    assert_eq!(counts.parts, 2);
+    assert_eq!(check_quota(&history(sound.clone()), 100.0, 2.0, &mut counts), None);
+    assert_eq!(counts.quota_parts, 2);
     // Told late, though it ran out in time: n1 goes by no more than the equal share by then.
     let late = [sound.clone(), vec![("n2", goes(50.0, 5.0, None))]].concat();
-    assert_eq!(quota(&history(late), 100.0, 2.0, &mut counts), None);
+    assert_eq!(check_quota(&history(late), 100.0, 2.0, &mut counts), None);
     let over = [sound, vec![("n2", goes(30.0, 2.0, Some(4.0)))]].concat();
-    let found = quota(&history(over), 100.0, 2.0, &mut counts).unwrap();
-    assert_eq!(found, Broken::OverQuota { at: 2.0, sum: 110.0, quota: 100.0 });
+    let found = check_quota(&history(over), 100.0, 2.0, &mut counts).unwrap();
+    assert_eq!(found, Violation::OverQuota { at: 2.0, sum: 110.0, quota: 100.0 });
 }
 
 #[test]
@@ -102,12 +107,15 @@
         ("n4", leaves("a", Some(1))),
     ];
     let mut counts = Counts::default();
-    assert_eq!(turns(&history(sound.clone()), 2, &zones, &mut counts), None);
-    assert_eq!(counts.turns, 3);
+    assert_eq!(check_drain_slots(&history(sound.clone()), 2, &zones, &mut counts), None);
+    assert_eq!(counts.drain_slots, 3);
     let all = [sound.clone(), vec![("n5", leaves("b", Some(1)))]].concat();
-    assert!(turns(&history(all), 2, &zones, &mut counts).is_some());
+    assert!(check_drain_slots(&history(all), 2, &zones, &mut counts).is_some());
     let zone = [sound, vec![("n3", ready()), ("n6", leaves("a", Some(2)))]].concat();
-    assert!(turns(&history(zone), 9, &zones, &mut counts).unwrap().to_string().contains("2 servers of a"));
+    assert!(check_drain_slots(&history(zone), 9, &zones, &mut counts)
+        .unwrap()
+        .to_string()
+        .contains("2 servers of a"));
 }
 
 #[test]
--- a/crates/proving/src/ground.rs
+++ b/crates/proving/src/cluster.rs
@@ -2,13 +2,13 @@
 //! ground; then all is healed, and what should hold is waited for, each within a bound. Only conditions are waited for.
 
 use crate::check::{check, Counts};
-use crate::history::{Happened, History};
-use crate::linear::{one_table, Step, UNKNOWN};
-use crate::pipe::Trouble;
-use crate::process::{News, Process, Program};
+use crate::history::{History, HistoryEvent};
+use crate::linearizability::{check_linearizable, Step, UNKNOWN};
+use crate::process::{Process, ProcessOutput, Program};
 use crate::relay::Relay;
-use crate::rows::{write, Rows};
-use crate::schedule::{Fault, Schedule, Way, What, Who};
+use crate::schedule::{Direction, Fault, FaultKind, ProcessId, Schedule};
+use crate::trace_rows::{write_trace_file, RowCounts};
+use crate::traffic_shaper::Impairment;
 use puffinladder_leases::protocol::{Event, ReplicaReply, ReplicaRequest};
 use puffinladder_leases::table::{Command, LeaseRow};
 use puffinladder_trace_store::injected_bug::InjectedBug;
@@ -53,25 +53,25 @@
 
 /// How grounds are made.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ClusterConfig {
     pub program: Program,
     /// Where the run's folder is made; it is kept where the run failed, or always.
     pub folder: PathBuf,
     pub keep: bool,
-    /// A bug planted in the archive, which the checkers must find.
-    pub planted: Option<InjectedBug>,
+    /// A bug injected_bug in the archive, which the checkers must find.
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// What came of a run.
 #[derive(Debug, Default)]
-pub struct Run {
+pub struct RunReport {
     pub counts: Counts,
     pub rows: usize,
     /// s from the last fault's end until every duty was owned, and until all was gathered.
-    pub owned: f64,
-    pub gathered: f64,
+    pub reassignment_time: f64,
+    pub collection_time: f64,
     /// s by which the ground itself was late at the most: past a tenth of the term the machine is what was measured.
-    pub late: f64,
+    pub scheduling_delay: f64,
     pub failures: Vec<String>,
     pub history: History,
     pub folder: Option<PathBuf>,
@@ -92,34 +92,34 @@
 }
 
 struct Link {
-    from: Who,
-    to: Who,
+    from: ProcessId,
+    to: ProcessId,
     relay: Relay,
 }
 
 struct Ground<'a> {
-    setup: &'a Setup,
+    setup: &'a ClusterConfig,
     schedule: &'a Schedule,
     folder: PathBuf,
     begun: Instant,
-    parts: BTreeMap<Who, Part>,
+    parts: BTreeMap<ProcessId, Part>,
     links: Vec<Link>,
-    news: mpsc::UnboundedReceiver<News>,
-    tell: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedReceiver<ProcessOutput>,
+    tell: mpsc::UnboundedSender<ProcessOutput>,
     history: History,
-    all: Rows,
+    all: RowCounts,
     files: u64,
     filed: f64,
     /// Faults that have begun, and ends that are due.
     ends: Vec<(f64, usize)>,
     /// A keeper that takes a lost one's place, and which.
     heirs: Vec<(u64, u64)>,
-    hit: BTreeMap<usize, Who>,
+    hit: BTreeMap<usize, ProcessId>,
     block: u32,
 }
 
 /// Plays a schedule. An error is the ground's own: a run that could not be made.
-pub async fn play(schedule: &Schedule, setup: &Setup) -> Result<Run, String> {
+pub async fn run_schedule(schedule: &Schedule, setup: &ClusterConfig) -> Result<RunReport, String> {
     let number = GROUNDS.fetch_add(1, Ordering::Relaxed);
     let folder = setup.folder.join(format!("run-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -134,7 +134,7 @@
         news,
         tell,
         history: History::default(),
-        all: Rows::default(),
+        all: RowCounts::default(),
         files: 0,
         filed: 0.0,
         ends: Vec::new(),
@@ -142,8 +142,8 @@
         hit: BTreeMap::new(),
         block: (std::process::id() % 29) * 256 + number % 256,
     };
-    let mut run = Run::default();
-    let played = ground.play(&mut run).await;
+    let mut run = RunReport::default();
+    let played = ground.execute(&mut run).await;
     for part in ground.parts.values_mut() {
         part.process = None; // killed, if it still runs
     }
@@ -151,13 +151,13 @@
     run.history = std::mem::take(&mut ground.history);
     played?;
     let (mut counts, mut broken) = check(&run.history);
-    if schedule.seats > 0 {
+    if schedule.quota_servers > 0 {
         let zone = |at: usize| {
-            ((1..=schedule.seats).filter(|seat| seat % 2 == at).count() as f64 * ZONE_SHARE) as usize
+            ((1..=schedule.quota_servers).filter(|seat| seat % 2 == at).count() as f64 * ZONE_SHARE) as usize
         };
         let zones = [0, 1].map(|at| (format!("z{at}"), zone(at).max(1))).into();
-        broken.extend(crate::check::quota(&run.history, QUOTA, SPAN, &mut counts));
-        broken.extend(crate::check::turns(&run.history, AWAY, &zones, &mut counts));
+        broken.extend(crate::check::check_quota(&run.history, QUOTA, SPAN, &mut counts));
+        broken.extend(crate::check::check_drain_slots(&run.history, AWAY, &zones, &mut counts));
     }
     run.counts = counts;
     run.failures.extend(broken.iter().map(ToString::to_string));
@@ -181,35 +181,35 @@
     }
 
     /// An address of its own for each process of each ground.
-    fn address(&self, who: Who) -> SocketAddr {
+    fn address(&self, who: ProcessId) -> SocketAddr {
         let place = match who {
-            Who::Keeper(number) => number as u32,
-            Who::Archive => 100,
-            Who::Steward(number) => 1000 + number as u32,
-            Who::Seat(number) => 1400 + number as u32,
+            ProcessId::Replica(number) => number as u32,
+            ProcessId::TraceStore => 100,
+            ProcessId::Worker(number) => 1000 + number as u32,
+            ProcessId::QuotaServer(number) => 1400 + number as u32,
         };
         let host = self.block * 2048 + place;
         let [_, a, b, c] = (host + (16 << 16)).to_be_bytes();
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, a.max(1), b, c)), 0)
     }
 
-    fn relay(&self, from: Who, to: Who) -> Option<SocketAddr> {
-        self.links.iter().find(|link| (link.from, link.to) == (from, to)).map(|link| link.relay.at)
+    fn relay(&self, from: ProcessId, to: ProcessId) -> Option<SocketAddr> {
+        self.links.iter().find(|link| (link.from, link.to) == (from, to)).map(|link| link.relay.address)
     }
 
-    async fn link(&mut self, from: Who, to: Who) -> Result<(), String> {
+    async fn link(&mut self, from: ProcessId, to: ProcessId) -> Result<(), String> {
         let seed = self.schedule.seed ^ (self.links.len() as u64) << 8;
         let relay = Relay::open(seed).await.map_err(|e| format!("a link: {e}"))?;
         if let Some(part) = self.parts.get(&to).filter(|part| part.ready) {
-            relay.lead_to(Some(part.listen));
+            relay.set_target(Some(part.listen));
         }
         self.links.push(Link { from, to, relay });
         Ok(())
     }
 
     async fn make(&mut self) -> Result<(), String> {
-        let keepers: Vec<Who> = (1..=self.schedule.keepers).map(Who::Keeper).collect();
-        let stewards: Vec<Who> = (1..=self.schedule.stewards).map(Who::Steward).collect();
+        let keepers: Vec<ProcessId> = (1..=self.schedule.replicas).map(ProcessId::Replica).collect();
+        let stewards: Vec<ProcessId> = (1..=self.schedule.workers).map(ProcessId::Worker).collect();
         for &from in &keepers {
             for &to in &keepers {
                 if from != to {
@@ -218,30 +218,30 @@
             }
         }
         for &from in &stewards {
-            for &to in keepers.iter().chain([&Who::Archive]) {
+            for &to in keepers.iter().chain([&ProcessId::TraceStore]) {
                 self.link(from, to).await?;
             }
         }
-        for seat in (1..=self.schedule.seats).map(Who::Seat) {
+        for seat in (1..=self.schedule.quota_servers).map(ProcessId::QuotaServer) {
             for &to in &stewards {
                 self.link(seat, to).await?;
             }
         }
-        for who in self.schedule.all() {
+        for who in self.schedule.processes() {
             let text = match who {
                 // Told by its arguments.
-                Who::Seat(_) => String::new(),
-                Who::Keeper(number) => self.keeper(number),
-                Who::Steward(number) => self.steward(number),
-                Who::Archive => format!(
+                ProcessId::QuotaServer(_) => String::new(),
+                ProcessId::Replica(number) => self.keeper(number),
+                ProcessId::Worker(number) => self.steward(number),
+                ProcessId::TraceStore => format!(
                     "(archive (listen \"{}\") (folder \"{}\"))\n",
                     self.address(who),
                     self.folder.join("archive").display()
                 ),
             };
-            self.part(who, &text, matches!(who, Who::Keeper(_)).then_some("--found"))?;
+            self.part(who, &text, matches!(who, ProcessId::Replica(_)).then_some("--found"))?;
         }
-        for _ in 0..self.schedule.backlog {
+        for _ in 0..self.schedule.backlog_files {
             for server in 0..self.schedule.servers {
                 self.file(server)?;
             }
@@ -249,7 +249,7 @@
         Ok(())
     }
 
-    fn part(&mut self, who: Who, text: &str, first: Option<&'static str>) -> Result<(), String> {
+    fn part(&mut self, who: ProcessId, text: &str, first: Option<&'static str>) -> Result<(), String> {
         let settings = self.folder.join(format!("{who}.scm"));
         std::fs::write(&settings, text).map_err(|e| format!("{}: {e}", settings.display()))?;
         let listen = self.address(who);
@@ -269,15 +269,15 @@
     }
 
     fn keeper(&self, number: u64) -> String {
-        let me = Who::Keeper(number);
+        let me = ProcessId::Replica(number);
         let mut peers = format!("\"{number}={}\"", self.own(me));
-        for to in (1..=self.schedule.keepers).filter(|to| *to != number) {
-            if let Some(at) = self.relay(me, Who::Keeper(to)) {
+        for to in (1..=self.schedule.replicas).filter(|to| *to != number) {
+            if let Some(at) = self.relay(me, ProcessId::Replica(to)) {
                 let _ = write!(peers, " \"{to}={at}\"");
             }
         }
-        let (term, parts) = (self.schedule.term, self.schedule.parts);
-        let reported = match self.schedule.seats {
+        let (term, parts) = (self.schedule.lease_term, self.schedule.parts);
+        let reported = match self.schedule.quota_servers {
             0 => "",
             _ => "(duty (name \"quota\")) (duty (name \"turns\"))",
         };
@@ -296,21 +296,21 @@
     }
 
     /// Where a keeper says that it is itself; nobody dials it there.
-    fn own(&self, who: Who) -> SocketAddr {
+    fn own(&self, who: ProcessId) -> SocketAddr {
         SocketAddr::new(self.address(who).ip(), 1)
     }
 
     fn steward(&self, number: usize) -> String {
-        let me = Who::Steward(number);
+        let me = ProcessId::Worker(number);
         let mut keepers = String::new();
-        for to in 1..=self.schedule.keepers {
-            if let Some(at) = self.relay(me, Who::Keeper(to)) {
+        for to in 1..=self.schedule.replicas {
+            if let Some(at) = self.relay(me, ProcessId::Replica(to)) {
                 let _ = write!(keepers, " \"{to}={at}\"");
             }
         }
-        let archive = self.relay(me, Who::Archive).map_or(String::new(), |at| at.to_string());
-        let (parts, step) = (self.schedule.parts, (self.schedule.term / 2.0).clamp(0.02, 1.0));
-        let reported = match self.schedule.seats {
+        let archive = self.relay(me, ProcessId::TraceStore).map_or(String::new(), |at| at.to_string());
+        let (parts, step) = (self.schedule.parts, (self.schedule.lease_term / 2.0).clamp(0.02, 1.0));
+        let reported = match self.schedule.quota_servers {
             0 => String::new(),
             seats => format!(
                 "\n  (listen \"{}\") (quota (servers {seats}) (span {SPAN}s) (customer (name \"a\") (rate {QUOTA})))\n  \
@@ -330,31 +330,31 @@
         self.files += 1;
         let name = format!("n{server}");
         let folder = self.folder.join("traces").join(&name);
-        write(&folder, &name, self.files, BLOCKS, &mut self.all)
+        write_trace_file(&folder, &name, self.files, BLOCKS, &mut self.all)
             .map_err(|e| format!("{}: {e}", folder.display()))
     }
 
-    fn start(&mut self, who: Who) -> Result<(), String> {
+    fn start(&mut self, who: ProcessId) -> Result<(), String> {
         let program = self.setup.program.clone();
         let Some(part) = self.parts.get_mut(&who) else { return Ok(()) };
         part.life += 1;
         (part.ready, part.leaves) = (false, false);
         let kind = match who {
-            Who::Keeper(_) => "keeper",
-            Who::Steward(_) => "steward",
-            Who::Archive => "archive",
-            Who::Seat(_) => "seat",
+            ProcessId::Replica(_) => "keeper",
+            ProcessId::Worker(_) => "steward",
+            ProcessId::TraceStore => "archive",
+            ProcessId::QuotaServer(_) => "seat",
         };
         let mut args = vec![kind.to_string(), "--settings".into(), part.settings.display().to_string()];
         args.extend([format!("--rate={}", part.rate), format!("--wall={}", part.wall)]);
         args.extend(part.first.take().map(String::from));
-        if who == Who::Archive {
-            args.extend(self.setup.planted.map(|bug| format!("--plant={bug}")));
+        if who == ProcessId::TraceStore {
+            args.extend(self.setup.injected_bug.map(|bug| format!("--plant={bug}")));
         }
-        if let Who::Seat(number) = who {
-            let seats = self.schedule.seats;
+        if let ProcessId::QuotaServer(number) = who {
+            let seats = self.schedule.quota_servers;
             let stewards =
-                self.links.iter().filter(|link| link.from == who).map(|link| link.relay.at.to_string());
+                self.links.iter().filter(|link| link.from == who).map(|link| link.relay.address.to_string());
             let demand = if number == 1 { 0.7 * QUOTA } else { 0.2 * QUOTA / seats as f64 };
             args = vec![kind.into(), format!("--settings={}", part.settings.display())];
             args.extend([
@@ -375,16 +375,16 @@
         let started = Process::start(&program, &args, &name, life, &log, self.tell.clone());
         part.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
         let now = self.now();
-        self.history.tell(now, who, life, Happened::Started);
+        self.history.record(now, who, life, HistoryEvent::Started);
         Ok(())
     }
 
     /// Takes in what processes told. A port that the system gave at the first start stays that process's own.
     fn listen(&mut self) {
-        while let Ok(News { who, life, event }) = self.news.try_recv() {
+        while let Ok(ProcessOutput { process: who, incarnation: life, event }) = self.news.try_recv() {
             let now = self.now();
             let Some(event) = event else { continue };
-            if let (Event::Ready { listen }, Some(of)) = (&event, Who::read(&who)) {
+            if let (Event::Ready { listen }, Some(of)) = (&event, ProcessId::read(&who)) {
                 let at = listen.parse().ok();
                 if let Some(part) = self.parts.get_mut(&of).filter(|part| part.life == life) {
                     part.ready = true;
@@ -399,12 +399,12 @@
                             );
                         }
                         for link in self.links.iter().filter(|link| link.to == of) {
-                            link.relay.lead_to(Some(at));
+                            link.relay.set_target(Some(at));
                         }
                     }
                 }
             }
-            self.history.tell(now, who, life, Happened::Told(event));
+            self.history.record(now, who, life, HistoryEvent::Reported(event));
         }
     }
 
@@ -423,14 +423,14 @@
         }
     }
 
-    fn log_of(&self, who: Who) -> String {
+    fn log_of(&self, who: ProcessId) -> String {
         let text = std::fs::read_to_string(self.folder.join(format!("{who}.log"))).unwrap_or_default();
         text.lines().last().unwrap_or("").to_string()
     }
 
-    async fn play(&mut self, run: &mut Run) -> Result<(), String> {
+    async fn execute(&mut self, run: &mut RunReport) -> Result<(), String> {
         self.make().await?;
-        for who in self.schedule.all() {
+        for who in self.schedule.processes() {
             self.start(who)?;
         }
         let stood = self.until(STAND, |ground| ground.parts.values().all(|part| part.ready)).await;
@@ -444,8 +444,8 @@
         let (steps, done) = (mpsc::unbounded_channel(), tokio::sync::watch::channel(false));
         let mut operators = Vec::new();
         for who in 1..=OPERATORS {
-            let keepers: Vec<SocketAddr> = (1..=self.schedule.keepers)
-                .filter_map(|number| self.parts.get(&Who::Keeper(number)))
+            let keepers: Vec<SocketAddr> = (1..=self.schedule.replicas)
+                .filter_map(|number| self.parts.get(&ProcessId::Replica(number)))
                 .map(|part| part.listen)
                 .collect();
             operators.push(tokio::spawn(operate(
@@ -468,22 +468,22 @@
             said.push(step);
         }
         self.heal(run).await?;
-        if let Err(what) = one_table(&said) {
+        if let Err(what) = check_linearizable(&said) {
             run.failures.push(format!("keepers' answers: {what}"));
         }
         self.end(run).await
     }
 
     /// Begins and ends faults as they come due, and lets servers write traces meanwhile.
-    async fn faults(&mut self, run: &mut Run) -> Result<(), String> {
+    async fn faults(&mut self, run: &mut RunReport) -> Result<(), String> {
         let mut next = 0;
         let mut looked = self.now();
         loop {
             self.listen();
             let now = self.now();
-            run.late = run.late.max(now - looked - LOOK);
+            run.scheduling_delay = run.scheduling_delay.max(now - looked - LOOK);
             looked = now;
-            while let Some(fault) = self.schedule.faults.get(next).filter(|fault| fault.at <= now) {
+            while let Some(fault) = self.schedule.faults.get(next).filter(|fault| fault.start <= now) {
                 self.begin(next, fault.clone())?;
                 next += 1;
             }
@@ -491,13 +491,13 @@
             for (_, at) in due {
                 self.finish(at).await?;
             }
-            while self.filed + self.schedule.files <= now && self.filed < self.schedule.span {
-                self.filed += self.schedule.files;
+            while self.filed + self.schedule.file_interval <= now && self.filed < self.schedule.duration {
+                self.filed += self.schedule.file_interval;
                 self.file((self.files % self.schedule.servers as u64) as usize)?;
             }
             // Those that last for ever are over with the traffic.
-            let lasting = self.ends.iter().filter(|(at, _)| *at < self.schedule.span + 30.0).count();
-            if now >= self.schedule.span && next >= self.schedule.faults.len() && lasting == 0 {
+            let lasting = self.ends.iter().filter(|(at, _)| *at < self.schedule.duration + 30.0).count();
+            if now >= self.schedule.duration && next >= self.schedule.faults.len() && lasting == 0 {
                 return Ok(());
             }
             self.ended(run);
@@ -506,20 +506,20 @@
     }
 
     /// A process that ended though nothing was done to it is a failure, and is started again.
-    fn ended(&mut self, run: &mut Run) {
-        let ended: Vec<(Who, String)> = self
+    fn ended(&mut self, run: &mut RunReport) {
+        let ended: Vec<(ProcessId, String)> = self
             .parts
             .iter_mut()
-            .filter_map(|(who, part)| Some((*who, part.process.as_mut()?.ended()?)))
+            .filter_map(|(who, part)| Some((*who, part.process.as_mut()?.exit_status()?)))
             .collect();
         for (who, how) in ended {
             let now = self.now();
             let part = self.parts.get_mut(&who).filter(|part| part.leaves);
             if let Some(part) = part {
                 let life = part.life;
-                if matches!(who, Who::Seat(_)) {
+                if matches!(who, ProcessId::QuotaServer(_)) {
                     part.process = None;
-                    self.history.tell(now, who, life, Happened::Ended { how });
+                    self.history.record(now, who, life, HistoryEvent::Exited { status: how });
                     if let Err(what) = self.start(who) {
                         run.failures.push(what);
                     }
@@ -530,64 +530,68 @@
             if let Some(part) = self.parts.get_mut(&who) {
                 part.process = None;
                 let life = part.life;
-                self.history.tell(now, who, life, Happened::Ended { how });
+                self.history.record(now, who, life, HistoryEvent::Exited { status: how });
             }
         }
     }
 
-    fn leader(&self) -> Option<Who> {
-        let led = self.history.told().filter_map(|(_, event)| match event {
+    fn leader(&self) -> Option<ProcessId> {
+        let led = self.history.events().filter_map(|(_, event)| match event {
             Event::BecameLeader { replica: keeper, term } => Some((*term, *keeper)),
             _ => None,
         });
-        led.max().map(|(_, keeper)| Who::Keeper(keeper))
+        led.max().map(|(_, keeper)| ProcessId::Replica(keeper))
     }
 
     fn begin(&mut self, at: usize, fault: Fault) -> Result<(), String> {
         let now = self.now();
-        let who = match fault.what {
-            What::KillLeader | What::PauseLeader => {
-                self.leader().filter(|who| self.parts.contains_key(who)).unwrap_or(fault.who)
+        let who = match fault.kind {
+            FaultKind::KillLeader | FaultKind::PauseLeader => {
+                self.leader().filter(|who| self.parts.contains_key(who)).unwrap_or(fault.process)
             }
-            _ => fault.who,
+            _ => fault.process,
         };
         self.hit.insert(at, who);
-        let text = format!("{} {who}", fault.what.word());
-        self.history.tell(now, who, 0, Happened::Begun { fault: text });
-        self.ends.push((fault.at + fault.span, at));
+        let text = format!("{} {who}", fault.kind.keyword());
+        self.history.record(now, who, 0, HistoryEvent::FaultStarted { fault: text });
+        self.ends.push((fault.start + fault.duration, at));
         let Some(part) = self.parts.get_mut(&who) else { return Ok(()) };
         let value = fault.value;
-        match fault.what {
-            What::Pause | What::PauseLeader => part.process.iter_mut().for_each(Process::pause),
-            What::Kill | What::KillLeader | What::Lose => part.process = None,
-            What::Leave | What::Release => {
+        match fault.kind {
+            FaultKind::Pause | FaultKind::PauseLeader => part.process.iter_mut().for_each(Process::pause),
+            FaultKind::Kill | FaultKind::KillLeader | FaultKind::LoseDisk => part.process = None,
+            FaultKind::Terminate | FaultKind::DrainAndRestart => {
                 part.leaves = true;
-                part.process.iter().for_each(Process::leave);
+                part.process.iter().for_each(Process::terminate);
             }
-            What::Rate => {
+            FaultKind::ClockRate => {
                 part.rate = value;
-                part.process.iter_mut().for_each(|process| process.order("rate", value));
+                part.process.iter_mut().for_each(|process| process.send_command("rate", value));
             }
-            What::Wall => {
+            FaultKind::WallClockOffset => {
                 part.wall = value;
-                part.process.iter_mut().for_each(|process| process.order("wall", value));
+                part.process.iter_mut().for_each(|process| process.send_command("wall", value));
             }
-            What::Sync => part.process.iter_mut().for_each(|process| process.order("sync", 1e3 * value)),
-            What::Cut | What::Hold => self.trouble(&fault, |trouble| trouble.shut = true),
-            What::Slow => self.trouble(&fault, |trouble| trouble.delay = value),
-            What::Trickle => self.trouble(&fault, |trouble| trouble.rate = value),
-            What::Reset => self.reset(&fault),
+            FaultKind::SlowSync => {
+                part.process.iter_mut().for_each(|process| process.send_command("sync", 1e3 * value))
+            }
+            FaultKind::Partition | FaultKind::HoldTraffic => {
+                self.trouble(&fault, |trouble| trouble.blocked = true)
+            }
+            FaultKind::Delay => self.trouble(&fault, |trouble| trouble.max_delay = value),
+            FaultKind::Throttle => self.trouble(&fault, |trouble| trouble.bytes_per_second = value),
+            FaultKind::ResetConnections => self.reset(&fault),
         }
         Ok(())
     }
 
-    fn hit_by(&self, fault: &Fault) -> impl Iterator<Item = (&Link, Way)> {
+    fn hit_by(&self, fault: &Fault) -> impl Iterator<Item = (&Link, Direction)> {
         let fault = fault.clone();
-        self.links.iter().filter_map(move |link| Some((link, fault.hits(link.from, link.to)?)))
+        self.links.iter().filter_map(move |link| Some((link, fault.direction_on_link(link.from, link.to)?)))
     }
 
-    fn trouble(&self, fault: &Fault, change: impl Fn(&mut Trouble)) {
-        self.hit_by(fault).for_each(|(link, way)| link.relay.trouble(way, &change));
+    fn trouble(&self, fault: &Fault, change: impl Fn(&mut Impairment)) {
+        self.hit_by(fault).for_each(|(link, way)| link.relay.impair(way, &change));
     }
 
     fn reset(&self, fault: &Fault) {
@@ -596,41 +600,44 @@
 
     async fn finish(&mut self, at: usize) -> Result<(), String> {
         let Some(fault) = self.schedule.faults.get(at).cloned() else { return Ok(()) };
-        let who = self.hit.remove(&at).unwrap_or(fault.who);
-        let (now, text) = (self.now(), format!("{} {who}", fault.what.word()));
-        self.history.tell(now, who, 0, Happened::Healed { fault: text });
-        match fault.what {
-            What::Pause | What::PauseLeader => self
+        let who = self.hit.remove(&at).unwrap_or(fault.process);
+        let (now, text) = (self.now(), format!("{} {who}", fault.kind.keyword()));
+        self.history.record(now, who, 0, HistoryEvent::FaultEnded { fault: text });
+        match fault.kind {
+            FaultKind::Pause | FaultKind::PauseLeader => self
                 .parts
                 .get_mut(&who)
                 .and_then(|part| part.process.as_mut())
                 .into_iter()
-                .for_each(Process::go_on),
-            What::Kill | What::KillLeader | What::Leave => self.again(who)?,
-            What::Lose => self.replace(who).await?,
-            What::Cut => {
-                self.trouble(&fault, |trouble| trouble.shut = false);
+                .for_each(Process::resume),
+            FaultKind::Kill | FaultKind::KillLeader | FaultKind::Terminate => self.again(who)?,
+            FaultKind::LoseDisk => self.replace(who).await?,
+            FaultKind::Partition => {
+                self.trouble(&fault, |trouble| trouble.blocked = false);
                 self.reset(&fault);
             }
-            What::Hold => self.trouble(&fault, |trouble| trouble.shut = false),
-            What::Slow => self.trouble(&fault, |trouble| trouble.delay = 0.0),
-            What::Trickle => self.trouble(&fault, |trouble| trouble.rate = 0.0),
-            What::Sync => {
+            FaultKind::HoldTraffic => self.trouble(&fault, |trouble| trouble.blocked = false),
+            FaultKind::Delay => self.trouble(&fault, |trouble| trouble.max_delay = 0.0),
+            FaultKind::Throttle => self.trouble(&fault, |trouble| trouble.bytes_per_second = 0.0),
+            FaultKind::SlowSync => {
                 let process = self.parts.get_mut(&who).and_then(|part| part.process.as_mut());
-                process.into_iter().for_each(|process| process.order("sync", 0.0));
+                process.into_iter().for_each(|process| process.send_command("sync", 0.0));
             }
-            What::Reset | What::Rate | What::Wall | What::Release => {}
+            FaultKind::ResetConnections
+            | FaultKind::ClockRate
+            | FaultKind::WallClockOffset
+            | FaultKind::DrainAndRestart => {}
         }
         Ok(())
     }
 
     /// Starts a process that was ended by a fault, unless another fault's end has done so already.
-    fn again(&mut self, who: Who) -> Result<(), String> {
-        let lost = self.heirs.iter().any(|(_, of)| Who::Keeper(*of) == who);
+    fn again(&mut self, who: ProcessId) -> Result<(), String> {
+        let lost = self.heirs.iter().any(|(_, of)| ProcessId::Replica(*of) == who);
         let Some(part) = self.parts.get_mut(&who) else { return Ok(()) };
         // One that was told to leave has had its span to do so.
         if let Some(process) = &mut part.process {
-            if process.ended().is_none() {
+            if process.exit_status().is_none() {
                 process.kill();
             }
         }
@@ -642,12 +649,12 @@
     }
 
     /// A keeper whose disk is lost never comes back; another joins under a new number, and the lost one is taken out.
-    async fn replace(&mut self, who: Who) -> Result<(), String> {
-        let Who::Keeper(lost) = who else { return Ok(()) };
-        let number = self.schedule.keepers + 1 + self.heirs.len() as u64;
-        let heir = Who::Keeper(number);
-        for to in (1..=self.schedule.keepers).filter(|to| *to != lost) {
-            self.link(heir, Who::Keeper(to)).await?;
+    async fn replace(&mut self, who: ProcessId) -> Result<(), String> {
+        let ProcessId::Replica(lost) = who else { return Ok(()) };
+        let number = self.schedule.replicas + 1 + self.heirs.len() as u64;
+        let heir = ProcessId::Replica(number);
+        for to in (1..=self.schedule.replicas).filter(|to| *to != lost) {
+            self.link(heir, ProcessId::Replica(to)).await?;
         }
         self.heirs.push((number, lost));
         let text = self.keeper(number);
@@ -659,23 +666,23 @@
     fn keepers(&self) -> Vec<SocketAddr> {
         let lost = |number: &u64| self.heirs.iter().any(|(_, of)| of == number);
         let all = self.parts.iter().filter_map(|(who, part)| match who {
-            Who::Keeper(number) if !lost(number) => Some(part.listen),
+            ProcessId::Replica(number) if !lost(number) => Some(part.listen),
             _ => None,
         });
         all.collect()
     }
 
     /// Heals all that is left, then waits for what has to come.
-    async fn heal(&mut self, run: &mut Run) -> Result<(), String> {
+    async fn heal(&mut self, run: &mut RunReport) -> Result<(), String> {
         for link in &self.links {
-            link.relay.trouble(Way::Both, |trouble| *trouble = Trouble::default());
+            link.relay.impair(Direction::Both, |trouble| *trouble = Impairment::default());
         }
-        let lost: Vec<Who> = self.heirs.iter().map(|(_, of)| Who::Keeper(*of)).collect();
-        let all: Vec<Who> = self.parts.keys().copied().filter(|who| !lost.contains(who)).collect();
+        let lost: Vec<ProcessId> = self.heirs.iter().map(|(_, of)| ProcessId::Replica(*of)).collect();
+        let all: Vec<ProcessId> = self.parts.keys().copied().filter(|who| !lost.contains(who)).collect();
         for who in all {
             let Some(part) = self.parts.get_mut(&who) else { continue };
-            part.process.iter_mut().for_each(Process::go_on);
-            let gone = part.process.as_mut().is_none_or(|process| process.ended().is_some());
+            part.process.iter_mut().for_each(Process::resume);
+            let gone = part.process.as_mut().is_none_or(|process| process.exit_status().is_some());
             if gone {
                 self.start(who)?;
             }
@@ -684,15 +691,15 @@
         for (number, lost) in self.heirs.clone() {
             self.take_in(number, lost).await?;
         }
-        let bound = OWNED * self.schedule.term + SLACK + if self.heirs.is_empty() { 0.0 } else { HEAL };
+        let bound = OWNED * self.schedule.lease_term + SLACK + if self.heirs.is_empty() { 0.0 } else { HEAL };
         let owned = self.owned(from + bound).await;
         match owned {
-            Ok(()) => run.owned = self.now() - from,
+            Ok(()) => run.reassignment_time = self.now() - from,
             Err(what) => run.failures.push(format!("{:.1} s after the last fault {what}", self.now() - from)),
         }
         let from = self.now();
         match self.gathered().await {
-            Ok(()) => run.gathered = self.now() - from,
+            Ok(()) => run.collection_time = self.now() - from,
             Err(what) => run.failures.push(format!("{:.1} s after that {what}", self.now() - from)),
         }
         self.listen();
@@ -702,7 +709,7 @@
 
     /// As an operator does it: add the new one, wait until it votes, remove the lost one.
     async fn take_in(&mut self, number: u64, lost: u64) -> Result<(), String> {
-        let who = Who::Keeper(number);
+        let who = ProcessId::Replica(number);
         if self.until(STAND, |ground| ground.parts.get(&who).is_some_and(|part| part.ready)).await.is_none() {
             return Err(format!("{who} is not ready: {}", self.log_of(who)));
         }
@@ -718,7 +725,7 @@
                 return Err(format!("{who} can't take the place of k{lost}: {said}"));
             }
             let keepers = self.keepers();
-            match ask_leader(&keepers, next).await {
+            match request_leader(&keepers, next).await {
                 Some(ReplicaReply::CommandApplied) => drop(asks.pop()),
                 // A command whose answer was lost may have been carried out.
                 Some(ReplicaReply::CommandFailed(what))
@@ -738,7 +745,7 @@
     async fn owned(&mut self, until: f64) -> Result<(), String> {
         loop {
             let keepers = self.keepers();
-            let vacant = match ask_leader(&keepers, &ReplicaRequest::Tasks).await {
+            let vacant = match request_leader(&keepers, &ReplicaRequest::Tasks).await {
                 Some(ReplicaReply::Tasks { leases: rows, .. }) => {
                     let vacant = |row: &&LeaseRow| row.task.name != SPARE && row.holder.is_none();
                     rows.iter().filter(vacant).map(|row| row.task.to_string()).collect::<Vec<_>>()
@@ -758,10 +765,10 @@
 
     /// Until all files are gathered: it may take long where there are many, but not stand still.
     async fn gathered(&mut self) -> Result<(), String> {
-        let at = self.parts[&Who::Archive].listen;
+        let at = self.parts[&ProcessId::TraceStore].listen;
         let (mut last, mut moved) = (0, self.now());
         loop {
-            let status: Option<trace_store::Response> = ask(at, &trace_store::Request::Status).await;
+            let status: Option<trace_store::Response> = request(at, &trace_store::Request::Status).await;
             if let Some(trace_store::Response::Status { complete_files, blocks, .. }) = status {
                 if blocks != last {
                     (last, moved) = (blocks, self.now());
@@ -782,23 +789,23 @@
     }
 
     /// All are told to leave; then what the archive holds is compared with what the servers wrote.
-    async fn end(&mut self, run: &mut Run) -> Result<(), String> {
+    async fn end(&mut self, run: &mut RunReport) -> Result<(), String> {
         for (who, part) in &mut self.parts {
             match who {
                 // They would wait for their turns, and whoever gives those leaves too.
-                Who::Seat(_) => part.process = None,
-                _ => part.process.iter().for_each(Process::leave),
+                ProcessId::QuotaServer(_) => part.process = None,
+                _ => part.process.iter().for_each(Process::terminate),
             }
         }
         let gone = |ground: &mut Ground| {
             ground
                 .parts
                 .values_mut()
-                .all(|part| part.process.as_mut().is_none_or(|one| one.ended().is_some()))
+                .all(|part| part.process.as_mut().is_none_or(|one| one.exit_status().is_some()))
         };
         if self.until(LEAVE, gone).await.is_none() {
             let left = self.parts.iter_mut().filter_map(|(who, part)| {
-                let still = part.process.as_mut().is_some_and(|one| one.ended().is_none());
+                let still = part.process.as_mut().is_some_and(|one| one.exit_status().is_none());
                 still.then(|| who.to_string())
             });
             let left: Vec<String> = left.collect();
@@ -814,7 +821,7 @@
         match exported {
             Ok((rows, doubled)) => {
                 run.rows = rows.len();
-                let (missing, extra) = self.all.against(&rows);
+                let (missing, extra) = self.all.missing_and_extra(&rows);
                 if missing + extra + doubled as usize > 0 {
                     let all = self.all.len();
                     run.failures.push(format!("of {all} rows {missing} are missing, {extra} stand twice or never were, {doubled} were doubled"));
@@ -826,28 +833,28 @@
     }
 }
 
-fn export(folder: &Path) -> Result<(Rows, u64), String> {
+fn export(folder: &Path) -> Result<(RowCounts, u64), String> {
     let (store, _) = puffinladder_trace_store::store::Store::open(&folder.join("archive"), u64::MAX)
         .map_err(|e| e.to_string())?;
     let into = folder.join("export.trace");
     let met = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})
         .map_err(|e| e.to_string())?;
-    let rows = Rows::read(&into)?;
+    let rows = RowCounts::read(&into)?;
     let _ = std::fs::remove_file(into);
     Ok((rows, met.doubled))
 }
 
 /// Asks one process one thing, within a bound.
-pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
+pub async fn request<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
     let wait = Duration::from_secs(1);
     let asked = puffinladder_transport::request(at, what, wait, 64 << 20);
     tokio::time::timeout(wait, asked).await.ok()?.ok().flatten()
 }
 
 /// Asks the keepers until one that leads answers.
-pub async fn ask_leader(keepers: &[SocketAddr], what: &ReplicaRequest) -> Option<ReplicaReply> {
+pub async fn request_leader(keepers: &[SocketAddr], what: &ReplicaRequest) -> Option<ReplicaReply> {
     for &at in keepers {
-        match ask(at, what).await {
+        match request(at, what).await {
             None | Some(ReplicaReply::NotLeader { .. }) => {}
             answer => return answer,
         }
@@ -878,7 +885,7 @@
         };
         let at = keepers[chance.next_index(keepers.len())];
         let _ = steps.send(Step::Asks { who, pause });
-        let answer: Option<ReplicaReply> = ask(at, &what).await;
+        let answer: Option<ReplicaReply> = request(at, &what).await;
         match answer {
             Some(ReplicaReply::CommandApplied) if pause.is_some() => {
                 let _ = steps.send(Step::Answered { who, paused: None });
--- a/crates/proving/src/history.rs
+++ b/crates/proving/src/history.rs
@@ -9,27 +9,35 @@
     /// s since all processes stood.
     pub at: f64,
     /// As in `k1`, `s1`, `archive`, or `ground`.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub process: String,
     /// Starts of that process so far.
-    pub life: u32,
-    pub what: Happened,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    #[serde(rename = "what")]
+    pub event: HistoryEvent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Happened {
+pub enum HistoryEvent {
     /// What the process itself told.
-    Told(Event),
+    #[serde(rename = "told")]
+    Reported(Event),
     /// What the ground did: a fault began, or ended.
-    Begun {
+    #[serde(rename = "begun")]
+    FaultStarted {
         fault: String,
     },
-    Healed {
+    #[serde(rename = "healed")]
+    FaultEnded {
         fault: String,
     },
     Started,
-    Ended {
-        how: String,
+    #[serde(rename = "ended")]
+    Exited {
+        #[serde(rename = "how")]
+        status: String,
     },
 }
 
@@ -39,14 +47,14 @@
 }
 
 impl History {
-    pub fn tell(&mut self, at: f64, who: impl ToString, life: u32, what: Happened) {
-        self.entries.push(Entry { at, who: who.to_string(), life, what });
+    pub fn record(&mut self, at: f64, process: impl ToString, incarnation: u32, event: HistoryEvent) {
+        self.entries.push(Entry { at, process: process.to_string(), incarnation, event });
     }
 
     /// What processes told, by name.
-    pub fn told(&self) -> impl Iterator<Item = (&Entry, &Event)> {
-        self.entries.iter().filter_map(|entry| match &entry.what {
-            Happened::Told(event) => Some((entry, event)),
+    pub fn events(&self) -> impl Iterator<Item = (&Entry, &Event)> {
+        self.entries.iter().filter_map(|entry| match &entry.event {
+            HistoryEvent::Reported(event) => Some((entry, event)),
             _ => None,
         })
     }
--- a/crates/proving/src/history/tests.rs
+++ b/crates/proving/src/history/tests.rs
@@ -1,11 +1,16 @@
 use super::*;
-use crate::schedule::Who;
+use crate::schedule::ProcessId;
 
 #[test]
 fn a_history_reads_back_and_a_torn_one_up_to_its_last_whole_line() {
     let mut history = History::default();
-    history.tell(0.5, Who::Archive, 1, Happened::Told(Event::Ready { listen: "127.0.0.1:1".into() }));
-    history.tell(1.5, Who::Steward(2), 1, Happened::Ended { how: "killed".into() });
+    history.record(
+        0.5,
+        ProcessId::TraceStore,
+        1,
+        HistoryEvent::Reported(Event::Ready { listen: "127.0.0.1:1".into() }),
+    );
+    history.record(1.5, ProcessId::Worker(2), 1, HistoryEvent::Exited { status: "killed".into() });
     let mut bytes = Vec::new();
     history.write(&mut bytes).unwrap();
     assert_eq!(History::read(&bytes[..]).unwrap(), history);
--- a/crates/proving/src/linear.rs
+++ b/crates/proving/src/linearizability.rs
@@ -40,7 +40,7 @@
 }
 
 /// Whether the steps could have come from one table. Operators whose command was never answered have no later step.
-pub fn one_table(steps: &[Step]) -> Result<(), String> {
+pub fn check_linearizable(steps: &[Step]) -> Result<(), String> {
     let mut tester = LinearizabilityTester::new(Register(false));
     for step in asked(steps) {
         let taken = match step {
--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -1,7 +1,7 @@
 //! How long the fleet goes without an owner: read off a history, from the moment something was done to a steward to the first effect of whoever came
 //! after it.
 
-use crate::history::{Happened, History};
+use crate::history::{History, HistoryEvent};
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::protocol::Event;
 use puffinladder_leases::table::ChangeKind;
@@ -10,17 +10,17 @@
 
 /// From each fault of that word to the first effect that stood under a later epoch, for each part that the one hit owned; s. Parts without any such
 /// effect until the end are counted apart.
-pub fn gaps(history: &History, word: &str) -> (Vec<f64>, usize) {
+pub fn ownership_gaps(history: &History, word: &str) -> (Vec<f64>, usize) {
     let mut owned: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
     let mut open: Vec<(f64, &Task, Epoch)> = Vec::new();
     let mut closed = Vec::new();
     for entry in &history.entries {
-        match &entry.what {
-            Happened::Begun { fault } if fault.split(' ').next() == Some(word) => {
-                let hit = owned.iter().filter(|(_, (_, whose))| *whose == entry.who);
+        match &entry.event {
+            HistoryEvent::FaultStarted { fault } if fault.split(' ').next() == Some(word) => {
+                let hit = owned.iter().filter(|(_, (_, whose))| *whose == entry.process);
                 open.extend(hit.map(|(duty, (epoch, _))| (entry.at, *duty, *epoch)));
             }
-            Happened::Told(Event::Change(change)) => match change.kind {
+            HistoryEvent::Reported(Event::Change(change)) => match change.kind {
                 ChangeKind::Granted => {
                     let known = owned.get(&change.task).is_some_and(|(epoch, _)| *epoch >= change.epoch);
                     if !known {
@@ -34,7 +34,7 @@
                 }
                 _ => {}
             },
-            Happened::Told(Event::EffectChecked {
+            HistoryEvent::Reported(Event::EffectChecked {
                 task: duty,
                 epoch,
                 block: Some(_),
--- a/crates/proving/src/measure/tests.rs
+++ b/crates/proving/src/measure/tests.rs
@@ -8,22 +8,29 @@
     let duty = Task::new("gather", 0);
     let change = |epoch, to: &str, what| {
         let (duty, owner, cause) = (duty.clone(), HolderId::new(to, 1), Cause::Vacant);
-        Happened::Told(Event::Change(Change { at: 0.0, task: duty, holder: owner, epoch, kind: what, cause }))
+        HistoryEvent::Reported(Event::Change(Change {
+            at: 0.0,
+            task: duty,
+            holder: owner,
+            epoch,
+            kind: what,
+            cause,
+        }))
     };
     let effect = |epoch, verdict| {
         let (duty, piece) = (duty.clone(), Some("a#0".to_string()));
-        Happened::Told(Event::EffectChecked { task: duty, epoch, number: 1, block: piece, verdict })
+        HistoryEvent::Reported(Event::EffectChecked { task: duty, epoch, number: 1, block: piece, verdict })
     };
-    history.tell(0.0, "k1", 1, change(1, "s1", ChangeKind::Granted));
-    history.tell(1.0, "s1", 0, Happened::Begun { fault: "kill s1".into() });
-    history.tell(1.1, "archive", 1, effect(1, Verdict::New));
-    history.tell(3.0, "k1", 1, change(1, "s1", ChangeKind::Ended));
-    history.tell(3.1, "k1", 1, change(2, "s2", ChangeKind::Granted));
-    history.tell(3.2, "k2", 1, change(1, "s1", ChangeKind::Granted));
-    history.tell(3.5, "archive", 1, effect(2, Verdict::New));
-    history.tell(4.0, "s2", 0, Happened::Begun { fault: "leave s2".into() });
-    assert_eq!(gaps(&history, "kill"), (vec![2.5], 0));
-    assert_eq!(gaps(&history, "leave"), (vec![], 1));
+    history.record(0.0, "k1", 1, change(1, "s1", ChangeKind::Granted));
+    history.record(1.0, "s1", 0, HistoryEvent::FaultStarted { fault: "kill s1".into() });
+    history.record(1.1, "archive", 1, effect(1, Verdict::New));
+    history.record(3.0, "k1", 1, change(1, "s1", ChangeKind::Ended));
+    history.record(3.1, "k1", 1, change(2, "s2", ChangeKind::Granted));
+    history.record(3.2, "k2", 1, change(1, "s1", ChangeKind::Granted));
+    history.record(3.5, "archive", 1, effect(2, Verdict::New));
+    history.record(4.0, "s2", 0, HistoryEvent::FaultStarted { fault: "leave s2".into() });
+    assert_eq!(ownership_gaps(&history, "kill"), (vec![2.5], 0));
+    assert_eq!(ownership_gaps(&history, "leave"), (vec![], 1));
     assert_eq!(quantile(&[1.0, 2.0, 3.0], 0.5), 2.0);
     assert!(quantile(&[], 0.5).is_nan() && quantile(&[1.0, 9.0], 0.99) == 9.0);
 }
--- a/crates/proving/src/process.rs
+++ b/crates/proving/src/process.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug)]
 pub struct Program {
     pub path: PathBuf,
-    pub before: Vec<String>,
+    pub leading_args: Vec<String>,
 }
 
 /// What came of a process: an event, or that it said its last.
 #[derive(Debug)]
-pub struct News {
-    pub who: String,
-    pub life: u32,
+pub struct ProcessOutput {
+    pub process: String,
+    pub incarnation: u32,
     pub event: Option<Event>,
 }
 
@@ -35,14 +35,14 @@
     pub fn start(
         program: &Program,
         args: &[String],
-        who: &str,
-        life: u32,
+        process: &str,
+        incarnation: u32,
         log: &Path,
-        news: mpsc::UnboundedSender<News>,
+        news: mpsc::UnboundedSender<ProcessOutput>,
     ) -> std::io::Result<Process> {
-        let who = who.to_string();
+        let process = process.to_string();
         // Lines that are no event are passed over: the program may print what it likes.
-        Process::heard(program, args, log, move |line| {
+        Process::spawn_with_line_handler(program, args, log, move |line| {
             let event = match line {
                 Some(line) => match serde_json::from_str(line) {
                     Ok(event) => Some(event),
@@ -50,12 +50,12 @@
                 },
                 None => None,
             };
-            news.send(News { who: who.clone(), life, event }).is_ok()
+            news.send(ProcessOutput { process: process.clone(), incarnation, event }).is_ok()
         })
     }
 
     /// Starts one whose lines go to `hear`, none at the end; it says whether more is wanted.
-    pub fn heard(
+    pub fn spawn_with_line_handler(
         program: &Program,
         args: &[String],
         log: &Path,
@@ -63,7 +63,7 @@
     ) -> std::io::Result<Process> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut child = Command::new(&program.path)
-            .args(&program.before)
+            .args(&program.leading_args)
             .args(args)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -96,13 +96,13 @@
         self.signal(Signal::STOP);
         self.paused = true;
     }
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         if std::mem::take(&mut self.paused) {
             self.signal(Signal::CONT);
         }
     }
     /// SIGTERM; a paused one hears it once it goes on.
-    pub fn leave(&self) {
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
     pub fn kill(&mut self) {
@@ -111,14 +111,14 @@
     }
 
     /// Tells it something on standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
-    pub fn order(&mut self, what: &str, value: f64) {
+    pub fn send_command(&mut self, what: &str, value: f64) {
         if let Some(orders) = &mut self.orders {
             let _ = writeln!(orders, "{what} {value}").and_then(|()| orders.flush());
         }
     }
 
     /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 }
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -1,7 +1,7 @@
-//! A link between two processes: a relay that one dials and that dials the other, and lets bytes pass as its two pipes say.
+//! A link between two processes: a relay that one dials and that dials the other, and lets bytes pass as its two shapers say.
 
-use crate::pipe::{Pass, Pipe, Trouble};
-use crate::schedule::Way;
+use crate::schedule::Direction;
+use crate::traffic_shaper::{Impairment, Release, TrafficShaper};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,15 +15,15 @@
 /// The state of a link, which its connections watch.
 struct State {
     begun: Instant,
-    pipes: [Mutex<Pipe>; 2],
-    /// Rises with every change of the pipes, and with every break of the connections.
+    shapers: [Mutex<TrafficShaper>; 2],
+    /// Rises with every change of the shapers, and with every break of the connections.
     changed: watch::Sender<(u64, u64)>,
     target: Mutex<Option<SocketAddr>>,
 }
 
 pub struct Relay {
     /// Where it is dialled.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
 }
@@ -39,23 +39,23 @@
 impl Relay {
     pub async fn open(seed: u64) -> std::io::Result<Relay> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-        let at = listener.local_addr()?;
-        let pipes = [Mutex::new(Pipe::new(seed)), Mutex::new(Pipe::new(seed ^ 1))];
+        let address = listener.local_addr()?;
+        let shapers = [Mutex::new(TrafficShaper::new(seed)), Mutex::new(TrafficShaper::new(seed ^ 1))];
         let (changed, _) = watch::channel((0, 0));
-        let state = Arc::new(State { begun: Instant::now(), pipes, changed, target: Mutex::new(None) });
+        let state = Arc::new(State { begun: Instant::now(), shapers, changed, target: Mutex::new(None) });
         let task = tokio::spawn(accept(listener, state.clone()));
-        Ok(Relay { at, state, task })
+        Ok(Relay { address, state, task })
     }
 
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.state.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 
     /// Changes what the directions meant do to bytes.
-    pub fn trouble(&self, way: Way, change: impl Fn(&mut Trouble)) {
-        for (at, only) in [Way::There, Way::Back].into_iter().enumerate() {
-            if way == Way::Both || way == only {
-                change(&mut lock(&self.state, at).trouble);
+    pub fn impair(&self, way: Direction, change: impl Fn(&mut Impairment)) {
+        for (at, only) in [Direction::Forward, Direction::Reverse].into_iter().enumerate() {
+            if way == Direction::Both || way == only {
+                change(&mut lock(&self.state, at).impairment);
             }
         }
         self.state.changed.send_modify(|state| state.0 += 1);
@@ -67,8 +67,8 @@
     }
 }
 
-fn lock(state: &State, at: usize) -> std::sync::MutexGuard<'_, Pipe> {
-    state.pipes[at].lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &State, at: usize) -> std::sync::MutexGuard<'_, TrafficShaper> {
+    state.shapers[at].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 async fn accept(listener: TcpListener, state: Arc<State>) {
@@ -85,7 +85,7 @@
     let mut changed = state.changed.subscribe();
     let breaks = changed.borrow_and_update().1;
     // Through a shut link no connection comes about: it is held open here and leads nowhere until the link opens or breaks.
-    while lock(&state, 0).trouble.shut {
+    while lock(&state, 0).impairment.blocked {
         if changed.changed().await.is_err() || changed.borrow().1 != breaks {
             return;
         }
@@ -104,7 +104,7 @@
         () = &mut there => return,
         () = pump(far_in, near_out, 1, &state, breaks, &far_gone) => {}
     }
-    if lock(&state, 0).trouble.shut {
+    if lock(&state, 0).impairment.blocked {
         far_gone.store(true, Ordering::Relaxed);
         there.await;
     }
@@ -124,7 +124,7 @@
     }
     let mut bytes = vec![0; 16_384];
     loop {
-        let most = lock(state, at).piece();
+        let most = lock(state, at).max_chunk_bytes();
         let read = tokio::select! {
             read = from.read(&mut bytes[..most]) => read,
             news = changed.changed() => {
@@ -137,10 +137,10 @@
         let Ok(count @ 1..) = read else { return };
         // The piece waits here, and whatever comes behind it in the sockets' buffers.
         loop {
-            let pass = lock(state, at).pass(state.begun.elapsed().as_secs_f64(), count);
+            let pass = lock(state, at).schedule(state.begun.elapsed().as_secs_f64(), count);
             let wait = match pass {
-                Pass::At(when) => (when - state.begun.elapsed().as_secs_f64()).max(0.0),
-                Pass::Shut => f64::MAX,
+                Release::At(when) => (when - state.begun.elapsed().as_secs_f64()).max(0.0),
+                Release::Blocked => f64::MAX,
             };
             let slept = async {
                 match wait {
--- a/crates/proving/src/scale/world.rs
+++ b/crates/proving/src/scale/fleet.rs
@@ -1,6 +1,6 @@
 //! Control services and the processes of many servers and callers round them: started, hit, looked at.
 
-use super::{Must, Row, Setup, Size, Story};
+use super::{Assertion, Expectation, FleetConfig, FleetSize, Scenario};
 use crate::process::{Process, Program};
 use crate::relay::Relay;
 use puffinladder_leases::protocol::Event;
@@ -30,15 +30,15 @@
 /// How long an emulator process lives if the ground is gone.
 const SPAN: &str = "1h";
 /// s between two reports of a server, as it is told.
-pub const EVERY: f64 = 0.25;
+pub const REPORT_INTERVAL_S: f64 = 0.25;
 
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+static FLEET_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// A count that a service reports: its name, without what all have in common, and its labels.
 #[derive(Clone, Debug, Default)]
-pub struct Look(BTreeMap<String, f64>);
+pub struct Metrics(BTreeMap<String, f64>);
 
-impl Look {
+impl Metrics {
     /// Not a number where the service reports no such count: that holds nowhere.
     pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).copied().unwrap_or(f64::NAN)
@@ -49,15 +49,15 @@
         ["cluster", "endpoints", "listener", "routes"].into_iter().map(of).sum()
     }
     /// The same counts before anything happened.
-    pub fn nothing(&self) -> Look {
-        Look(self.0.keys().map(|name| (name.clone(), 0.0)).collect())
+    pub fn zeroed(&self) -> Metrics {
+        Metrics(self.0.keys().map(|name| (name.clone(), 0.0)).collect())
     }
-    pub fn read(text: &str) -> Look {
+    pub fn read(text: &str) -> Metrics {
         let line = |line: &str| {
             let (name, value) = line.strip_prefix("puffinladder_control_")?.rsplit_once(' ')?;
             Some((name.to_string(), value.parse().ok()?))
         };
-        Look(text.lines().filter_map(line).collect())
+        Metrics(text.lines().filter_map(line).collect())
     }
 }
 
@@ -96,7 +96,7 @@
 }
 
 #[derive(Deserialize)]
-struct Plan {
+struct PlanView {
     epoch: f64,
 }
 
@@ -109,21 +109,21 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EmulatorKind {
     Servers,
     Callers,
 }
 
 /// The last that an emulator process told.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub struct Tick {
+pub struct EmulatorStatus {
     pub reconnects: u64,
 }
 
 /// What an emulator process plays.
 #[derive(Clone, Debug)]
-pub struct Part {
-    pub kind: Kind,
+pub struct EmulatorSpec {
+    pub kind: EmulatorKind,
     pub count: usize,
     pub first: usize,
     pub zones: usize,
@@ -131,39 +131,49 @@
     pub to: Vec<(usize, bool)>,
 }
 
-struct Party {
-    part: Part,
+struct Emulator {
+    part: EmulatorSpec,
     relays: Vec<Option<Relay>>,
     process: Option<Process>,
-    tick: Arc<Mutex<Tick>>,
+    tick: Arc<Mutex<EmulatorStatus>>,
 }
 
-pub struct World<'a> {
-    setup: &'a Setup,
-    story: Story,
+pub struct Fleet<'a> {
+    config: &'a FleetConfig,
+    scenario: Scenario,
     pub folder: PathBuf,
     services: Vec<Service>,
-    parties: Vec<Party>,
-    pub rows: Vec<Row>,
+    parties: Vec<Emulator>,
+    pub assertions: Vec<Assertion>,
 }
 
 fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl<'a> World<'a> {
+impl<'a> Fleet<'a> {
     /// Starts so many control services.
-    pub async fn start(setup: &'a Setup, story: Story, services: usize) -> Result<World<'a>, String> {
-        let number = WORLDS.fetch_add(1, Ordering::Relaxed);
-        let folder = setup.folder.join(format!("scale-{story}-{}-{number}", std::process::id()));
+    pub async fn start(
+        config: &'a FleetConfig,
+        scenario: Scenario,
+        services: usize,
+    ) -> Result<Fleet<'a>, String> {
+        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
+        let folder = config.folder.join(format!("scale-{scenario}-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let mut world =
-            World { setup, story, folder, services: Vec::new(), parties: Vec::new(), rows: Vec::new() };
+        let mut fleet = Fleet {
+            config,
+            scenario,
+            folder,
+            services: Vec::new(),
+            parties: Vec::new(),
+            assertions: Vec::new(),
+        };
         for at in 0..services {
-            world.services.push(Service { process: None, ready: Arc::default(), at: None });
-            world.start_service(at).await?;
+            fleet.services.push(Service { process: None, ready: Arc::default(), at: None });
+            fleet.start_service(at).await?;
         }
-        Ok(world)
+        Ok(fleet)
     }
 
     /// Starts a service, at the addresses that it had before if it lived before.
@@ -178,7 +188,7 @@
         );
         std::fs::write(&settings, text).map_err(|e| format!("{}: {e}", settings.display()))?;
         let program =
-            Program { path: self.setup.program.clone(), before: vec!["prove".into(), "part".into()] };
+            Program { path: self.config.program.clone(), leading_args: vec!["prove".into(), "part".into()] };
         let args = [
             "control".to_string(),
             format!("--settings={}", settings.display()),
@@ -193,7 +203,7 @@
             }
             true
         };
-        let started = Process::heard(&program, &args, &log, hear);
+        let started = Process::spawn_with_line_handler(&program, &args, &log, hear);
         service.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
         let end = Instant::now() + Duration::from_secs_f64(WAIT);
         loop {
@@ -215,64 +225,66 @@
         self.services[at].process = None;
     }
 
-    fn address(&self, kind: Kind, service: usize) -> Result<SocketAddr, String> {
+    fn address(&self, kind: EmulatorKind, service: usize) -> Result<SocketAddr, String> {
         let at = self.services[service].at.as_deref().unwrap_or_default();
-        let place = usize::from(kind == Kind::Servers);
+        let place = usize::from(kind == EmulatorKind::Servers);
         at.get(place).copied().ok_or_else(|| format!("control service {service} never started"))
     }
 
     /// Starts an emulator process; all of it comes within the time given, `0s` is at once.
-    pub async fn play(&mut self, part: Part, within: &str) -> Result<usize, String> {
+    pub async fn start_emulator(&mut self, part: EmulatorSpec, within: &str) -> Result<usize, String> {
         let mut relays = Vec::new();
         for &(service, through) in &part.to {
             let relay = match through {
                 true => {
-                    let seed = self.setup.seed ^ (self.parties.len() as u64) << 8;
+                    let seed = self.config.seed ^ (self.parties.len() as u64) << 8;
                     let relay = Relay::open(seed).await.map_err(|e| format!("a relay: {e}"))?;
-                    relay.lead_to(Some(self.address(part.kind, service)?));
+                    relay.set_target(Some(self.address(part.kind, service)?));
                     Some(relay)
                 }
                 false => None,
             };
             relays.push(relay);
         }
-        self.parties.push(Party { part, relays, process: None, tick: Arc::default() });
+        self.parties.push(Emulator { part, relays, process: None, tick: Arc::default() });
         let party = self.parties.len() - 1;
-        self.again(party, within)?;
+        self.restart_emulator(party, within)?;
         Ok(party)
     }
 
     /// Starts it anew under its names.
-    pub fn again(&mut self, party: usize, within: &str) -> Result<(), String> {
-        let Party { part, relays, .. } = &self.parties[party];
+    pub fn restart_emulator(&mut self, party: usize, within: &str) -> Result<(), String> {
+        let Emulator { part, relays, .. } = &self.parties[party];
         let mut control = Vec::new();
         for ((service, _), relay) in part.to.iter().zip(relays) {
             let at = match relay {
-                Some(relay) => relay.at,
+                Some(relay) => relay.address,
                 None => self.address(part.kind, *service)?,
             };
             control.push(at.to_string());
         }
         let mut args = vec![
             match part.kind {
-                Kind::Servers => "servers".to_string(),
-                Kind::Callers => "callers".to_string(),
+                EmulatorKind::Servers => "servers".to_string(),
+                EmulatorKind::Callers => "callers".to_string(),
             },
             format!("--count={}", part.count),
             format!("--first={}", part.first),
             format!("--zones={}", part.zones),
             format!("--control={}", control.join(",")),
-            format!("--seed={}", self.setup.seed),
+            format!("--seed={}", self.config.seed),
             format!("--start-within={within}"),
             format!("--span={SPAN}"),
         ];
         match part.kind {
-            Kind::Servers => args.extend([format!("--every={}ms", EVERY * 1e3), "--calm".into()]),
-            Kind::Callers => args.push("--mode=delta".into()),
+            EmulatorKind::Servers => {
+                args.extend([format!("--every={}ms", REPORT_INTERVAL_S * 1e3), "--calm".into()])
+            }
+            EmulatorKind::Callers => args.push("--mode=delta".into()),
         }
-        let program = Program { path: self.setup.program.clone(), before: vec!["emulate".into()] };
+        let program = Program { path: self.config.program.clone(), leading_args: vec!["emulate".into()] };
         let log = self.folder.join(format!("party-{party}.log"));
-        let tick = Arc::new(Mutex::new(Tick::default()));
+        let tick = Arc::new(Mutex::new(EmulatorStatus::default()));
         let told = tick.clone();
         let hear = move |line: Option<&str>| {
             if let Some(Ok(tick)) = line.map(serde_json::from_str) {
@@ -280,7 +292,7 @@
             }
             true
         };
-        let started = Process::heard(&program, &args, &log, hear);
+        let started = Process::spawn_with_line_handler(&program, &args, &log, hear);
         let party = &mut self.parties[party];
         party.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
         party.tick = tick;
@@ -288,7 +300,7 @@
     }
 
     /// SIGKILL.
-    pub fn kill(&mut self, party: usize) {
+    pub fn kill_emulator(&mut self, party: usize) {
         self.parties[party].process = None;
     }
 
@@ -297,7 +309,7 @@
     }
 
     /// The last that it told of itself.
-    pub fn tick(&self, party: usize) -> Tick {
+    pub fn emulator_status(&self, party: usize) -> EmulatorStatus {
         *lock(&self.parties[party].tick)
     }
 
@@ -308,7 +320,7 @@
         let parties = self.parties.iter_mut().enumerate();
         let parties = parties.map(|(at, p)| (format!("emulator process {at}"), &mut p.process));
         for (who, process) in services.chain(parties) {
-            if let Some(ended) = process.as_mut().and_then(Process::ended) {
+            if let Some(ended) = process.as_mut().and_then(Process::exit_status) {
                 return Err(format!("{who} ended by itself: {ended}, see {}", self.folder.display()));
             }
         }
@@ -341,8 +353,8 @@
         serde_json::from_str(&text).map_err(|e| format!("control service {service}, {path}: {e}"))
     }
 
-    pub async fn look(&self, service: usize) -> Result<Look, String> {
-        Ok(Look::read(&self.get(service, "/metrics").await?))
+    pub async fn metrics(&self, service: usize) -> Result<Metrics, String> {
+        Ok(Metrics::read(&self.get(service, "/metrics").await?))
     }
 
     /// By node.
@@ -359,7 +371,7 @@
 
     /// Of the plan in force.
     pub async fn epoch(&self, service: usize) -> Result<f64, String> {
-        let plan: Plan = self.read(service, "/plan").await?;
+        let plan: PlanView = self.read(service, "/plan").await?;
         Ok(plan.epoch)
     }
 
@@ -375,7 +387,7 @@
     }
 
     /// The same, once there are no more than so many; in vain it is how many there are.
-    pub async fn descriptors_within(&self, service: usize, most: f64) -> f64 {
+    pub async fn wait_for_descriptors(&self, service: usize, most: f64) -> f64 {
         let end = Instant::now() + Duration::from_secs_f64(WAIT);
         loop {
             let open = self.open(service);
@@ -394,18 +406,18 @@
     }
 
     /// Looks at a service until it is as wanted; in vain is the end of the run.
-    pub async fn until(
+    pub async fn wait_for_metrics(
         &mut self,
         service: usize,
         what: &str,
-        mut wanted: impl FnMut(&Look) -> bool,
-    ) -> Result<Look, String> {
+        mut wanted: impl FnMut(&Metrics) -> bool,
+    ) -> Result<Metrics, String> {
         let end = Instant::now() + Duration::from_secs_f64(WAIT);
         loop {
             self.alive()?;
-            let look = self.look(service).await?;
-            if wanted(&look) {
-                return Ok(look);
+            let metrics = self.metrics(service).await?;
+            if wanted(&metrics) {
+                return Ok(metrics);
             }
             if Instant::now() > end {
                 let names = [
@@ -417,7 +429,7 @@
                     "plans_total",
                 ];
                 let seen: Vec<String> =
-                    names.iter().map(|name| format!("{name} {}", look.get(name))).collect();
+                    names.iter().map(|name| format!("{name} {}", metrics.get(name))).collect();
                 return Err(format!("waited in vain for {what}: {}", seen.join(", ")));
             }
             sleep(LOOK).await;
@@ -425,7 +437,7 @@
     }
 
     /// Looks at a service's callers until they are as wanted.
-    pub async fn until_callers(
+    pub async fn wait_for_callers(
         &mut self,
         service: usize,
         what: &str,
@@ -446,14 +458,14 @@
     }
 
     /// Until all are there, all callers hold the plan, and nothing more is sent but renewals.
-    pub async fn stand(&mut self, service: usize, size: Size) -> Result<Look, String> {
+    pub async fn wait_until_stable(&mut self, service: usize, size: FleetSize) -> Result<Metrics, String> {
         let (servers, callers) = (size.servers as f64, size.callers as f64);
         let mut since: Option<(f64, f64)> = None;
-        let still = move |look: &Look| {
+        let still = move |metrics: &Metrics| {
             let all = [("servers", servers), ("servers_fresh", servers), ("report_connections", servers)];
             let all = all.into_iter().chain([("proxies", callers), ("proxies_settled", callers)]);
-            let (sent, plans) = (look.get("responses_total"), look.get("plans_total"));
-            if !all.into_iter().all(|(name, wanted)| look.get(name) == wanted) {
+            let (sent, plans) = (metrics.get("responses_total"), metrics.get("plans_total"));
+            if !all.into_iter().all(|(name, wanted)| metrics.get(name) == wanted) {
                 since = None;
                 return false;
             }
@@ -465,25 +477,30 @@
                 }
             }
         };
-        self.until(service, "all to stand and nothing to move", still).await
+        self.wait_for_metrics(service, "all to stand and nothing to move", still).await
     }
 
     /// Asserts.
-    pub fn must(&mut self, what: impl Into<String>, must: Must, seen: f64) {
-        self.rows.push(Row { story: self.story, what: what.into(), must, seen });
+    pub fn expect(&mut self, description: impl Into<String>, expected: Expectation, observed: f64) {
+        self.assertions.push(Assertion {
+            scenario: self.scenario,
+            description: description.into(),
+            expected,
+            observed,
+        });
     }
 
     /// Ends it; its folder stays where something did not hold, or all are kept.
-    pub fn end(self, failed: bool) -> (Vec<Row>, Option<PathBuf>) {
-        let World { setup, folder, rows, services, parties, .. } = self;
+    pub fn end(self, failed: bool) -> (Vec<Assertion>, Option<PathBuf>) {
+        let Fleet { config, folder, assertions, services, parties, .. } = self;
         // Killed, whatever still runs.
         drop((services, parties));
-        let failed = failed || !rows.iter().all(Row::holds);
-        if failed || setup.keep {
-            return (rows, Some(folder));
+        let failed = failed || !assertions.iter().all(Assertion::passed);
+        if failed || config.keep {
+            return (assertions, Some(folder));
         }
         remove(&folder);
-        (rows, None)
+        (assertions, None)
     }
 }
 
--- a/crates/proving/src/scale/mod.rs
+++ b/crates/proving/src/scale/mod.rs
@@ -2,8 +2,8 @@
 //! Judged by counts that the processes report of themselves, and by the descriptors that the system counts for them; time only ends a
 //! wait that would not end, which fails the run.
 
-pub mod stories;
-mod world;
+mod fleet;
+pub mod scenarios;
 
 use std::fmt;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 
 /// How worlds are made.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct FleetConfig {
     /// The program, whose hidden commands the processes are.
     pub program: PathBuf,
     /// Where each world's folder is made; it is kept where something did not hold, or always.
@@ -22,13 +22,13 @@
 
 /// How many there are at first; stories that compare also play three times as many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct FleetSize {
     pub servers: usize,
     pub callers: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Story {
+pub enum Scenario {
     Steady,
     Budget,
     Change,
@@ -39,43 +39,43 @@
     Dead,
 }
 
-impl Story {
-    pub const ALL: [Story; 8] = [
-        Story::Steady,
-        Story::Budget,
-        Story::Change,
-        Story::Restart,
-        Story::Zone,
-        Story::Cut,
-        Story::Slow,
-        Story::Dead,
+impl Scenario {
+    pub const ALL: [Scenario; 8] = [
+        Scenario::Steady,
+        Scenario::Budget,
+        Scenario::Change,
+        Scenario::Restart,
+        Scenario::Zone,
+        Scenario::Cut,
+        Scenario::Slow,
+        Scenario::Dead,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Story::Steady => "steady",
-            Story::Budget => "budget",
-            Story::Change => "change",
-            Story::Restart => "restart",
-            Story::Zone => "zone",
-            Story::Cut => "cut",
-            Story::Slow => "slow",
-            Story::Dead => "dead",
+            Scenario::Steady => "steady",
+            Scenario::Budget => "budget",
+            Scenario::Change => "change",
+            Scenario::Restart => "restart",
+            Scenario::Zone => "zone",
+            Scenario::Cut => "cut",
+            Scenario::Slow => "slow",
+            Scenario::Dead => "dead",
         }
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Scenario {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.pad(self.name())
     }
 }
 
-impl FromStr for Story {
+impl FromStr for Scenario {
     type Err = String;
-    fn from_str(text: &str) -> Result<Story, String> {
-        Story::ALL.into_iter().find(|story| story.name() == text).ok_or_else(|| {
-            let all: Vec<&str> = Story::ALL.iter().map(|story| story.name()).collect();
+    fn from_str(text: &str) -> Result<Scenario, String> {
+        Scenario::ALL.into_iter().find(|scenario| scenario.name() == text).ok_or_else(|| {
+            let all: Vec<&str> = Scenario::ALL.iter().map(|scenario| scenario.name()).collect();
             format!("should be one of {}", all.join(", "))
         })
     }
@@ -83,30 +83,30 @@
 
 /// What a count has to be.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Must {
-    Be(f64),
+pub enum Expectation {
+    Equal(f64),
     /// At the most, at the least.
-    Most(f64),
-    Least(f64),
+    AtMost(f64),
+    AtLeast(f64),
 }
 
-impl Must {
+impl Expectation {
     /// A count that is no number holds nowhere.
-    pub fn holds(self, seen: f64) -> bool {
+    pub fn passed(self, seen: f64) -> bool {
         match self {
-            Must::Be(wanted) => seen == wanted,
-            Must::Most(most) => seen <= most,
-            Must::Least(least) => seen >= least,
+            Expectation::Equal(wanted) => seen == wanted,
+            Expectation::AtMost(most) => seen <= most,
+            Expectation::AtLeast(least) => seen >= least,
         }
     }
 }
 
-impl fmt::Display for Must {
+impl fmt::Display for Expectation {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let text = match self {
-            Must::Be(wanted) => format!("= {}", Figure(*wanted)),
-            Must::Most(most) => format!("<= {}", Figure(*most)),
-            Must::Least(least) => format!(">= {}", Figure(*least)),
+            Expectation::Equal(wanted) => format!("= {}", Figure(*wanted)),
+            Expectation::AtMost(most) => format!("<= {}", Figure(*most)),
+            Expectation::AtLeast(least) => format!(">= {}", Figure(*least)),
         };
         to.pad(&text)
     }
@@ -127,44 +127,48 @@
 
 /// One thing that was asserted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
-    pub story: Story,
-    pub what: String,
-    pub must: Must,
-    pub seen: f64,
+pub struct Assertion {
+    pub scenario: Scenario,
+    pub description: String,
+    pub expected: Expectation,
+    pub observed: f64,
 }
 
-impl Row {
-    pub fn holds(&self) -> bool {
-        self.must.holds(self.seen)
+impl Assertion {
+    pub fn passed(&self) -> bool {
+        self.expected.passed(self.observed)
     }
 }
 
-/// What came of a story.
+/// What came of a scenario.
 #[derive(Debug)]
-pub struct Told {
-    pub story: Story,
-    pub rows: Vec<Row>,
+pub struct ScenarioReport {
+    pub scenario: Scenario,
+    pub assertions: Vec<Assertion>,
     /// A wait that did not end, or a process that did.
-    pub fault: Option<String>,
+    pub error: Option<String>,
     /// Folders of worlds that were kept.
-    pub kept: Vec<PathBuf>,
+    pub kept_folders: Vec<PathBuf>,
 }
 
-impl Told {
-    pub fn holds(&self) -> bool {
-        self.fault.is_none() && !self.rows.is_empty() && self.rows.iter().all(Row::holds)
+impl ScenarioReport {
+    pub fn passed(&self) -> bool {
+        self.error.is_none() && !self.assertions.is_empty() && self.assertions.iter().all(Assertion::passed)
     }
 }
 
-impl fmt::Display for Told {
+impl fmt::Display for ScenarioReport {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        for row in &self.rows {
-            let (verdict, seen) = (if row.holds() { "holds" } else { "FAILS" }, Figure(row.seen));
-            writeln!(to, "{:<8} {:<72} {seen:>10}  {:<12} {verdict}", row.story, row.what, row.must)?;
+        for row in &self.assertions {
+            let (verdict, seen) = (if row.passed() { "holds" } else { "FAILS" }, Figure(row.observed));
+            writeln!(
+                to,
+                "{:<8} {:<72} {seen:>10}  {:<12} {verdict}",
+                row.scenario, row.description, row.expected
+            )?;
         }
-        if let Some(fault) = &self.fault {
-            writeln!(to, "{:<8} FAILS: {fault}", self.story)?;
+        if let Some(fault) = &self.error {
+            writeln!(to, "{:<8} FAILS: {fault}", self.scenario)?;
         }
         Ok(())
     }
--- a/crates/proving/src/schedule/tests.rs
+++ b/crates/proving/src/schedule/tests.rs
@@ -4,13 +4,13 @@
 fn drawn_schedules_are_the_same_for_a_seed_and_read_back_as_they_are_written() {
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..300 {
-        let drawn = Schedule::draw(seed, &Schedule { keepers: 5, stewards: 12, ..Schedule::default() });
+        let drawn = Schedule::generate(seed, &Schedule { replicas: 5, workers: 12, ..Schedule::default() });
         assert_eq!(
             drawn,
-            Schedule::draw(seed, &Schedule { keepers: 5, stewards: 12, ..Schedule::default() })
+            Schedule::generate(seed, &Schedule { replicas: 5, workers: 12, ..Schedule::default() })
         );
         assert_eq!(Schedule::read("drawn", &drawn.to_string()).unwrap(), drawn, "{drawn}");
-        kinds.extend(drawn.faults.iter().map(|fault| fault.what.word()));
+        kinds.extend(drawn.faults.iter().map(|fault| fault.kind.keyword()));
     }
     assert!(kinds.len() >= 12, "{kinds:?}");
 }
@@ -34,13 +34,25 @@
 
 #[test]
 fn a_fault_of_a_link_is_turned_for_whoever_dialled() {
-    let fault =
-        Fault { to: Some(Who::Archive), way: Way::There, ..Fault::new(0.0, What::Cut, Who::Steward(1), 1.0) };
-    assert_eq!(fault.hits(Who::Steward(1), Who::Archive), Some(Way::There));
-    assert_eq!(fault.hits(Who::Steward(2), Who::Archive), None);
-    let turned =
-        Fault { to: Some(Who::Steward(1)), way: Way::There, ..Fault::new(0.0, What::Cut, Who::Archive, 1.0) };
-    assert_eq!(turned.hits(Who::Steward(1), Who::Archive), Some(Way::Back));
-    let all = Fault::new(0.0, What::Cut, Who::Keeper(1), 1.0);
-    assert_eq!(all.hits(Who::Steward(4), Who::Keeper(1)), Some(Way::Both));
+    let fault = Fault {
+        peer: Some(ProcessId::TraceStore),
+        direction: Direction::Forward,
+        ..Fault::new(0.0, FaultKind::Partition, ProcessId::Worker(1), 1.0)
+    };
+    assert_eq!(
+        fault.direction_on_link(ProcessId::Worker(1), ProcessId::TraceStore),
+        Some(Direction::Forward)
+    );
+    assert_eq!(fault.direction_on_link(ProcessId::Worker(2), ProcessId::TraceStore), None);
+    let turned = Fault {
+        peer: Some(ProcessId::Worker(1)),
+        direction: Direction::Forward,
+        ..Fault::new(0.0, FaultKind::Partition, ProcessId::TraceStore, 1.0)
+    };
+    assert_eq!(
+        turned.direction_on_link(ProcessId::Worker(1), ProcessId::TraceStore),
+        Some(Direction::Reverse)
+    );
+    let all = Fault::new(0.0, FaultKind::Partition, ProcessId::Replica(1), 1.0);
+    assert_eq!(all.direction_on_link(ProcessId::Worker(4), ProcessId::Replica(1)), Some(Direction::Both));
 }
--- a/crates/proving/src/shrink.rs
+++ b/crates/proving/src/shrink.rs
@@ -30,9 +30,9 @@
     }
     // What is left is needed; shorter may do.
     for at in 0..best.faults.len() {
-        while best.faults[at].span > 0.2 {
+        while best.faults[at].duration > 0.2 {
             let mut shorter = best.clone();
-            shorter.faults[at].span = (best.faults[at].span / 2.0 * 100.0).round() / 100.0;
+            shorter.faults[at].duration = (best.faults[at].duration / 2.0 * 100.0).round() / 100.0;
             let (failed, go_on) = ask(&shorter);
             if !go_on {
                 return best;
--- a/crates/proving/src/shrink/tests.rs
+++ b/crates/proving/src/shrink/tests.rs
@@ -1,16 +1,17 @@
 use super::*;
-use crate::schedule::{What, Who};
+use crate::schedule::{FaultKind, ProcessId};
 
 fn twelve() -> Schedule {
-    let fault = |at: usize| Fault::new(at as f64, What::Pause, Who::Steward(1 + at % 3), 4.0);
+    let fault = |at: usize| Fault::new(at as f64, FaultKind::Pause, ProcessId::Worker(1 + at % 3), 4.0);
     Schedule { faults: (0..12).map(fault).collect(), ..Schedule::default() }
 }
 
 #[test]
 fn two_faults_that_are_needed_together_are_what_is_left() {
-    let needs = |at: f64, schedule: &Schedule| schedule.faults.iter().any(|f| f.at == at && f.span >= 1.0);
+    let needs =
+        |at: f64, schedule: &Schedule| schedule.faults.iter().any(|f| f.start == at && f.duration >= 1.0);
     let least = shrink(&twelve(), 1000, |schedule| needs(2.0, schedule) && needs(9.0, schedule));
-    let left: Vec<(f64, f64)> = least.faults.iter().map(|fault| (fault.at, fault.span)).collect();
+    let left: Vec<(f64, f64)> = least.faults.iter().map(|fault| (fault.start, fault.duration)).collect();
     assert_eq!(left, [(2.0, 1.0), (9.0, 1.0)]);
 }
 
--- a/crates/proving/src/picture.rs
+++ b/crates/proving/src/timeline.rs
@@ -1,6 +1,6 @@
 //! A run as a picture: who owned which part when, and what was done to whom meanwhile.
 
-use crate::history::{Happened, History};
+use crate::history::{History, HistoryEvent};
 use plotters::prelude::*;
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::protocol::Event;
@@ -30,7 +30,7 @@
     let mut open: BTreeMap<u64, (String, f64, String)> = BTreeMap::new();
     let mut seen: BTreeMap<(u64, u8), ()> = BTreeMap::new();
     let mut lines: BTreeMap<String, Vec<Stretch>> = BTreeMap::new();
-    for (entry, event) in history.told() {
+    for (entry, event) in history.events() {
         let Event::Change(change) = event else { continue };
         if seen.insert((change.epoch, change.kind as u8), ()).is_some() {
             continue;
@@ -58,15 +58,15 @@
 fn faults(history: &History, end: f64) -> BTreeMap<String, Vec<Stretch>> {
     let mut lines: BTreeMap<String, Vec<Stretch>> = BTreeMap::new();
     for entry in &history.entries {
-        match &entry.what {
-            Happened::Begun { fault } => {
+        match &entry.event {
+            HistoryEvent::FaultStarted { fault } => {
                 let what = fault.split(' ').next().unwrap_or_default().to_string();
                 if !["rate", "wall"].contains(&what.as_str()) {
-                    lines.entry(entry.who.clone()).or_default().push((entry.at, end, what));
+                    lines.entry(entry.process.clone()).or_default().push((entry.at, end, what));
                 }
             }
-            Happened::Healed { fault } => {
-                let line = lines.entry(entry.who.clone()).or_default();
+            HistoryEvent::FaultEnded { fault } => {
+                let line = lines.entry(entry.process.clone()).or_default();
                 let what = fault.split(' ').next().unwrap_or_default();
                 if let Some(open) = line.iter_mut().find(|(_, until, of)| *until == end && of == what) {
                     open.1 = entry.at;
@@ -79,7 +79,7 @@
 }
 
 /// Draws it, as SVG.
-pub fn draw(title: &str, history: &History) -> Result<String, Box<dyn std::error::Error>> {
+pub fn render_svg(title: &str, history: &History) -> Result<String, Box<dyn std::error::Error>> {
     let end = history.entries.last().map_or(1.0, |entry| entry.at).max(0.1);
     let (owners, faults) = (owners(history, end), faults(history, end));
     let mut names: Vec<String> = owners.values().flatten().map(|(.., whose)| whose.clone()).collect();
@@ -131,7 +131,7 @@
             row += 1;
         }
         // Effects that came late and were refused.
-        for (entry, event) in history.told() {
+        for (entry, event) in history.events() {
             let Event::EffectChecked { task: duty, verdict: Verdict::Stale { .. }, block: Some(_), .. } =
                 event
             else {
--- a/crates/proving/src/rows.rs
+++ b/crates/proving/src/trace_rows.rs
@@ -15,9 +15,9 @@
 
 /// How often each row stands somewhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rows(BTreeMap<Known, u32>);
+pub struct RowCounts(BTreeMap<Known, u32>);
 
-impl Rows {
+impl RowCounts {
     pub fn len(&self) -> usize {
         self.0.values().map(|count| *count as usize).sum()
     }
@@ -30,8 +30,8 @@
         *self.0.entry(known).or_default() += 1;
     }
 
-    /// Rows that stand here and not there, and that stand there more often than here.
-    pub fn against(&self, other: &Rows) -> (usize, usize) {
+    /// RowCounts that stand here and not there, and that stand there more often than here.
+    pub fn missing_and_extra(&self, other: &RowCounts) -> (usize, usize) {
         let missing =
             self.0.iter().filter(|(known, count)| other.0.get(*known).copied().unwrap_or(0) < **count);
         let extra =
@@ -39,11 +39,11 @@
         (missing.count(), extra.count())
     }
 
-    pub fn read(path: &Path) -> Result<Rows, String> {
+    pub fn read(path: &Path) -> Result<RowCounts, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let file = BufReader::new(File::open(path).map_err(|e| failed(&e))?);
         let mut trace = Trace::open(file).map_err(|e| failed(&e))?;
-        let (mut names, mut rows, mut all) = (Names::default(), Vec::new(), Rows::default());
+        let (mut names, mut rows, mut all) = (Names::default(), Vec::new(), RowCounts::default());
         for entry in trace.entries.clone().iter().filter(|entry| entry.kind == Kind::Rows) {
             rows.clear();
             trace.rows(entry, &mut names, &mut rows).map_err(|e| failed(&e))?;
@@ -54,7 +54,13 @@
 }
 
 /// Writes a sealed file of one server into its folder, under another name first, so that nobody finds half of it. Each file has times of its own.
-pub fn write(folder: &Path, server: &str, serial: u64, blocks: usize, all: &mut Rows) -> std::io::Result<()> {
+pub fn write_trace_file(
+    folder: &Path,
+    server: &str,
+    serial: u64,
+    blocks: usize,
+    all: &mut RowCounts,
+) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let from = 1_767_225_600_000_000 + serial as i64 * 3_600_000_000;
     let told = Synth {
