--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -12,65 +12,65 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
     /// An epoch was given to two, or a duty's epochs did not rise.
-    EpochTwice {
+    EpochReused {
         epoch: Epoch,
         first: String,
-        then: String,
+        second: String,
     },
-    EpochFell {
-        duty: Task,
+    EpochDecreased {
+        task: Task,
         from: Epoch,
         to: Epoch,
     },
     /// Keepers saw different things under one epoch.
-    KeepersDiffer {
-        keeper: String,
+    ReplicasDisagree {
+        replica: String,
         epoch: Epoch,
     },
     /// Two keepers led in one term.
-    TwoLead {
+    TwoLeaders {
         term: u64,
-        one: String,
-        other: String,
+        first: String,
+        second: String,
     },
     /// An effect stood though its fence had seen a later epoch.
-    LateLanded {
-        duty: Task,
+    StaleEffectAccepted {
+        task: Task,
         epoch: Epoch,
-        seen: Epoch,
-        piece: String,
+        latest: Epoch,
+        block: String,
     },
     /// An effect stood under an epoch that nobody was given, or that another part was.
-    NobodysEpoch {
-        duty: Task,
+    UngrantedEpoch {
+        task: Task,
         epoch: Epoch,
     },
     /// Effects of one epoch did not stand in their order.
-    OutOfOrder {
-        duty: Task,
+    EffectOutOfOrder {
+        task: Task,
         epoch: Epoch,
         number: u64,
     },
-    PieceTwice {
-        piece: String,
+    BlockAcceptedTwice {
+        block: String,
     },
     /// What servers went by summed to more than the quota.
-    OverQuota {
+    QuotaExceeded {
         at: f64,
         sum: f64,
         quota: f64,
     },
     /// More servers were away by a turn than may.
-    TooManyAway {
+    TooManyDraining {
         at: f64,
         zone: Option<String>,
-        away: usize,
-        most: usize,
+        draining: usize,
+        limit: usize,
     },
     /// An instance said that it began with a grant that another was given.
-    NotGiven {
-        owner: HolderId,
-        duty: Task,
+    LeaseNotGranted {
+        holder: HolderId,
+        task: Task,
         epoch: Epoch,
     },
 }
@@ -78,40 +78,44 @@
 impl fmt::Display for Violation {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Violation::EpochTwice { epoch, first, then } => {
-                write!(out, "epoch {epoch} was given twice: {first}, then {then}")
+            Violation::EpochReused { epoch, first, second } => {
+                write!(out, "epoch {epoch} was given twice: {first}, then {second}")
+            }
+            Violation::EpochDecreased { task, from, to } => {
+                write!(out, "{task}: epochs fell from {from} to {to}")
+            }
+            Violation::ReplicasDisagree { replica, epoch } => {
+                write!(out, "{replica} saw something else under epoch {epoch} than another keeper")
             }
-            Violation::EpochFell { duty, from, to } => write!(out, "{duty}: epochs fell from {from} to {to}"),
-            Violation::KeepersDiffer { keeper, epoch } => {
-                write!(out, "{keeper} saw something else under epoch {epoch} than another keeper")
+            Violation::TwoLeaders { term, first, second } => {
+                write!(out, "{first} and {second} led in term {term}")
             }
-            Violation::TwoLead { term, one, other } => write!(out, "{one} and {other} led in term {term}"),
-            Violation::LateLanded { duty, epoch, seen, piece } => {
-                write!(out, "{duty}: {piece} landed under epoch {epoch} though {seen} had been seen")
+            Violation::StaleEffectAccepted { task, epoch, latest, block } => {
+                write!(out, "{task}: {block} landed under epoch {epoch} though {latest} had been seen")
             }
-            Violation::NobodysEpoch { duty, epoch } => {
-                write!(out, "{duty}: an effect landed under epoch {epoch}, which nobody was given for it")
+            Violation::UngrantedEpoch { task, epoch } => {
+                write!(out, "{task}: an effect landed under epoch {epoch}, which nobody was given for it")
             }
-            Violation::OutOfOrder { duty, epoch, number } => {
-                write!(out, "{duty}: effect {number} of epoch {epoch} landed out of its order")
+            Violation::EffectOutOfOrder { task, epoch, number } => {
+                write!(out, "{task}: effect {number} of epoch {epoch} landed out of its order")
             }
-            Violation::PieceTwice { piece } => write!(out, "{piece} was taken twice"),
-            Violation::OverQuota { at, sum, quota } => {
+            Violation::BlockAcceptedTwice { block } => write!(out, "{block} was taken twice"),
+            Violation::QuotaExceeded { at, sum, quota } => {
                 write!(out, "at {at:.3} s servers went by {sum:.3} of a quota of {quota}")
             }
-            Violation::TooManyAway { at, zone, away, most } => {
+            Violation::TooManyDraining { at, zone, draining, limit } => {
                 let zone = zone.as_deref().unwrap_or("the fleet");
-                write!(out, "at {at:.3} s {away} servers of {zone} were away by a turn, {most} may be")
+                write!(out, "at {at:.3} s {draining} servers of {zone} were away by a turn, {limit} may be")
             }
-            Violation::NotGiven { owner, duty, epoch } => {
-                write!(out, "{owner} began with {duty} under epoch {epoch}, which it was not given")
+            Violation::LeaseNotGranted { holder, task, epoch } => {
+                write!(out, "{holder} began with {task} under epoch {epoch}, which it was not given")
             }
         }
     }
 }
 
 /// Effects of one owner that a fence may have written and not told when it was killed: an owner brings one after the other.
-const UNTOLD: u64 = 1;
+const MAX_UNREPORTED_EFFECTS: u64 = 1;
 
 /// What a history held, so that a run in which nothing was tried is told from one in which nothing went wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -142,19 +146,19 @@
 /// Reads a whole history.
 pub fn check(history: &History) -> (Counts, Vec<Violation>) {
     let mut counts = Counts::default();
-    let mut broken = Vec::new();
-    let given = grants(history, &mut counts, &mut broken);
-    leaders(history, &mut counts, &mut broken);
-    fence(history, &given, &mut counts, &mut broken);
+    let mut violations = Vec::new();
+    let granted = grants(history, &mut counts, &mut violations);
+    leaders(history, &mut counts, &mut violations);
+    fence(history, &granted, &mut counts, &mut violations);
     for (_, event) in history.events() {
-        if let Event::LeaseStarted { holder: owner, task: duty, epoch } = event {
-            if given.get(epoch) != Some(&(duty.clone(), owner.clone())) {
-                let (owner, duty, epoch) = (owner.clone(), duty.clone(), *epoch);
-                broken.push(Violation::NotGiven { owner, duty, epoch });
+        if let Event::LeaseStarted { holder, task, epoch } = event {
+            if granted.get(epoch) != Some(&(task.clone(), holder.clone())) {
+                let (holder, task, epoch) = (holder.clone(), task.clone(), *epoch);
+                violations.push(Violation::LeaseNotGranted { holder, task, epoch });
             }
         }
     }
-    (counts, broken)
+    (counts, violations)
 }
 
 /// What servers went by at each moment, by the machine's own clock: it never sums to more than the quota. A server that starts anew knows of no part and
@@ -162,45 +166,54 @@
 pub fn check_quota(history: &History, quota: f64, span: f64, counts: &mut Counts) -> Option<Violation> {
     /// A server's rate from a moment on: until when, and what then.
     #[derive(Clone, Copy)]
-    struct Goes {
+    struct AppliedRate {
         rate: f64,
         until: f64,
-        then: f64,
-        anew: f64,
+        rate_after: f64,
+        restart_until: f64,
     }
     /// One event: when, whose, in which life.
-    struct Told<'a> {
+    struct QuotaEvent<'a> {
         at: f64,
-        who: &'a str,
-        life: u32,
+        process: &'a str,
+        incarnation: u32,
         rate: f64,
-        equal: f64,
+        equal_share: f64,
         until: Option<f64>,
     }
-    let mut all: Vec<Told> = Vec::new();
+    let mut events: Vec<QuotaEvent> = Vec::new();
     for (entry, event) in history.events() {
-        if let Event::QuotaApplied { rate, equal_share: equal, at, valid_until: until, .. } = event {
+        if let Event::QuotaApplied { rate, equal_share, at, valid_until: until, .. } = event {
             counts.quota_parts += u64::from(until.is_some());
-            let (at, rate, equal, until) = (*at, *rate, *equal, *until);
-            all.push(Told { at, who: &entry.process, life: entry.incarnation, rate, equal, until });
+            let (at, rate, equal_share, until) = (*at, *rate, *equal_share, *until);
+            events.push(QuotaEvent {
+                at,
+                process: &entry.process,
+                incarnation: entry.incarnation,
+                rate,
+                equal_share,
+                until,
+            });
         }
     }
-    all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let begun = all.first().map_or(0.0, |first| first.at);
-    let mut now: BTreeMap<&str, Goes> = BTreeMap::new();
-    let mut lives: BTreeMap<&str, u32> = BTreeMap::new();
-    for Told { at, who, life, rate, equal, until } in all {
-        let restarted = lives.insert(who, life).is_some_and(|before| before < life);
+    events.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let first_at = events.first().map_or(0.0, |first| first.at);
+    let mut applied_rates: BTreeMap<&str, AppliedRate> = BTreeMap::new();
+    let mut incarnations: BTreeMap<&str, u32> = BTreeMap::new();
+    for QuotaEvent { at, process, incarnation, rate, equal_share, until } in events {
+        let restarted = incarnations.insert(process, incarnation).is_some_and(|before| before < incarnation);
         let until = until.unwrap_or(f64::MAX);
-        let before = now.get(who).map_or(f64::MIN, |goes| goes.anew);
-        let anew = if restarted { at + 3.0 * span } else { before };
-        now.insert(who, Goes { rate, until, then: rate.min(equal), anew });
-        let goes = |goes: &Goes| if at < goes.until { goes.rate } else { goes.then };
-        let sum: f64 = now.values().map(goes).sum();
-        let anew = now.values().filter(|goes| at < goes.anew).count() as f64;
-        let bound = quota * 1.0001 + anew * equal;
+        let before = applied_rates.get(process).map_or(f64::MIN, |applied| applied.restart_until);
+        let restart_until = if restarted { at + 3.0 * span } else { before };
+        applied_rates
+            .insert(process, AppliedRate { rate, until, rate_after: rate.min(equal_share), restart_until });
+        let rate_at =
+            |applied: &AppliedRate| if at < applied.until { applied.rate } else { applied.rate_after };
+        let sum: f64 = applied_rates.values().map(rate_at).sum();
+        let restarting = applied_rates.values().filter(|applied| at < applied.restart_until).count() as f64;
+        let bound = quota * 1.0001 + restarting * equal_share;
         if sum > bound {
-            return Some(Violation::OverQuota { at: at - begun, sum, quota });
+            return Some(Violation::QuotaExceeded { at: at - first_at, sum, quota });
         }
     }
     None
@@ -209,23 +222,26 @@
 /// Servers away by a turn, from their leave to the next life's beginning, in all and by zone.
 pub fn check_drain_slots(
     history: &History,
-    most: usize,
-    of_zone: &BTreeMap<String, usize>,
+    limit: usize,
+    zone_limits: &BTreeMap<String, usize>,
     counts: &mut Counts,
 ) -> Option<Violation> {
-    let mut away: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut draining: BTreeMap<&str, &str> = BTreeMap::new();
     for (entry, event) in history.events() {
         match event {
-            Event::Ready { .. } => drop(away.remove(entry.process.as_str())),
+            Event::Ready { .. } => drop(draining.remove(entry.process.as_str())),
             Event::ServerDraining { zone, slot_epoch: Some(_) } => {
                 counts.drain_slots += 1;
-                away.insert(&entry.process, zone);
-                let here = away.values().filter(|of| **of == zone).count();
-                let may = of_zone.get(zone).copied().unwrap_or(usize::MAX);
-                if away.len() > most || here > may {
-                    let (zone, away, most) =
-                        if here > may { (Some(zone.clone()), here, may) } else { (None, away.len(), most) };
-                    return Some(Violation::TooManyAway { at: entry.at, zone, away, most });
+                draining.insert(&entry.process, zone);
+                let in_zone = draining.values().filter(|of| **of == zone).count();
+                let zone_limit = zone_limits.get(zone).copied().unwrap_or(usize::MAX);
+                if draining.len() > limit || in_zone > zone_limit {
+                    let (zone, draining, limit) = if in_zone > zone_limit {
+                        (Some(zone.clone()), in_zone, zone_limit)
+                    } else {
+                        (None, draining.len(), limit)
+                    };
+                    return Some(Violation::TooManyDraining { at: entry.at, zone, draining, limit });
                 }
             }
             _ => {}
@@ -238,10 +254,10 @@
 fn grants(
     history: &History,
     counts: &mut Counts,
-    broken: &mut Vec<Violation>,
+    violations: &mut Vec<Violation>,
 ) -> BTreeMap<Epoch, (Task, HolderId)> {
     let mut seen: BTreeMap<(Epoch, u8), &Change> = BTreeMap::new();
-    let mut given = BTreeMap::new();
+    let mut granted = BTreeMap::new();
     let mut highest: BTreeMap<(&str, u32, &Task), Epoch> = BTreeMap::new();
     for (entry, event) in history.events() {
         let Event::Change(change) = event else { continue };
@@ -250,37 +266,37 @@
             Some(first) if *first == change => {}
             Some(first) if change.kind == ChangeKind::Granted => {
                 let text = |change: &Change| format!("{} to {}", change.task, change.holder);
-                let (first, then) = (text(first), text(change));
-                broken.push(Violation::EpochTwice { epoch: change.epoch, first, then });
+                let (first, second) = (text(first), text(change));
+                violations.push(Violation::EpochReused { epoch: change.epoch, first, second });
             }
             Some(_) => {
-                let (keeper, epoch) = (entry.process.clone(), change.epoch);
-                broken.push(Violation::KeepersDiffer { keeper, epoch });
+                let (replica, epoch) = (entry.process.clone(), change.epoch);
+                violations.push(Violation::ReplicasDisagree { replica, epoch });
             }
         }
         if change.kind == ChangeKind::Granted {
-            if given.insert(change.epoch, (change.task.clone(), change.holder.clone())).is_none() {
+            if granted.insert(change.epoch, (change.task.clone(), change.holder.clone())).is_none() {
                 counts.grants += 1;
             }
             let last = highest.entry((&entry.process, entry.incarnation, &change.task)).or_default();
             if change.epoch <= *last {
-                let (duty, from, to) = (change.task.clone(), *last, change.epoch);
-                broken.push(Violation::EpochFell { duty, from, to });
+                let (task, from, to) = (change.task.clone(), *last, change.epoch);
+                violations.push(Violation::EpochDecreased { task, from, to });
             }
             *last = change.epoch;
         }
     }
-    given
+    granted
 }
 
-fn leaders(history: &History, counts: &mut Counts, broken: &mut Vec<Violation>) {
-    let mut of: BTreeMap<u64, &str> = BTreeMap::new();
+fn leaders(history: &History, counts: &mut Counts, violations: &mut Vec<Violation>) {
+    let mut leader_by_term: BTreeMap<u64, &str> = BTreeMap::new();
     for (entry, event) in history.events() {
         let Event::BecameLeader { term, .. } = event else { continue };
-        match of.insert(*term, &entry.process) {
+        match leader_by_term.insert(*term, &entry.process) {
             Some(one) if one != entry.process => {
-                let (one, other) = (one.to_string(), entry.process.clone());
-                broken.push(Violation::TwoLead { term: *term, one, other });
+                let (first, second) = (one.to_string(), entry.process.clone());
+                violations.push(Violation::TwoLeaders { term: *term, first, second });
             }
             Some(_) => {}
             None => counts.leaders += 1,
@@ -291,53 +307,62 @@
 /// What the fence let stand, in the order in which it did.
 fn fence(
     history: &History,
-    given: &BTreeMap<Epoch, (Task, HolderId)>,
+    granted: &BTreeMap<Epoch, (Task, HolderId)>,
     counts: &mut Counts,
-    broken: &mut Vec<Violation>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut seen: BTreeMap<&Task, (Epoch, u64)> = BTreeMap::new();
-    let mut lives: BTreeMap<&Task, u32> = BTreeMap::new();
+    let mut incarnations: BTreeMap<&Task, u32> = BTreeMap::new();
     let mut pieces: BTreeSet<&str> = BTreeSet::new();
     for (entry, event) in history.events() {
-        let Event::EffectChecked { task: duty, epoch, number, block: piece, verdict } = event else {
+        let Event::EffectChecked { task, epoch, number, block, verdict } = event else {
             continue;
         };
         match verdict {
-            Verdict::Stale { .. } => counts.stale_effects += u64::from(piece.is_some()),
-            Verdict::Duplicate if piece.is_some() => counts.duplicate_effects += 1,
+            Verdict::Stale { .. } => counts.stale_effects += u64::from(block.is_some()),
+            Verdict::Duplicate if block.is_some() => counts.duplicate_effects += 1,
             _ => {}
         }
-        let last = seen.entry(duty).or_default();
-        let life = lives.insert(duty, entry.incarnation).unwrap_or(entry.incarnation);
-        if *verdict == Verdict::Duplicate && piece.is_none() && entry.incarnation > life {
+        let last = seen.entry(task).or_default();
+        let incarnation = incarnations.insert(task, entry.incarnation).unwrap_or(entry.incarnation);
+        if *verdict == Verdict::Duplicate && block.is_none() && entry.incarnation > incarnation {
             // Killed between disk and answer: what it wrote last it never told, and says now that it stands.
-            let told = (*epoch, *number);
-            if told >= *last && (epoch > &last.0 || number - last.1 <= UNTOLD) {
-                *last = told;
+            let reported = (*epoch, *number);
+            if reported >= *last && (epoch > &last.0 || number - last.1 <= MAX_UNREPORTED_EFFECTS) {
+                *last = reported;
             }
         }
         if *verdict != Verdict::New {
             continue;
         }
         if *epoch < last.0 {
-            let piece = piece.clone().unwrap_or_else(|| "an announcement".into());
-            broken.push(Violation::LateLanded { duty: duty.clone(), epoch: *epoch, seen: last.0, piece });
+            let block = block.clone().unwrap_or_else(|| "an announcement".into());
+            violations.push(Violation::StaleEffectAccepted {
+                task: task.clone(),
+                epoch: *epoch,
+                latest: last.0,
+                block,
+            });
             continue;
         }
-        if given.get(epoch).is_none_or(|(of, _)| of != duty) {
-            broken.push(Violation::NobodysEpoch { duty: duty.clone(), epoch: *epoch });
+        if granted.get(epoch).is_none_or(|(of, _)| of != task) {
+            violations.push(Violation::UngrantedEpoch { task: task.clone(), epoch: *epoch });
         }
-        let Some(piece) = piece else {
+        let Some(block) = block else {
             *last = (*epoch, 0);
             continue;
         };
         counts.effects += 1;
         if (*epoch, *number) != (last.0, last.1 + 1) {
-            broken.push(Violation::OutOfOrder { duty: duty.clone(), epoch: *epoch, number: *number });
+            violations.push(Violation::EffectOutOfOrder {
+                task: task.clone(),
+                epoch: *epoch,
+                number: *number,
+            });
         }
         *last = (*epoch, *number);
-        if !pieces.insert(piece) {
-            broken.push(Violation::PieceTwice { piece: piece.clone() });
+        if !pieces.insert(block) {
+            violations.push(Violation::BlockAcceptedTwice { block: block.clone() });
         }
     }
 }
--- a/crates/proving/src/check/tests.rs
+++ b/crates/proving/src/check/tests.rs
@@ -2,116 +2,109 @@
 use crate::history::HistoryEvent;
 use puffinladder_leases::table::Cause;
 
-fn duty() -> Task {
+fn task() -> Task {
     Task::new("gather", 0)
 }
 
-fn given(epoch: Epoch, to: &str) -> Event {
-    let (at, duty, owner) = (epoch as f64, duty(), HolderId::new(to, 1));
-    Event::Change(Change {
-        at,
-        task: duty,
-        holder: owner,
-        epoch,
-        kind: ChangeKind::Granted,
-        cause: Cause::Vacant,
-    })
+fn granted(epoch: Epoch, to: &str) -> Event {
+    let (at, task, holder) = (epoch as f64, task(), HolderId::new(to, 1));
+    Event::Change(Change { at, task, holder, epoch, kind: ChangeKind::Granted, cause: Cause::Vacant })
 }
 
-fn judged(epoch: Epoch, number: u64, piece: Option<&str>, verdict: Verdict) -> Event {
-    Event::EffectChecked { task: duty(), epoch, number, block: piece.map(String::from), verdict }
+fn effect_checked(epoch: Epoch, number: u64, block: Option<&str>, verdict: Verdict) -> Event {
+    Event::EffectChecked { task: task(), epoch, number, block: block.map(String::from), verdict }
 }
 
 fn history(events: Vec<(&str, Event)>) -> History {
     let mut history = History::default();
-    for (who, event) in events {
-        history.record(0.0, who, 1, HistoryEvent::Reported(event));
+    for (process, event) in events {
+        history.record(0.0, process, 1, HistoryEvent::Reported(event));
     }
     history
 }
 
 /// A sound beginning: two owners after each other, the first one late in the end.
-fn sound() -> Vec<(&'static str, Event)> {
+fn valid_events() -> Vec<(&'static str, Event)> {
     vec![
-        ("k1", given(1, "s1")),
-        ("k2", given(1, "s1")),
-        ("s1", Event::LeaseStarted { holder: HolderId::new("s1", 1), task: duty(), epoch: 1 }),
-        ("archive", judged(1, 0, None, Verdict::New)),
-        ("archive", judged(1, 1, Some("a#0"), Verdict::New)),
-        ("k1", given(2, "s2")),
-        ("archive", judged(2, 0, None, Verdict::New)),
-        ("archive", judged(1, 2, Some("a#1"), Verdict::Stale { latest: 2 })),
-        ("archive", judged(2, 1, Some("a#1"), Verdict::New)),
+        ("k1", granted(1, "s1")),
+        ("k2", granted(1, "s1")),
+        ("s1", Event::LeaseStarted { holder: HolderId::new("s1", 1), task: task(), epoch: 1 }),
+        ("archive", effect_checked(1, 0, None, Verdict::New)),
+        ("archive", effect_checked(1, 1, Some("a#0"), Verdict::New)),
+        ("k1", granted(2, "s2")),
+        ("archive", effect_checked(2, 0, None, Verdict::New)),
+        ("archive", effect_checked(1, 2, Some("a#1"), Verdict::Stale { latest: 2 })),
+        ("archive", effect_checked(2, 1, Some("a#1"), Verdict::New)),
     ]
 }
 
 #[test]
 fn a_sound_history_passes_and_says_what_was_tried() {
-    let (counts, broken) = check(&history(sound()));
-    assert_eq!(broken, []);
+    let (counts, violations) = check(&history(valid_events()));
+    assert_eq!(violations, []);
     assert_eq!((counts.grants, counts.effects, counts.stale_effects), (2, 2, 1));
 }
 
 #[test]
 fn what_a_killed_archive_had_written_and_not_told_is_no_hole_but_more_than_that_is() {
-    for (number, sound_still) in [(2, true), (3, false)] {
-        let mut history = history(sound());
+    for (number, valid) in [(2, true), (3, false)] {
+        let mut history = history(valid_events());
         history.record(
             1.0,
             "archive",
             2,
-            HistoryEvent::Reported(judged(2, number, None, Verdict::Duplicate)),
+            HistoryEvent::Reported(effect_checked(2, number, None, Verdict::Duplicate)),
         );
-        let next = judged(2, number + 1, Some("a#9"), Verdict::New);
+        let next = effect_checked(2, number + 1, Some("a#9"), Verdict::New);
         history.record(1.0, "archive", 2, HistoryEvent::Reported(next));
-        assert_eq!(check(&history).1.is_empty(), sound_still, "{number}");
+        assert_eq!(check(&history).1.is_empty(), valid, "{number}");
     }
 }
 
 #[test]
 fn rates_that_sum_to_more_than_the_quota_are_found_at_their_moment() {
-    let goes = |rate, at, until| Event::QuotaApplied {
+    let applied = |rate, at, until| Event::QuotaApplied {
         tenant: "a".into(),
         rate,
         equal_share: 50.0,
         at,
         valid_until: until,
     };
-    let sound = vec![
-        ("n1", goes(50.0, 0.0, None)),
-        ("n2", goes(50.0, 0.0, None)),
-        ("n2", goes(20.0, 1.0, Some(3.0))),
-        ("n1", goes(80.0, 1.5, Some(3.5))),
+    let valid_events = vec![
+        ("n1", applied(50.0, 0.0, None)),
+        ("n2", applied(50.0, 0.0, None)),
+        ("n2", applied(20.0, 1.0, Some(3.0))),
+        ("n1", applied(80.0, 1.5, Some(3.5))),
     ];
     let mut counts = Counts::default();
-    assert_eq!(check_quota(&history(sound.clone()), 100.0, 2.0, &mut counts), None);
+    assert_eq!(check_quota(&history(valid_events.clone()), 100.0, 2.0, &mut counts), None);
     assert_eq!(counts.quota_parts, 2);
     // Told late, though it ran out in time: n1 goes by no more than the equal share by then.
-    let late = [sound.clone(), vec![("n2", goes(50.0, 5.0, None))]].concat();
+    let late = [valid_events.clone(), vec![("n2", applied(50.0, 5.0, None))]].concat();
     assert_eq!(check_quota(&history(late), 100.0, 2.0, &mut counts), None);
-    let over = [sound, vec![("n2", goes(30.0, 2.0, Some(4.0)))]].concat();
+    let over = [valid_events, vec![("n2", applied(30.0, 2.0, Some(4.0)))]].concat();
     let found = check_quota(&history(over), 100.0, 2.0, &mut counts).unwrap();
-    assert_eq!(found, Violation::OverQuota { at: 2.0, sum: 110.0, quota: 100.0 });
+    assert_eq!(found, Violation::QuotaExceeded { at: 2.0, sum: 110.0, quota: 100.0 });
 }
 
 #[test]
 fn more_away_by_a_turn_than_may_is_found() {
-    let leaves = |zone: &str, by| Event::ServerDraining { zone: zone.into(), slot_epoch: by };
+    let draining = |zone: &str, by| Event::ServerDraining { zone: zone.into(), slot_epoch: by };
     let ready = || Event::Ready { listen: String::new() };
     let zones = BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 2)]);
-    let sound = vec![
-        ("n1", leaves("a", Some(1))),
-        ("n2", leaves("a", None)),
-        ("n3", leaves("b", Some(1))),
+    let valid_events = vec![
+        ("n1", draining("a", Some(1))),
+        ("n2", draining("a", None)),
+        ("n3", draining("b", Some(1))),
         ("n1", ready()),
-        ("n4", leaves("a", Some(1))),
+        ("n4", draining("a", Some(1))),
     ];
     let mut counts = Counts::default();
-    assert_eq!(check_drain_slots(&history(sound.clone()), 2, &zones, &mut counts), None);
+    assert_eq!(check_drain_slots(&history(valid_events.clone()), 2, &zones, &mut counts), None);
     assert_eq!(counts.drain_slots, 3);
-    let all = [sound.clone(), vec![("n5", leaves("b", Some(1)))]].concat();
+    let all = [valid_events.clone(), vec![("n5", draining("b", Some(1)))]].concat();
     assert!(check_drain_slots(&history(all), 2, &zones, &mut counts).is_some());
-    let zone = [sound, vec![("n3", ready()), ("n6", leaves("a", Some(2)))]].concat();
+    let zone = [valid_events, vec![("n3", ready()), ("n6", draining("a", Some(2)))]].concat();
     assert!(check_drain_slots(&history(zone), 9, &zones, &mut counts)
         .unwrap()
         .to_string()
@@ -121,20 +114,23 @@
 #[test]
 fn each_kind_of_harm_is_found() {
     let leads = |keeper, term| Event::BecameLeader { replica: keeper, term };
-    let begin = |name: &str| Event::LeaseStarted { holder: HolderId::new(name, 1), task: duty(), epoch: 2 };
-    let harms: Vec<(Vec<(&str, Event)>, &str)> = vec![
-        (vec![("archive", judged(1, 2, Some("a#2"), Verdict::New))], "though 2 had been seen"),
-        (vec![("archive", judged(1, 0, None, Verdict::New))], "an announcement landed"),
-        (vec![("archive", judged(2, 3, Some("a#2"), Verdict::New))], "out of its order"),
-        (vec![("archive", judged(2, 2, Some("a#1"), Verdict::New))], "taken twice"),
-        (vec![("archive", judged(9, 0, None, Verdict::New))], "which nobody was given"),
-        (vec![("k3", given(2, "s3"))], "epoch 2 was given twice"),
-        (vec![("k1", given(2, "s2"))], "epochs fell from 2 to 2"),
+    let begin = |name: &str| Event::LeaseStarted { holder: HolderId::new(name, 1), task: task(), epoch: 2 };
+    let cases: Vec<(Vec<(&str, Event)>, &str)> = vec![
+        (vec![("archive", effect_checked(1, 2, Some("a#2"), Verdict::New))], "though 2 had been seen"),
+        (vec![("archive", effect_checked(1, 0, None, Verdict::New))], "an announcement landed"),
+        (vec![("archive", effect_checked(2, 3, Some("a#2"), Verdict::New))], "out of its order"),
+        (vec![("archive", effect_checked(2, 2, Some("a#1"), Verdict::New))], "taken twice"),
+        (vec![("archive", effect_checked(9, 0, None, Verdict::New))], "which nobody was given"),
+        (vec![("k3", granted(2, "s3"))], "epoch 2 was given twice"),
+        (vec![("k1", granted(2, "s2"))], "epochs fell from 2 to 2"),
         (vec![("k1", leads(1, 5)), ("k2", leads(2, 5))], "k1 and k2 led in term 5"),
         (vec![("s1", begin("s1"))], "which it was not given"),
     ];
-    for (harm, wanted) in harms {
-        let (_, broken) = check(&history([sound(), harm].concat()));
-        assert!(broken.iter().any(|one| one.to_string().contains(wanted)), "{wanted}: {broken:?}");
+    for (events, wanted) in cases {
+        let (_, violations) = check(&history([valid_events(), events].concat()));
+        assert!(
+            violations.iter().any(|violation| violation.to_string().contains(wanted)),
+            "{wanted}: {violations:?}"
+        );
     }
 }
--- a/crates/proving/src/linearizability.rs
+++ b/crates/proving/src/linearizability.rs
@@ -6,53 +6,59 @@
 
 /// What an operator did, in the order in which things began and ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    Asks {
-        who: u64,
+pub enum OperationStep {
+    Invoked {
+        operator: u64,
         pause: Option<bool>,
     },
     /// A read's answer, or that a command was carried out.
-    Answered {
-        who: u64,
+    Returned {
+        operator: u64,
         paused: Option<bool>,
     },
     /// What was asked last was not carried out, or was a read that nobody answered: as if it had never been asked.
-    Never {
-        who: u64,
+    Discarded {
+        operator: u64,
     },
 }
 
 /// Operations of which it is not known whether they were carried out, beyond which a history is too wide to be searched.
-pub const UNKNOWN: usize = 6;
+pub const MAX_UNKNOWN_OUTCOMES: usize = 6;
 
 /// The steps without what was never carried out.
-fn asked(steps: &[Step]) -> Vec<Step> {
-    let mut kept: Vec<Step> = Vec::new();
+fn without_discarded(steps: &[OperationStep]) -> Vec<OperationStep> {
+    let mut kept: Vec<OperationStep> = Vec::new();
     for step in steps {
-        let Step::Never { who } = *step else {
+        let OperationStep::Discarded { operator } = *step else {
             kept.push(*step);
             continue;
         };
-        let last = kept.iter().rposition(|one| matches!(one, Step::Asks { who: of, .. } if *of == who));
+        let last = kept
+            .iter()
+            .rposition(|step| matches!(step, OperationStep::Invoked { operator: of, .. } if *of == operator));
         last.map(|at| kept.remove(at));
     }
     kept
 }
 
 /// Whether the steps could have come from one table. Operators whose command was never answered have no later step.
-pub fn check_linearizable(steps: &[Step]) -> Result<(), String> {
+pub fn check_linearizable(steps: &[OperationStep]) -> Result<(), String> {
     let mut tester = LinearizabilityTester::new(Register(false));
-    for step in asked(steps) {
-        let taken = match step {
-            Step::Asks { who, pause: Some(paused) } => tester.on_invoke(who, RegisterOp::Write(paused)),
-            Step::Asks { who, pause: None } => tester.on_invoke(who, RegisterOp::Read),
-            Step::Answered { who, paused: Some(paused) } => {
-                tester.on_return(who, RegisterRet::ReadOk(paused))
+    for step in without_discarded(steps) {
+        let accepted = match step {
+            OperationStep::Invoked { operator, pause: Some(paused) } => {
+                tester.on_invoke(operator, RegisterOp::Write(paused))
             }
-            Step::Answered { who, paused: None } => tester.on_return(who, RegisterRet::WriteOk),
-            Step::Never { .. } => continue,
+            OperationStep::Invoked { operator, pause: None } => tester.on_invoke(operator, RegisterOp::Read),
+            OperationStep::Returned { operator, paused: Some(paused) } => {
+                tester.on_return(operator, RegisterRet::ReadOk(paused))
+            }
+            OperationStep::Returned { operator, paused: None } => {
+                tester.on_return(operator, RegisterRet::WriteOk)
+            }
+            OperationStep::Discarded { .. } => continue,
         };
-        taken.map(drop).map_err(|what| format!("{step:?}: {what}"))?;
+        accepted.map(drop).map_err(|error| format!("{step:?}: {error}"))?;
     }
     if tester.is_consistent() {
         Ok(())
--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -10,38 +10,38 @@
 
 /// From each fault of that word to the first effect that stood under a later epoch, for each part that the one hit owned; s. Parts without any such
 /// effect until the end are counted apart.
-pub fn ownership_gaps(history: &History, word: &str) -> (Vec<f64>, usize) {
-    let mut owned: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
+pub fn ownership_gaps(history: &History, fault_keyword: &str) -> (Vec<f64>, usize) {
+    let mut leases: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
     let mut open: Vec<(f64, &Task, Epoch)> = Vec::new();
     let mut closed = Vec::new();
     for entry in &history.entries {
         match &entry.event {
-            HistoryEvent::FaultStarted { fault } if fault.split(' ').next() == Some(word) => {
-                let hit = owned.iter().filter(|(_, (_, whose))| *whose == entry.process);
-                open.extend(hit.map(|(duty, (epoch, _))| (entry.at, *duty, *epoch)));
+            HistoryEvent::FaultStarted { fault } if fault.split(' ').next() == Some(fault_keyword) => {
+                let affected = leases.iter().filter(|(_, (_, holder))| *holder == entry.process);
+                open.extend(affected.map(|(task, (epoch, _))| (entry.at, *task, *epoch)));
             }
             HistoryEvent::Reported(Event::Change(change)) => match change.kind {
                 ChangeKind::Granted => {
-                    let known = owned.get(&change.task).is_some_and(|(epoch, _)| *epoch >= change.epoch);
+                    let known = leases.get(&change.task).is_some_and(|(epoch, _)| *epoch >= change.epoch);
                     if !known {
-                        owned.insert(&change.task, (change.epoch, &change.holder.instance));
+                        leases.insert(&change.task, (change.epoch, &change.holder.instance));
                     }
                 }
                 ChangeKind::Ended
-                    if owned.get(&change.task).is_some_and(|(epoch, _)| *epoch == change.epoch) =>
+                    if leases.get(&change.task).is_some_and(|(epoch, _)| *epoch == change.epoch) =>
                 {
-                    owned.remove(&change.task);
+                    leases.remove(&change.task);
                 }
                 _ => {}
             },
             HistoryEvent::Reported(Event::EffectChecked {
-                task: duty,
+                task,
                 epoch,
                 block: Some(_),
                 verdict: Verdict::New,
                 ..
             }) => {
-                let done = open.extract_if(.., |(_, of, old)| *of == duty && epoch > old);
+                let done = open.extract_if(.., |(_, of, old)| *of == task && epoch > old);
                 closed.extend(done.map(|(from, ..)| entry.at - from));
             }
             _ => {}
--- a/crates/proving/src/measure/tests.rs
+++ b/crates/proving/src/measure/tests.rs
@@ -5,21 +5,14 @@
 #[test]
 fn a_gap_lasts_until_the_successors_first_effect_and_not_a_late_one_of_the_dead() {
     let mut history = History::default();
-    let duty = Task::new("gather", 0);
-    let change = |epoch, to: &str, what| {
-        let (duty, owner, cause) = (duty.clone(), HolderId::new(to, 1), Cause::Vacant);
-        HistoryEvent::Reported(Event::Change(Change {
-            at: 0.0,
-            task: duty,
-            holder: owner,
-            epoch,
-            kind: what,
-            cause,
-        }))
+    let task = Task::new("gather", 0);
+    let change = |epoch, to: &str, kind| {
+        let (task, holder, cause) = (task.clone(), HolderId::new(to, 1), Cause::Vacant);
+        HistoryEvent::Reported(Event::Change(Change { at: 0.0, task, holder, epoch, kind, cause }))
     };
     let effect = |epoch, verdict| {
-        let (duty, piece) = (duty.clone(), Some("a#0".to_string()));
-        HistoryEvent::Reported(Event::EffectChecked { task: duty, epoch, number: 1, block: piece, verdict })
+        let (task, block) = (task.clone(), Some("a#0".to_string()));
+        HistoryEvent::Reported(Event::EffectChecked { task, epoch, number: 1, block, verdict })
     };
     history.record(0.0, "k1", 1, change(1, "s1", ChangeKind::Granted));
     history.record(1.0, "s1", 0, HistoryEvent::FaultStarted { fault: "kill s1".into() });
--- a/crates/proving/src/process.rs
+++ b/crates/proving/src/process.rs
@@ -26,7 +26,7 @@
 
 pub struct Process {
     child: Child,
-    orders: Option<ChildStdin>,
+    commands: Option<ChildStdin>,
     /// SIGSTOPped by us.
     paused: bool,
 }
@@ -38,7 +38,7 @@
         process: &str,
         incarnation: u32,
         log: &Path,
-        news: mpsc::UnboundedSender<ProcessOutput>,
+        output: mpsc::UnboundedSender<ProcessOutput>,
     ) -> std::io::Result<Process> {
         let process = process.to_string();
         // Lines that are no event are passed over: the program may print what it likes.
@@ -50,7 +50,7 @@
                 },
                 None => None,
             };
-            news.send(ProcessOutput { process: process.clone(), incarnation, event }).is_ok()
+            output.send(ProcessOutput { process: process.clone(), incarnation, event }).is_ok()
         })
     }
 
@@ -59,7 +59,7 @@
         program: &Program,
         args: &[String],
         log: &Path,
-        hear: impl Fn(Option<&str>) -> bool + Send + 'static,
+        on_line: impl Fn(Option<&str>) -> bool + Send + 'static,
     ) -> std::io::Result<Process> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut child = Command::new(&program.path)
@@ -69,17 +69,17 @@
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()?;
-        let (orders, out) = (child.stdin.take(), child.stdout.take());
+        let (commands, out) = (child.stdin.take(), child.stdout.take());
         let read = move || {
             for line in out.into_iter().flat_map(|out| BufReader::new(out).lines()).map_while(Result::ok) {
-                if !hear(Some(&line)) {
+                if !on_line(Some(&line)) {
                     return;
                 }
             }
-            hear(None);
+            on_line(None);
         };
         std::thread::Builder::new().name("events".into()).stack_size(256 << 10).spawn(read)?;
-        Ok(Process { child, orders, paused: false })
+        Ok(Process { child, commands, paused: false })
     }
 
     pub fn id(&self) -> u32 {
@@ -111,9 +111,9 @@
     }
 
     /// Tells it something on standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
-    pub fn send_command(&mut self, what: &str, value: f64) {
-        if let Some(orders) = &mut self.orders {
-            let _ = writeln!(orders, "{what} {value}").and_then(|()| orders.flush());
+    pub fn send_command(&mut self, command: &str, value: f64) {
+        if let Some(commands) = &mut self.commands {
+            let _ = writeln!(commands, "{command} {value}").and_then(|()| commands.flush());
         }
     }
 
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -14,7 +14,7 @@
 
 /// The state of a link, which its connections watch.
 struct State {
-    begun: Instant,
+    started_at: Instant,
     shapers: [Mutex<TrafficShaper>; 2],
     /// Rises with every change of the shapers, and with every break of the connections.
     changed: watch::Sender<(u64, u64)>,
@@ -42,8 +42,9 @@
         let address = listener.local_addr()?;
         let shapers = [Mutex::new(TrafficShaper::new(seed)), Mutex::new(TrafficShaper::new(seed ^ 1))];
         let (changed, _) = watch::channel((0, 0));
-        let state = Arc::new(State { begun: Instant::now(), shapers, changed, target: Mutex::new(None) });
-        let task = tokio::spawn(accept(listener, state.clone()));
+        let state =
+            Arc::new(State { started_at: Instant::now(), shapers, changed, target: Mutex::new(None) });
+        let task = tokio::spawn(accept_connections(listener, state.clone()));
         Ok(Relay { address, state, task })
     }
 
@@ -53,9 +54,9 @@
 
     /// Changes what the directions meant do to bytes.
     pub fn impair(&self, way: Direction, change: impl Fn(&mut Impairment)) {
-        for (at, only) in [Direction::Forward, Direction::Reverse].into_iter().enumerate() {
+        for (index, only) in [Direction::Forward, Direction::Reverse].into_iter().enumerate() {
             if way == Direction::Both || way == only {
-                change(&mut lock(&self.state, at).impairment);
+                change(&mut lock_shaper(&self.state, index).impairment);
             }
         }
         self.state.changed.send_modify(|state| state.0 += 1);
@@ -67,26 +68,26 @@
     }
 }
 
-fn lock(state: &State, at: usize) -> std::sync::MutexGuard<'_, TrafficShaper> {
-    state.shapers[at].lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_shaper(state: &State, index: usize) -> std::sync::MutexGuard<'_, TrafficShaper> {
+    state.shapers[index].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn accept(listener: TcpListener, state: Arc<State>) {
+async fn accept_connections(listener: TcpListener, state: Arc<State>) {
     loop {
         match listener.accept().await {
-            Ok((near, _)) => drop(tokio::spawn(connect(near, state.clone()))),
+            Ok((near, _)) => drop(tokio::spawn(forward_connection(near, state.clone()))),
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
 /// One connection: it stands at both ends or at neither.
-async fn connect(near: TcpStream, state: Arc<State>) {
+async fn forward_connection(near: TcpStream, state: Arc<State>) {
     let mut changed = state.changed.subscribe();
-    let breaks = changed.borrow_and_update().1;
+    let resets = changed.borrow_and_update().1;
     // Through a shut link no connection comes about: it is held open here and leads nowhere until the link opens or breaks.
-    while lock(&state, 0).impairment.blocked {
-        if changed.changed().await.is_err() || changed.borrow().1 != breaks {
+    while lock_shaper(&state, 0).impairment.blocked {
+        if changed.changed().await.is_err() || changed.borrow().1 != resets {
             return;
         }
     }
@@ -97,38 +98,38 @@
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
     // When one direction ends so does the other, but for bytes that are held on their way there: they arrive, if need be at the next life of whoever
     // is dialled.
-    let far_gone = AtomicBool::new(false);
-    let there = pump(near_in, far_out, 0, &state, breaks, &far_gone);
+    let peer_closed = AtomicBool::new(false);
+    let there = copy_bytes(near_in, far_out, 0, &state, resets, &peer_closed);
     tokio::pin!(there);
     tokio::select! {
         () = &mut there => return,
-        () = pump(far_in, near_out, 1, &state, breaks, &far_gone) => {}
+        () = copy_bytes(far_in, near_out, 1, &state, resets, &peer_closed) => {}
     }
-    if lock(&state, 0).impairment.blocked {
-        far_gone.store(true, Ordering::Relaxed);
+    if lock_shaper(&state, 0).impairment.blocked {
+        peer_closed.store(true, Ordering::Relaxed);
         there.await;
     }
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    at: usize,
+    index: usize,
     state: &State,
-    breaks: u64,
-    far_gone: &AtomicBool,
+    resets: u64,
+    peer_closed: &AtomicBool,
 ) {
     let mut changed = state.changed.subscribe();
-    if changed.borrow_and_update().1 != breaks {
+    if changed.borrow_and_update().1 != resets {
         return;
     }
     let mut bytes = vec![0; 16_384];
     loop {
-        let most = lock(state, at).max_chunk_bytes();
+        let limit = lock_shaper(state, index).max_chunk_bytes();
         let read = tokio::select! {
-            read = from.read(&mut bytes[..most]) => read,
-            news = changed.changed() => {
-                if news.is_err() || changed.borrow_and_update().1 != breaks {
+            read = from.read(&mut bytes[..limit]) => read,
+            update = changed.changed() => {
+                if update.is_err() || changed.borrow_and_update().1 != resets {
                     return;
                 }
                 continue;
@@ -137,9 +138,9 @@
         let Ok(count @ 1..) = read else { return };
         // The piece waits here, and whatever comes behind it in the sockets' buffers.
         loop {
-            let pass = lock(state, at).schedule(state.begun.elapsed().as_secs_f64(), count);
+            let pass = lock_shaper(state, index).schedule(state.started_at.elapsed().as_secs_f64(), count);
             let wait = match pass {
-                Release::At(when) => (when - state.begun.elapsed().as_secs_f64()).max(0.0),
+                Release::At(when) => (when - state.started_at.elapsed().as_secs_f64()).max(0.0),
                 Release::Blocked => f64::MAX,
             };
             let slept = async {
@@ -150,13 +151,13 @@
             };
             tokio::select! {
                 () = slept => break,
-                news = changed.changed() => if news.is_err() || changed.borrow_and_update().1 != breaks {
+                update = changed.changed() => if update.is_err() || changed.borrow_and_update().1 != resets {
                     return;
                 },
             }
         }
-        if far_gone.load(Ordering::Relaxed) {
-            return deliver(state, &bytes[..count]).await;
+        if peer_closed.load(Ordering::Relaxed) {
+            return deliver_late_bytes(state, &bytes[..count]).await;
         }
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
@@ -165,7 +166,7 @@
 }
 
 /// Brings bytes that outlived both ends of their connection to whoever is dialled by now, and waits until it has said something to them.
-async fn deliver(state: &State, bytes: &[u8]) {
+async fn deliver_late_bytes(state: &State, bytes: &[u8]) {
     let target = *state.target.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(target) = target else { return };
     let Ok(mut far) = puffinladder_transport::connect(target).await else { return };
--- a/crates/proving/src/scale/fleet.rs
+++ b/crates/proving/src/scale/fleet.rs
@@ -17,18 +17,18 @@
 use tokio::time::{sleep, timeout};
 
 /// s after which a wait is given up, and the run with it. Nothing is judged by it.
-const WAIT: f64 = 120.0;
+const WAIT_TIMEOUT_S: f64 = 120.0;
 /// Between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a question to a service may take, and the most that it may answer.
-const ASK: Duration = Duration::from_secs(10);
-const MOST: u64 = 64 << 20;
+const DEBUG_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 /// s until a service forgets a silent server: sooner than it does by itself, so that a test need not wait for long.
-const FORGET: f64 = 6.0;
+const SILENT_SERVER_EXPIRY_S: f64 = 6.0;
 /// Plans without any content after which nothing moves any more.
-const STILL: f64 = 8.0;
+const STABLE_PLANS: f64 = 8.0;
 /// How long an emulator process lives if the ground is gone.
-const SPAN: &str = "1h";
+const EMULATOR_SPAN: &str = "1h";
 /// s between two reports of a server, as it is told.
 pub const REPORT_INTERVAL_S: f64 = 0.25;
 
@@ -63,7 +63,7 @@
 
 /// What a service says of one caller.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Caller {
+pub struct CallerView {
     pub node: String,
     pub zone: String,
     pub settled: bool,
@@ -73,26 +73,26 @@
 }
 
 #[derive(Deserialize)]
-struct Callers {
-    proxies: Vec<Caller>,
+struct CallersView {
+    proxies: Vec<CallerView>,
 }
 
 /// What it says of one server: its own clock and its own count of reports.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Server {
+pub struct ServerView {
     pub instance: String,
     pub sequence: u64,
     pub made: f64,
 }
 
 #[derive(Deserialize)]
-struct Believed {
-    report: Server,
+struct ServerEntry {
+    report: ServerView,
 }
 
 #[derive(Deserialize)]
-struct Servers {
-    servers: Vec<Believed>,
+struct ServersView {
+    servers: Vec<ServerEntry>,
 }
 
 #[derive(Deserialize)]
@@ -105,7 +105,7 @@
     process: Option<Process>,
     ready: Arc<Mutex<Option<Vec<SocketAddr>>>>,
     /// Kept from its first life on.
-    at: Option<Vec<SocketAddr>>,
+    addresses: Option<Vec<SocketAddr>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,14 +128,14 @@
     pub first: usize,
     pub zones: usize,
     /// Services that it knows, by number, and whether a relay stands before each.
-    pub to: Vec<(usize, bool)>,
+    pub control: Vec<(usize, bool)>,
 }
 
 struct Emulator {
-    part: EmulatorSpec,
+    spec: EmulatorSpec,
     relays: Vec<Option<Relay>>,
     process: Option<Process>,
-    tick: Arc<Mutex<EmulatorStatus>>,
+    status: Arc<Mutex<EmulatorStatus>>,
 }
 
 pub struct Fleet<'a> {
@@ -143,7 +143,7 @@
     scenario: Scenario,
     pub folder: PathBuf,
     services: Vec<Service>,
-    parties: Vec<Emulator>,
+    emulators: Vec<Emulator>,
     pub assertions: Vec<Assertion>,
 }
 
@@ -166,11 +166,11 @@
             scenario,
             folder,
             services: Vec::new(),
-            parties: Vec::new(),
+            emulators: Vec::new(),
             assertions: Vec::new(),
         };
         for at in 0..services {
-            fleet.services.push(Service { process: None, ready: Arc::default(), at: None });
+            fleet.services.push(Service { process: None, ready: Arc::default(), addresses: None });
             fleet.start_service(at).await?;
         }
         Ok(fleet)
@@ -181,7 +181,7 @@
         let settings = self.folder.join(format!("control-{at}.scm"));
         let service = &mut self.services[at];
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let given = service.at.clone().unwrap_or_else(|| vec![any; 3]);
+        let given = service.addresses.clone().unwrap_or_else(|| vec![any; 3]);
         let text = format!(
             "(control (xds \"{}\") (reports \"{}\") (debug \"{}\") (most-proxies 100000))\n",
             given[0], given[1], given[2]
@@ -192,31 +192,31 @@
         let args = [
             "control".to_string(),
             format!("--settings={}", settings.display()),
-            format!("--forget={FORGET}"),
+            format!("--forget={SILENT_SERVER_EXPIRY_S}"),
         ];
         let log = self.folder.join(format!("control-{at}.log"));
         *lock(&service.ready) = None;
         let ready = service.ready.clone();
-        let hear = move |line: Option<&str>| {
+        let on_line = move |line: Option<&str>| {
             if let Some(Ok(Event::Ready { listen })) = line.map(serde_json::from_str) {
                 *lock(&ready) = listen.split(' ').map(|at| at.parse().ok()).collect();
             }
             true
         };
-        let started = Process::spawn_with_line_handler(&program, &args, &log, hear);
+        let started = Process::spawn_with_line_handler(&program, &args, &log, on_line);
         service.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
-        let end = Instant::now() + Duration::from_secs_f64(WAIT);
+        let end = Instant::now() + Duration::from_secs_f64(WAIT_TIMEOUT_S);
         loop {
             let ready = lock(&self.services[at].ready).clone();
             if let Some(ready @ [_, _, _]) = ready.as_deref() {
-                self.services[at].at = Some(ready.to_vec());
+                self.services[at].addresses = Some(ready.to_vec());
                 return Ok(());
             }
-            self.alive()?;
+            self.check_processes()?;
             if Instant::now() > end {
                 return Err(format!("control service {at} does not start"));
             }
-            sleep(LOOK / 5).await;
+            sleep(POLL_INTERVAL / 5).await;
         }
     }
 
@@ -226,100 +226,100 @@
     }
 
     fn address(&self, kind: EmulatorKind, service: usize) -> Result<SocketAddr, String> {
-        let at = self.services[service].at.as_deref().unwrap_or_default();
+        let at = self.services[service].addresses.as_deref().unwrap_or_default();
         let place = usize::from(kind == EmulatorKind::Servers);
         at.get(place).copied().ok_or_else(|| format!("control service {service} never started"))
     }
 
     /// Starts an emulator process; all of it comes within the time given, `0s` is at once.
-    pub async fn start_emulator(&mut self, part: EmulatorSpec, within: &str) -> Result<usize, String> {
+    pub async fn start_emulator(&mut self, spec: EmulatorSpec, within: &str) -> Result<usize, String> {
         let mut relays = Vec::new();
-        for &(service, through) in &part.to {
-            let relay = match through {
+        for &(service, through_relay) in &spec.control {
+            let relay = match through_relay {
                 true => {
-                    let seed = self.config.seed ^ (self.parties.len() as u64) << 8;
+                    let seed = self.config.seed ^ (self.emulators.len() as u64) << 8;
                     let relay = Relay::open(seed).await.map_err(|e| format!("a relay: {e}"))?;
-                    relay.set_target(Some(self.address(part.kind, service)?));
+                    relay.set_target(Some(self.address(spec.kind, service)?));
                     Some(relay)
                 }
                 false => None,
             };
             relays.push(relay);
         }
-        self.parties.push(Emulator { part, relays, process: None, tick: Arc::default() });
-        let party = self.parties.len() - 1;
-        self.restart_emulator(party, within)?;
-        Ok(party)
+        self.emulators.push(Emulator { spec, relays, process: None, status: Arc::default() });
+        let emulator = self.emulators.len() - 1;
+        self.restart_emulator(emulator, within)?;
+        Ok(emulator)
     }
 
     /// Starts it anew under its names.
-    pub fn restart_emulator(&mut self, party: usize, within: &str) -> Result<(), String> {
-        let Emulator { part, relays, .. } = &self.parties[party];
+    pub fn restart_emulator(&mut self, emulator: usize, within: &str) -> Result<(), String> {
+        let Emulator { spec, relays, .. } = &self.emulators[emulator];
         let mut control = Vec::new();
-        for ((service, _), relay) in part.to.iter().zip(relays) {
+        for ((service, _), relay) in spec.control.iter().zip(relays) {
             let at = match relay {
                 Some(relay) => relay.address,
-                None => self.address(part.kind, *service)?,
+                None => self.address(spec.kind, *service)?,
             };
             control.push(at.to_string());
         }
         let mut args = vec![
-            match part.kind {
+            match spec.kind {
                 EmulatorKind::Servers => "servers".to_string(),
                 EmulatorKind::Callers => "callers".to_string(),
             },
-            format!("--count={}", part.count),
-            format!("--first={}", part.first),
-            format!("--zones={}", part.zones),
+            format!("--count={}", spec.count),
+            format!("--first={}", spec.first),
+            format!("--zones={}", spec.zones),
             format!("--control={}", control.join(",")),
             format!("--seed={}", self.config.seed),
             format!("--start-within={within}"),
-            format!("--span={SPAN}"),
+            format!("--span={EMULATOR_SPAN}"),
         ];
-        match part.kind {
+        match spec.kind {
             EmulatorKind::Servers => {
                 args.extend([format!("--every={}ms", REPORT_INTERVAL_S * 1e3), "--calm".into()])
             }
             EmulatorKind::Callers => args.push("--mode=delta".into()),
         }
         let program = Program { path: self.config.program.clone(), leading_args: vec!["emulate".into()] };
-        let log = self.folder.join(format!("party-{party}.log"));
-        let tick = Arc::new(Mutex::new(EmulatorStatus::default()));
-        let told = tick.clone();
-        let hear = move |line: Option<&str>| {
-            if let Some(Ok(tick)) = line.map(serde_json::from_str) {
-                *lock(&told) = tick;
+        let log = self.folder.join(format!("party-{emulator}.log"));
+        let status = Arc::new(Mutex::new(EmulatorStatus::default()));
+        let latest = status.clone();
+        let on_line = move |line: Option<&str>| {
+            if let Some(Ok(status)) = line.map(serde_json::from_str) {
+                *lock(&latest) = status;
             }
             true
         };
-        let started = Process::spawn_with_line_handler(&program, &args, &log, hear);
-        let party = &mut self.parties[party];
-        party.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
-        party.tick = tick;
+        let started = Process::spawn_with_line_handler(&program, &args, &log, on_line);
+        let emulator = &mut self.emulators[emulator];
+        emulator.process = Some(started.map_err(|e| format!("{}: {e}", program.path.display()))?);
+        emulator.status = status;
         Ok(())
     }
 
     /// SIGKILL.
-    pub fn kill_emulator(&mut self, party: usize) {
-        self.parties[party].process = None;
+    pub fn kill_emulator(&mut self, emulator: usize) {
+        self.emulators[emulator].process = None;
     }
 
-    pub fn relays(&self, party: usize) -> impl Iterator<Item = &Relay> {
-        self.parties[party].relays.iter().flatten()
+    pub fn relays(&self, emulator: usize) -> impl Iterator<Item = &Relay> {
+        self.emulators[emulator].relays.iter().flatten()
     }
 
     /// The last that it told of itself.
-    pub fn emulator_status(&self, party: usize) -> EmulatorStatus {
-        *lock(&self.parties[party].tick)
+    pub fn emulator_status(&self, emulator: usize) -> EmulatorStatus {
+        *lock(&self.emulators[emulator].status)
     }
 
     /// Whoever ended by itself is a fault.
-    fn alive(&mut self) -> Result<(), String> {
+    fn check_processes(&mut self) -> Result<(), String> {
         let services = self.services.iter_mut().enumerate();
         let services = services.map(|(at, s)| (format!("control service {at}"), &mut s.process));
-        let parties = self.parties.iter_mut().enumerate();
-        let parties = parties.map(|(at, p)| (format!("emulator process {at}"), &mut p.process));
-        for (who, process) in services.chain(parties) {
+        let emulators = self.emulators.iter_mut().enumerate();
+        let emulators = emulators.map(|(at, p)| (format!("emulator process {at}"), &mut p.process));
+        for (who, process) in services.chain(emulators) {
             if let Some(ended) = process.as_mut().and_then(Process::exit_status) {
                 return Err(format!("{who} ended by itself: {ended}, see {}", self.folder.display()));
             }
@@ -327,19 +327,19 @@
         Ok(())
     }
 
-    async fn get(&self, service: usize, path: &str) -> Result<String, String> {
-        let at = self.services[service].at.as_deref().and_then(|at| at.get(2)).copied();
+    async fn debug_page(&self, service: usize, path: &str) -> Result<String, String> {
+        let at = self.services[service].addresses.as_deref().and_then(|at| at.get(2)).copied();
         let at = at.ok_or("a service without a debug view")?;
         let asked = async {
             let mut stream = TcpStream::connect(at).await?;
             let request = format!("GET {path} HTTP/1.1\r\nHost: control\r\nConnection: close\r\n\r\n");
             stream.write_all(request.as_bytes()).await?;
             let mut text = String::new();
-            stream.take(MOST).read_to_string(&mut text).await?;
+            stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut text).await?;
             std::io::Result::Ok(text)
         };
         let named = |what: String| format!("control service {service}, {path}: {what}");
-        let text = timeout(ASK, asked).await.map_err(|_| named("no answer".into()))?;
+        let text = timeout(DEBUG_REQUEST_TIMEOUT, asked).await.map_err(|_| named("no answer".into()))?;
         let text = text.map_err(|e| named(e.to_string()))?;
         let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| named("half an answer".into()))?;
         match head.starts_with("HTTP/1.1 200") {
@@ -348,30 +348,30 @@
         }
     }
 
-    async fn read<T: DeserializeOwned>(&self, service: usize, path: &str) -> Result<T, String> {
-        let text = self.get(service, path).await?;
+    async fn debug_json<T: DeserializeOwned>(&self, service: usize, path: &str) -> Result<T, String> {
+        let text = self.debug_page(service, path).await?;
         serde_json::from_str(&text).map_err(|e| format!("control service {service}, {path}: {e}"))
     }
 
     pub async fn metrics(&self, service: usize) -> Result<Metrics, String> {
-        Ok(Metrics::read(&self.get(service, "/metrics").await?))
+        Ok(Metrics::read(&self.debug_page(service, "/metrics").await?))
     }
 
     /// By node.
-    pub async fn callers(&self, service: usize) -> Result<BTreeMap<String, Caller>, String> {
-        let all: Callers = self.read(service, "/proxies").await?;
+    pub async fn callers(&self, service: usize) -> Result<BTreeMap<String, CallerView>, String> {
+        let all: CallersView = self.debug_json(service, "/proxies").await?;
         Ok(all.proxies.into_iter().map(|caller| (caller.node.clone(), caller)).collect())
     }
 
     /// By instance.
-    pub async fn servers(&self, service: usize) -> Result<BTreeMap<String, Server>, String> {
-        let all: Servers = self.read(service, "/servers").await?;
+    pub async fn servers(&self, service: usize) -> Result<BTreeMap<String, ServerView>, String> {
+        let all: ServersView = self.debug_json(service, "/servers").await?;
         Ok(all.servers.into_iter().map(|s| (s.report.instance.clone(), s.report)).collect())
     }
 
     /// Of the plan in force.
     pub async fn epoch(&self, service: usize) -> Result<f64, String> {
-        let plan: PlanView = self.read(service, "/plan").await?;
+        let plan: PlanView = self.debug_json(service, "/plan").await?;
         Ok(plan.epoch)
     }
 
@@ -380,25 +380,25 @@
     pub async fn descriptors(&self, service: usize) -> f64 {
         let mut least = f64::MAX;
         for _ in 0..5 {
-            sleep(LOOK / 5).await;
-            least = least.min(self.open(service));
+            sleep(POLL_INTERVAL / 5).await;
+            least = least.min(self.open_descriptors(service));
         }
         least
     }
 
     /// The same, once there are no more than so many; in vain it is how many there are.
-    pub async fn wait_for_descriptors(&self, service: usize, most: f64) -> f64 {
-        let end = Instant::now() + Duration::from_secs_f64(WAIT);
+    pub async fn wait_for_descriptors(&self, service: usize, limit: f64) -> f64 {
+        let end = Instant::now() + Duration::from_secs_f64(WAIT_TIMEOUT_S);
         loop {
-            let open = self.open(service);
-            if open <= most || Instant::now() > end {
+            let open = self.open_descriptors(service);
+            if open <= limit || Instant::now() > end {
                 return open;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn open(&self, service: usize) -> f64 {
+    fn open_descriptors(&self, service: usize) -> f64 {
         let process = self.services[service].process.as_ref();
         let folder = process.map(|process| PathBuf::from(format!("/proc/{}/fd", process.id())));
         let count = folder.and_then(|folder| std::fs::read_dir(folder).ok()).map(Iterator::count);
@@ -412,9 +412,9 @@
         what: &str,
         mut wanted: impl FnMut(&Metrics) -> bool,
     ) -> Result<Metrics, String> {
-        let end = Instant::now() + Duration::from_secs_f64(WAIT);
+        let end = Instant::now() + Duration::from_secs_f64(WAIT_TIMEOUT_S);
         loop {
-            self.alive()?;
+            self.check_processes()?;
             let metrics = self.metrics(service).await?;
             if wanted(&metrics) {
                 return Ok(metrics);
@@ -432,7 +432,7 @@
                     names.iter().map(|name| format!("{name} {}", metrics.get(name))).collect();
                 return Err(format!("waited in vain for {what}: {}", seen.join(", ")));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -441,11 +441,11 @@
         &mut self,
         service: usize,
         what: &str,
-        wanted: impl Fn(&BTreeMap<String, Caller>) -> bool,
-    ) -> Result<BTreeMap<String, Caller>, String> {
-        let end = Instant::now() + Duration::from_secs_f64(WAIT);
+        wanted: impl Fn(&BTreeMap<String, CallerView>) -> bool,
+    ) -> Result<BTreeMap<String, CallerView>, String> {
+        let end = Instant::now() + Duration::from_secs_f64(WAIT_TIMEOUT_S);
         loop {
-            self.alive()?;
+            self.check_processes()?;
             let callers = self.callers(service).await?;
             if wanted(&callers) {
                 return Ok(callers);
@@ -453,7 +453,7 @@
             if Instant::now() > end {
                 return Err(format!("waited in vain for {what}: {} callers", callers.len()));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -470,7 +470,7 @@
                 return false;
             }
             match since {
-                Some((of, from)) if of == sent => plans >= from + STILL,
+                Some((of, from)) if of == sent => plans >= from + STABLE_PLANS,
                 _ => {
                     since = Some((sent, plans));
                     false
@@ -491,20 +491,20 @@
     }
 
     /// Ends it; its folder stays where something did not hold, or all are kept.
-    pub fn end(self, failed: bool) -> (Vec<Assertion>, Option<PathBuf>) {
-        let Fleet { config, folder, assertions, services, parties, .. } = self;
+    pub fn finish(self, failed: bool) -> (Vec<Assertion>, Option<PathBuf>) {
+        let Fleet { config, folder, assertions, services, emulators, .. } = self;
         // Killed, whatever still runs.
-        drop((services, parties));
+        drop((services, emulators));
         let failed = failed || !assertions.iter().all(Assertion::passed);
         if failed || config.keep {
             return (assertions, Some(folder));
         }
-        remove(&folder);
+        remove_folder(&folder);
         (assertions, None)
     }
 }
 
-fn remove(folder: &Path) {
+fn remove_folder(folder: &Path) {
     if let Err(e) = std::fs::remove_dir_all(folder) {
         tracing::warn!("{}: {e}", folder.display());
     }
--- a/crates/proving/src/scale/mod.rs
+++ b/crates/proving/src/scale/mod.rs
@@ -104,18 +104,18 @@
 impl fmt::Display for Expectation {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let text = match self {
-            Expectation::Equal(wanted) => format!("= {}", Figure(*wanted)),
-            Expectation::AtMost(most) => format!("<= {}", Figure(*most)),
-            Expectation::AtLeast(least) => format!(">= {}", Figure(*least)),
+            Expectation::Equal(wanted) => format!("= {}", DisplayValue(*wanted)),
+            Expectation::AtMost(most) => format!("<= {}", DisplayValue(*most)),
+            Expectation::AtLeast(least) => format!(">= {}", DisplayValue(*least)),
         };
         to.pad(&text)
     }
 }
 
 /// A count, or a ratio with two places.
-struct Figure(f64);
+struct DisplayValue(f64);
 
-impl fmt::Display for Figure {
+impl fmt::Display for DisplayValue {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let text = match self.0 {
             whole if whole.fract() == 0.0 => format!("{whole:.0}"),
@@ -159,16 +159,17 @@
 
 impl fmt::Display for ScenarioReport {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        for row in &self.assertions {
-            let (verdict, seen) = (if row.passed() { "holds" } else { "FAILS" }, Figure(row.observed));
+        for assertion in &self.assertions {
+            let (verdict, seen) =
+                (if assertion.passed() { "holds" } else { "FAILS" }, DisplayValue(assertion.observed));
             writeln!(
                 to,
                 "{:<8} {:<72} {seen:>10}  {:<12} {verdict}",
-                row.scenario, row.description, row.expected
+                assertion.scenario, assertion.description, assertion.expected
             )?;
         }
-        if let Some(fault) = &self.error {
-            writeln!(to, "{:<8} FAILS: {fault}", self.scenario)?;
+        if let Some(error) = &self.error {
+            writeln!(to, "{:<8} FAILS: {error}", self.scenario)?;
         }
         Ok(())
     }
--- a/crates/proving/src/schedule.rs
+++ b/crates/proving/src/schedule.rs
@@ -91,7 +91,7 @@
     SlowSync,
 }
 
-const WORDS: [(&str, FaultKind); 15] = [
+const FAULT_KEYWORDS: [(&str, FaultKind); 15] = [
     ("pause", FaultKind::Pause),
     ("pause-leader", FaultKind::PauseLeader),
     ("kill", FaultKind::Kill),
@@ -108,14 +108,14 @@
     ("wall", FaultKind::WallClockOffset),
     ("sync", FaultKind::SlowSync),
 ];
-const WAYS: [(&str, Direction); 3] =
+const DIRECTION_KEYWORDS: [(&str, Direction); 3] =
     [("both", Direction::Both), ("there", Direction::Forward), ("back", Direction::Reverse)];
 
 impl FaultKind {
     pub fn keyword(self) -> &'static str {
-        WORDS.iter().find(|(_, what)| *what == self).map_or("", |(word, _)| word)
+        FAULT_KEYWORDS.iter().find(|(_, kind)| *kind == self).map_or("", |(keyword, _)| keyword)
     }
-    fn on_link(self) -> bool {
+    fn affects_link(self) -> bool {
         matches!(
             self,
             FaultKind::Partition
@@ -149,12 +149,12 @@
         if self.process == from && other(to) {
             return Some(self.direction);
         }
-        let turned = match self.direction {
+        let reversed = match self.direction {
             Direction::Both => Direction::Both,
             Direction::Forward => Direction::Reverse,
             Direction::Reverse => Direction::Forward,
         };
-        (self.process == to && other(from)).then_some(turned)
+        (self.process == to && other(from)).then_some(reversed)
     }
 }
 
@@ -197,34 +197,35 @@
 }
 
 /// Longest schedule, s, and most faults.
-const LONGEST: f64 = 3600.0;
-const MOST: usize = 10_000;
+const MAX_DURATION_S: f64 = 3600.0;
+const MAX_FAULTS: usize = 10_000;
 
 impl Schedule {
     pub fn read(file: &str, text: &str) -> Result<Schedule, Vec<Diagnostic>> {
         let reader = Reader::new(file, text);
         let forms = reader.parse();
         let top = reader.top_level(&forms);
-        let usual = Schedule::default();
+        let defaults = Schedule::default();
         let read = top.block("schedule").map(|block| {
             let mut schedule = Schedule {
-                seed: block.count("seed", usual.seed as usize, 0..=usize::MAX) as u64,
-                replicas: block.count("keepers", usual.replicas as usize, 1..=9) as u64,
-                workers: block.count("stewards", usual.workers, 1..=300),
-                quota_servers: block.count("seats", usual.quota_servers, 0..=300),
-                servers: block.count("servers", usual.servers, 1..=300),
-                parts: block.count("parts", usual.parts, 1..=10_000),
-                backlog_files: block.count("backlog", usual.backlog_files, 0..=10_000),
-                file_interval: block.duration("files", usual.file_interval, 0.001..=60.0),
-                duration: block.duration("span", usual.duration, 0.1..=LONGEST),
-                lease_term: block.duration("term", usual.lease_term, 0.2..=60.0),
+                seed: block.count("seed", defaults.seed as usize, 0..=usize::MAX) as u64,
+                replicas: block.count("keepers", defaults.replicas as usize, 1..=9) as u64,
+                workers: block.count("stewards", defaults.workers, 1..=300),
+                quota_servers: block.count("seats", defaults.quota_servers, 0..=300),
+                servers: block.count("servers", defaults.servers, 1..=300),
+                parts: block.count("parts", defaults.parts, 1..=10_000),
+                backlog_files: block.count("backlog", defaults.backlog_files, 0..=10_000),
+                file_interval: block.duration("files", defaults.file_interval, 0.001..=60.0),
+                duration: block.duration("span", defaults.duration, 0.1..=MAX_DURATION_S),
+                lease_term: block.duration("term", defaults.lease_term, 0.2..=60.0),
                 faults: Vec::new(),
             };
             let faults = block.blocks("fault");
-            if faults.len() > MOST {
-                block.report("fault", format!("should stand here {MOST} times at the most"));
+            if faults.len() > MAX_FAULTS {
+                block.report("fault", format!("should stand here {MAX_FAULTS} times at the most"));
             }
-            schedule.faults = faults.iter().take(MOST).map(|one| fault(one, &schedule)).collect();
+            schedule.faults =
+                faults.iter().take(MAX_FAULTS).map(|block| read_fault(block, &schedule)).collect();
             block.finish();
             schedule
         });
@@ -248,11 +249,11 @@
     }
 
     pub fn processes(&self) -> Vec<ProcessId> {
-        let keepers = (1..=self.replicas).map(ProcessId::Replica);
-        let stewards = (1..=self.workers).map(ProcessId::Worker);
-        keepers
+        let replicas = (1..=self.replicas).map(ProcessId::Replica);
+        let workers = (1..=self.workers).map(ProcessId::Worker);
+        replicas
             .chain([ProcessId::TraceStore])
-            .chain(stewards)
+            .chain(workers)
             .chain((1..=self.quota_servers).map(ProcessId::QuotaServer))
             .collect()
     }
@@ -265,95 +266,101 @@
     /// One drawn from a seed: the same for the same seed and size.
     pub fn generate(seed: u64, size: &Schedule) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut drawn = Schedule { seed, faults: Vec::new(), ..size.clone() };
-        let clocks = drawn.processes();
-        for who in clocks {
+        let mut generated = Schedule { seed, faults: Vec::new(), ..size.clone() };
+        let processes = generated.processes();
+        for who in processes {
             if rng.random_bool(0.4) {
                 let value = 1.0 + rng.random_range(-0.01..0.01);
-                drawn.faults.push(Fault { value, ..Fault::new(0.0, FaultKind::ClockRate, who, LONGEST) });
+                generated
+                    .faults
+                    .push(Fault { value, ..Fault::new(0.0, FaultKind::ClockRate, who, MAX_DURATION_S) });
             }
         }
         let count = rng.random_range(4..=10);
-        let mut lost = false;
+        let mut disk_lost = false;
         for _ in 0..count {
-            let at = rng.random_range(0.3..drawn.duration.max(0.6) * 0.9);
+            let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
             // Short ones heal within a term, long ones outlast it several times.
             let short = rng.random_bool(0.3);
             let terms = if short { rng.random_range(0.1..0.9) } else { rng.random_range(1.5..5.0) };
-            let span = terms * drawn.lease_term;
-            let keeper = ProcessId::Replica(rng.random_range(1..=drawn.replicas));
-            let steward = ProcessId::Worker(rng.random_range(1..=drawn.workers));
-            let way = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
-            let ProcessId::Replica(number) = keeper else { continue };
-            let other = ProcessId::Replica(1 + number % drawn.replicas);
-            let ends = [(steward, ProcessId::TraceStore), (steward, keeper), (keeper, other)];
+            let span = terms * generated.lease_term;
+            let replica = ProcessId::Replica(rng.random_range(1..=generated.replicas));
+            let worker = ProcessId::Worker(rng.random_range(1..=generated.workers));
+            let direction = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
+            let ProcessId::Replica(number) = replica else { continue };
+            let other = ProcessId::Replica(1 + number % generated.replicas);
+            let ends = [(worker, ProcessId::TraceStore), (worker, replica), (replica, other)];
             let (from, to) = ends[rng.random_range(0..3)];
-            let link = |what| Fault { peer: Some(to), direction: way, ..Fault::new(at, what, from, span) };
+            let link = |kind| Fault { peer: Some(to), direction, ..Fault::new(at, kind, from, span) };
             let fault = match rng.random_range(0..17) {
                 // Stewards in the middle of a step are what all of this is about.
-                0..4 => Fault::new(at, FaultKind::Pause, steward, span),
-                4 => Fault::new(at, FaultKind::PauseLeader, keeper, span),
-                5 => {
-                    Fault::new(at, FaultKind::Pause, ProcessId::TraceStore, span.min(2.0 * drawn.lease_term))
-                }
-                6 => Fault::new(at, FaultKind::Kill, steward, span),
-                7 => Fault::new(at, FaultKind::KillLeader, keeper, span),
-                8 => Fault::new(at, FaultKind::Kill, ProcessId::TraceStore, 0.5 * drawn.lease_term),
-                9 => Fault::new(at, FaultKind::Terminate, steward, span),
-                10 if !lost && drawn.replicas >= 3 => {
-                    lost = true;
-                    Fault::new(at, FaultKind::LoseDisk, keeper, drawn.lease_term)
+                0..4 => Fault::new(at, FaultKind::Pause, worker, span),
+                4 => Fault::new(at, FaultKind::PauseLeader, replica, span),
+                5 => Fault::new(
+                    at,
+                    FaultKind::Pause,
+                    ProcessId::TraceStore,
+                    span.min(2.0 * generated.lease_term),
+                ),
+                6 => Fault::new(at, FaultKind::Kill, worker, span),
+                7 => Fault::new(at, FaultKind::KillLeader, replica, span),
+                8 => Fault::new(at, FaultKind::Kill, ProcessId::TraceStore, 0.5 * generated.lease_term),
+                9 => Fault::new(at, FaultKind::Terminate, worker, span),
+                10 if !disk_lost && generated.replicas >= 3 => {
+                    disk_lost = true;
+                    Fault::new(at, FaultKind::LoseDisk, replica, generated.lease_term)
                 }
                 11 => link(FaultKind::Partition),
                 // What a steward said is on its way until another has its grants, and the archive may be another life by then.
                 12 | 13 => {
-                    let held = rng.random_range(2.5..6.0) * drawn.lease_term;
-                    let stood = Fault::new(at + 0.1 * drawn.lease_term, FaultKind::Pause, steward, held);
-                    drawn.faults.push(stood);
+                    let hold_time = rng.random_range(2.5..6.0) * generated.lease_term;
+                    let paused =
+                        Fault::new(at + 0.1 * generated.lease_term, FaultKind::Pause, worker, hold_time);
+                    generated.faults.push(paused);
                     Fault {
                         peer: Some(ProcessId::TraceStore),
                         direction: Direction::Forward,
-                        ..Fault::new(at, FaultKind::HoldTraffic, steward, held)
+                        ..Fault::new(at, FaultKind::HoldTraffic, worker, hold_time)
                     }
                 }
                 14 => Fault { value: rng.random_range(0.02..0.3), ..link(FaultKind::Delay) },
                 15 => Fault { value: rng.random_range(2e3..5e4), ..link(FaultKind::Throttle) },
                 16 => {
                     let off = rng.random_range(-86_400.0..86_400.0);
-                    Fault { value: off, ..Fault::new(at, FaultKind::WallClockOffset, steward, LONGEST) }
+                    Fault { value: off, ..Fault::new(at, FaultKind::WallClockOffset, worker, MAX_DURATION_S) }
                 }
                 _ => Fault {
                     value: rng.random_range(0.1..2.0),
-                    ..Fault::new(at, FaultKind::SlowSync, keeper, span)
+                    ..Fault::new(at, FaultKind::SlowSync, replica, span)
                 },
             };
-            drawn.faults.push(fault);
+            generated.faults.push(fault);
         }
         // Servers fail too: two or three times where there are any.
-        for _ in 0..if drawn.quota_servers > 0 { rng.random_range(2..=3) } else { 0 } {
-            let at = rng.random_range(0.3..drawn.duration.max(0.6) * 0.9);
-            let seat = ProcessId::QuotaServer(rng.random_range(1..=drawn.quota_servers));
-            let steward = ProcessId::Worker(rng.random_range(1..=drawn.workers));
-            let span = rng.random_range(0.1..4.0) * drawn.lease_term;
-            let way = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
-            drawn.faults.push(match rng.random_range(0..5) {
-                0 => Fault::new(at, FaultKind::Pause, seat, span),
-                1 => Fault::new(at, FaultKind::Kill, seat, span),
-                2 => Fault { direction: way, ..Fault::new(at, FaultKind::HoldTraffic, seat, span) },
+        for _ in 0..if generated.quota_servers > 0 { rng.random_range(2..=3) } else { 0 } {
+            let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
+            let server = ProcessId::QuotaServer(rng.random_range(1..=generated.quota_servers));
+            let worker = ProcessId::Worker(rng.random_range(1..=generated.workers));
+            let span = rng.random_range(0.1..4.0) * generated.lease_term;
+            let direction = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
+            generated.faults.push(match rng.random_range(0..5) {
+                0 => Fault::new(at, FaultKind::Pause, server, span),
+                1 => Fault::new(at, FaultKind::Kill, server, span),
+                2 => Fault { direction, ..Fault::new(at, FaultKind::HoldTraffic, server, span) },
                 3 => Fault {
-                    direction: way,
-                    peer: Some(steward),
-                    ..Fault::new(at, FaultKind::Partition, seat, span)
+                    direction,
+                    peer: Some(worker),
+                    ..Fault::new(at, FaultKind::Partition, server, span)
                 },
-                _ => Fault::new(at, FaultKind::DrainAndRestart, seat, 0.0),
+                _ => Fault::new(at, FaultKind::DrainAndRestart, server, 0.0),
             });
         }
-        drawn.faults.sort_by(|a, b| a.start.total_cmp(&b.start));
-        drawn
+        generated.faults.sort_by(|a, b| a.start.total_cmp(&b.start));
+        generated
     }
 }
 
-fn fault(block: &Block, schedule: &Schedule) -> Fault {
+fn read_fault(block: &Block, schedule: &Schedule) -> Fault {
     let who = |key: &'static str| {
         let text = block.text(key)?;
         let found = ProcessId::read(&text).filter(|who| schedule.has(*who));
@@ -367,11 +374,11 @@
         }
         found
     };
-    let what = block.choice("do", FaultKind::Pause, &WORDS);
+    let what = block.choice("do", FaultKind::Pause, &FAULT_KEYWORDS);
     for key in ["at", "do", "who"] {
         block.require(key);
     }
-    let usual = match what {
+    let defaults = match what {
         FaultKind::Delay => 0.1,
         FaultKind::Throttle => 10_000.0,
         FaultKind::ClockRate => 1.0,
@@ -379,19 +386,19 @@
         _ => 0.0,
     };
     let read = Fault {
-        start: block.duration("at", 0.0, 0.0..=LONGEST),
+        start: block.duration("at", 0.0, 0.0..=MAX_DURATION_S),
         kind: what,
         process: who("who").unwrap_or(ProcessId::TraceStore),
         peer: who("to"),
-        direction: block.choice("way", Direction::Both, &WAYS),
-        duration: block.duration("span", 1.0, 0.0..=LONGEST),
-        value: block.number("value", usual, -1e6..=1e9),
+        direction: block.choice("way", Direction::Both, &DIRECTION_KEYWORDS),
+        duration: block.duration("span", 1.0, 0.0..=MAX_DURATION_S),
+        value: block.number("value", defaults, -1e6..=1e9),
     };
-    if read.peer.is_some() && !what.on_link() {
+    if read.peer.is_some() && !what.affects_link() {
         block.report("to", "is for links alone: cut, hold, reset, slow, trickle");
     }
-    let keeper = matches!(read.process, ProcessId::Replica(_));
-    if matches!(what, FaultKind::LoseDisk | FaultKind::SlowSync) && !keeper {
+    let replica = matches!(read.process, ProcessId::Replica(_));
+    if matches!(what, FaultKind::LoseDisk | FaultKind::SlowSync) && !replica {
         block.report("who", "should be a keeper");
     }
     if what == FaultKind::DrainAndRestart && !matches!(read.process, ProcessId::QuotaServer(_)) {
@@ -406,10 +413,10 @@
 
 impl fmt::Display for Schedule {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let (keepers, stewards) = (self.replicas, self.workers);
+        let (replicas, workers) = (self.replicas, self.workers);
         write!(
             out,
-            "(schedule (seed {}) (keepers {keepers}) (stewards {stewards}) (seats {})",
+            "(schedule (seed {}) (keepers {replicas}) (stewards {workers}) (seats {})",
             self.seed, self.quota_servers
         )?;
         write!(
@@ -424,8 +431,11 @@
                 let _ = write!(more, " (to \"{to}\")");
             }
             if fault.direction != Direction::Both {
-                let way = WAYS.iter().find(|(_, way)| *way == fault.direction).map_or("", |(word, _)| word);
-                let _ = write!(more, " (way {way})");
+                let direction = DIRECTION_KEYWORDS
+                    .iter()
+                    .find(|(_, direction)| *direction == fault.direction)
+                    .map_or("", |(keyword, _)| keyword);
+                let _ = write!(more, " (way {direction})");
             }
             if fault.value != 0.0 {
                 let _ = write!(more, " (value {})", fault.value);
--- a/crates/proving/src/schedule/tests.rs
+++ b/crates/proving/src/schedule/tests.rs
@@ -4,13 +4,14 @@
 fn drawn_schedules_are_the_same_for_a_seed_and_read_back_as_they_are_written() {
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..300 {
-        let drawn = Schedule::generate(seed, &Schedule { replicas: 5, workers: 12, ..Schedule::default() });
+        let generated =
+            Schedule::generate(seed, &Schedule { replicas: 5, workers: 12, ..Schedule::default() });
         assert_eq!(
-            drawn,
+            generated,
             Schedule::generate(seed, &Schedule { replicas: 5, workers: 12, ..Schedule::default() })
         );
-        assert_eq!(Schedule::read("drawn", &drawn.to_string()).unwrap(), drawn, "{drawn}");
-        kinds.extend(drawn.faults.iter().map(|fault| fault.kind.keyword()));
+        assert_eq!(Schedule::read("drawn", &generated.to_string()).unwrap(), generated, "{generated}");
+        kinds.extend(generated.faults.iter().map(|fault| fault.kind.keyword()));
     }
     assert!(kinds.len() >= 12, "{kinds:?}");
 }
@@ -18,7 +19,7 @@
 #[test]
 fn what_a_schedule_cannot_mean_is_named_with_its_place() {
     let text = "(schedule (keepers 3)\n (fault (at 1s) (do pause) (who \"k9\"))\n (fault (do melt) (who \"s1\"))\n (fault (at 1s) (do sync) (who \"s1\") (to \"k1\")))";
-    let said: Vec<String> =
+    let messages: Vec<String> =
         Schedule::read("f", text).unwrap_err().iter().map(Diagnostic::to_string).collect();
     for wanted in [
         "f:2:28: schedule.fault.who: \"k9\"",
@@ -27,7 +28,7 @@
         "schedule.fault.to: is for links alone",
         "schedule.fault.who: should be a keeper",
     ] {
-        assert!(said.iter().any(|line| line.contains(wanted)), "{wanted}: {said:#?}");
+        assert!(messages.iter().any(|line| line.contains(wanted)), "{wanted}: {messages:#?}");
     }
     assert!(Schedule::read("f", "").unwrap_err()[0].to_string().contains("schedule: should be given"));
 }
@@ -44,13 +45,13 @@
         Some(Direction::Forward)
     );
     assert_eq!(fault.direction_on_link(ProcessId::Worker(2), ProcessId::TraceStore), None);
-    let turned = Fault {
+    let reversed = Fault {
         peer: Some(ProcessId::Worker(1)),
         direction: Direction::Forward,
         ..Fault::new(0.0, FaultKind::Partition, ProcessId::TraceStore, 1.0)
     };
     assert_eq!(
-        turned.direction_on_link(ProcessId::Worker(1), ProcessId::TraceStore),
+        reversed.direction_on_link(ProcessId::Worker(1), ProcessId::TraceStore),
         Some(Direction::Reverse)
     );
     let all = Fault::new(0.0, FaultKind::Partition, ProcessId::Replica(1), 1.0);
--- a/crates/proving/src/shrink.rs
+++ b/crates/proving/src/shrink.rs
@@ -5,45 +5,45 @@
 /// Tries `fails` until nothing more can go; at most so many tries. A run on processes may fail by chance alone: `fails` may try more than once.
 pub fn shrink(schedule: &Schedule, tries: usize, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut left = tries;
-    let mut ask = |schedule: &Schedule| {
+    let mut try_schedule = |schedule: &Schedule| {
         left = left.saturating_sub(1);
         (left > 0 && fails(schedule), left > 0)
     };
-    let mut best = schedule.clone();
-    let mut stretch = best.faults.len().div_ceil(2);
-    while stretch > 0 {
-        let mut at = 0;
-        while at < best.faults.len() {
-            let mut rest: Vec<Fault> = best.faults.clone();
-            rest.drain(at..(at + stretch).min(rest.len()));
-            let (failed, go_on) = ask(&best.with(rest.clone()));
-            if !go_on {
-                return best;
+    let mut smallest = schedule.clone();
+    let mut chunk = smallest.faults.len().div_ceil(2);
+    while chunk > 0 {
+        let mut index = 0;
+        while index < smallest.faults.len() {
+            let mut rest: Vec<Fault> = smallest.faults.clone();
+            rest.drain(index..(index + chunk).min(rest.len()));
+            let (failed, tries_left) = try_schedule(&smallest.with(rest.clone()));
+            if !tries_left {
+                return smallest;
             }
             if failed {
-                best = best.with(rest);
+                smallest = smallest.with(rest);
             } else {
-                at += stretch;
+                index += chunk;
             }
         }
-        stretch = if stretch == 1 { 0 } else { stretch.div_ceil(2) };
+        chunk = if chunk == 1 { 0 } else { chunk.div_ceil(2) };
     }
     // What is left is needed; shorter may do.
-    for at in 0..best.faults.len() {
-        while best.faults[at].duration > 0.2 {
-            let mut shorter = best.clone();
-            shorter.faults[at].duration = (best.faults[at].duration / 2.0 * 100.0).round() / 100.0;
-            let (failed, go_on) = ask(&shorter);
-            if !go_on {
-                return best;
+    for index in 0..smallest.faults.len() {
+        while smallest.faults[index].duration > 0.2 {
+            let mut shorter = smallest.clone();
+            shorter.faults[index].duration = (smallest.faults[index].duration / 2.0 * 100.0).round() / 100.0;
+            let (failed, tries_left) = try_schedule(&shorter);
+            if !tries_left {
+                return smallest;
             }
             if !failed {
                 break;
             }
-            best = shorter;
+            smallest = shorter;
         }
     }
-    best
+    smallest
 }
 
 #[cfg(test)]
--- a/crates/proving/src/timeline.rs
+++ b/crates/proving/src/timeline.rs
@@ -7,7 +7,7 @@
 use puffinladder_leases::table::ChangeKind;
 use std::collections::BTreeMap;
 
-const COLOURS: [RGBColor; 10] = [
+const HOLDER_COLOURS: [RGBColor; 10] = [
     RGBColor(31, 119, 180),
     RGBColor(255, 127, 14),
     RGBColor(44, 160, 44),
@@ -20,16 +20,16 @@
     RGBColor(214, 160, 40),
 ];
 /// Height of a line, px.
-const LINE: u32 = 16;
+const LINE_HEIGHT_PX: u32 = 16;
 
 /// A stretch of one line: from, until, and whose.
-type Stretch = (f64, f64, String);
+type Interval = (f64, f64, String);
 
 /// Owners by part as the keepers saw it, on the ground's clock.
-fn owners(history: &History, end: f64) -> BTreeMap<String, Vec<Stretch>> {
+fn lease_intervals(history: &History, end: f64) -> BTreeMap<String, Vec<Interval>> {
     let mut open: BTreeMap<u64, (String, f64, String)> = BTreeMap::new();
     let mut seen: BTreeMap<(u64, u8), ()> = BTreeMap::new();
-    let mut lines: BTreeMap<String, Vec<Stretch>> = BTreeMap::new();
+    let mut lines: BTreeMap<String, Vec<Interval>> = BTreeMap::new();
     for (entry, event) in history.events() {
         let Event::Change(change) = event else { continue };
         if seen.insert((change.epoch, change.kind as u8), ()).is_some() {
@@ -37,26 +37,26 @@
         }
         match change.kind {
             ChangeKind::Granted => {
-                let whose = change.holder.instance.clone();
-                open.insert(change.epoch, (change.task.to_string(), entry.at, whose));
+                let holder = change.holder.instance.clone();
+                open.insert(change.epoch, (change.task.to_string(), entry.at, holder));
             }
             ChangeKind::Ended => {
-                if let Some((duty, from, whose)) = open.remove(&change.epoch) {
-                    lines.entry(duty).or_default().push((from, entry.at, whose));
+                if let Some((task, from, holder)) = open.remove(&change.epoch) {
+                    lines.entry(task).or_default().push((from, entry.at, holder));
                 }
             }
             ChangeKind::Revoked => {}
         }
     }
-    for (_, (duty, from, whose)) in open {
-        lines.entry(duty).or_default().push((from, end, whose));
+    for (_, (task, from, holder)) in open {
+        lines.entry(task).or_default().push((from, end, holder));
     }
     lines
 }
 
 /// Faults by process.
-fn faults(history: &History, end: f64) -> BTreeMap<String, Vec<Stretch>> {
-    let mut lines: BTreeMap<String, Vec<Stretch>> = BTreeMap::new();
+fn fault_intervals(history: &History, end: f64) -> BTreeMap<String, Vec<Interval>> {
+    let mut lines: BTreeMap<String, Vec<Interval>> = BTreeMap::new();
     for entry in &history.entries {
         match &entry.event {
             HistoryEvent::FaultStarted { fault } => {
@@ -81,47 +81,54 @@
 /// Draws it, as SVG.
 pub fn render_svg(title: &str, history: &History) -> Result<String, Box<dyn std::error::Error>> {
     let end = history.entries.last().map_or(1.0, |entry| entry.at).max(0.1);
-    let (owners, faults) = (owners(history, end), faults(history, end));
-    let mut names: Vec<String> = owners.values().flatten().map(|(.., whose)| whose.clone()).collect();
+    let (lease_intervals, fault_intervals) = (lease_intervals(history, end), fault_intervals(history, end));
+    let mut names: Vec<String> =
+        lease_intervals.values().flatten().map(|(.., holder)| holder.clone()).collect();
     names.sort();
     names.dedup();
-    let colour = |whose: &str| {
-        let place = names.iter().position(|name| name == whose).unwrap_or(0);
-        COLOURS[place % COLOURS.len()]
+    let colour = |holder: &str| {
+        let place = names.iter().position(|name| name == holder).unwrap_or(0);
+        HOLDER_COLOURS[place % HOLDER_COLOURS.len()]
     };
-    let rows = owners.len() + faults.len();
-    let height = rows as u32 * LINE + 110;
+    let rows = lease_intervals.len() + fault_intervals.len();
+    let height = rows as u32 * LINE_HEIGHT_PX + 110;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (1100, height)).into_drawing_area();
         area.fill(&WHITE)?;
         let (left, right, top) = (110, 1080, 40);
         let x = |at: f64| left + ((at / end).clamp(0.0, 1.0) * f64::from(right - left)) as i32;
-        let y = |row: usize| top + (row as u32 * LINE) as i32;
+        let y = |row: usize| top + (row as u32 * LINE_HEIGHT_PX) as i32;
         let small = ("sans-serif", 11).into_font();
         area.draw(&Text::new(title.to_string(), (left, 14), ("sans-serif", 15).into_font()))?;
-        let every = [0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0];
-        let every = every.into_iter().find(|step| end / step <= 20.0).unwrap_or(600.0);
-        for tick in 0..=(end / every) as u32 {
-            let at = f64::from(tick) * every;
+        let tick_s = [0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0];
+        let tick_s = tick_s.into_iter().find(|step| end / step <= 20.0).unwrap_or(600.0);
+        for tick in 0..=(end / tick_s) as u32 {
+            let at = f64::from(tick) * tick_s;
             let line = vec![(x(at), top - 4), (x(at), y(rows) + 4)];
             area.draw(&PathElement::new(line, BLACK.mix(0.12)))?;
             area.draw(&Text::new(format!("{at} s"), (x(at) - 8, y(rows) + 8), small.clone()))?;
         }
         let mut row = 0;
-        for (duty, stretches) in &owners {
-            area.draw(&Text::new(duty.clone(), (8, y(row) + 2), small.clone()))?;
-            for (from, until, whose) in stretches {
-                let bar = [(x(*from), y(row) + 2), (x(*until).max(x(*from) + 1), y(row) + LINE as i32 - 2)];
-                area.draw(&Rectangle::new(bar, colour(whose).filled()))?;
+        for (task, intervals) in &lease_intervals {
+            area.draw(&Text::new(task.clone(), (8, y(row) + 2), small.clone()))?;
+            for (from, until, holder) in intervals {
+                let bar = [
+                    (x(*from), y(row) + 2),
+                    (x(*until).max(x(*from) + 1), y(row) + LINE_HEIGHT_PX as i32 - 2),
+                ];
+                area.draw(&Rectangle::new(bar, colour(holder).filled()))?;
             }
             row += 1;
         }
-        for (who, stretches) in &faults {
-            area.draw(&Text::new(who.clone(), (8, y(row) + 2), small.clone()))?;
+        for (process, intervals) in &fault_intervals {
+            area.draw(&Text::new(process.clone(), (8, y(row) + 2), small.clone()))?;
             let mut free = left;
-            for (from, until, what) in stretches {
-                let bar = [(x(*from), y(row) + 2), (x(*until).max(x(*from) + 2), y(row) + LINE as i32 - 2)];
+            for (from, until, what) in intervals {
+                let bar = [
+                    (x(*from), y(row) + 2),
+                    (x(*until).max(x(*from) + 2), y(row) + LINE_HEIGHT_PX as i32 - 2),
+                ];
                 area.draw(&Rectangle::new(bar, RED.mix(0.3).filled()))?;
                 // Words of faults that overlap stand behind each other.
                 let word = (x(*from) + 2).max(free);
@@ -132,13 +139,16 @@
         }
         // Effects that came late and were refused.
         for (entry, event) in history.events() {
-            let Event::EffectChecked { task: duty, verdict: Verdict::Stale { .. }, block: Some(_), .. } =
-                event
+            let Event::EffectChecked { task, verdict: Verdict::Stale { .. }, block: Some(_), .. } = event
             else {
                 continue;
             };
-            if let Some(row) = owners.keys().position(|name| *name == duty.to_string()) {
-                area.draw(&Circle::new((x(entry.at), y(row) + LINE as i32 / 2), 4, BLACK.filled()))?;
+            if let Some(row) = lease_intervals.keys().position(|name| *name == task.to_string()) {
+                area.draw(&Circle::new(
+                    (x(entry.at), y(row) + LINE_HEIGHT_PX as i32 / 2),
+                    4,
+                    BLACK.filled(),
+                ))?;
             }
         }
         let mut at = left;
--- a/crates/proving/src/trace_rows.rs
+++ b/crates/proving/src/trace_rows.rs
@@ -11,11 +11,11 @@
 use std::path::Path;
 
 /// What a row is known by, whatever file it stands in.
-type Known = (String, i64, u32, u64, u32);
+type RowKey = (String, i64, u32, u64, u32);
 
 /// How often each row stands somewhere.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RowCounts(BTreeMap<Known, u32>);
+pub struct RowCounts(BTreeMap<RowKey, u32>);
 
 impl RowCounts {
     pub fn len(&self) -> usize {
@@ -26,16 +26,14 @@
     }
 
     fn add(&mut self, names: &Names, row: &Row) {
-        let known = (names.text(row.node).to_string(), row.read, row.name, row.key, row.caller);
-        *self.0.entry(known).or_default() += 1;
+        let key = (names.text(row.node).to_string(), row.read, row.name, row.key, row.caller);
+        *self.0.entry(key).or_default() += 1;
     }
 
     /// RowCounts that stand here and not there, and that stand there more often than here.
     pub fn missing_and_extra(&self, other: &RowCounts) -> (usize, usize) {
-        let missing =
-            self.0.iter().filter(|(known, count)| other.0.get(*known).copied().unwrap_or(0) < **count);
-        let extra =
-            other.0.iter().filter(|(known, count)| self.0.get(*known).copied().unwrap_or(0) < **count);
+        let missing = self.0.iter().filter(|(key, count)| other.0.get(*key).copied().unwrap_or(0) < **count);
+        let extra = other.0.iter().filter(|(key, count)| self.0.get(*key).copied().unwrap_or(0) < **count);
         (missing.count(), extra.count())
     }
 
@@ -63,7 +61,7 @@
 ) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let from = 1_767_225_600_000_000 + serial as i64 * 3_600_000_000;
-    let told = Synth {
+    let synth = Synth {
         seed: serial,
         span: blocks as f64 * 2.0,
         rate: 8.0,
@@ -73,10 +71,10 @@
         ..Synth::default()
     };
     let mut names = Names::default();
-    let mut maker = Maker::new(&told, &mut names);
-    let half = folder.join(format!("{serial:010}.half"));
+    let mut maker = Maker::new(&synth, &mut names);
+    let temporary = folder.join(format!("{serial:010}.half"));
     let mut writer =
-        Writer::new(BufWriter::new(File::create(&half)?), &Meta { node: server.into(), made: from })?;
+        Writer::new(BufWriter::new(File::create(&temporary)?), &Meta { node: server.into(), made: from })?;
     let mut into = Blocks::new(16, &mut writer);
     while let Some(record) = maker.next(&mut names) {
         if let Record::Row(row) = record {
@@ -86,7 +84,7 @@
     }
     into.rest(&names)?;
     writer.seal()?.flush()?;
-    std::fs::rename(half, folder.join(format!("{server}-{serial:010}.trace")))
+    std::fs::rename(temporary, folder.join(format!("{server}-{serial:010}.trace")))
 }
 
 #[cfg(test)]
--- a/crates/proving/src/traffic_shaper.rs
+++ b/crates/proving/src/traffic_shaper.rs
@@ -18,7 +18,7 @@
     pub impairment: Impairment,
     /// When the piece before goes on: none overtakes another.
     last_release: f64,
-    chance: SeededRandom,
+    random: SeededRandom,
 }
 
 /// When a piece may go on.
@@ -34,7 +34,7 @@
         TrafficShaper {
             impairment: Impairment::default(),
             last_release: 0.0,
-            chance: SeededRandom::new(seed),
+            random: SeededRandom::new(seed),
         }
     }
 
@@ -44,9 +44,9 @@
         if blocked {
             return Release::Blocked;
         }
-        let late = if max_delay > 0.0 { max_delay * self.chance.next_f64() } else { 0.0 };
-        let slow = if bytes_per_second > 0.0 { bytes as f64 / bytes_per_second } else { 0.0 };
-        self.last_release = (now + late).max(self.last_release) + slow;
+        let delay = if max_delay > 0.0 { max_delay * self.random.next_f64() } else { 0.0 };
+        let transmission = if bytes_per_second > 0.0 { bytes as f64 / bytes_per_second } else { 0.0 };
+        self.last_release = (now + delay).max(self.last_release) + transmission;
         Release::At(self.last_release)
     }
 
