--- a/crates/proving/src/check.rs
+++ b/crates/proving/src/check.rs
@@ -1,4 +1,4 @@
-//! What has to hold of every history. A checker reads what processes told, and nothing of how they came to it.
+//! Invariants of a history. The checkers use reported events only.
 
 use crate::history::History;
 use puffinladder_leases::fence::Verdict;
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is wrong in a history.
+/// Violated invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// An epoch was given to two, or a duty's epochs did not rise.
+    /// An epoch was granted twice, or the epochs of a task did not increase.
     EpochReused {
         epoch: Epoch,
         first: String,
@@ -22,30 +22,30 @@
         from: Epoch,
         to: Epoch,
     },
-    /// Keepers saw different things under one epoch.
+    /// Replicas reported different changes for one epoch.
     ReplicasDisagree {
         replica: String,
         epoch: Epoch,
     },
-    /// Two keepers led in one term.
+    /// Two replicas were leaders in one term.
     TwoLeaders {
         term: u64,
         first: String,
         second: String,
     },
-    /// An effect stood though its fence had seen a later epoch.
+    /// An effect was accepted after the fence had seen a later epoch.
     StaleEffectAccepted {
         task: Task,
         epoch: Epoch,
         latest: Epoch,
         block: String,
     },
-    /// An effect stood under an epoch that nobody was given, or that another part was.
+    /// An effect was accepted under an epoch that was not granted for its task.
     UngrantedEpoch {
         task: Task,
         epoch: Epoch,
     },
-    /// Effects of one epoch did not stand in their order.
+    /// Effects of one epoch were accepted out of order.
     EffectOutOfOrder {
         task: Task,
         epoch: Epoch,
@@ -54,20 +54,20 @@
     BlockAcceptedTwice {
         block: String,
     },
-    /// What servers went by summed to more than the quota.
+    /// Rates of the servers summed to more than the quota.
     QuotaExceeded {
         at: f64,
         sum: f64,
         quota: f64,
     },
-    /// More servers were away by a turn than may.
+    /// More servers drained at once than allowed, in the fleet or in a zone.
     TooManyDraining {
         at: f64,
         zone: Option<String>,
         draining: usize,
         limit: usize,
     },
-    /// An instance said that it began with a grant that another was given.
+    /// An instance started under a lease that was granted to another one.
     LeaseNotGranted {
         holder: HolderId,
         task: Task,
@@ -79,54 +79,60 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Violation::EpochReused { epoch, first, second } => {
-                write!(out, "epoch {epoch} was given twice: {first}, then {second}")
+                write!(out, "epoch {epoch} was granted twice: {first}, then {second}")
             }
             Violation::EpochDecreased { task, from, to } => {
-                write!(out, "{task}: epochs fell from {from} to {to}")
+                write!(out, "{task}: epoch decreased from {from} to {to}")
             }
             Violation::ReplicasDisagree { replica, epoch } => {
-                write!(out, "{replica} saw something else under epoch {epoch} than another keeper")
+                write!(out, "{replica} reported another change for epoch {epoch} than another replica")
             }
             Violation::TwoLeaders { term, first, second } => {
-                write!(out, "{first} and {second} led in term {term}")
+                write!(out, "{first} and {second} were leaders in term {term}")
             }
             Violation::StaleEffectAccepted { task, epoch, latest, block } => {
-                write!(out, "{task}: {block} landed under epoch {epoch} though {latest} had been seen")
+                write!(
+                    out,
+                    "{task}: {block} was accepted under epoch {epoch} though epoch {latest} had been seen"
+                )
             }
             Violation::UngrantedEpoch { task, epoch } => {
-                write!(out, "{task}: an effect landed under epoch {epoch}, which nobody was given for it")
+                write!(
+                    out,
+                    "{task}: an effect was accepted under epoch {epoch}, which was not granted for it"
+                )
             }
             Violation::EffectOutOfOrder { task, epoch, number } => {
-                write!(out, "{task}: effect {number} of epoch {epoch} landed out of its order")
+                write!(out, "{task}: effect {number} of epoch {epoch} was accepted out of order")
             }
-            Violation::BlockAcceptedTwice { block } => write!(out, "{block} was taken twice"),
+            Violation::BlockAcceptedTwice { block } => write!(out, "{block} was accepted twice"),
             Violation::QuotaExceeded { at, sum, quota } => {
-                write!(out, "at {at:.3} s servers went by {sum:.3} of a quota of {quota}")
+                write!(out, "at {at:.3} s rates of servers summed to {sum:.3}, above the quota of {quota}")
             }
             Violation::TooManyDraining { at, zone, draining, limit } => {
                 let zone = zone.as_deref().unwrap_or("the fleet");
-                write!(out, "at {at:.3} s {draining} servers of {zone} were away by a turn, {limit} may be")
+                write!(out, "at {at:.3} s {draining} servers of {zone} were draining, the limit is {limit}")
             }
             Violation::LeaseNotGranted { holder, task, epoch } => {
-                write!(out, "{holder} began with {task} under epoch {epoch}, which it was not given")
+                write!(out, "{holder} started {task} under epoch {epoch}, which was not granted to it")
             }
         }
     }
 }
 
-/// Effects of one owner that a fence may have written and not told when it was killed: an owner brings one after the other.
+/// Effects that a trace store may have written but not reported when it was killed; a holder sends them one at a time.
 const MAX_UNREPORTED_EFFECTS: u64 = 1;
 
-/// What a history held, so that a run in which nothing was tried is told from one in which nothing went wrong.
+/// Number of observed events; shows that a run exercised what it checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub grants: u64,
     pub effects: u64,
-    /// Effects that came late and were refused.
+    /// Effects refused because of a stale epoch.
     pub stale_effects: u64,
     pub duplicate_effects: u64,
     pub leaders: u64,
-    /// Parts of quotas that servers went by, and turns by which they left.
+    /// Quota shares that servers applied, and drain slots that they used.
     pub quota_parts: u64,
     pub drain_slots: u64,
 }
@@ -143,13 +149,13 @@
     }
 }
 
-/// Reads a whole history.
+/// Checks a complete history.
 pub fn check(history: &History) -> (Counts, Vec<Violation>) {
     let mut counts = Counts::default();
     let mut violations = Vec::new();
-    let granted = grants(history, &mut counts, &mut violations);
-    leaders(history, &mut counts, &mut violations);
-    fence(history, &granted, &mut counts, &mut violations);
+    let granted = collect_grants(history, &mut counts, &mut violations);
+    check_leaders(history, &mut counts, &mut violations);
+    check_effects(history, &granted, &mut counts, &mut violations);
     for (_, event) in history.events() {
         if let Event::LeaseStarted { holder, task, epoch } = event {
             if granted.get(epoch) != Some(&(task.clone(), holder.clone())) {
@@ -161,10 +167,10 @@
     (counts, violations)
 }
 
-/// What servers went by at each moment, by the machine's own clock: it never sums to more than the quota. A server that starts anew knows of no part and
-/// begins with the equal share; it is granted that on top until its part before has run out and the owner has heard, `span` s.
+/// Checks that the rates applied by the servers never sum to more than `quota`, requests/s, by the machine's clock. A restarted server begins with
+/// the equal share; that is allowed on top until its former share has expired and the worker knows of the restart, 3 * `span` s.
 pub fn check_quota(history: &History, quota: f64, span: f64, counts: &mut Counts) -> Option<Violation> {
-    /// A server's rate from a moment on: until when, and what then.
+    /// Rate of a server until a moment, and the rate after it.
     #[derive(Clone, Copy)]
     struct AppliedRate {
         rate: f64,
@@ -172,7 +178,6 @@
         rate_after: f64,
         restart_until: f64,
     }
-    /// One event: when, whose, in which life.
     struct QuotaEvent<'a> {
         at: f64,
         process: &'a str,
@@ -219,7 +224,7 @@
     None
 }
 
-/// Servers away by a turn, from their leave to the next life's beginning, in all and by zone.
+/// Checks the number of servers that drain at once, from the drain to the next start, in the fleet and by zone.
 pub fn check_drain_slots(
     history: &History,
     limit: usize,
@@ -233,7 +238,7 @@
             Event::ServerDraining { zone, slot_epoch: Some(_) } => {
                 counts.drain_slots += 1;
                 draining.insert(&entry.process, zone);
-                let in_zone = draining.values().filter(|of| **of == zone).count();
+                let in_zone = draining.values().filter(|other| **other == zone).count();
                 let zone_limit = zone_limits.get(zone).copied().unwrap_or(usize::MAX);
                 if draining.len() > limit || in_zone > zone_limit {
                     let (zone, draining, limit) = if in_zone > zone_limit {
@@ -250,8 +255,8 @@
     None
 }
 
-/// Every grant as some keeper saw it. A keeper that starts anew tells again what it reads off its disk: that must be the same.
-fn grants(
+/// Collects all grants. A restarted replica reports the grants on its disk again, which must be the same.
+fn collect_grants(
     history: &History,
     counts: &mut Counts,
     violations: &mut Vec<Violation>,
@@ -289,7 +294,7 @@
     granted
 }
 
-fn leaders(history: &History, counts: &mut Counts, violations: &mut Vec<Violation>) {
+fn check_leaders(history: &History, counts: &mut Counts, violations: &mut Vec<Violation>) {
     let mut leader_by_term: BTreeMap<u64, &str> = BTreeMap::new();
     for (entry, event) in history.events() {
         let Event::BecameLeader { term, .. } = event else { continue };
@@ -304,8 +309,8 @@
     }
 }
 
-/// What the fence let stand, in the order in which it did.
-fn fence(
+/// Checks the effects that the fence accepted, in their order.
+fn check_effects(
     history: &History,
     granted: &BTreeMap<Epoch, (Task, HolderId)>,
     counts: &mut Counts,
@@ -313,7 +318,7 @@
 ) {
     let mut seen: BTreeMap<&Task, (Epoch, u64)> = BTreeMap::new();
     let mut incarnations: BTreeMap<&Task, u32> = BTreeMap::new();
-    let mut pieces: BTreeSet<&str> = BTreeSet::new();
+    let mut blocks: BTreeSet<&str> = BTreeSet::new();
     for (entry, event) in history.events() {
         let Event::EffectChecked { task, epoch, number, block, verdict } = event else {
             continue;
@@ -326,7 +331,7 @@
         let last = seen.entry(task).or_default();
         let incarnation = incarnations.insert(task, entry.incarnation).unwrap_or(entry.incarnation);
         if *verdict == Verdict::Duplicate && block.is_none() && entry.incarnation > incarnation {
-            // Killed between disk and answer: what it wrote last it never told, and says now that it stands.
+            // Killed between disk and answer: the last effect was written but not reported until now.
             let reported = (*epoch, *number);
             if reported >= *last && (epoch > &last.0 || number - last.1 <= MAX_UNREPORTED_EFFECTS) {
                 *last = reported;
@@ -361,7 +366,7 @@
             });
         }
         *last = (*epoch, *number);
-        if !pieces.insert(block) {
+        if !blocks.insert(block) {
             violations.push(Violation::BlockAcceptedTwice { block: block.clone() });
         }
     }
--- a/crates/proving/src/cluster.rs
+++ b/crates/proving/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Plays a schedule on real processes: settings, links and traces are made in a folder, processes started, faults begun and ended by the clock of the
-//! ground; then all is healed, and what should hold is waited for, each within a bound. Only conditions are waited for.
+//! Runs a schedule on a cluster of real processes: writes settings and traces into a folder, starts processes behind relays, injects the faults,
+//! ends them all, and waits for recovery within time limits.
 
 use crate::check::{check, Counts};
 use crate::history::{History, HistoryEvent};
@@ -22,55 +22,49 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Bounds on waits, s: until all processes stand, until a healed ground is well again beside the terms that takes, until processes have left.
 const READY_TIMEOUT_S: f64 = 30.0;
 const RECOVERY_TIMEOUT_S: f64 = 20.0;
 const SHUTDOWN_TIMEOUT_S: f64 = 10.0;
-/// Terms after the last fault within which every duty has an owner again: sessions run out, a new leader is elected, silence counts.
+/// Lease terms within which every task is leased again after the last fault.
 const REASSIGNMENT_TERMS: f64 = 12.0;
-/// s on top of it for a machine that has more to do.
+/// Allowance on top of it for a busy machine.
 const REASSIGNMENT_SLACK_S: f64 = 5.0;
-/// s between the ground's looks.
 const POLL_INTERVAL_S: f64 = 0.01;
-/// Blocks of a server's file.
 const BLOCKS_PER_FILE: usize = 3;
-/// Operators that pause, resume and look, and what they may ask in all.
 const OPERATOR_COUNT: u64 = 3;
 const MAX_OPERATIONS: usize = 60;
-/// What the stand-in servers share: one customer's quota, most of it asked of the first server; its parts' span in s.
 const QUOTA_RPS: f64 = 100.0;
 const QUOTA_SPAN_S: f64 = 0.8;
-/// Servers that may be away by a turn at once, of each of two zones; how long a turn lasts, and a drain, s.
 const MAX_DRAINING: usize = 2;
 const MAX_DRAINING_ZONE_SHARE: f64 = 0.34;
 const DRAIN_SLOT_SPAN_S: f64 = 4.0;
 const DRAIN_TIME_S: f64 = 0.3;
-/// The duty that operators pause: nobody wants it.
+/// Task that operators pause; no worker requests it.
 const PAUSED_TASK: &str = "spare";
 
-/// Grounds of one process get addresses of their own.
+/// Number of clusters of this process so far; gives each cluster addresses of its own.
 static CLUSTER_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// How grounds are made.
+/// Configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
     pub program: Program,
-    /// Where the run's folder is made; it is kept where the run failed, or always.
+    /// Folder in which the run's folder is created; that is kept if the run failed or `keep` is set.
     pub folder: PathBuf,
     pub keep: bool,
-    /// A bug planted in the archive, which the checkers must find.
+    /// Bug injected into the trace store, which the checkers must find.
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct RunReport {
     pub counts: Counts,
     pub rows: usize,
-    /// s from the last fault's end until every duty was owned, and until all was gathered.
+    /// Time from the last fault's end until every task was leased, s, and from then until all traces were collected, s.
     pub reassignment_time: f64,
     pub collection_time: f64,
-    /// s by which the ground itself was late at the most: past a tenth of the term the machine is what was measured.
+    /// Longest delay of the cluster's own loop, s. Above a tenth of the lease term the machine was overloaded.
     pub scheduling_delay: f64,
     pub failures: Vec<String>,
     pub history: History,
@@ -82,10 +76,10 @@
     incarnation: u32,
     listen: SocketAddr,
     ready: bool,
-    /// Told to leave: that it ends is no failure.
+    /// SIGTERM was sent: the exit is no failure.
     exit_expected: bool,
     settings: PathBuf,
-    /// A keeper whose first start founds or joins.
+    /// Argument of a replica's first start: `--found` or `--join`.
     first_start_arg: Option<&'static str>,
     clock_rate: f64,
     wall_clock_offset: f64,
@@ -110,15 +104,19 @@
     expected_rows: RowCounts,
     file_count: u64,
     last_file_at: f64,
-    /// Faults that have begun, and ends that are due.
+    /// End time, s, and index of each active fault.
     active_faults: Vec<(f64, usize)>,
-    /// A keeper that takes a lost one's place, and which.
+    /// Numbers of a new replica and of the lost replica that it replaces.
     replacements: Vec<(u64, u64)>,
     fault_targets: BTreeMap<usize, ProcessId>,
     address_block: u32,
 }
 
-/// Plays a schedule. An error is the ground's own: a run that could not be made.
+/// Runs a schedule.
+///
+/// # Errors
+///
+/// The cluster could not be set up, started or repaired. Violations are listed in the report instead.
 pub async fn run_schedule(schedule: &Schedule, config: &ClusterConfig) -> Result<RunReport, String> {
     let number = CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed);
     let folder = config.folder.join(format!("run-{}-{number}", std::process::id()));
@@ -181,7 +179,7 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// An address of its own for each process of each ground.
+    /// Returns a loopback address that no other process of any cluster uses.
     fn address(&self, id: ProcessId) -> SocketAddr {
         let place = match id {
             ProcessId::Replica(number) => number as u32,
@@ -200,7 +198,8 @@
 
     async fn add_link(&mut self, from: ProcessId, to: ProcessId) -> Result<(), String> {
         let seed = self.schedule.seed ^ (self.links.len() as u64) << 8;
-        let relay = Relay::open(seed).await.map_err(|e| format!("a link: {e}"))?;
+        let relay =
+            Relay::open(seed).await.map_err(|e| format!("cannot open a relay from {from} to {to}: {e}"))?;
         if let Some(managed) = self.processes.get(&to).filter(|managed| managed.ready) {
             relay.set_target(Some(managed.listen));
         }
@@ -230,7 +229,7 @@
         }
         for id in self.schedule.processes() {
             let text = match id {
-                // Told by its arguments.
+                // Configured by arguments only.
                 ProcessId::QuotaServer(_) => String::new(),
                 ProcessId::Replica(number) => self.replica_settings(number),
                 ProcessId::Worker(number) => self.worker_settings(number),
@@ -287,7 +286,7 @@
             0 => "",
             _ => "(duty (name \"quota\")) (duty (name \"turns\"))",
         };
-        // All times in terms, but for the tick: an election has to fit into a term.
+        // All times are multiples of the term except the tick: an election must fit into a term.
         format!(
             "(keeper (number {number}) (listen \"{}\") (folder \"{}\") (peers {peers})\n  \
              (duty (name \"gather\") (parts {parts})) (duty (name \"{PAUSED_TASK}\")) {reported}\n  \
@@ -301,7 +300,7 @@
         )
     }
 
-    /// Where a keeper says that it is itself; nobody dials it there.
+    /// Returns the address that a replica lists for itself; no one connects to it.
     fn self_address(&self, id: ProcessId) -> SocketAddr {
         SocketAddr::new(self.address(id).ip(), 1)
     }
@@ -388,7 +387,7 @@
         Ok(())
     }
 
-    /// Takes in what processes told. A port that the system gave at the first start stays that process's own.
+    /// Records the events that processes have reported. A port assigned at the first start is kept for later starts.
     fn collect_events(&mut self) {
         while let Ok(ProcessOutput { process: name, incarnation, event }) = self.output.try_recv() {
             let now = self.now();
@@ -419,7 +418,7 @@
         }
     }
 
-    /// Waits until something holds, looking again and again; nothing if it does not within the bound.
+    /// Waits until the condition is true and returns the time that took, s, or `None` after `bound` s.
     async fn wait_until(&mut self, bound: f64, mut holds: impl FnMut(&mut Self) -> bool) -> Option<f64> {
         let from = self.now();
         loop {
@@ -482,12 +481,12 @@
         }
         self.recover(run).await?;
         if let Err(what) = check_linearizable(&operations) {
-            run.failures.push(format!("keepers' answers: {what}"));
+            run.failures.push(format!("replies to operators: {what}"));
         }
         self.shut_down(run).await
     }
 
-    /// Begins and ends faults as they come due, and lets servers write traces meanwhile.
+    /// Starts and ends faults as they come due, and writes trace files meanwhile.
     async fn run_faults(&mut self, run: &mut RunReport) -> Result<(), String> {
         let mut next = 0;
         let mut last_poll = self.now();
@@ -510,7 +509,7 @@
                 self.last_file_at += self.schedule.file_interval;
                 self.write_trace((self.file_count % self.schedule.servers as u64) as usize)?;
             }
-            // Those that last for ever are over with the traffic.
+            // Faults that outlast the traffic by far are not waited for.
             let lasting =
                 self.active_faults.iter().filter(|(at, _)| *at < self.schedule.duration + 30.0).count();
             if now >= self.schedule.duration && next >= self.schedule.faults.len() && lasting == 0 {
@@ -521,7 +520,7 @@
         }
     }
 
-    /// A process that ended though nothing was done to it is a failure, and is started again.
+    /// Records processes that have exited: an unexpected exit is a failure, a drained server is restarted.
     fn handle_exits(&mut self, run: &mut RunReport) {
         let ended: Vec<(ProcessId, String)> = self
             .processes
@@ -542,8 +541,10 @@
                 }
                 continue;
             }
-            run.failures
-                .push(format!("{id} ended by itself after {now:.2} s, {status}: {}", self.last_log_line(id)));
+            run.failures.push(format!(
+                "{id} exited unexpectedly after {now:.2} s, {status}: {}",
+                self.last_log_line(id)
+            ));
             if let Some(managed) = self.processes.get_mut(&id) {
                 managed.process = None;
                 let incarnation = managed.incarnation;
@@ -553,14 +554,14 @@
     }
 
     fn leader(&self) -> Option<ProcessId> {
-        let led = self.history.events().filter_map(|(_, event)| match event {
+        let leaders = self.history.events().filter_map(|(_, event)| match event {
             Event::BecameLeader { replica, term } => Some((*term, *replica)),
             _ => None,
         });
-        led.max().map(|(_, replica)| ProcessId::Replica(replica))
+        leaders.max().map(|(_, replica)| ProcessId::Replica(replica))
     }
 
-    fn start_fault(&mut self, at: usize, fault: Fault) -> Result<(), String> {
+    fn start_fault(&mut self, index: usize, fault: Fault) -> Result<(), String> {
         let now = self.now();
         let id = match fault.kind {
             FaultKind::KillLeader | FaultKind::PauseLeader => {
@@ -568,10 +569,10 @@
             }
             _ => fault.process,
         };
-        self.fault_targets.insert(at, id);
+        self.fault_targets.insert(index, id);
         let text = format!("{} {id}", fault.kind.keyword());
         self.history.record(now, id, 0, HistoryEvent::FaultStarted { fault: text });
-        self.active_faults.push((fault.start + fault.duration, at));
+        self.active_faults.push((fault.start + fault.duration, index));
         let Some(managed) = self.processes.get_mut(&id) else { return Ok(()) };
         let value = fault.value;
         match fault.kind {
@@ -610,16 +611,16 @@
     }
 
     fn impair_links(&self, fault: &Fault, change: impl Fn(&mut Impairment)) {
-        self.affected_links(fault).for_each(|(link, way)| link.relay.impair(way, &change));
+        self.affected_links(fault).for_each(|(link, direction)| link.relay.impair(direction, &change));
     }
 
     fn reset_links(&self, fault: &Fault) {
         self.affected_links(fault).for_each(|(link, _)| link.relay.reset());
     }
 
-    async fn end_fault(&mut self, at: usize) -> Result<(), String> {
-        let Some(fault) = self.schedule.faults.get(at).cloned() else { return Ok(()) };
-        let id = self.fault_targets.remove(&at).unwrap_or(fault.process);
+    async fn end_fault(&mut self, index: usize) -> Result<(), String> {
+        let Some(fault) = self.schedule.faults.get(index).cloned() else { return Ok(()) };
+        let id = self.fault_targets.remove(&index).unwrap_or(fault.process);
         let (now, text) = (self.now(), format!("{} {id}", fault.kind.keyword()));
         self.history.record(now, id, 0, HistoryEvent::FaultEnded { fault: text });
         match fault.kind {
@@ -650,11 +651,11 @@
         Ok(())
     }
 
-    /// Starts a process that was ended by a fault, unless another fault's end has done so already.
+    /// Restarts a process after a fault, unless its replica has been replaced.
     fn restart(&mut self, id: ProcessId) -> Result<(), String> {
         let lost = self.replacements.iter().any(|(_, of)| ProcessId::Replica(*of) == id);
         let Some(managed) = self.processes.get_mut(&id) else { return Ok(()) };
-        // One that was told to leave has had its span to do so.
+        // A terminated process has had the fault's duration to exit.
         if let Some(process) = &mut managed.process {
             if process.exit_status().is_none() {
                 process.kill();
@@ -667,7 +668,7 @@
         self.start_process(id)
     }
 
-    /// A keeper whose disk is lost never comes back; another joins under a new number, and the lost one is taken out.
+    /// Starts a new replica, under a new number, in place of one whose disk is lost.
     async fn replace_replica(&mut self, id: ProcessId) -> Result<(), String> {
         let ProcessId::Replica(lost) = id else { return Ok(()) };
         let number = self.schedule.replicas + 1 + self.replacements.len() as u64;
@@ -681,7 +682,7 @@
         self.start_process(replacement)
     }
 
-    /// All keepers that have not lost their disk.
+    /// Returns the addresses of all replicas that have not lost their disk.
     fn replica_addresses(&self) -> Vec<SocketAddr> {
         let lost = |number: &u64| self.replacements.iter().any(|(_, of)| of == number);
         let all = self.processes.iter().filter_map(|(id, managed)| match id {
@@ -691,7 +692,7 @@
         all.collect()
     }
 
-    /// Heals all that is left, then waits for what has to come.
+    /// Ends all faults, then waits until all tasks are leased and all traces are collected.
     async fn recover(&mut self, run: &mut RunReport) -> Result<(), String> {
         for link in &self.links {
             link.relay.impair(Direction::Both, |impairment| *impairment = Impairment::default());
@@ -728,7 +729,7 @@
         Ok(())
     }
 
-    /// As an operator does it: add the new one, wait until it votes, remove the lost one.
+    /// Changes the membership as an operator does: adds the new replica, then removes the lost one.
     async fn join_replacement(&mut self, number: u64, lost: u64) -> Result<(), String> {
         let id = ProcessId::Replica(number);
         if self
@@ -742,26 +743,28 @@
         }
         let address = self.processes[&id].listen.to_string();
         let until = self.now() + RECOVERY_TIMEOUT_S;
-        let mut asks = vec![
+        let mut requests = vec![
             ReplicaRequest::RemoveReplica { number: lost },
             ReplicaRequest::AddReplica { number, address },
         ];
-        let mut said = String::new();
-        while let Some(next) = asks.last() {
+        let mut last_answer = String::new();
+        while let Some(next) = requests.last() {
             if self.now() > until {
-                return Err(format!("{id} can't take the place of k{lost}: {said}"));
+                return Err(format!(
+                    "{id} could not replace k{lost} within {RECOVERY_TIMEOUT_S} s, last answer: {last_answer}"
+                ));
             }
             let replicas = self.replica_addresses();
             match request_leader(&replicas, next).await {
-                Some(ReplicaReply::CommandApplied) => drop(asks.pop()),
-                // A command whose answer was lost may have been carried out.
+                Some(ReplicaReply::CommandApplied) => drop(requests.pop()),
+                // A command whose answer was lost may have been applied.
                 Some(ReplicaReply::CommandFailed(what))
                     if what.contains("is already a member") || what.contains("is not a member") =>
                 {
-                    asks.pop();
+                    requests.pop();
                 }
-                Some(other) => said = format!("{other:?}"),
-                None => said = "no keeper answers".into(),
+                Some(other) => last_answer = format!("{other:?}"),
+                None => last_answer = "no replica answered".into(),
             }
             self.collect_events();
             tokio::time::sleep(Duration::from_secs_f64(POLL_INTERVAL_S)).await;
@@ -777,20 +780,20 @@
                     let vacant = |row: &&LeaseRow| row.task.name != PAUSED_TASK && row.holder.is_none();
                     rows.iter().filter(vacant).map(|row| row.task.to_string()).collect::<Vec<_>>()
                 }
-                _ => vec!["no keeper leads, so that not even who owns what is known".into()],
+                _ => vec!["no replica answered as leader: holders are unknown".into()],
             };
             self.collect_events();
             if vacant.is_empty() {
                 return Ok(());
             }
             if self.now() > until {
-                return Err(format!("nobody owns {}", vacant.join(", ")));
+                return Err(format!("tasks without a holder: {}", vacant.join(", ")));
             }
             tokio::time::sleep(Duration::from_secs_f64(POLL_INTERVAL_S)).await;
         }
     }
 
-    /// Until all files are gathered: it may take long where there are many, but not stand still.
+    /// Waits until all files are collected; fails once the number of blocks stops growing.
     async fn wait_until_collected(&mut self) -> Result<(), String> {
         let at = self.processes[&ProcessId::TraceStore].listen;
         let (mut last, mut moved) = (0, self.now());
@@ -807,7 +810,7 @@
             self.collect_events();
             if self.now() > moved + RECOVERY_TIMEOUT_S {
                 return Err(format!(
-                    "{last} blocks are gathered, not all of {} files, and none more for {RECOVERY_TIMEOUT_S} s",
+                    "{last} blocks collected, not all of {} files, and no more for {RECOVERY_TIMEOUT_S} s",
                     self.file_count
                 ));
             }
@@ -815,11 +818,11 @@
         }
     }
 
-    /// All are told to leave; then what the archive holds is compared with what the servers wrote.
+    /// Terminates all processes, then compares an export of the trace store with the rows written.
     async fn shut_down(&mut self, run: &mut RunReport) -> Result<(), String> {
         for (id, managed) in &mut self.processes {
             match id {
-                // They would wait for their turns, and whoever gives those leaves too.
+                // Servers would wait for drain slots from workers that terminate too.
                 ProcessId::QuotaServer(_) => managed.process = None,
                 _ => managed.process.iter().for_each(Process::terminate),
             }
@@ -837,7 +840,7 @@
             });
             let left: Vec<String> = left.collect();
             run.failures
-                .push(format!("{SHUTDOWN_TIMEOUT_S} s after SIGTERM there are still {}", left.join(", ")));
+                .push(format!("{SHUTDOWN_TIMEOUT_S} s after SIGTERM still running: {}", left.join(", ")));
         }
         for managed in self.processes.values_mut() {
             managed.process = None;
@@ -852,10 +855,10 @@
                 let (missing, extra) = self.expected_rows.missing_and_extra(&rows);
                 if missing + extra + doubled as usize > 0 {
                     let all = self.expected_rows.len();
-                    run.failures.push(format!("of {all} rows {missing} are missing, {extra} stand twice or never were, {doubled} were doubled"));
+                    run.failures.push(format!("of {all} rows {missing} are missing, {extra} are duplicated or unknown, {doubled} duplicates were found by the export"));
                 }
             }
-            Err(what) => run.failures.push(format!("the archive can't be exported: {what}")),
+            Err(what) => run.failures.push(format!("cannot export the trace store: {what}")),
         }
         Ok(())
     }
@@ -865,21 +868,21 @@
     let (store, _) = puffinladder_trace_store::store::Store::open(&folder.join("archive"), u64::MAX)
         .map_err(|e| e.to_string())?;
     let into = folder.join("export.trace");
-    let met = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})
+    let summary = puffinladder_trace_store::export::export(&store, &into, 0, &mut |_, _| {})
         .map_err(|e| e.to_string())?;
     let rows = RowCounts::read(&into)?;
     let _ = std::fs::remove_file(into);
-    Ok((rows, met.doubled))
+    Ok((rows, summary.doubled))
 }
 
-/// Asks one process one thing, within a bound.
+/// Sends a request to a process; `None` without an answer within 1 s.
 pub async fn request<A: Serialize, B: DeserializeOwned>(at: SocketAddr, what: &A) -> Option<B> {
     let wait = Duration::from_secs(1);
-    let asked = puffinladder_transport::request(at, what, wait, 64 << 20);
-    tokio::time::timeout(wait, asked).await.ok()?.ok().flatten()
+    let reply = puffinladder_transport::request(at, what, wait, 64 << 20);
+    tokio::time::timeout(wait, reply).await.ok()?.ok().flatten()
 }
 
-/// Asks the keepers until one that leads answers.
+/// Sends a request to each replica until the leader answers.
 pub async fn request_leader(replicas: &[SocketAddr], what: &ReplicaRequest) -> Option<ReplicaReply> {
     for &at in replicas {
         match request(at, what).await {
@@ -890,8 +893,8 @@
     None
 }
 
-/// An operator who pauses, resumes and looks at the spare duty, at whichever keeper; what it asks and hears goes to the checker. A command whose answer does not
-/// come may have been carried out: whoever asks next has another name.
+/// Runs an operator that pauses, resumes and reads a task at random replicas; its operations go to the linearizability check. After a command without
+/// an answer, which may have been applied, it continues under a new number.
 async fn run_operator(
     number: u64,
     seed: u64,
@@ -923,7 +926,7 @@
                 let paused = rows.iter().any(|row| row.task.name == PAUSED_TASK && row.paused);
                 let _ = steps.send(OperationStep::Returned { operator: id, paused: Some(paused) });
             }
-            // It was not carried out: as if it had never been asked. A read that nobody answered binds nobody either.
+            // Not applied; reads without an answer are discarded too.
             Some(ReplicaReply::NotLeader { .. }) => {
                 let _ = steps.send(OperationStep::Discarded { operator: id });
             }
--- a/crates/proving/src/history.rs
+++ b/crates/proving/src/history.rs
@@ -1,4 +1,4 @@
-//! All that happened in a run, in the order in which the ground heard of it; a file of it is a line of JSON each.
+//! History of a run: entries in the order in which the cluster received them, stored as JSON lines.
 
 use puffinladder_leases::protocol::Event;
 use serde::{Deserialize, Serialize};
@@ -6,12 +6,12 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// s since all processes stood.
+    /// Time since all processes were ready, s.
     pub at: f64,
-    /// As in `k1`, `s1`, `archive`, or `ground`.
+    /// Process name, such as `k1`, `s1` or `archive`.
     #[serde(rename = "who")]
     pub process: String,
-    /// Starts of that process so far.
+    /// Number of starts of that process so far.
     #[serde(rename = "life")]
     pub incarnation: u32,
     #[serde(rename = "what")]
@@ -21,10 +21,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HistoryEvent {
-    /// What the process itself told.
+    /// Event that the process printed.
     #[serde(rename = "told")]
     Reported(Event),
-    /// What the ground did: a fault began, or ended.
+    /// Fault that the cluster injected, as `KEYWORD PROCESS`.
     #[serde(rename = "begun")]
     FaultStarted {
         fault: String,
@@ -51,7 +51,7 @@
         self.entries.push(Entry { at, process: process.to_string(), incarnation, event });
     }
 
-    /// What processes told, by name.
+    /// Returns the events that processes reported, with their entries.
     pub fn events(&self) -> impl Iterator<Item = (&Entry, &Event)> {
         self.entries.iter().filter_map(|entry| match &entry.event {
             HistoryEvent::Reported(event) => Some((entry, event)),
@@ -67,7 +67,11 @@
         to.flush()
     }
 
-    /// Reads a file of it. A last line that was cut off is left out; any other that can't be read is named by its number.
+    /// Reads JSON lines. A truncated last line is skipped.
+    ///
+    /// # Errors
+    ///
+    /// The number of the first other line that cannot be parsed, with the parser's message, or the I/O error.
     pub fn read(from: impl BufRead) -> Result<History, String> {
         let mut history = History::default();
         let lines: Vec<String> = from.lines().collect::<Result<_, _>>().map_err(|e| e.to_string())?;
--- a/crates/proving/src/lib.rs
+++ b/crates/proving/src/lib.rs
@@ -1,10 +1,11 @@
-//! The proving ground (`docs/proving.md`): starts many real processes of the program, each on an address of its own, puts links of its own between them,
-//! and makes both fail as a schedule says. All that happened goes into one history, which checkers read afterwards.
+//! Fault tests over many real processes of the program. Each process has an address of its own and reaches the others through relays; a schedule
+//! says which processes and links fail, and when. Events of all processes go into one history, which checkers read after the run.
 //!
-//! [`schedule`] says what fails when, drawn from a seed or written by hand; [`shrink`] cuts a failing one down; [`traffic_shaper`] decides when bytes may pass a
-//! link; [`check`] and [`linearizability`] judge a history, [`measure`] reads times off it. None of these does I/O. [`relay`], [`process`] and [`cluster`] do.
+//! Without I/O: [`schedule`] holds faults drawn from a seed or read from a file; [`shrink`] reduces a failing schedule; [`traffic_shaper`]
+//! decides when bytes may pass a link; [`check`] and [`linearizability`] verify a history; [`measure`] computes times from it.
+//! With I/O: [`relay`], [`process`] and [`cluster`].
 //!
-//! [`scale`] starts control services with many servers and callers round them, and holds them to what must not grow.
+//! [`scale`] runs control services with many emulated servers and callers and checks the counts that must not grow with their number.
 #![forbid(unsafe_code)]
 
 pub mod check;
--- a/crates/proving/src/linearizability.rs
+++ b/crates/proving/src/linearizability.rs
@@ -1,31 +1,31 @@
-//! Whether what operators were answered could have come from one table: each command and each read took effect at one moment between its
-//! asking and its answer. Judged by a library's checker; what is asked here is one bit, whether a duty is paused.
+//! Linearizability check of the operators' commands and reads: each must take effect at one moment between its invocation and its return.
+//! The state is one bit, whether a task is paused.
 
 use stateright::semantics::register::{Register, RegisterOp, RegisterRet};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 
-/// What an operator did, in the order in which things began and ended.
+/// Invocation or return of one operation, in the order of the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationStep {
     Invoked {
         operator: u64,
         pause: Option<bool>,
     },
-    /// A read's answer, or that a command was carried out.
+    /// Result of a read, or `None` when a command was applied.
     Returned {
         operator: u64,
         paused: Option<bool>,
     },
-    /// What was asked last was not carried out, or was a read that nobody answered: as if it had never been asked.
+    /// The operator's last operation was not applied, or was a read without an answer; the check ignores it.
     Discarded {
         operator: u64,
     },
 }
 
-/// Operations of which it is not known whether they were carried out, beyond which a history is too wide to be searched.
+/// Operations with an unknown outcome beyond which the search takes too long.
 pub const MAX_UNKNOWN_OUTCOMES: usize = 6;
 
-/// The steps without what was never carried out.
+/// Returns the steps without discarded operations.
 fn without_discarded(steps: &[OperationStep]) -> Vec<OperationStep> {
     let mut kept: Vec<OperationStep> = Vec::new();
     for step in steps {
@@ -41,7 +41,11 @@
     kept
 }
 
-/// Whether the steps could have come from one table. Operators whose command was never answered have no later step.
+/// Checks the steps for linearizability. An operator whose command was never answered must have no later step.
+///
+/// # Errors
+///
+/// A step out of order, or steps that no sequential order explains.
 pub fn check_linearizable(steps: &[OperationStep]) -> Result<(), String> {
     let mut tester = LinearizabilityTester::new(Register(false));
     for step in without_discarded(steps) {
@@ -63,7 +67,7 @@
     if tester.is_consistent() {
         Ok(())
     } else {
-        Err(format!("no one table gives these answers: {steps:?}"))
+        Err(format!("not linearizable: {steps:?}"))
     }
 }
 
--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -1,5 +1,4 @@
-//! How long the fleet goes without an owner: read off a history, from the moment something was done to a steward to the first effect of whoever came
-//! after it.
+//! Time without a lease holder: from a fault of a worker to the first accepted effect of its successor.
 
 use crate::history::{History, HistoryEvent};
 use puffinladder_leases::fence::Verdict;
@@ -8,8 +7,8 @@
 use puffinladder_leases::{Epoch, Task};
 use std::collections::BTreeMap;
 
-/// From each fault of that word to the first effect that stood under a later epoch, for each part that the one hit owned; s. Parts without any such
-/// effect until the end are counted apart.
+/// Returns the sorted gaps, s, from each fault with that keyword to the first effect accepted under a later epoch, for each task that the
+/// affected process held, and the number of tasks without such an effect.
 pub fn ownership_gaps(history: &History, fault_keyword: &str) -> (Vec<f64>, usize) {
     let mut leases: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
     let mut open: Vec<(f64, &Task, Epoch)> = Vec::new();
@@ -51,7 +50,7 @@
     (closed, open.len())
 }
 
-/// A value that so large a share of the sorted ones is not above.
+/// Returns the quantile `share` (0 to 1) of sorted values, NaN if there are none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let place = (sorted.len() as f64 * share).ceil() as usize;
     sorted.get(place.max(1) - 1).or(sorted.last()).copied().unwrap_or(f64::NAN)
--- a/crates/proving/src/process.rs
+++ b/crates/proving/src/process.rs
@@ -1,5 +1,5 @@
-//! A process of the program: started, stopped, let go on, told to leave, killed, always by its own id. What it tells on standard output comes
-//! into the ground's queue; its log goes to a file.
+//! Child process of the program under test: started, paused, resumed, terminated and killed by its own id. Events on its standard output go
+//! into a channel, its log into a file.
 
 use puffinladder_leases::protocol::Event;
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,14 +9,14 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use tokio::sync::mpsc;
 
-/// How the program is called: the binary, and what stands before the kind of process.
+/// Path of the program and the arguments before the kind of process.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub path: PathBuf,
     pub leading_args: Vec<String>,
 }
 
-/// What came of a process: an event, or that it said its last.
+/// Event of a process, or the end of its output (`event` is `None`).
 #[derive(Debug)]
 pub struct ProcessOutput {
     pub process: String,
@@ -27,7 +27,7 @@
 pub struct Process {
     child: Child,
     commands: Option<ChildStdin>,
-    /// SIGSTOPped by us.
+    /// Stopped with SIGSTOP.
     paused: bool,
 }
 
@@ -41,7 +41,7 @@
         output: mpsc::UnboundedSender<ProcessOutput>,
     ) -> std::io::Result<Process> {
         let process = process.to_string();
-        // Lines that are no event are passed over: the program may print what it likes.
+        // The program may print other lines too.
         Process::spawn_with_line_handler(program, args, log, move |line| {
             let event = match line {
                 Some(line) => match serde_json::from_str(line) {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Starts one whose lines go to `hear`, none at the end; it says whether more is wanted.
+    /// Starts a process and passes each line of its output to `on_line`, then `None` at the end. Reading stops once `on_line` returns false.
     pub fn spawn_with_line_handler(
         program: &Program,
         args: &[String],
@@ -101,7 +101,7 @@
             self.signal(Signal::CONT);
         }
     }
-    /// SIGTERM; a paused one hears it once it goes on.
+    /// Sends SIGTERM; a paused process receives it after it resumes.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
@@ -110,14 +110,14 @@
         let _ = self.child.wait();
     }
 
-    /// Tells it something on standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
+    /// Writes a command to standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
     pub fn send_command(&mut self, command: &str, value: f64) {
         if let Some(commands) = &mut self.commands {
             let _ = writeln!(commands, "{command} {value}").and_then(|()| commands.flush());
         }
     }
 
-    /// How it ended, if it did.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link between two processes: a relay that one dials and that dials the other, and lets bytes pass as its two shapers say.
+//! TCP relay between two processes. Its two traffic shapers decide when bytes pass in each direction.
 
 use crate::schedule::Direction;
 use crate::traffic_shaper::{Impairment, Release, TrafficShaper};
@@ -12,17 +12,17 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The state of a link, which its connections watch.
+/// State of a link, shared with its connections.
 struct State {
     started_at: Instant,
     shapers: [Mutex<TrafficShaper>; 2],
-    /// Rises with every change of the shapers, and with every break of the connections.
+    /// Number of changes of the shapers, and of resets of the connections.
     changed: watch::Sender<(u64, u64)>,
     target: Mutex<Option<SocketAddr>>,
 }
 
 pub struct Relay {
-    /// Where it is dialled.
+    /// Address that clients connect to.
     pub address: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
@@ -31,7 +31,6 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.task.abort();
-        // Its connections end with it.
         self.state.changed.send_modify(|state| state.1 += 1);
     }
 }
@@ -52,7 +51,7 @@
         *self.state.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 
-    /// Changes what the directions meant do to bytes.
+    /// Changes the impairment of the given directions.
     pub fn impair(&self, way: Direction, change: impl Fn(&mut Impairment)) {
         for (index, only) in [Direction::Forward, Direction::Reverse].into_iter().enumerate() {
             if way == Direction::Both || way == only {
@@ -62,7 +61,7 @@
         self.state.changed.send_modify(|state| state.0 += 1);
     }
 
-    /// Breaks all connections; what was on its way is lost.
+    /// Closes all connections; bytes in transit are lost.
     pub fn reset(&self) {
         self.state.changed.send_modify(|state| state.1 += 1);
     }
@@ -81,11 +80,11 @@
     }
 }
 
-/// One connection: it stands at both ends or at neither.
+/// Forwards one connection; the target is connected before any byte is read.
 async fn forward_connection(near: TcpStream, state: Arc<State>) {
     let mut changed = state.changed.subscribe();
     let resets = changed.borrow_and_update().1;
-    // Through a shut link no connection comes about: it is held open here and leads nowhere until the link opens or breaks.
+    // On a blocked link the connection stays open without a target until the link is unblocked or reset.
     while lock_shaper(&state, 0).impairment.blocked {
         if changed.changed().await.is_err() || changed.borrow().1 != resets {
             return;
@@ -96,8 +95,8 @@
     let Ok(far) = puffinladder_transport::connect(target).await else { return };
     let _ = near.set_nodelay(true);
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    // When one direction ends so does the other, but for bytes that are held on their way there: they arrive, if need be at the next life of whoever
-    // is dialled.
+    // When one direction ends, so does the other. Bytes held on a blocked link are still delivered, if need be to the target's next
+    // incarnation.
     let peer_closed = AtomicBool::new(false);
     let there = copy_bytes(near_in, far_out, 0, &state, resets, &peer_closed);
     tokio::pin!(there);
@@ -136,7 +135,6 @@
             }
         };
         let Ok(count @ 1..) = read else { return };
-        // The piece waits here, and whatever comes behind it in the sockets' buffers.
         loop {
             let pass = lock_shaper(state, index).schedule(state.started_at.elapsed().as_secs_f64(), count);
             let wait = match pass {
@@ -165,7 +163,7 @@
     }
 }
 
-/// Brings bytes that outlived both ends of their connection to whoever is dialled by now, and waits until it has said something to them.
+/// Sends bytes that outlived both ends of their connection to the current target, and waits up to 1 s for a first answer.
 async fn deliver_late_bytes(state: &State, bytes: &[u8]) {
     let target = *state.target.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(target) = target else { return };
--- a/crates/proving/src/relay/tests.rs
+++ b/crates/proving/src/relay/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_is_shut_one_way_holds_that_way_and_lets_all_of_it_go_later() {
+async fn holds_bytes_of_blocked_direction_until_unblocked() {
     let (relay, mut near, mut far) = pair().await;
     near.write_all(b"one").await.unwrap();
     assert_eq!(reads(&mut far, 3).await.unwrap(), b"one");
@@ -31,11 +31,11 @@
 }
 
 #[tokio::test]
-async fn bytes_that_are_held_outlive_both_ends_and_reach_the_next_life() {
+async fn delivers_held_bytes_to_next_incarnation() {
     let (relay, mut near, far) = pair().await;
     relay.impair(Direction::Forward, |impairment| impairment.blocked = true);
     near.write_all(b"late").await.unwrap();
-    // The relay has read it once the far end's end has come back.
+    // Give the relay time to read the bytes before the far end closes.
     tokio::time::sleep(Duration::from_millis(20)).await;
     drop(far);
     assert_eq!(near.read(&mut [0; 8]).await.unwrap(), 0);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_break_ends_both_sides_and_a_new_connection_comes_about() {
+async fn reset_closes_both_sides_and_allows_new_connections() {
     let (relay, mut near, mut far) = pair().await;
     near.write_all(b"one").await.unwrap();
     assert!(reads(&mut far, 3).await.is_some());
--- a/crates/proving/src/scale/fleet.rs
+++ b/crates/proving/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! Control services and the processes of many servers and callers round them: started, hit, looked at.
+//! Fleet of control services and emulated servers and callers: started, killed and observed.
 
 use super::{Assertion, Expectation, FleetConfig, FleetSize, Scenario};
 use crate::process::{Process, Program};
@@ -16,39 +16,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// s after which a wait is given up, and the run with it. Nothing is judged by it.
+/// Time limit of each wait; exceeding it fails the run.
 const WAIT_TIMEOUT_S: f64 = 120.0;
-/// Between two looks.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a question to a service may take, and the most that it may answer.
 const DEBUG_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
-/// s until a service forgets a silent server: sooner than it does by itself, so that a test need not wait for long.
+/// Time until a service drops a silent server; shorter than the default to keep the tests short.
 const SILENT_SERVER_EXPIRY_S: f64 = 6.0;
-/// Plans without any content after which nothing moves any more.
+/// Consecutive plans without responses after which the fleet counts as stable.
 const STABLE_PLANS: f64 = 8.0;
-/// How long an emulator process lives if the ground is gone.
+/// Lifetime of an emulator process if this process is killed.
 const EMULATOR_SPAN: &str = "1h";
-/// s between two reports of a server, as it is told.
+/// Report interval of an emulated server.
 pub const REPORT_INTERVAL_S: f64 = 0.25;
 
 static FLEET_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A count that a service reports: its name, without what all have in common, and its labels.
+/// Metrics of a service by name, without the common prefix, and labels.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics(BTreeMap<String, f64>);
 
 impl Metrics {
-    /// Not a number where the service reports no such count: that holds nowhere.
+    /// Returns a value, NaN if the service reports no such metric.
     pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).copied().unwrap_or(f64::NAN)
     }
-    /// Bytes of responses, of all types, as content or as renewals.
+    /// Returns the bytes of responses of all resource types, as `content` or as `renewal`.
     pub fn response_bytes(&self, what: &str) -> f64 {
         let of = |kind| self.get(&format!("response_bytes_total{{type=\"{kind}\",what=\"{what}\"}}"));
         ["cluster", "endpoints", "listener", "routes"].into_iter().map(of).sum()
     }
-    /// The same counts before anything happened.
+    /// Returns the same metrics with all values 0.
     pub fn zeroed(&self) -> Metrics {
         Metrics(self.0.keys().map(|name| (name.clone(), 0.0)).collect())
     }
@@ -61,7 +59,7 @@
     }
 }
 
-/// What a service says of one caller.
+/// State of a caller, as a service reports it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CallerView {
     pub node: String,
@@ -77,7 +75,7 @@
     proxies: Vec<CallerView>,
 }
 
-/// What it says of one server: its own clock and its own count of reports.
+/// Last report of a server: its clock, s, and its number of reports.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerView {
     pub instance: String,
@@ -100,11 +98,10 @@
     epoch: f64,
 }
 
-/// A control service.
 struct Service {
     process: Option<Process>,
     ready: Arc<Mutex<Option<Vec<SocketAddr>>>>,
-    /// Kept from its first life on.
+    /// Addresses assigned at the first start, for xDS, reports and debug pages.
     addresses: Option<Vec<SocketAddr>>,
 }
 
@@ -114,20 +111,20 @@
     Callers,
 }
 
-/// The last that an emulator process told.
+/// Last status line of an emulator process.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct EmulatorStatus {
     pub reconnects: u64,
 }
 
-/// What an emulator process plays.
+/// Servers or callers that an emulator process plays.
 #[derive(Clone, Debug)]
 pub struct EmulatorSpec {
     pub kind: EmulatorKind,
     pub count: usize,
     pub first: usize,
     pub zones: usize,
-    /// Services that it knows, by number, and whether a relay stands before each.
+    /// Indexes of its control services, and whether each is reached through a relay.
     pub control: Vec<(usize, bool)>,
 }
 
@@ -152,7 +149,7 @@
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts so many control services.
+    /// Starts a fleet of that many control services.
     pub async fn start(
         config: &'a FleetConfig,
         scenario: Scenario,
@@ -176,7 +173,7 @@
         Ok(fleet)
     }
 
-    /// Starts a service, at the addresses that it had before if it lived before.
+    /// Starts a service, at its former addresses if it ran before.
     pub async fn start_service(&mut self, at: usize) -> Result<(), String> {
         let settings = self.folder.join(format!("control-{at}.scm"));
         let service = &mut self.services[at];
@@ -214,13 +211,13 @@
             }
             self.check_processes()?;
             if Instant::now() > end {
-                return Err(format!("control service {at} does not start"));
+                return Err(format!("control service {at} was not ready within {WAIT_TIMEOUT_S} s"));
             }
             sleep(POLL_INTERVAL / 5).await;
         }
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill_service(&mut self, at: usize) {
         self.services[at].process = None;
     }
@@ -228,17 +225,17 @@
     fn address(&self, kind: EmulatorKind, service: usize) -> Result<SocketAddr, String> {
         let at = self.services[service].addresses.as_deref().unwrap_or_default();
         let place = usize::from(kind == EmulatorKind::Servers);
-        at.get(place).copied().ok_or_else(|| format!("control service {service} never started"))
+        at.get(place).copied().ok_or_else(|| format!("control service {service} was never started"))
     }
 
-    /// Starts an emulator process; all of it comes within the time given, `0s` is at once.
+    /// Starts an emulator process and returns its index; its peers connect within the given time, `0s` means at once.
     pub async fn start_emulator(&mut self, spec: EmulatorSpec, within: &str) -> Result<usize, String> {
         let mut relays = Vec::new();
         for &(service, through_relay) in &spec.control {
             let relay = match through_relay {
                 true => {
                     let seed = self.config.seed ^ (self.emulators.len() as u64) << 8;
-                    let relay = Relay::open(seed).await.map_err(|e| format!("a relay: {e}"))?;
+                    let relay = Relay::open(seed).await.map_err(|e| format!("cannot open a relay: {e}"))?;
                     relay.set_target(Some(self.address(spec.kind, service)?));
                     Some(relay)
                 }
@@ -252,7 +249,7 @@
         Ok(emulator)
     }
 
-    /// Starts it anew under its names.
+    /// Starts an emulator process again with the same peer names.
     pub fn restart_emulator(&mut self, emulator: usize, within: &str) -> Result<(), String> {
         let Emulator { spec, relays, .. } = &self.emulators[emulator];
         let mut control = Vec::new();
@@ -299,7 +296,7 @@
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill_emulator(&mut self, emulator: usize) {
         self.emulators[emulator].process = None;
     }
@@ -308,12 +305,12 @@
         self.emulators[emulator].relays.iter().flatten()
     }
 
-    /// The last that it told of itself.
+    /// Returns the last status of an emulator process.
     pub fn emulator_status(&self, emulator: usize) -> EmulatorStatus {
         *lock(&self.emulators[emulator].status)
     }
 
-    /// Whoever ended by itself is a fault.
+    /// Fails if a process has exited.
     fn check_processes(&mut self) -> Result<(), String> {
         let services = self.services.iter_mut().enumerate();
         let services = services.map(|(at, s)| (format!("control service {at}"), &mut s.process));
@@ -321,7 +318,7 @@
         let emulators = emulators.map(|(at, p)| (format!("emulator process {at}"), &mut p.process));
         for (who, process) in services.chain(emulators) {
             if let Some(ended) = process.as_mut().and_then(Process::exit_status) {
-                return Err(format!("{who} ended by itself: {ended}, see {}", self.folder.display()));
+                return Err(format!("{who} exited unexpectedly: {ended}, see {}", self.folder.display()));
             }
         }
         Ok(())
@@ -329,7 +326,7 @@
 
     async fn debug_page(&self, service: usize, path: &str) -> Result<String, String> {
         let at = self.services[service].addresses.as_deref().and_then(|at| at.get(2)).copied();
-        let at = at.ok_or("a service without a debug view")?;
+        let at = at.ok_or("the service has no debug address")?;
         let asked = async {
             let mut stream = TcpStream::connect(at).await?;
             let request = format!("GET {path} HTTP/1.1\r\nHost: control\r\nConnection: close\r\n\r\n");
@@ -339,9 +336,12 @@
             std::io::Result::Ok(text)
         };
         let named = |what: String| format!("control service {service}, {path}: {what}");
-        let text = timeout(DEBUG_REQUEST_TIMEOUT, asked).await.map_err(|_| named("no answer".into()))?;
+        let text = timeout(DEBUG_REQUEST_TIMEOUT, asked)
+            .await
+            .map_err(|_| named(format!("no answer within {} s", DEBUG_REQUEST_TIMEOUT.as_secs())))?;
         let text = text.map_err(|e| named(e.to_string()))?;
-        let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| named("half an answer".into()))?;
+        let (head, body) =
+            text.split_once("\r\n\r\n").ok_or_else(|| named("response without an end of headers".into()))?;
         match head.starts_with("HTTP/1.1 200") {
             true => Ok(body.to_string()),
             false => Err(named(head.lines().next().unwrap_or_default().to_string())),
@@ -357,26 +357,25 @@
         Ok(Metrics::read(&self.debug_page(service, "/metrics").await?))
     }
 
-    /// By node.
+    /// Returns the callers of a service by node.
     pub async fn callers(&self, service: usize) -> Result<BTreeMap<String, CallerView>, String> {
         let all: CallersView = self.debug_json(service, "/proxies").await?;
         Ok(all.proxies.into_iter().map(|caller| (caller.node.clone(), caller)).collect())
     }
 
-    /// By instance.
+    /// Returns the servers of a service by instance.
     pub async fn servers(&self, service: usize) -> Result<BTreeMap<String, ServerView>, String> {
         let all: ServersView = self.debug_json(service, "/servers").await?;
         Ok(all.servers.into_iter().map(|s| (s.report.instance.clone(), s.report)).collect())
     }
 
-    /// Of the plan in force.
+    /// Returns the epoch of the current plan.
     pub async fn epoch(&self, service: usize) -> Result<f64, String> {
         let plan: PlanView = self.debug_json(service, "/plan").await?;
         Ok(plan.epoch)
     }
 
-    /// Descriptors of a service's process, as the system counts them; the least of some looks, since the last question's own may not be
-    /// closed yet.
+    /// Returns the number of open descriptors of a service: the smallest of five samples, as the last debug request may still be open.
     pub async fn descriptors(&self, service: usize) -> f64 {
         let mut least = f64::MAX;
         for _ in 0..5 {
@@ -386,7 +385,7 @@
         least
     }
 
-    /// The same, once there are no more than so many; in vain it is how many there are.
+    /// Waits until a service has at most `limit` open descriptors, and returns their number then or at the time limit.
     pub async fn wait_for_descriptors(&self, service: usize, limit: f64) -> f64 {
         let end = Instant::now() + Duration::from_secs_f64(WAIT_TIMEOUT_S);
         loop {
@@ -405,7 +404,11 @@
         count.map_or(f64::NAN, |count| count as f64)
     }
 
-    /// Looks at a service until it is as wanted; in vain is the end of the run.
+    /// Polls the metrics of a service until `wanted` is true.
+    ///
+    /// # Errors
+    ///
+    /// A process exited, a request failed, or the time limit was exceeded.
     pub async fn wait_for_metrics(
         &mut self,
         service: usize,
@@ -430,13 +433,13 @@
                 ];
                 let seen: Vec<String> =
                     names.iter().map(|name| format!("{name} {}", metrics.get(name))).collect();
-                return Err(format!("waited in vain for {what}: {}", seen.join(", ")));
+                return Err(format!("no {what} within {WAIT_TIMEOUT_S} s: {}", seen.join(", ")));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Looks at a service's callers until they are as wanted.
+    /// Polls the callers of a service until `wanted` is true.
     pub async fn wait_for_callers(
         &mut self,
         service: usize,
@@ -451,13 +454,13 @@
                 return Ok(callers);
             }
             if Instant::now() > end {
-                return Err(format!("waited in vain for {what}: {} callers", callers.len()));
+                return Err(format!("no {what} within {WAIT_TIMEOUT_S} s: {} callers", callers.len()));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Until all are there, all callers hold the plan, and nothing more is sent but renewals.
+    /// Waits until all peers are connected, all callers have the plan, and only renewals are sent.
     pub async fn wait_until_stable(&mut self, service: usize, size: FleetSize) -> Result<Metrics, String> {
         let (servers, callers) = (size.servers as f64, size.callers as f64);
         let mut since: Option<(f64, f64)> = None;
@@ -477,10 +480,10 @@
                 }
             }
         };
-        self.wait_for_metrics(service, "all to stand and nothing to move", still).await
+        self.wait_for_metrics(service, "stable fleet", still).await
     }
 
-    /// Asserts.
+    /// Records a check.
     pub fn expect(&mut self, description: impl Into<String>, expected: Expectation, observed: f64) {
         self.assertions.push(Assertion {
             scenario: self.scenario,
@@ -490,10 +493,9 @@
         });
     }
 
-    /// Ends it; its folder stays where something did not hold, or all are kept.
+    /// Kills all processes; the folder is kept if a check failed or `keep` is set.
     pub fn finish(self, failed: bool) -> (Vec<Assertion>, Option<PathBuf>) {
         let Fleet { config, folder, assertions, services, emulators, .. } = self;
-        // Killed, whatever still runs.
         drop((services, emulators));
         let failed = failed || !assertions.iter().all(Assertion::passed);
         if failed || config.keep {
--- a/crates/proving/src/scale/mod.rs
+++ b/crates/proving/src/scale/mod.rs
@@ -1,6 +1,5 @@
-//! Scale tests: control services with many servers and callers in front and behind them, some of which fail, and what must not grow with them.
-//! Judged by counts that the processes report of themselves, and by the descriptors that the system counts for them; time only ends a
-//! wait that would not end, which fails the run.
+//! Scale tests: control services with many emulated servers and callers, some of which fail, and bounds on what must not grow with their number.
+//! Checks use counts that the processes report and the descriptors that the kernel counts; time limits only end a wait, which fails the run.
 
 mod fleet;
 pub mod scenarios;
@@ -9,18 +8,18 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// How worlds are made.
+/// Configuration of the fleets.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The program, whose hidden commands the processes are.
+    /// Program under test.
     pub program: PathBuf,
-    /// Where each world's folder is made; it is kept where something did not hold, or always.
+    /// Folder in which each fleet's folder is created; that is kept if a check failed or `keep` is set.
     pub folder: PathBuf,
     pub keep: bool,
     pub seed: u64,
 }
 
-/// How many there are at first; stories that compare also play three times as many.
+/// Initial fleet size; scenarios that compare also run with three times as many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     pub servers: usize,
@@ -81,17 +80,16 @@
     }
 }
 
-/// What a count has to be.
+/// Bound that a value must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Expectation {
     Equal(f64),
-    /// At the most, at the least.
     AtMost(f64),
     AtLeast(f64),
 }
 
 impl Expectation {
-    /// A count that is no number holds nowhere.
+    /// Returns whether the value satisfies the bound; NaN never does.
     pub fn passed(self, seen: f64) -> bool {
         match self {
             Expectation::Equal(wanted) => seen == wanted,
@@ -112,7 +110,7 @@
     }
 }
 
-/// A count, or a ratio with two places.
+/// Formats whole numbers without decimals, others with two.
 struct DisplayValue(f64);
 
 impl fmt::Display for DisplayValue {
@@ -125,7 +123,7 @@
     }
 }
 
-/// One thing that was asserted.
+/// One check of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assertion {
     pub scenario: Scenario,
@@ -140,14 +138,13 @@
     }
 }
 
-/// What came of a scenario.
+/// Result of a scenario.
 #[derive(Debug)]
 pub struct ScenarioReport {
     pub scenario: Scenario,
     pub assertions: Vec<Assertion>,
-    /// A wait that did not end, or a process that did.
+    /// Time limit exceeded, or process that exited.
     pub error: Option<String>,
-    /// Folders of worlds that were kept.
     pub kept_folders: Vec<PathBuf>,
 }
 
--- a/crates/proving/src/scale/tests.rs
+++ b/crates/proving/src/scale/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_count_that_is_off_or_missing_holds_nowhere_and_a_story_that_asserted_nothing_does_not_hold() {
+fn out_of_bound_or_missing_values_and_empty_reports_fail() {
     for (must, fits, off) in [
         (Expectation::Equal(3.0), 3.0, 4.0),
         (Expectation::AtMost(3.0), 3.0, 3.5),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn stories_are_read_by_their_names() {
+fn parses_scenario_names() {
     for scenario in Scenario::ALL {
         assert_eq!(scenario.name().parse(), Ok(scenario));
     }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn counts_are_read_with_their_labels_and_one_that_is_not_there_is_no_number() {
+fn reads_metrics_with_labels_and_nan_if_missing() {
     let kinds = ["cluster", "endpoints", "listener", "routes"];
     let bytes = kinds.map(|kind| {
         format!("puffinladder_control_response_bytes_total{{type=\"{kind}\",what=\"content\"}} 25\n")
--- a/crates/proving/src/schedule.rs
+++ b/crates/proving/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What fails, and when: read from S-expressions, drawn from a seed, written down again. Times are s since all processes stood.
+//! Fault schedules: read from S-expressions, generated from a seed, and written back. Times are seconds since all processes were ready.
 //!
 //! ```text
 //! (schedule (seed 7) (keepers 3) (stewards 4) (servers 6) (parts 8) (span 12s)
@@ -11,14 +11,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::fmt::{self, Write};
 
-/// A process of the ground.
+/// Process of the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProcessId {
-    /// From 1.
+    /// Lease store replica, numbered from 1.
     Replica(u64),
     Worker(usize),
     TraceStore,
-    /// A stand-in server that reports to the stewards.
+    /// Stand-in server that reports to the workers.
     QuotaServer(usize),
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Which of a link's two directions; there is from `who` to `to`.
+/// Direction of a link; `Forward` is from the fault's `process` to its `peer`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Both,
@@ -59,35 +59,35 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// SIGSTOP, and SIGCONT after the span.
+    /// SIGSTOP, and SIGCONT at the end.
     Pause,
-    /// The same, of whichever keeper leads by then.
+    /// Pause of the replica that is leader at that time.
     PauseLeader,
-    /// SIGKILL, and a new start after the span with the disk as it was.
+    /// SIGKILL, and a restart with the same disk at the end.
     Kill,
-    /// The same, of whichever keeper leads by then.
+    /// Kill of the replica that is leader at that time.
     KillLeader,
-    /// SIGTERM, and a new start after the span.
+    /// SIGTERM, and a restart at the end.
     Terminate,
-    /// SIGTERM to a server, and a new start once it has left by itself.
+    /// SIGTERM to a server, and a restart once it has exited by itself.
     DrainAndRestart,
-    /// A keeper's disk is lost for good; another keeper joins in its place after the span.
+    /// A replica loses its disk; a new replica joins in its place at the end.
     LoseDisk,
-    /// Nothing passes a link; after the span its connections break.
+    /// No bytes pass a link; its connections are reset at the end.
     Partition,
-    /// Nothing passes a link, and all of it after the span, however late by then.
+    /// No bytes pass a link; all of them are delivered at the end.
     HoldTraffic,
-    /// A link's connections break.
+    /// Connections of a link are reset.
     ResetConnections,
-    /// Each piece of bytes comes up to `value` s later.
+    /// Each chunk is delayed by up to `value` s.
     Delay,
-    /// No more than `value` bytes a second.
+    /// Bandwidth is limited to `value` bytes/s.
     Throttle,
-    /// A clock runs `value` times as fast.
+    /// The clock runs `value` times as fast.
     ClockRate,
-    /// A wall clock is `value` s off.
+    /// The wall clock is off by `value` s.
     WallClockOffset,
-    /// A keeper's syncs take `value` s.
+    /// Disk syncs of a replica take `value` s.
     SlowSync,
 }
 
@@ -132,7 +132,7 @@
     pub start: f64,
     pub kind: FaultKind,
     pub process: ProcessId,
-    /// Of a link: the other end, or every other.
+    /// Other end of a link; `None` means all links of the process.
     pub peer: Option<ProcessId>,
     pub direction: Direction,
     pub duration: f64,
@@ -143,7 +143,7 @@
     pub fn new(start: f64, kind: FaultKind, process: ProcessId, duration: f64) -> Fault {
         Fault { start, kind, process, peer: None, direction: Direction::Both, duration, value: 0.0 }
     }
-    /// Whether a link from one to another is meant, and which of its directions, as seen from its dialling end.
+    /// Returns the affected direction of the link, as seen from `from`, its connecting end, or `None` if the fault does not affect it.
     pub fn direction_on_link(&self, from: ProcessId, to: ProcessId) -> Option<Direction> {
         let other = |end: ProcessId| self.peer.is_none_or(|to| to == end);
         if self.process == from && other(to) {
@@ -163,17 +163,17 @@
     pub seed: u64,
     pub replicas: u64,
     pub workers: usize,
-    /// Stand-in servers that report to the stewards, for parts of a quota and turns to leave.
+    /// Stand-in servers that report to the workers for quota shares and drain slots.
     pub quota_servers: usize,
-    /// Servers whose traces are gathered, and parts of that duty.
+    /// Servers whose traces are collected, and parts of the collection task.
     pub servers: usize,
     pub parts: usize,
-    /// Files that each server has written before anything begins, and s from one file to the next, over all of them.
+    /// Trace files that each server has at the start, and s between later files over all servers.
     pub backlog_files: usize,
     pub file_interval: f64,
-    /// s for which there is traffic, and faults begin.
+    /// Time for which there is traffic and faults start, s.
     pub duration: f64,
-    /// The term of grants, s; all other times of the keepers follow from it.
+    /// Lease term, s; all other times of the replicas derive from it.
     pub lease_term: f64,
     pub faults: Vec<Fault>,
 }
@@ -196,7 +196,6 @@
     }
 }
 
-/// Longest schedule, s, and most faults.
 const MAX_DURATION_S: f64 = 3600.0;
 const MAX_FAULTS: usize = 10_000;
 
@@ -222,7 +221,7 @@
             };
             let faults = block.blocks("fault");
             if faults.len() > MAX_FAULTS {
-                block.report("fault", format!("should stand here {MAX_FAULTS} times at the most"));
+                block.report("fault", format!("should be given at most {MAX_FAULTS} times"));
             }
             schedule.faults =
                 faults.iter().take(MAX_FAULTS).map(|block| read_fault(block, &schedule)).collect();
@@ -258,12 +257,12 @@
             .collect()
     }
 
-    /// The same with other faults.
+    /// Returns the schedule with other faults.
     pub fn with(&self, faults: Vec<Fault>) -> Schedule {
         Schedule { faults, ..self.clone() }
     }
 
-    /// One drawn from a seed: the same for the same seed and size.
+    /// Generates a schedule: the same for the same seed and size.
     pub fn generate(seed: u64, size: &Schedule) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut generated = Schedule { seed, faults: Vec::new(), ..size.clone() };
@@ -280,7 +279,7 @@
         let mut disk_lost = false;
         for _ in 0..count {
             let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
-            // Short ones heal within a term, long ones outlast it several times.
+            // Short faults end within a term, long ones outlast several terms.
             let short = rng.random_bool(0.3);
             let terms = if short { rng.random_range(0.1..0.9) } else { rng.random_range(1.5..5.0) };
             let span = terms * generated.lease_term;
@@ -293,7 +292,7 @@
             let (from, to) = ends[rng.random_range(0..3)];
             let link = |kind| Fault { peer: Some(to), direction, ..Fault::new(at, kind, from, span) };
             let fault = match rng.random_range(0..17) {
-                // Stewards in the middle of a step are what all of this is about.
+                // Paused workers are the most frequent fault: they resume in the middle of a step.
                 0..4 => Fault::new(at, FaultKind::Pause, worker, span),
                 4 => Fault::new(at, FaultKind::PauseLeader, replica, span),
                 5 => Fault::new(
@@ -311,7 +310,7 @@
                     Fault::new(at, FaultKind::LoseDisk, replica, generated.lease_term)
                 }
                 11 => link(FaultKind::Partition),
-                // What a steward said is on its way until another has its grants, and the archive may be another life by then.
+                // Effects of a worker are held until another worker has its leases; the trace store may have restarted by then.
                 12 | 13 => {
                     let hold_time = rng.random_range(2.5..6.0) * generated.lease_term;
                     let paused =
@@ -336,7 +335,6 @@
             };
             generated.faults.push(fault);
         }
-        // Servers fail too: two or three times where there are any.
         for _ in 0..if generated.quota_servers > 0 { rng.random_range(2..=3) } else { 0 } {
             let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
             let server = ProcessId::QuotaServer(rng.random_range(1..=generated.quota_servers));
@@ -395,7 +393,7 @@
         value: block.number("value", defaults, -1e6..=1e9),
     };
     if read.peer.is_some() && !what.affects_link() {
-        block.report("to", "is for links alone: cut, hold, reset, slow, trickle");
+        block.report("to", "applies to links only: cut, hold, reset, slow, trickle");
     }
     let replica = matches!(read.process, ProcessId::Replica(_));
     if matches!(what, FaultKind::LoseDisk | FaultKind::SlowSync) && !replica {
--- a/crates/proving/src/schedule/tests.rs
+++ b/crates/proving/src/schedule/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn drawn_schedules_are_the_same_for_a_seed_and_read_back_as_they_are_written() {
+fn generated_schedules_are_deterministic_and_read_back() {
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..300 {
         let generated =
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_a_schedule_cannot_mean_is_named_with_its_place() {
+fn reports_invalid_settings_with_their_position() {
     let text = "(schedule (keepers 3)\n (fault (at 1s) (do pause) (who \"k9\"))\n (fault (do melt) (who \"s1\"))\n (fault (at 1s) (do sync) (who \"s1\") (to \"k1\")))";
     let messages: Vec<String> =
         Schedule::read("f", text).unwrap_err().iter().map(Diagnostic::to_string).collect();
@@ -25,7 +25,7 @@
         "f:2:28: schedule.fault.who: \"k9\"",
         "schedule.fault.at: should be given",
         "schedule.fault.do: should be one of pause",
-        "schedule.fault.to: is for links alone",
+        "schedule.fault.to: applies to links only",
         "schedule.fault.who: should be a keeper",
     ] {
         assert!(messages.iter().any(|line| line.contains(wanted)), "{wanted}: {messages:#?}");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_fault_of_a_link_is_turned_for_whoever_dialled() {
+fn fault_direction_is_reversed_at_the_peer() {
     let fault = Fault {
         peer: Some(ProcessId::TraceStore),
         direction: Direction::Forward,
--- a/crates/proving/src/shrink.rs
+++ b/crates/proving/src/shrink.rs
@@ -1,8 +1,9 @@
-//! Cuts a failing schedule down to the least that still fails: first whole stretches of its faults, then single ones, then their spans.
+//! Reduces a failing schedule: removes runs of faults, then single faults, then shortens durations.
 
 use crate::schedule::{Fault, Schedule};
 
-/// Tries `fails` until nothing more can go; at most so many tries. A run on processes may fail by chance alone: `fails` may try more than once.
+/// Returns the smallest schedule found for which `fails` is true, calling it at most `tries` times. Runs on real processes are not deterministic:
+/// `fails` may run a schedule more than once.
 pub fn shrink(schedule: &Schedule, tries: usize, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
     let mut left = tries;
     let mut try_schedule = |schedule: &Schedule| {
@@ -28,7 +29,7 @@
         }
         chunk = if chunk == 1 { 0 } else { chunk.div_ceil(2) };
     }
-    // What is left is needed; shorter may do.
+    // All remaining faults are needed; halve their durations.
     for index in 0..smallest.faults.len() {
         while smallest.faults[index].duration > 0.2 {
             let mut shorter = smallest.clone();
--- a/crates/proving/src/timeline.rs
+++ b/crates/proving/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A run as a picture: who owned which part when, and what was done to whom meanwhile.
+//! SVG timeline of a run: lease holders of each task, and faults of each process.
 
 use crate::history::{History, HistoryEvent};
 use plotters::prelude::*;
@@ -19,13 +19,12 @@
     RGBColor(96, 125, 139),
     RGBColor(214, 160, 40),
 ];
-/// Height of a line, px.
 const LINE_HEIGHT_PX: u32 = 16;
 
-/// A stretch of one line: from, until, and whose.
+/// Start and end, s, and label.
 type Interval = (f64, f64, String);
 
-/// Owners by part as the keepers saw it, on the ground's clock.
+/// Returns the lease intervals of each task as the replicas reported them, in the cluster's time.
 fn lease_intervals(history: &History, end: f64) -> BTreeMap<String, Vec<Interval>> {
     let mut open: BTreeMap<u64, (String, f64, String)> = BTreeMap::new();
     let mut seen: BTreeMap<(u64, u8), ()> = BTreeMap::new();
@@ -54,7 +53,7 @@
     lines
 }
 
-/// Faults by process.
+/// Returns the faults of each process. Clock faults are left out.
 fn fault_intervals(history: &History, end: f64) -> BTreeMap<String, Vec<Interval>> {
     let mut lines: BTreeMap<String, Vec<Interval>> = BTreeMap::new();
     for entry in &history.entries {
@@ -78,7 +77,11 @@
     lines
 }
 
-/// Draws it, as SVG.
+/// Renders the timeline as SVG.
+///
+/// # Errors
+///
+/// Errors of the drawing library.
 pub fn render_svg(title: &str, history: &History) -> Result<String, Box<dyn std::error::Error>> {
     let end = history.entries.last().map_or(1.0, |entry| entry.at).max(0.1);
     let (lease_intervals, fault_intervals) = (lease_intervals(history, end), fault_intervals(history, end));
@@ -130,14 +133,14 @@
                     (x(*until).max(x(*from) + 2), y(row) + LINE_HEIGHT_PX as i32 - 2),
                 ];
                 area.draw(&Rectangle::new(bar, RED.mix(0.3).filled()))?;
-                // Words of faults that overlap stand behind each other.
+                // Place labels of overlapping faults side by side.
                 let word = (x(*from) + 2).max(free);
                 free = word + 6 * what.len() as i32 + 6;
                 area.draw(&Text::new(what.clone(), (word, y(row) + 2), small.clone()))?;
             }
             row += 1;
         }
-        // Effects that came late and were refused.
+        // Mark stale effects that were refused.
         for (entry, event) in history.events() {
             let Event::EffectChecked { task, verdict: Verdict::Stale { .. }, block: Some(_), .. } = event
             else {
--- a/crates/proving/src/trace_rows.rs
+++ b/crates/proving/src/trace_rows.rs
@@ -1,4 +1,4 @@
-//! The traces that are gathered on the ground, and whether an export of the archive holds each of their rows once.
+//! Generated trace files, and the comparison of their rows with an export of the trace store.
 
 use puffinladder_trace::file::{Kind, Meta, Writer};
 use puffinladder_trace::merge::Blocks;
@@ -10,10 +10,10 @@
 use std::io::{BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// What a row is known by, whatever file it stands in.
+/// Node, read time, name, key and caller: identifies a row across files.
 type RowKey = (String, i64, u32, u64, u32);
 
-/// How often each row stands somewhere.
+/// Number of occurrences of each row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RowCounts(BTreeMap<RowKey, u32>);
 
@@ -30,7 +30,7 @@
         *self.0.entry(key).or_default() += 1;
     }
 
-    /// RowCounts that stand here and not there, and that stand there more often than here.
+    /// Returns the number of distinct rows that `other` holds fewer copies of, and of those that it holds more copies of.
     pub fn missing_and_extra(&self, other: &RowCounts) -> (usize, usize) {
         let missing = self.0.iter().filter(|(key, count)| other.0.get(*key).copied().unwrap_or(0) < **count);
         let extra = other.0.iter().filter(|(key, count)| self.0.get(*key).copied().unwrap_or(0) < **count);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Writes a sealed file of one server into its folder, under another name first, so that nobody finds half of it. Each file has times of its own.
+/// Writes a sealed trace file of one server, under a temporary name until it is complete. Times of files with different serials do not overlap.
 pub fn write_trace_file(
     folder: &Path,
     server: &str,
--- a/crates/proving/src/trace_rows/tests.rs
+++ b/crates/proving/src/trace_rows/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn rows_that_are_missing_or_stand_twice_are_counted() {
+fn counts_missing_and_duplicate_rows() {
     let folder = tempfile::tempdir().unwrap();
     let (mut all, mut one) = (RowCounts::default(), RowCounts::default());
     write_trace_file(folder.path(), "n1", 1, 2, &mut one).unwrap();
--- a/crates/proving/src/traffic_shaper.rs
+++ b/crates/proving/src/traffic_shaper.rs
@@ -1,31 +1,30 @@
-//! One direction of a link: when bytes that came may go on. Decided without a clock; a relay sleeps as it is told.
+//! Traffic shaping of one direction of a link: computes when received bytes may be forwarded. It reads no clock and does not sleep.
 
 use puffinladder_leases::SeededRandom;
 
-/// What a direction does to bytes, until it is changed.
+/// Impairment of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Impairment {
-    /// Nothing passes.
     pub blocked: bool,
-    /// s of max_delay, drawn anew for each piece up to this.
+    /// Upper bound of the random delay of each chunk, s.
     pub max_delay: f64,
-    /// Bytes a second, 0 is without a bound.
+    /// Bandwidth, bytes/s; 0 means unlimited.
     pub bytes_per_second: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct TrafficShaper {
     pub impairment: Impairment,
-    /// When the piece before goes on: none overtakes another.
+    /// Release time of the previous chunk, s; chunks are never reordered.
     last_release: f64,
     random: SeededRandom,
 }
 
-/// When a piece may go on.
+/// Release time of a chunk, s.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Release {
     At(f64),
-    /// Not before the link changes.
+    /// Blocked until the impairment changes.
     Blocked,
 }
 
@@ -38,7 +37,7 @@
         }
     }
 
-    /// A piece of so many bytes that came now.
+    /// Schedules a chunk of `bytes` bytes received at `now`, s.
     pub fn schedule(&mut self, now: f64, bytes: usize) -> Release {
         let Impairment { blocked, max_delay, bytes_per_second } = self.impairment;
         if blocked {
@@ -50,7 +49,7 @@
         Release::At(self.last_release)
     }
 
-    /// How many bytes may go as one piece: few where they trickle, so that a line is cut in many.
+    /// Returns the largest chunk to read at once, bytes; small when the bandwidth is limited, so that lines are split.
     pub fn max_chunk_bytes(&self) -> usize {
         if self.impairment.bytes_per_second > 0.0 {
             ((self.impairment.bytes_per_second * 0.02) as usize).clamp(1, 16_384)
--- a/crates/proving/src/traffic_shaper/tests.rs
+++ b/crates/proving/src/traffic_shaper/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn delays_are_drawn_within_their_bound_and_nothing_overtakes() {
+fn delays_are_bounded_and_keep_order() {
     let mut shaper = TrafficShaper::new(3);
     assert_eq!(shaper.schedule(1.0, 100), Release::At(1.0));
     shaper.impairment.max_delay = 0.5;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_trickle_lets_so_many_bytes_a_second_pass_in_small_pieces_and_shut_is_shut() {
+fn limits_bandwidth_in_small_chunks_and_blocks() {
     let mut shaper = TrafficShaper::new(3);
     shaper.impairment.bytes_per_second = 1000.0;
     assert_eq!(shaper.max_chunk_bytes(), 20);
