--- a/crates/proving/src/measure.rs
+++ b/crates/proving/src/measure.rs
@@ -1,47 +1,46 @@
-//! How long the fleet goes without an owner: read off a history, from the moment something was done to a steward to the first effect of whoever came
-//! after it.
+//! Time without a lease holder: from a fault of a worker to the first accepted effect of its successor.
 
-use crate::history::{Happened, History};
+use crate::history::{History, HistoryEvent};
 use puffinladder_leases::fence::Verdict;
 use puffinladder_leases::protocol::Event;
 use puffinladder_leases::table::ChangeKind;
 use puffinladder_leases::{Epoch, Task};
 use std::collections::BTreeMap;
 
-/// From each fault of that word to the first effect that stood under a later epoch, for each part that the one hit owned; s. Parts without any such
-/// effect until the end are counted apart.
-pub fn gaps(history: &History, word: &str) -> (Vec<f64>, usize) {
-    let mut owned: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
+/// Returns the sorted gaps, s, from each fault with that keyword to the first effect accepted under a later epoch, for each task that the
+/// affected process held, and the number of tasks without such an effect.
+pub fn ownership_gaps(history: &History, fault_keyword: &str) -> (Vec<f64>, usize) {
+    let mut leases: BTreeMap<&Task, (Epoch, &str)> = BTreeMap::new();
     let mut open: Vec<(f64, &Task, Epoch)> = Vec::new();
     let mut closed = Vec::new();
     for entry in &history.entries {
-        match &entry.what {
-            Happened::Begun { fault } if fault.split(' ').next() == Some(word) => {
-                let hit = owned.iter().filter(|(_, (_, whose))| *whose == entry.who);
-                open.extend(hit.map(|(duty, (epoch, _))| (entry.at, *duty, *epoch)));
+        match &entry.event {
+            HistoryEvent::FaultStarted { fault } if fault.split(' ').next() == Some(fault_keyword) => {
+                let affected = leases.iter().filter(|(_, (_, holder))| *holder == entry.process);
+                open.extend(affected.map(|(task, (epoch, _))| (entry.at, *task, *epoch)));
             }
-            Happened::Told(Event::Change(change)) => match change.kind {
+            HistoryEvent::Reported(Event::Change(change)) => match change.kind {
                 ChangeKind::Granted => {
-                    let known = owned.get(&change.task).is_some_and(|(epoch, _)| *epoch >= change.epoch);
+                    let known = leases.get(&change.task).is_some_and(|(epoch, _)| *epoch >= change.epoch);
                     if !known {
-                        owned.insert(&change.task, (change.epoch, &change.holder.instance));
+                        leases.insert(&change.task, (change.epoch, &change.holder.instance));
                     }
                 }
                 ChangeKind::Ended
-                    if owned.get(&change.task).is_some_and(|(epoch, _)| *epoch == change.epoch) =>
+                    if leases.get(&change.task).is_some_and(|(epoch, _)| *epoch == change.epoch) =>
                 {
-                    owned.remove(&change.task);
+                    leases.remove(&change.task);
                 }
                 _ => {}
             },
-            Happened::Told(Event::EffectChecked {
-                task: duty,
+            HistoryEvent::Reported(Event::EffectChecked {
+                task,
                 epoch,
                 block: Some(_),
                 verdict: Verdict::New,
                 ..
             }) => {
-                let done = open.extract_if(.., |(_, of, old)| *of == duty && epoch > old);
+                let done = open.extract_if(.., |(_, of, old)| *of == task && epoch > old);
                 closed.extend(done.map(|(from, ..)| entry.at - from));
             }
             _ => {}
@@ -51,7 +50,7 @@
     (closed, open.len())
 }
 
-/// A value that so large a share of the sorted ones is not above.
+/// Returns the quantile `share` (0 to 1) of sorted values, NaN if there are none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let place = (sorted.len() as f64 * share).ceil() as usize;
     sorted.get(place.max(1) - 1).or(sorted.last()).copied().unwrap_or(f64::NAN)
--- a/crates/proving/src/process.rs
+++ b/crates/proving/src/process.rs
@@ -1,5 +1,5 @@
-//! A process of the program: started, stopped, let go on, told to leave, killed, always by its own id. What it tells on standard output comes
-//! into the ground's queue; its log goes to a file.
+//! Child process of the program under test: started, paused, resumed, terminated and killed by its own id. Events on its standard output go
+//! into a channel, its log into a file.
 
 use puffinladder_leases::protocol::Event;
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,25 +9,25 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use tokio::sync::mpsc;
 
-/// How the program is called: the binary, and what stands before the kind of process.
+/// Path of the program and the arguments before the kind of process.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub path: PathBuf,
-    pub before: Vec<String>,
+    pub leading_args: Vec<String>,
 }
 
-/// What came of a process: an event, or that it said its last.
+/// Event of a process, or the end of its output (`event` is `None`).
 #[derive(Debug)]
-pub struct News {
-    pub who: String,
-    pub life: u32,
+pub struct ProcessOutput {
+    pub process: String,
+    pub incarnation: u32,
     pub event: Option<Event>,
 }
 
 pub struct Process {
     child: Child,
-    orders: Option<ChildStdin>,
-    /// SIGSTOPped by us.
+    commands: Option<ChildStdin>,
+    /// Stopped with SIGSTOP.
     paused: bool,
 }
 
@@ -35,14 +35,14 @@
     pub fn start(
         program: &Program,
         args: &[String],
-        who: &str,
-        life: u32,
+        process: &str,
+        incarnation: u32,
         log: &Path,
-        news: mpsc::UnboundedSender<News>,
+        output: mpsc::UnboundedSender<ProcessOutput>,
     ) -> std::io::Result<Process> {
-        let who = who.to_string();
-        // Lines that are no event are passed over: the program may print what it likes.
-        Process::heard(program, args, log, move |line| {
+        let process = process.to_string();
+        // The program may print other lines too.
+        Process::spawn_with_line_handler(program, args, log, move |line| {
             let event = match line {
                 Some(line) => match serde_json::from_str(line) {
                     Ok(event) => Some(event),
@@ -50,36 +50,36 @@
                 },
                 None => None,
             };
-            news.send(News { who: who.clone(), life, event }).is_ok()
+            output.send(ProcessOutput { process: process.clone(), incarnation, event }).is_ok()
         })
     }
 
-    /// Starts one whose lines go to `hear`, none at the end; it says whether more is wanted.
-    pub fn heard(
+    /// Starts a process and passes each line of its output to `on_line`, then `None` at the end. Reading stops once `on_line` returns false.
+    pub fn spawn_with_line_handler(
         program: &Program,
         args: &[String],
         log: &Path,
-        hear: impl Fn(Option<&str>) -> bool + Send + 'static,
+        on_line: impl Fn(Option<&str>) -> bool + Send + 'static,
     ) -> std::io::Result<Process> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut child = Command::new(&program.path)
-            .args(&program.before)
+            .args(&program.leading_args)
             .args(args)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()?;
-        let (orders, out) = (child.stdin.take(), child.stdout.take());
+        let (commands, out) = (child.stdin.take(), child.stdout.take());
         let read = move || {
             for line in out.into_iter().flat_map(|out| BufReader::new(out).lines()).map_while(Result::ok) {
-                if !hear(Some(&line)) {
+                if !on_line(Some(&line)) {
                     return;
                 }
             }
-            hear(None);
+            on_line(None);
         };
         std::thread::Builder::new().name("events".into()).stack_size(256 << 10).spawn(read)?;
-        Ok(Process { child, orders, paused: false })
+        Ok(Process { child, commands, paused: false })
     }
 
     pub fn id(&self) -> u32 {
@@ -96,13 +96,13 @@
         self.signal(Signal::STOP);
         self.paused = true;
     }
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         if std::mem::take(&mut self.paused) {
             self.signal(Signal::CONT);
         }
     }
-    /// SIGTERM; a paused one hears it once it goes on.
-    pub fn leave(&self) {
+    /// Sends SIGTERM; a paused process receives it after it resumes.
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
     pub fn kill(&mut self) {
@@ -110,15 +110,15 @@
         let _ = self.child.wait();
     }
 
-    /// Tells it something on standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
-    pub fn order(&mut self, what: &str, value: f64) {
-        if let Some(orders) = &mut self.orders {
-            let _ = writeln!(orders, "{what} {value}").and_then(|()| orders.flush());
+    /// Writes a command to standard input: `rate 1.01`, `wall 86400`, `sync 2000`.
+    pub fn send_command(&mut self, command: &str, value: f64) {
+        if let Some(commands) = &mut self.commands {
+            let _ = writeln!(commands, "{command} {value}").and_then(|()| commands.flush());
         }
     }
 
-    /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Returns the exit status if the process has exited.
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 }
--- a/crates/proving/src/relay.rs
+++ b/crates/proving/src/relay.rs
@@ -1,7 +1,7 @@
-//! A link between two processes: a relay that one dials and that dials the other, and lets bytes pass as its two pipes say.
+//! TCP relay between two processes. Its two traffic shapers decide when bytes pass in each direction.
 
-use crate::pipe::{Pass, Pipe, Trouble};
-use crate::schedule::Way;
+use crate::schedule::Direction;
+use crate::traffic_shaper::{Impairment, Release, TrafficShaper};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,18 +12,18 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The state of a link, which its connections watch.
+/// State of a link, shared with its connections.
 struct State {
-    begun: Instant,
-    pipes: [Mutex<Pipe>; 2],
-    /// Rises with every change of the pipes, and with every break of the connections.
+    started_at: Instant,
+    shapers: [Mutex<TrafficShaper>; 2],
+    /// Number of changes of the shapers, and of resets of the connections.
     changed: watch::Sender<(u64, u64)>,
     target: Mutex<Option<SocketAddr>>,
 }
 
 pub struct Relay {
-    /// Where it is dialled.
-    pub at: SocketAddr,
+    /// Address that clients connect to.
+    pub address: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
 }
@@ -31,7 +31,6 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.task.abort();
-        // Its connections end with it.
         self.state.changed.send_modify(|state| state.1 += 1);
     }
 }
@@ -39,54 +38,55 @@
 impl Relay {
     pub async fn open(seed: u64) -> std::io::Result<Relay> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-        let at = listener.local_addr()?;
-        let pipes = [Mutex::new(Pipe::new(seed)), Mutex::new(Pipe::new(seed ^ 1))];
+        let address = listener.local_addr()?;
+        let shapers = [Mutex::new(TrafficShaper::new(seed)), Mutex::new(TrafficShaper::new(seed ^ 1))];
         let (changed, _) = watch::channel((0, 0));
-        let state = Arc::new(State { begun: Instant::now(), pipes, changed, target: Mutex::new(None) });
-        let task = tokio::spawn(accept(listener, state.clone()));
-        Ok(Relay { at, state, task })
+        let state =
+            Arc::new(State { started_at: Instant::now(), shapers, changed, target: Mutex::new(None) });
+        let task = tokio::spawn(accept_connections(listener, state.clone()));
+        Ok(Relay { address, state, task })
     }
 
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.state.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 
-    /// Changes what the directions meant do to bytes.
-    pub fn trouble(&self, way: Way, change: impl Fn(&mut Trouble)) {
-        for (at, only) in [Way::There, Way::Back].into_iter().enumerate() {
-            if way == Way::Both || way == only {
-                change(&mut lock(&self.state, at).trouble);
+    /// Changes the impairment of the given directions.
+    pub fn impair(&self, way: Direction, change: impl Fn(&mut Impairment)) {
+        for (index, only) in [Direction::Forward, Direction::Reverse].into_iter().enumerate() {
+            if way == Direction::Both || way == only {
+                change(&mut lock_shaper(&self.state, index).impairment);
             }
         }
         self.state.changed.send_modify(|state| state.0 += 1);
     }
 
-    /// Breaks all connections; what was on its way is lost.
+    /// Closes all connections; bytes in transit are lost.
     pub fn reset(&self) {
         self.state.changed.send_modify(|state| state.1 += 1);
     }
 }
 
-fn lock(state: &State, at: usize) -> std::sync::MutexGuard<'_, Pipe> {
-    state.pipes[at].lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_shaper(state: &State, index: usize) -> std::sync::MutexGuard<'_, TrafficShaper> {
+    state.shapers[index].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn accept(listener: TcpListener, state: Arc<State>) {
+async fn accept_connections(listener: TcpListener, state: Arc<State>) {
     loop {
         match listener.accept().await {
-            Ok((near, _)) => drop(tokio::spawn(connect(near, state.clone()))),
+            Ok((near, _)) => drop(tokio::spawn(forward_connection(near, state.clone()))),
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
-/// One connection: it stands at both ends or at neither.
-async fn connect(near: TcpStream, state: Arc<State>) {
+/// Forwards one connection; the target is connected before any byte is read.
+async fn forward_connection(near: TcpStream, state: Arc<State>) {
     let mut changed = state.changed.subscribe();
-    let breaks = changed.borrow_and_update().1;
-    // Through a shut link no connection comes about: it is held open here and leads nowhere until the link opens or breaks.
-    while lock(&state, 0).trouble.shut {
-        if changed.changed().await.is_err() || changed.borrow().1 != breaks {
+    let resets = changed.borrow_and_update().1;
+    // On a blocked link the connection stays open without a target until the link is unblocked or reset.
+    while lock_shaper(&state, 0).impairment.blocked {
+        if changed.changed().await.is_err() || changed.borrow().1 != resets {
             return;
         }
     }
@@ -95,52 +95,51 @@
     let Ok(far) = puffinladder_transport::connect(target).await else { return };
     let _ = near.set_nodelay(true);
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    // When one direction ends so does the other, but for bytes that are held on their way there: they arrive, if need be at the next life of whoever
-    // is dialled.
-    let far_gone = AtomicBool::new(false);
-    let there = pump(near_in, far_out, 0, &state, breaks, &far_gone);
+    // When one direction ends, so does the other. Bytes held on a blocked link are still delivered, if need be to the target's next
+    // incarnation.
+    let peer_closed = AtomicBool::new(false);
+    let there = copy_bytes(near_in, far_out, 0, &state, resets, &peer_closed);
     tokio::pin!(there);
     tokio::select! {
         () = &mut there => return,
-        () = pump(far_in, near_out, 1, &state, breaks, &far_gone) => {}
+        () = copy_bytes(far_in, near_out, 1, &state, resets, &peer_closed) => {}
     }
-    if lock(&state, 0).trouble.shut {
-        far_gone.store(true, Ordering::Relaxed);
+    if lock_shaper(&state, 0).impairment.blocked {
+        peer_closed.store(true, Ordering::Relaxed);
         there.await;
     }
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    at: usize,
+    index: usize,
     state: &State,
-    breaks: u64,
-    far_gone: &AtomicBool,
+    resets: u64,
+    peer_closed: &AtomicBool,
 ) {
     let mut changed = state.changed.subscribe();
-    if changed.borrow_and_update().1 != breaks {
+    if changed.borrow_and_update().1 != resets {
         return;
     }
     let mut bytes = vec![0; 16_384];
     loop {
-        let most = lock(state, at).piece();
+        let limit = lock_shaper(state, index).max_chunk_bytes();
         let read = tokio::select! {
-            read = from.read(&mut bytes[..most]) => read,
-            news = changed.changed() => {
-                if news.is_err() || changed.borrow_and_update().1 != breaks {
+            read = from.read(&mut bytes[..limit]) => read,
+            update = changed.changed() => {
+                if update.is_err() || changed.borrow_and_update().1 != resets {
                     return;
                 }
                 continue;
             }
         };
         let Ok(count @ 1..) = read else { return };
-        // The piece waits here, and whatever comes behind it in the sockets' buffers.
         loop {
-            let pass = lock(state, at).pass(state.begun.elapsed().as_secs_f64(), count);
+            let pass = lock_shaper(state, index).schedule(state.started_at.elapsed().as_secs_f64(), count);
             let wait = match pass {
-                Pass::At(when) => (when - state.begun.elapsed().as_secs_f64()).max(0.0),
-                Pass::Shut => f64::MAX,
+                Release::At(when) => (when - state.started_at.elapsed().as_secs_f64()).max(0.0),
+                Release::Blocked => f64::MAX,
             };
             let slept = async {
                 match wait {
@@ -150,13 +149,13 @@
             };
             tokio::select! {
                 () = slept => break,
-                news = changed.changed() => if news.is_err() || changed.borrow_and_update().1 != breaks {
+                update = changed.changed() => if update.is_err() || changed.borrow_and_update().1 != resets {
                     return;
                 },
             }
         }
-        if far_gone.load(Ordering::Relaxed) {
-            return deliver(state, &bytes[..count]).await;
+        if peer_closed.load(Ordering::Relaxed) {
+            return deliver_late_bytes(state, &bytes[..count]).await;
         }
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
@@ -164,8 +163,8 @@
     }
 }
 
-/// Brings bytes that outlived both ends of their connection to whoever is dialled by now, and waits until it has said something to them.
-async fn deliver(state: &State, bytes: &[u8]) {
+/// Sends bytes that outlived both ends of their connection to the current target, and waits up to 1 s for a first answer.
+async fn deliver_late_bytes(state: &State, bytes: &[u8]) {
     let target = *state.target.lock().unwrap_or_else(PoisonError::into_inner);
     let Some(target) = target else { return };
     let Ok(mut far) = puffinladder_transport::connect(target).await else { return };
--- a/crates/proving/src/scale/mod.rs
+++ b/crates/proving/src/scale/mod.rs
@@ -1,34 +1,33 @@
-//! Scale tests: control services with many servers and callers in front and behind them, some of which fail, and what must not grow with them.
-//! Judged by counts that the processes report of themselves, and by the descriptors that the system counts for them; time only ends a
-//! wait that would not end, which fails the run.
+//! Scale tests: control services with many emulated servers and callers, some of which fail, and bounds on what must not grow with their number.
+//! Checks use counts that the processes report and the descriptors that the kernel counts; time limits only end a wait, which fails the run.
 
-pub mod stories;
-mod world;
+mod fleet;
+pub mod scenarios;
 
 use std::fmt;
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// How worlds are made.
+/// Configuration of the fleets.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    /// The program, whose hidden commands the processes are.
+pub struct FleetConfig {
+    /// Program under test.
     pub program: PathBuf,
-    /// Where each world's folder is made; it is kept where something did not hold, or always.
+    /// Folder in which each fleet's folder is created; that is kept if a check failed or `keep` is set.
     pub folder: PathBuf,
     pub keep: bool,
     pub seed: u64,
 }
 
-/// How many there are at first; stories that compare also play three times as many.
+/// Initial fleet size; scenarios that compare also run with three times as many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct FleetSize {
     pub servers: usize,
     pub callers: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Story {
+pub enum Scenario {
     Steady,
     Budget,
     Change,
@@ -39,83 +38,82 @@
     Dead,
 }
 
-impl Story {
-    pub const ALL: [Story; 8] = [
-        Story::Steady,
-        Story::Budget,
-        Story::Change,
-        Story::Restart,
-        Story::Zone,
-        Story::Cut,
-        Story::Slow,
-        Story::Dead,
+impl Scenario {
+    pub const ALL: [Scenario; 8] = [
+        Scenario::Steady,
+        Scenario::Budget,
+        Scenario::Change,
+        Scenario::Restart,
+        Scenario::Zone,
+        Scenario::Cut,
+        Scenario::Slow,
+        Scenario::Dead,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Story::Steady => "steady",
-            Story::Budget => "budget",
-            Story::Change => "change",
-            Story::Restart => "restart",
-            Story::Zone => "zone",
-            Story::Cut => "cut",
-            Story::Slow => "slow",
-            Story::Dead => "dead",
+            Scenario::Steady => "steady",
+            Scenario::Budget => "budget",
+            Scenario::Change => "change",
+            Scenario::Restart => "restart",
+            Scenario::Zone => "zone",
+            Scenario::Cut => "cut",
+            Scenario::Slow => "slow",
+            Scenario::Dead => "dead",
         }
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Scenario {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.pad(self.name())
     }
 }
 
-impl FromStr for Story {
+impl FromStr for Scenario {
     type Err = String;
-    fn from_str(text: &str) -> Result<Story, String> {
-        Story::ALL.into_iter().find(|story| story.name() == text).ok_or_else(|| {
-            let all: Vec<&str> = Story::ALL.iter().map(|story| story.name()).collect();
+    fn from_str(text: &str) -> Result<Scenario, String> {
+        Scenario::ALL.into_iter().find(|scenario| scenario.name() == text).ok_or_else(|| {
+            let all: Vec<&str> = Scenario::ALL.iter().map(|scenario| scenario.name()).collect();
             format!("should be one of {}", all.join(", "))
         })
     }
 }
 
-/// What a count has to be.
+/// Bound that a value must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Must {
-    Be(f64),
-    /// At the most, at the least.
-    Most(f64),
-    Least(f64),
+pub enum Expectation {
+    Equal(f64),
+    AtMost(f64),
+    AtLeast(f64),
 }
 
-impl Must {
-    /// A count that is no number holds nowhere.
-    pub fn holds(self, seen: f64) -> bool {
+impl Expectation {
+    /// Returns whether the value satisfies the bound; NaN never does.
+    pub fn passed(self, seen: f64) -> bool {
         match self {
-            Must::Be(wanted) => seen == wanted,
-            Must::Most(most) => seen <= most,
-            Must::Least(least) => seen >= least,
+            Expectation::Equal(wanted) => seen == wanted,
+            Expectation::AtMost(most) => seen <= most,
+            Expectation::AtLeast(least) => seen >= least,
         }
     }
 }
 
-impl fmt::Display for Must {
+impl fmt::Display for Expectation {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let text = match self {
-            Must::Be(wanted) => format!("= {}", Figure(*wanted)),
-            Must::Most(most) => format!("<= {}", Figure(*most)),
-            Must::Least(least) => format!(">= {}", Figure(*least)),
+            Expectation::Equal(wanted) => format!("= {}", DisplayValue(*wanted)),
+            Expectation::AtMost(most) => format!("<= {}", DisplayValue(*most)),
+            Expectation::AtLeast(least) => format!(">= {}", DisplayValue(*least)),
         };
         to.pad(&text)
     }
 }
 
-/// A count, or a ratio with two places.
-struct Figure(f64);
+/// Formats whole numbers without decimals, others with two.
+struct DisplayValue(f64);
 
-impl fmt::Display for Figure {
+impl fmt::Display for DisplayValue {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let text = match self.0 {
             whole if whole.fract() == 0.0 => format!("{whole:.0}"),
@@ -125,46 +123,50 @@
     }
 }
 
-/// One thing that was asserted.
+/// One check of a scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
-    pub story: Story,
-    pub what: String,
-    pub must: Must,
-    pub seen: f64,
+pub struct Assertion {
+    pub scenario: Scenario,
+    pub description: String,
+    pub expected: Expectation,
+    pub observed: f64,
 }
 
-impl Row {
-    pub fn holds(&self) -> bool {
-        self.must.holds(self.seen)
+impl Assertion {
+    pub fn passed(&self) -> bool {
+        self.expected.passed(self.observed)
     }
 }
 
-/// What came of a story.
+/// Result of a scenario.
 #[derive(Debug)]
-pub struct Told {
-    pub story: Story,
-    pub rows: Vec<Row>,
-    /// A wait that did not end, or a process that did.
-    pub fault: Option<String>,
-    /// Folders of worlds that were kept.
-    pub kept: Vec<PathBuf>,
+pub struct ScenarioReport {
+    pub scenario: Scenario,
+    pub assertions: Vec<Assertion>,
+    /// Time limit exceeded, or process that exited.
+    pub error: Option<String>,
+    pub kept_folders: Vec<PathBuf>,
 }
 
-impl Told {
-    pub fn holds(&self) -> bool {
-        self.fault.is_none() && !self.rows.is_empty() && self.rows.iter().all(Row::holds)
+impl ScenarioReport {
+    pub fn passed(&self) -> bool {
+        self.error.is_none() && !self.assertions.is_empty() && self.assertions.iter().all(Assertion::passed)
     }
 }
 
-impl fmt::Display for Told {
+impl fmt::Display for ScenarioReport {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        for row in &self.rows {
-            let (verdict, seen) = (if row.holds() { "holds" } else { "FAILS" }, Figure(row.seen));
-            writeln!(to, "{:<8} {:<72} {seen:>10}  {:<12} {verdict}", row.story, row.what, row.must)?;
+        for assertion in &self.assertions {
+            let (verdict, seen) =
+                (if assertion.passed() { "holds" } else { "FAILS" }, DisplayValue(assertion.observed));
+            writeln!(
+                to,
+                "{:<8} {:<72} {seen:>10}  {:<12} {verdict}",
+                assertion.scenario, assertion.description, assertion.expected
+            )?;
         }
-        if let Some(fault) = &self.fault {
-            writeln!(to, "{:<8} FAILS: {fault}", self.story)?;
+        if let Some(error) = &self.error {
+            writeln!(to, "{:<8} FAILS: {error}", self.scenario)?;
         }
         Ok(())
     }
--- a/crates/proving/src/schedule.rs
+++ b/crates/proving/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What fails, and when: read from S-expressions, drawn from a seed, written down again. Times are s since all processes stood.
+//! Fault schedules: read from S-expressions, generated from a seed, and written back. Times are seconds since all processes were ready.
 //!
 //! ```text
 //! (schedule (seed 7) (keepers 3) (stewards 4) (servers 6) (parts 8) (span 12s)
@@ -11,162 +11,170 @@
 use rand_chacha::ChaCha8Rng;
 use std::fmt::{self, Write};
 
-/// A process of the ground.
+/// Process of the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Who {
-    /// From 1.
-    Keeper(u64),
-    Steward(usize),
-    Archive,
-    /// A stand-in server that reports to the stewards.
-    Seat(usize),
+pub enum ProcessId {
+    /// Lease store replica, numbered from 1.
+    Replica(u64),
+    Worker(usize),
+    TraceStore,
+    /// Stand-in server that reports to the workers.
+    QuotaServer(usize),
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for ProcessId {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Who::Keeper(number) => write!(out, "k{number}"),
-            Who::Steward(number) => write!(out, "s{number}"),
-            Who::Archive => out.write_str("archive"),
-            Who::Seat(number) => write!(out, "n{number}"),
+            ProcessId::Replica(number) => write!(out, "k{number}"),
+            ProcessId::Worker(number) => write!(out, "s{number}"),
+            ProcessId::TraceStore => out.write_str("archive"),
+            ProcessId::QuotaServer(number) => write!(out, "n{number}"),
         }
     }
 }
 
-impl Who {
-    pub fn read(text: &str) -> Option<Who> {
+impl ProcessId {
+    pub fn read(text: &str) -> Option<ProcessId> {
         if text == "archive" {
-            return Some(Who::Archive);
+            return Some(ProcessId::TraceStore);
         }
         let (kind, number) = text.split_at_checked(1)?;
         let number = number.parse().ok().filter(|number| (1..=10_000).contains(number))?;
         match kind {
-            "k" => Some(Who::Keeper(number)),
-            "s" => Some(Who::Steward(number as usize)),
-            "n" => Some(Who::Seat(number as usize)),
+            "k" => Some(ProcessId::Replica(number)),
+            "s" => Some(ProcessId::Worker(number as usize)),
+            "n" => Some(ProcessId::QuotaServer(number as usize)),
             _ => None,
         }
     }
 }
 
-/// Which of a link's two directions; there is from `who` to `to`.
+/// Direction of a link; `Forward` is from the fault's `process` to its `peer`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Both,
-    There,
-    Back,
+    Forward,
+    Reverse,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
-    /// SIGSTOP, and SIGCONT after the span.
+pub enum FaultKind {
+    /// SIGSTOP, and SIGCONT at the end.
     Pause,
-    /// The same, of whichever keeper leads by then.
+    /// Pause of the replica that is leader at that time.
     PauseLeader,
-    /// SIGKILL, and a new start after the span with the disk as it was.
+    /// SIGKILL, and a restart with the same disk at the end.
     Kill,
-    /// The same, of whichever keeper leads by then.
+    /// Kill of the replica that is leader at that time.
     KillLeader,
-    /// SIGTERM, and a new start after the span.
-    Leave,
-    /// SIGTERM to a server, and a new start once it has left by itself.
-    Release,
-    /// A keeper's disk is lost for good; another keeper joins in its place after the span.
-    Lose,
-    /// Nothing passes a link; after the span its connections break.
-    Cut,
-    /// Nothing passes a link, and all of it after the span, however late by then.
-    Hold,
-    /// A link's connections break.
-    Reset,
-    /// Each piece of bytes comes up to `value` s later.
-    Slow,
-    /// No more than `value` bytes a second.
-    Trickle,
-    /// A clock runs `value` times as fast.
-    Rate,
-    /// A wall clock is `value` s off.
-    Wall,
-    /// A keeper's syncs take `value` s.
-    Sync,
+    /// SIGTERM, and a restart at the end.
+    Terminate,
+    /// SIGTERM to a server, and a restart once it has exited by itself.
+    DrainAndRestart,
+    /// A replica loses its disk; a new replica joins in its place at the end.
+    LoseDisk,
+    /// No bytes pass a link; its connections are reset at the end.
+    Partition,
+    /// No bytes pass a link; all of them are delivered at the end.
+    HoldTraffic,
+    /// Connections of a link are reset.
+    ResetConnections,
+    /// Each chunk is delayed by up to `value` s.
+    Delay,
+    /// Bandwidth is limited to `value` bytes/s.
+    Throttle,
+    /// The clock runs `value` times as fast.
+    ClockRate,
+    /// The wall clock is off by `value` s.
+    WallClockOffset,
+    /// Disk syncs of a replica take `value` s.
+    SlowSync,
 }
 
-const WORDS: [(&str, What); 15] = [
-    ("pause", What::Pause),
-    ("pause-leader", What::PauseLeader),
-    ("kill", What::Kill),
-    ("kill-leader", What::KillLeader),
-    ("leave", What::Leave),
-    ("release", What::Release),
-    ("lose", What::Lose),
-    ("cut", What::Cut),
-    ("hold", What::Hold),
-    ("reset", What::Reset),
-    ("slow", What::Slow),
-    ("trickle", What::Trickle),
-    ("rate", What::Rate),
-    ("wall", What::Wall),
-    ("sync", What::Sync),
+const FAULT_KEYWORDS: [(&str, FaultKind); 15] = [
+    ("pause", FaultKind::Pause),
+    ("pause-leader", FaultKind::PauseLeader),
+    ("kill", FaultKind::Kill),
+    ("kill-leader", FaultKind::KillLeader),
+    ("leave", FaultKind::Terminate),
+    ("release", FaultKind::DrainAndRestart),
+    ("lose", FaultKind::LoseDisk),
+    ("cut", FaultKind::Partition),
+    ("hold", FaultKind::HoldTraffic),
+    ("reset", FaultKind::ResetConnections),
+    ("slow", FaultKind::Delay),
+    ("trickle", FaultKind::Throttle),
+    ("rate", FaultKind::ClockRate),
+    ("wall", FaultKind::WallClockOffset),
+    ("sync", FaultKind::SlowSync),
 ];
-const WAYS: [(&str, Way); 3] = [("both", Way::Both), ("there", Way::There), ("back", Way::Back)];
+const DIRECTION_KEYWORDS: [(&str, Direction); 3] =
+    [("both", Direction::Both), ("there", Direction::Forward), ("back", Direction::Reverse)];
 
-impl What {
-    pub fn word(self) -> &'static str {
-        WORDS.iter().find(|(_, what)| *what == self).map_or("", |(word, _)| word)
+impl FaultKind {
+    pub fn keyword(self) -> &'static str {
+        FAULT_KEYWORDS.iter().find(|(_, kind)| *kind == self).map_or("", |(keyword, _)| keyword)
     }
-    fn on_link(self) -> bool {
-        matches!(self, What::Cut | What::Hold | What::Reset | What::Slow | What::Trickle)
+    fn affects_link(self) -> bool {
+        matches!(
+            self,
+            FaultKind::Partition
+                | FaultKind::HoldTraffic
+                | FaultKind::ResetConnections
+                | FaultKind::Delay
+                | FaultKind::Throttle
+        )
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    pub at: f64,
-    pub what: What,
-    pub who: Who,
-    /// Of a link: the other end, or every other.
-    pub to: Option<Who>,
-    pub way: Way,
-    pub span: f64,
+    pub start: f64,
+    pub kind: FaultKind,
+    pub process: ProcessId,
+    /// Other end of a link; `None` means all links of the process.
+    pub peer: Option<ProcessId>,
+    pub direction: Direction,
+    pub duration: f64,
     pub value: f64,
 }
 
 impl Fault {
-    pub fn new(at: f64, what: What, who: Who, span: f64) -> Fault {
-        Fault { at, what, who, to: None, way: Way::Both, span, value: 0.0 }
+    pub fn new(start: f64, kind: FaultKind, process: ProcessId, duration: f64) -> Fault {
+        Fault { start, kind, process, peer: None, direction: Direction::Both, duration, value: 0.0 }
     }
-    /// Whether a link from one to another is meant, and which of its directions, as seen from its dialling end.
-    pub fn hits(&self, from: Who, to: Who) -> Option<Way> {
-        let other = |end: Who| self.to.is_none_or(|to| to == end);
-        if self.who == from && other(to) {
-            return Some(self.way);
+    /// Returns the affected direction of the link, as seen from `from`, its connecting end, or `None` if the fault does not affect it.
+    pub fn direction_on_link(&self, from: ProcessId, to: ProcessId) -> Option<Direction> {
+        let other = |end: ProcessId| self.peer.is_none_or(|to| to == end);
+        if self.process == from && other(to) {
+            return Some(self.direction);
         }
-        let turned = match self.way {
-            Way::Both => Way::Both,
-            Way::There => Way::Back,
-            Way::Back => Way::There,
+        let reversed = match self.direction {
+            Direction::Both => Direction::Both,
+            Direction::Forward => Direction::Reverse,
+            Direction::Reverse => Direction::Forward,
         };
-        (self.who == to && other(from)).then_some(turned)
+        (self.process == to && other(from)).then_some(reversed)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
     pub seed: u64,
-    pub keepers: u64,
-    pub stewards: usize,
-    /// Stand-in servers that report to the stewards, for parts of a quota and turns to leave.
-    pub seats: usize,
-    /// Servers whose traces are gathered, and parts of that duty.
+    pub replicas: u64,
+    pub workers: usize,
+    /// Stand-in servers that report to the workers for quota shares and drain slots.
+    pub quota_servers: usize,
+    /// Servers whose traces are collected, and parts of the collection task.
     pub servers: usize,
     pub parts: usize,
-    /// Files that each server has written before anything begins, and s from one file to the next, over all of them.
-    pub backlog: usize,
-    pub files: f64,
-    /// s for which there is traffic, and faults begin.
-    pub span: f64,
-    /// The term of grants, s; all other times of the keepers follow from it.
-    pub term: f64,
+    /// Trace files that each server has at the start, and s between later files over all servers.
+    pub backlog_files: usize,
+    pub file_interval: f64,
+    /// Time for which there is traffic and faults start, s.
+    pub duration: f64,
+    /// Lease term, s; all other times of the replicas derive from it.
+    pub lease_term: f64,
     pub faults: Vec<Fault>,
 }
 
@@ -174,49 +182,49 @@
     fn default() -> Schedule {
         Schedule {
             seed: 1,
-            keepers: 3,
-            stewards: 3,
-            seats: 0,
+            replicas: 3,
+            workers: 3,
+            quota_servers: 0,
             servers: 6,
             parts: 6,
-            backlog: 1,
-            files: 0.02,
-            span: 8.0,
-            term: 0.6,
+            backlog_files: 1,
+            file_interval: 0.02,
+            duration: 8.0,
+            lease_term: 0.6,
             faults: Vec::new(),
         }
     }
 }
 
-/// Longest schedule, s, and most faults.
-const LONGEST: f64 = 3600.0;
-const MOST: usize = 10_000;
+const MAX_DURATION_S: f64 = 3600.0;
+const MAX_FAULTS: usize = 10_000;
 
 impl Schedule {
     pub fn read(file: &str, text: &str) -> Result<Schedule, Vec<Diagnostic>> {
         let reader = Reader::new(file, text);
         let forms = reader.parse();
         let top = reader.top_level(&forms);
-        let usual = Schedule::default();
+        let defaults = Schedule::default();
         let read = top.block("schedule").map(|block| {
             let mut schedule = Schedule {
-                seed: block.count("seed", usual.seed as usize, 0..=usize::MAX) as u64,
-                keepers: block.count("keepers", usual.keepers as usize, 1..=9) as u64,
-                stewards: block.count("stewards", usual.stewards, 1..=300),
-                seats: block.count("seats", usual.seats, 0..=300),
-                servers: block.count("servers", usual.servers, 1..=300),
-                parts: block.count("parts", usual.parts, 1..=10_000),
-                backlog: block.count("backlog", usual.backlog, 0..=10_000),
-                files: block.duration("files", usual.files, 0.001..=60.0),
-                span: block.duration("span", usual.span, 0.1..=LONGEST),
-                term: block.duration("term", usual.term, 0.2..=60.0),
+                seed: block.count("seed", defaults.seed as usize, 0..=usize::MAX) as u64,
+                replicas: block.count("keepers", defaults.replicas as usize, 1..=9) as u64,
+                workers: block.count("stewards", defaults.workers, 1..=300),
+                quota_servers: block.count("seats", defaults.quota_servers, 0..=300),
+                servers: block.count("servers", defaults.servers, 1..=300),
+                parts: block.count("parts", defaults.parts, 1..=10_000),
+                backlog_files: block.count("backlog", defaults.backlog_files, 0..=10_000),
+                file_interval: block.duration("files", defaults.file_interval, 0.001..=60.0),
+                duration: block.duration("span", defaults.duration, 0.1..=MAX_DURATION_S),
+                lease_term: block.duration("term", defaults.lease_term, 0.2..=60.0),
                 faults: Vec::new(),
             };
             let faults = block.blocks("fault");
-            if faults.len() > MOST {
-                block.report("fault", format!("should stand here {MOST} times at the most"));
+            if faults.len() > MAX_FAULTS {
+                block.report("fault", format!("should be given at most {MAX_FAULTS} times"));
             }
-            schedule.faults = faults.iter().take(MOST).map(|one| fault(one, &schedule)).collect();
+            schedule.faults =
+                faults.iter().take(MAX_FAULTS).map(|block| read_fault(block, &schedule)).collect();
             block.finish();
             schedule
         });
@@ -230,112 +238,130 @@
         }
     }
 
-    pub fn has(&self, who: Who) -> bool {
+    pub fn has(&self, who: ProcessId) -> bool {
         match who {
-            Who::Keeper(number) => (1..=self.keepers).contains(&number),
-            Who::Steward(number) => (1..=self.stewards).contains(&number),
-            Who::Archive => true,
-            Who::Seat(number) => (1..=self.seats).contains(&number),
+            ProcessId::Replica(number) => (1..=self.replicas).contains(&number),
+            ProcessId::Worker(number) => (1..=self.workers).contains(&number),
+            ProcessId::TraceStore => true,
+            ProcessId::QuotaServer(number) => (1..=self.quota_servers).contains(&number),
         }
     }
 
-    pub fn all(&self) -> Vec<Who> {
-        let keepers = (1..=self.keepers).map(Who::Keeper);
-        let stewards = (1..=self.stewards).map(Who::Steward);
-        keepers.chain([Who::Archive]).chain(stewards).chain((1..=self.seats).map(Who::Seat)).collect()
+    pub fn processes(&self) -> Vec<ProcessId> {
+        let replicas = (1..=self.replicas).map(ProcessId::Replica);
+        let workers = (1..=self.workers).map(ProcessId::Worker);
+        replicas
+            .chain([ProcessId::TraceStore])
+            .chain(workers)
+            .chain((1..=self.quota_servers).map(ProcessId::QuotaServer))
+            .collect()
     }
 
-    /// The same with other faults.
+    /// Returns the schedule with other faults.
     pub fn with(&self, faults: Vec<Fault>) -> Schedule {
         Schedule { faults, ..self.clone() }
     }
 
-    /// One drawn from a seed: the same for the same seed and size.
-    pub fn draw(seed: u64, size: &Schedule) -> Schedule {
+    /// Generates a schedule: the same for the same seed and size.
+    pub fn generate(seed: u64, size: &Schedule) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut drawn = Schedule { seed, faults: Vec::new(), ..size.clone() };
-        let clocks = drawn.all();
-        for who in clocks {
+        let mut generated = Schedule { seed, faults: Vec::new(), ..size.clone() };
+        let processes = generated.processes();
+        for who in processes {
             if rng.random_bool(0.4) {
                 let value = 1.0 + rng.random_range(-0.01..0.01);
-                drawn.faults.push(Fault { value, ..Fault::new(0.0, What::Rate, who, LONGEST) });
+                generated
+                    .faults
+                    .push(Fault { value, ..Fault::new(0.0, FaultKind::ClockRate, who, MAX_DURATION_S) });
             }
         }
         let count = rng.random_range(4..=10);
-        let mut lost = false;
+        let mut disk_lost = false;
         for _ in 0..count {
-            let at = rng.random_range(0.3..drawn.span.max(0.6) * 0.9);
-            // Short ones heal within a term, long ones outlast it several times.
+            let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
+            // Short faults end within a term, long ones outlast several terms.
             let short = rng.random_bool(0.3);
             let terms = if short { rng.random_range(0.1..0.9) } else { rng.random_range(1.5..5.0) };
-            let span = terms * drawn.term;
-            let keeper = Who::Keeper(rng.random_range(1..=drawn.keepers));
-            let steward = Who::Steward(rng.random_range(1..=drawn.stewards));
-            let way = [Way::Both, Way::There, Way::Back][rng.random_range(0..3)];
-            let Who::Keeper(number) = keeper else { continue };
-            let other = Who::Keeper(1 + number % drawn.keepers);
-            let ends = [(steward, Who::Archive), (steward, keeper), (keeper, other)];
+            let span = terms * generated.lease_term;
+            let replica = ProcessId::Replica(rng.random_range(1..=generated.replicas));
+            let worker = ProcessId::Worker(rng.random_range(1..=generated.workers));
+            let direction = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
+            let ProcessId::Replica(number) = replica else { continue };
+            let other = ProcessId::Replica(1 + number % generated.replicas);
+            let ends = [(worker, ProcessId::TraceStore), (worker, replica), (replica, other)];
             let (from, to) = ends[rng.random_range(0..3)];
-            let link = |what| Fault { to: Some(to), way, ..Fault::new(at, what, from, span) };
+            let link = |kind| Fault { peer: Some(to), direction, ..Fault::new(at, kind, from, span) };
             let fault = match rng.random_range(0..17) {
-                // Stewards in the middle of a step are what all of this is about.
-                0..4 => Fault::new(at, What::Pause, steward, span),
-                4 => Fault::new(at, What::PauseLeader, keeper, span),
-                5 => Fault::new(at, What::Pause, Who::Archive, span.min(2.0 * drawn.term)),
-                6 => Fault::new(at, What::Kill, steward, span),
-                7 => Fault::new(at, What::KillLeader, keeper, span),
-                8 => Fault::new(at, What::Kill, Who::Archive, 0.5 * drawn.term),
-                9 => Fault::new(at, What::Leave, steward, span),
-                10 if !lost && drawn.keepers >= 3 => {
-                    lost = true;
-                    Fault::new(at, What::Lose, keeper, drawn.term)
+                // Paused workers are the most frequent fault: they resume in the middle of a step.
+                0..4 => Fault::new(at, FaultKind::Pause, worker, span),
+                4 => Fault::new(at, FaultKind::PauseLeader, replica, span),
+                5 => Fault::new(
+                    at,
+                    FaultKind::Pause,
+                    ProcessId::TraceStore,
+                    span.min(2.0 * generated.lease_term),
+                ),
+                6 => Fault::new(at, FaultKind::Kill, worker, span),
+                7 => Fault::new(at, FaultKind::KillLeader, replica, span),
+                8 => Fault::new(at, FaultKind::Kill, ProcessId::TraceStore, 0.5 * generated.lease_term),
+                9 => Fault::new(at, FaultKind::Terminate, worker, span),
+                10 if !disk_lost && generated.replicas >= 3 => {
+                    disk_lost = true;
+                    Fault::new(at, FaultKind::LoseDisk, replica, generated.lease_term)
                 }
-                11 => link(What::Cut),
-                // What a steward said is on its way until another has its grants, and the archive may be another life by then.
+                11 => link(FaultKind::Partition),
+                // Effects of a worker are held until another worker has its leases; the trace store may have restarted by then.
                 12 | 13 => {
-                    let held = rng.random_range(2.5..6.0) * drawn.term;
-                    let stood = Fault::new(at + 0.1 * drawn.term, What::Pause, steward, held);
-                    drawn.faults.push(stood);
+                    let hold_time = rng.random_range(2.5..6.0) * generated.lease_term;
+                    let paused =
+                        Fault::new(at + 0.1 * generated.lease_term, FaultKind::Pause, worker, hold_time);
+                    generated.faults.push(paused);
                     Fault {
-                        to: Some(Who::Archive),
-                        way: Way::There,
-                        ..Fault::new(at, What::Hold, steward, held)
+                        peer: Some(ProcessId::TraceStore),
+                        direction: Direction::Forward,
+                        ..Fault::new(at, FaultKind::HoldTraffic, worker, hold_time)
                     }
                 }
-                14 => Fault { value: rng.random_range(0.02..0.3), ..link(What::Slow) },
-                15 => Fault { value: rng.random_range(2e3..5e4), ..link(What::Trickle) },
+                14 => Fault { value: rng.random_range(0.02..0.3), ..link(FaultKind::Delay) },
+                15 => Fault { value: rng.random_range(2e3..5e4), ..link(FaultKind::Throttle) },
                 16 => {
                     let off = rng.random_range(-86_400.0..86_400.0);
-                    Fault { value: off, ..Fault::new(at, What::Wall, steward, LONGEST) }
+                    Fault { value: off, ..Fault::new(at, FaultKind::WallClockOffset, worker, MAX_DURATION_S) }
                 }
-                _ => Fault { value: rng.random_range(0.1..2.0), ..Fault::new(at, What::Sync, keeper, span) },
+                _ => Fault {
+                    value: rng.random_range(0.1..2.0),
+                    ..Fault::new(at, FaultKind::SlowSync, replica, span)
+                },
             };
-            drawn.faults.push(fault);
+            generated.faults.push(fault);
         }
-        // Servers fail too: two or three times where there are any.
-        for _ in 0..if drawn.seats > 0 { rng.random_range(2..=3) } else { 0 } {
-            let at = rng.random_range(0.3..drawn.span.max(0.6) * 0.9);
-            let seat = Who::Seat(rng.random_range(1..=drawn.seats));
-            let steward = Who::Steward(rng.random_range(1..=drawn.stewards));
-            let span = rng.random_range(0.1..4.0) * drawn.term;
-            let way = [Way::Both, Way::There, Way::Back][rng.random_range(0..3)];
-            drawn.faults.push(match rng.random_range(0..5) {
-                0 => Fault::new(at, What::Pause, seat, span),
-                1 => Fault::new(at, What::Kill, seat, span),
-                2 => Fault { way, ..Fault::new(at, What::Hold, seat, span) },
-                3 => Fault { way, to: Some(steward), ..Fault::new(at, What::Cut, seat, span) },
-                _ => Fault::new(at, What::Release, seat, 0.0),
+        for _ in 0..if generated.quota_servers > 0 { rng.random_range(2..=3) } else { 0 } {
+            let at = rng.random_range(0.3..generated.duration.max(0.6) * 0.9);
+            let server = ProcessId::QuotaServer(rng.random_range(1..=generated.quota_servers));
+            let worker = ProcessId::Worker(rng.random_range(1..=generated.workers));
+            let span = rng.random_range(0.1..4.0) * generated.lease_term;
+            let direction = [Direction::Both, Direction::Forward, Direction::Reverse][rng.random_range(0..3)];
+            generated.faults.push(match rng.random_range(0..5) {
+                0 => Fault::new(at, FaultKind::Pause, server, span),
+                1 => Fault::new(at, FaultKind::Kill, server, span),
+                2 => Fault { direction, ..Fault::new(at, FaultKind::HoldTraffic, server, span) },
+                3 => Fault {
+                    direction,
+                    peer: Some(worker),
+                    ..Fault::new(at, FaultKind::Partition, server, span)
+                },
+                _ => Fault::new(at, FaultKind::DrainAndRestart, server, 0.0),
             });
         }
-        drawn.faults.sort_by(|a, b| a.at.total_cmp(&b.at));
-        drawn
+        generated.faults.sort_by(|a, b| a.start.total_cmp(&b.start));
+        generated
     }
 }
 
-fn fault(block: &Block, schedule: &Schedule) -> Fault {
+fn read_fault(block: &Block, schedule: &Schedule) -> Fault {
     let who = |key: &'static str| {
         let text = block.text(key)?;
-        let found = Who::read(&text).filter(|who| schedule.has(*who));
+        let found = ProcessId::read(&text).filter(|who| schedule.has(*who));
         if found.is_none() {
             block.report(
                 key,
@@ -346,37 +372,37 @@
         }
         found
     };
-    let what = block.choice("do", What::Pause, &WORDS);
+    let what = block.choice("do", FaultKind::Pause, &FAULT_KEYWORDS);
     for key in ["at", "do", "who"] {
         block.require(key);
     }
-    let usual = match what {
-        What::Slow => 0.1,
-        What::Trickle => 10_000.0,
-        What::Rate => 1.0,
-        What::Sync => 1.0,
+    let defaults = match what {
+        FaultKind::Delay => 0.1,
+        FaultKind::Throttle => 10_000.0,
+        FaultKind::ClockRate => 1.0,
+        FaultKind::SlowSync => 1.0,
         _ => 0.0,
     };
     let read = Fault {
-        at: block.duration("at", 0.0, 0.0..=LONGEST),
-        what,
-        who: who("who").unwrap_or(Who::Archive),
-        to: who("to"),
-        way: block.choice("way", Way::Both, &WAYS),
-        span: block.duration("span", 1.0, 0.0..=LONGEST),
-        value: block.number("value", usual, -1e6..=1e9),
+        start: block.duration("at", 0.0, 0.0..=MAX_DURATION_S),
+        kind: what,
+        process: who("who").unwrap_or(ProcessId::TraceStore),
+        peer: who("to"),
+        direction: block.choice("way", Direction::Both, &DIRECTION_KEYWORDS),
+        duration: block.duration("span", 1.0, 0.0..=MAX_DURATION_S),
+        value: block.number("value", defaults, -1e6..=1e9),
     };
-    if read.to.is_some() && !what.on_link() {
-        block.report("to", "is for links alone: cut, hold, reset, slow, trickle");
+    if read.peer.is_some() && !what.affects_link() {
+        block.report("to", "applies to links only: cut, hold, reset, slow, trickle");
     }
-    let keeper = matches!(read.who, Who::Keeper(_));
-    if matches!(what, What::Lose | What::Sync) && !keeper {
+    let replica = matches!(read.process, ProcessId::Replica(_));
+    if matches!(what, FaultKind::LoseDisk | FaultKind::SlowSync) && !replica {
         block.report("who", "should be a keeper");
     }
-    if what == What::Release && !matches!(read.who, Who::Seat(_)) {
+    if what == FaultKind::DrainAndRestart && !matches!(read.process, ProcessId::QuotaServer(_)) {
         block.report("who", "should be a server, such as \"n1\"");
     }
-    if what == What::Rate && !(0.1..=10.0).contains(&read.value) {
+    if what == FaultKind::ClockRate && !(0.1..=10.0).contains(&read.value) {
         block.report("value", "should be a rate from 0.1 to 10");
     }
     block.finish();
@@ -385,31 +411,34 @@
 
 impl fmt::Display for Schedule {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let (keepers, stewards) = (self.keepers, self.stewards);
+        let (replicas, workers) = (self.replicas, self.workers);
         write!(
             out,
-            "(schedule (seed {}) (keepers {keepers}) (stewards {stewards}) (seats {})",
-            self.seed, self.seats
+            "(schedule (seed {}) (keepers {replicas}) (stewards {workers}) (seats {})",
+            self.seed, self.quota_servers
         )?;
         write!(
             out,
             " (servers {}) (parts {}) (span {}s) (term {}s)",
-            self.servers, self.parts, self.span, self.term
+            self.servers, self.parts, self.duration, self.lease_term
         )?;
-        write!(out, " (backlog {}) (files {}s)", self.backlog, self.files)?;
+        write!(out, " (backlog {}) (files {}s)", self.backlog_files, self.file_interval)?;
         for fault in &self.faults {
             let mut more = String::new();
-            if let Some(to) = fault.to {
+            if let Some(to) = fault.peer {
                 let _ = write!(more, " (to \"{to}\")");
             }
-            if fault.way != Way::Both {
-                let way = WAYS.iter().find(|(_, way)| *way == fault.way).map_or("", |(word, _)| word);
-                let _ = write!(more, " (way {way})");
+            if fault.direction != Direction::Both {
+                let direction = DIRECTION_KEYWORDS
+                    .iter()
+                    .find(|(_, direction)| *direction == fault.direction)
+                    .map_or("", |(keyword, _)| keyword);
+                let _ = write!(more, " (way {direction})");
             }
             if fault.value != 0.0 {
                 let _ = write!(more, " (value {})", fault.value);
             }
-            let (at, what, who, span) = (fault.at, fault.what.word(), fault.who, fault.span);
+            let (at, what, who, span) = (fault.start, fault.kind.keyword(), fault.process, fault.duration);
             write!(out, "\n  (fault (at {at}s) (do {what}) (who \"{who}\"){more} (span {span}s))")?;
         }
         out.write_str(")\n")
--- a/crates/proving/src/rows.rs
+++ b/crates/proving/src/trace_rows.rs
@@ -1,4 +1,4 @@
-//! The traces that are gathered on the ground, and whether an export of the archive holds each of their rows once.
+//! Generated trace files, and the comparison of their rows with an export of the trace store.
 
 use puffinladder_trace::file::{BlockKind, FileMetadata, Writer};
 use puffinladder_trace::merge::BlockWriter;
@@ -10,14 +10,14 @@
 use std::io::{BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// What a row is known by, whatever file it stands in.
-type Known = (String, i64, u32, u64, u32);
+/// Node, read time, name, key and caller: identifies a row across files.
+type RowKey = (String, i64, u32, u64, u32);
 
-/// How often each row stands somewhere.
+/// Number of occurrences of each row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rows(BTreeMap<Known, u32>);
+pub struct RowCounts(BTreeMap<RowKey, u32>);
 
-impl Rows {
+impl RowCounts {
     pub fn len(&self) -> usize {
         self.0.values().map(|count| *count as usize).sum()
     }
@@ -26,24 +26,22 @@
     }
 
     fn add(&mut self, names: &Names, row: &Row) {
-        let known = (names.text(row.node).to_string(), row.read, row.name, row.key, row.caller);
-        *self.0.entry(known).or_default() += 1;
+        let key = (names.text(row.node).to_string(), row.read, row.name, row.key, row.caller);
+        *self.0.entry(key).or_default() += 1;
     }
 
-    /// Rows that stand here and not there, and that stand there more often than here.
-    pub fn against(&self, other: &Rows) -> (usize, usize) {
-        let missing =
-            self.0.iter().filter(|(known, count)| other.0.get(*known).copied().unwrap_or(0) < **count);
-        let extra =
-            other.0.iter().filter(|(known, count)| self.0.get(*known).copied().unwrap_or(0) < **count);
+    /// Returns the number of distinct rows that `other` holds fewer copies of, and of those that it holds more copies of.
+    pub fn missing_and_extra(&self, other: &RowCounts) -> (usize, usize) {
+        let missing = self.0.iter().filter(|(key, count)| other.0.get(*key).copied().unwrap_or(0) < **count);
+        let extra = other.0.iter().filter(|(key, count)| self.0.get(*key).copied().unwrap_or(0) < **count);
         (missing.count(), extra.count())
     }
 
-    pub fn read(path: &Path) -> Result<Rows, String> {
+    pub fn read(path: &Path) -> Result<RowCounts, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let file = BufReader::new(File::open(path).map_err(|e| failed(&e))?);
         let mut trace = Trace::open(file).map_err(|e| failed(&e))?;
-        let (mut names, mut rows, mut all) = (Names::default(), Vec::new(), Rows::default());
+        let (mut names, mut rows, mut all) = (Names::default(), Vec::new(), RowCounts::default());
         for entry in trace.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
             rows.clear();
             trace.rows(entry, &mut names, &mut rows).map_err(|e| failed(&e))?;
@@ -53,11 +51,17 @@
     }
 }
 
-/// Writes a sealed file of one server into its folder, under another name first, so that nobody finds half of it. Each file has times of its own.
-pub fn write(folder: &Path, server: &str, serial: u64, blocks: usize, all: &mut Rows) -> std::io::Result<()> {
+/// Writes a sealed trace file of one server, under a temporary name until it is complete. Times of files with different serials do not overlap.
+pub fn write_trace_file(
+    folder: &Path,
+    server: &str,
+    serial: u64,
+    blocks: usize,
+    all: &mut RowCounts,
+) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let from = 1_767_225_600_000_000 + serial as i64 * 3_600_000_000;
-    let told = SynthConfig {
+    let synth = SynthConfig {
         seed: serial,
         span: blocks as f64 * 2.0,
         rate: 8.0,
@@ -67,10 +71,10 @@
         ..SynthConfig::default()
     };
     let mut names = Names::default();
-    let mut maker = Generator::new(&told, &mut names);
-    let half = folder.join(format!("{serial:010}.half"));
+    let mut maker = Generator::new(&synth, &mut names);
+    let temporary = folder.join(format!("{serial:010}.half"));
     let mut writer = Writer::new(
-        BufWriter::new(File::create(&half)?),
+        BufWriter::new(File::create(&temporary)?),
         &FileMetadata { node: server.into(), created: from },
     )?;
     let mut into = BlockWriter::new(16, &mut writer);
@@ -82,7 +86,7 @@
     }
     into.flush(&names)?;
     writer.seal()?.flush()?;
-    std::fs::rename(half, folder.join(format!("{server}-{serial:010}.trace")))
+    std::fs::rename(temporary, folder.join(format!("{server}-{serial:010}.trace")))
 }
 
 #[cfg(test)]
