--- a/crates/config-rollout/src/content.rs
+++ b/crates/config-rollout/src/content.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of keys in a content.
+/// Maximum number of keys in the content of a version.
 pub const MAX_KEYS: usize = 100_000;
-/// Maximum size of a content in bytes, as counted by [`Content::bytes`].
+/// Maximum size of the content of a version in bytes, as counted by [`Content::bytes`].
 pub const MAX_BYTES: usize = 4 << 20;
 
 /// All settings of one version.
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Checks the size and all settings of a content that was received or read from a file.
+    /// Checks the size and all settings of content that was received or read from a file.
     pub fn check(&self) -> Result<(), ValidationError> {
         self.check_size()?;
         self.settings.iter().try_for_each(|(key, value)| check_setting(key, Some(*value)))
--- a/crates/config-rollout/src/digest.rs
+++ b/crates/config-rollout/src/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of contents, and authentication tags of target messages.
+//! Digests of versions, and authentication tags of target messages.
 //!
-//! A digest covers the version number and the whole content, so an old content cannot be replayed under a new number. With a secret key
+//! A digest covers the version number and the whole content, so old content cannot be replayed under a new number. With a secret key
 //! of the fleet, digests and tags are message authentication codes: without the key nobody can forge a version.
 
 use crate::base64_bytes;
--- a/crates/config-rollout/src/follower.rs
+++ b/crates/config-rollout/src/follower.rs
@@ -2,8 +2,8 @@
 //! the host activates between two of its rounds.
 //!
 //! The host polls [`Follower::staged`], activates that version, and reports it with [`Follower::activated`]; only then is the version
-//! acknowledged as active. A content is staged when it is complete, its digest matches, and it passes the server's validation. Version
-//! numbers never decrease within an incarnation, and of two contents with the same number the first is kept.
+//! acknowledged as active. Content is staged when it is complete, its digest matches, and it passes the server's validation. Version
+//! numbers never decrease within an incarnation, and of two versions with the same number the first is kept.
 //!
 //! Times are seconds of the server's monotonic clock.
 
--- a/crates/config-rollout/src/setting.rs
+++ b/crates/config-rollout/src/setting.rs
@@ -48,7 +48,7 @@
 
 fn check_range(key: &Key, Value(value): Value) -> Result<(), ValidationError> {
     let range = key.field.range();
-    // Negative zero equals zero but has another encoding, which would give equal contents different digests.
+    // Negative zero equals zero but has another encoding, which would give equal settings different digests.
     if range.contains(&value) && value.is_sign_positive() {
         return Ok(());
     }
@@ -56,7 +56,7 @@
     Err(ValidationError::at(key, reason))
 }
 
-/// Returns the size of a setting that counts towards the limits of changes and contents, in bytes.
+/// Returns the size of a setting that counts towards the size limits of a change and of a version's content, in bytes.
 pub(crate) fn counted_bytes(key: &Key) -> usize {
     /// Upper bound on the encoded size of section, field, value and lengths.
     const OVERHEAD_BYTES: usize = 14;
--- a/crates/config-rollout/src/validation.rs
+++ b/crates/config-rollout/src/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of contents. A content is validated when a change is put and again on each server, whose base settings may differ.
+//! Validation of a version's content, when a change is put and again on each server, whose base settings may differ.
 
 use crate::content::Content;
 use crate::key::{Field, Key, Section};
@@ -6,7 +6,7 @@
 use puffinladder_settings::{parse_policy_config, ConfigError};
 use serde_json::{Map, Value as Json};
 
-/// Validates whole contents before they are accepted or activated.
+/// Validates the whole content of a version before it is accepted or activated.
 pub trait ContentValidator {
     /// Checks whether the content may be activated.
     ///
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the base settings with a content overlaid, as JSON in the format of [`parse_policy_config`].
+    /// Returns the base settings overlaid with the content, as JSON in the format of [`parse_policy_config`].
     ///
     /// # Errors
     ///
--- a/crates/control/src/serve/ads.rs
+++ b/crates/control/src/serve/ads.rs
@@ -57,7 +57,7 @@
 struct StreamSlot(Arc<AtomicUsize>);
 
 impl StreamSlot {
-    /// Returns none if `limit` streams are open.
+    /// Reserves a slot; returns none if `limit` streams are open.
     fn reserve(open: &Arc<AtomicUsize>, limit: usize) -> Option<StreamSlot> {
         let slot = StreamSlot(open.clone());
         (open.fetch_add(1, Ordering::Relaxed) < limit).then_some(slot)
--- a/crates/control/src/serve/mod.rs
+++ b/crates/control/src/serve/mod.rs
@@ -96,7 +96,7 @@
 
 /// A running service.
 pub struct RunningService {
-    /// Where proxies connect.
+    /// Address of the xDS listener.
     pub xds: SocketAddr,
     /// Address of the report listener.
     pub reports: SocketAddr,
--- a/crates/lease-store/src/replica/leadership.rs
+++ b/crates/lease-store/src/replica/leadership.rs
@@ -39,7 +39,7 @@
         self.propose_time(now);
     }
 
-    /// Transfers the leadership, by preference to the active follower with the longest matching log.
+    /// Transfers the leadership, preferably to the active follower with the longest matching log.
     fn transfer_leadership(&mut self) {
         if self.node.raft.lead_transferee.is_some() {
             return;
--- a/crates/lease-store/src/server/counters.rs
+++ b/crates/lease-store/src/server/counters.rs
@@ -22,7 +22,7 @@
 /// Disk syncs.
 pub(super) const SYNCS: &str = "syncs";
 
-/// Counters by name. A counter exists once it was first added to.
+/// Counters by name. A counter is created by the first addition to it.
 #[derive(Default)]
 pub(super) struct Counters {
     by_name: BTreeMap<String, u64>,
--- a/crates/leases/src/coordination.rs
+++ b/crates/leases/src/coordination.rs
@@ -18,5 +18,5 @@
 pub const QUOTA_TASK: &str = "quota";
 /// Name of the task that assigns drain slots.
 pub const DRAIN_TASK: &str = "turns";
-/// Most tenants in one report.
+/// Maximum number of tenants in one report.
 pub const MAX_TENANTS: usize = 10_000;
--- a/crates/leases/src/coordination/client.rs
+++ b/crates/leases/src/coordination/client.rs
@@ -11,14 +11,14 @@
     server: String,
     incarnation: u64,
     zone: String,
-    /// By tenant.
+    /// Share of each tenant's quota, by the tenant's name.
     shares: BTreeMap<String, QuotaShare>,
     report_number: u64,
     draining: Option<DrainingServer>,
 }
 
 impl QuotaClient {
-    /// Creates the client of a server that has just started, with each tenant's quota (requests per second) over
+    /// Creates the client of a server that has just started, with each tenant's quota (requests per second) divided over
     /// `server_count` servers.
     pub fn new(
         server: &str,
--- a/crates/leases/src/coordination/coordinator.rs
+++ b/crates/leases/src/coordination/coordinator.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Most servers that one coordinator tracks.
+/// Maximum number of servers that one coordinator tracks.
 const MAX_SERVERS: usize = 10_000;
 
 /// Settings of a coordinator.
@@ -40,7 +40,7 @@
     /// The report names more than [`MAX_TENANTS`] tenants.
     #[error("the report names more than {MAX_TENANTS} tenants")]
     TooManyTenants,
-    /// The coordinator tracks the most servers that it can.
+    /// The coordinator already tracks the maximum number of servers.
     #[error("more than {MAX_SERVERS} servers have reported")]
     TooManyServers,
     /// A later incarnation of the server has reported.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct QuotaCoordinator {
     settings: CoordinatorSettings,
-    /// By part of the quota task.
+    /// Held leases of the quota task, by part.
     quota_leases: BTreeMap<u32, QuotaLease>,
     drain_lease: Option<DrainLease>,
     /// The latest incarnation of each server.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct QuotaLease {
     epoch: Epoch,
-    /// By tenant.
+    /// Quota allocators, by the tenant's name.
     allocators: BTreeMap<String, QuotaAllocator>,
 }
 
--- a/crates/leases/src/drain/messages.rs
+++ b/crates/leases/src/drain/messages.rs
@@ -6,7 +6,7 @@
 /// Limits on how many servers may be unavailable at once, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainRules {
-    /// Most servers of the fleet that may be unavailable at once.
+    /// Maximum number of servers of the fleet that may be unavailable at once.
     #[serde(rename = "most")]
     pub max_unavailable: usize,
     /// Largest fraction of a zone's servers that may be unavailable at once; one server of a zone always may.
--- a/crates/leases/src/drain/server.rs
+++ b/crates/leases/src/drain/server.rs
@@ -1,10 +1,10 @@
-//! The drain of a server, from the request to shut down on.
+//! State of a server's drain, from the request to shut down to the decision to drain.
 
 use super::{DrainSlot, DrainState};
 use crate::sent_times::SentTimes;
 use crate::Epoch;
 
-/// Reports whose send times are kept.
+/// Maximum number of reports whose send times are kept.
 const MAX_PENDING_REPORTS: usize = 32;
 
 /// Whether a server that was asked to shut down may drain.
--- a/crates/leases/src/drain/slots.rs
+++ b/crates/leases/src/drain/slots.rs
@@ -4,7 +4,7 @@
 use crate::Epoch;
 use std::collections::BTreeMap;
 
-/// Most servers that one holder tracks.
+/// Maximum number of servers that one holder tracks.
 const MAX_SERVERS: usize = 10_000;
 /// Fraction of a slot's duration within which the server must start to drain.
 const START_FRACTION: f64 = 0.2;
@@ -38,7 +38,7 @@
 pub struct DrainSlots {
     epoch: Epoch,
     rules: DrainRules,
-    /// Time from which on all slots of the former holder have ended.
+    /// Time by which all slots assigned by the former holder have ended.
     assignments_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
--- a/crates/leases/src/drain/tests.rs
+++ b/crates/leases/src/drain/tests.rs
@@ -102,7 +102,7 @@
             (0..count).map(|_| (rng.random_range(0.0..1e4), 1.0 + rng.random_range(-0.01..0.01))).collect();
         let (mut incarnations, mut reports) = (vec![1u64; count], vec![0u64; count]);
         let mut draining_servers: Vec<Option<DrainingServer>> = vec![None; count];
-        // Until when each server is unavailable, and whether it drains with a slot.
+        // Time until which each server is unavailable, and whether it drains with a slot.
         let mut unavailable_until: Vec<(f64, bool)> = vec![(0.0, false); count];
         let mut done = vec![false; count];
         let mut slots = DrainSlots::new(1, rules.clone(), -10.0);
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -23,7 +23,7 @@
 pub const RENEWAL_FRACTION: f64 = 0.2;
 /// Fraction of the term before its end in which no new step begins.
 pub const EXPIRY_MARGIN_FRACTION: f64 = 0.25;
-/// Requests whose send times are kept; responses to older ones are too late to extend a lease.
+/// Maximum number of requests whose send times are kept; responses to older ones are too late to extend a lease.
 const MAX_PENDING_REQUESTS: usize = 64;
 
 /// The latest accepted response.
@@ -302,7 +302,7 @@
         Some(StepPermit { epoch: lease.epoch, valid_until: self.valid_until })
     }
 
-    /// Ends a step: `progress` tells whether it made progress, `has_work` whether there is more to do. Returns the
+    /// Ends a step: `progress` is whether it made progress, `has_work` whether there is more to do. Returns the
     /// actions due by now.
     pub fn finish_step(
         &mut self,
--- a/crates/leases/src/holder/held_lease.rs
+++ b/crates/leases/src/holder/held_lease.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Ends a step; `progress` tells whether it made progress.
+    /// Ends a step; `progress` is whether it made progress.
     pub(super) fn finish_step(&mut self, progress: bool, has_work: bool) {
         self.step_running = false;
         self.steps_done += u64::from(progress);
--- a/crates/leases/src/quota/allocator.rs
+++ b/crates/leases/src/quota/allocator.rs
@@ -41,7 +41,7 @@
     last_number: u64,
     /// Allocations that may be in force, oldest first.
     outstanding: Vec<Outstanding>,
-    /// The number of the allocation that the server applies by its last report.
+    /// The number of the allocation that the server applies according to its last report.
     current: u64,
     /// Whether it has reported since its last allocation.
     reported: bool,
@@ -61,7 +61,7 @@
     epoch: Epoch,
     settings: AllocatorSettings,
     equal_share: f64,
-    /// Time from which on all allocations of the former holder have expired.
+    /// Time by which all allocations of the former holder have expired.
     allocations_start_at: f64,
     servers: BTreeMap<String, ServerState>,
 }
--- a/crates/leases/src/quota/share.rs
+++ b/crates/leases/src/quota/share.rs
@@ -4,11 +4,11 @@
 use crate::sent_times::SentTimes;
 
 /// Time after the expiry of an allocation, in validities, for which the server applies at most the allocated rate. It
-/// covers the validity, drift and age of allocations that other servers got on account of this one.
+/// covers the validity, drift and age of allocations that other servers received as a result of it.
 const FALLBACK_DELAY: f64 = 2.1;
 /// Largest age of an allocation that is accepted, as a fraction of its validity.
 const MAX_AGE: f64 = 0.9;
-/// Reports whose send times are kept.
+/// Maximum number of reports whose send times are kept.
 const MAX_PENDING_REPORTS: usize = 32;
 
 /// The number and content of a report that is due.
--- a/crates/leases/src/replica_selector.rs
+++ b/crates/leases/src/replica_selector.rs
@@ -14,9 +14,9 @@
 const MAX_BACKOFF: f64 = 2.0;
 /// Upper bound of a backoff as a multiple of the previous one (decorrelated jitter).
 const BACKOFF_FACTOR: f64 = 3.0;
-/// Redirects followed in a row without a response; replicas may redirect to each other during an election.
+/// Maximum number of redirects followed in a row without a response; replicas may redirect to each other during an election.
 const MAX_REDIRECTS: usize = 2;
-/// Most replicas that one instance keeps addresses of.
+/// Maximum number of replicas whose addresses an instance keeps.
 pub const MAX_REPLICAS: usize = 16;
 
 /// Next action of an instance without a connection.
--- a/crates/leases/src/table/rules.rs
+++ b/crates/leases/src/table/rules.rs
@@ -42,7 +42,7 @@
     /// Time since an instance last joined or left after which parts may be moved to balance loads.
     #[serde(rename = "calm")]
     pub settle_time: f64,
-    /// Most parts of all tasks that may be moving at once.
+    /// Maximum number of parts of all tasks that may be moving at once.
     #[serde(rename = "moves")]
     pub max_moves: usize,
 }
--- a/crates/trace-store/src/index.rs
+++ b/crates/trace-store/src/index.rs
@@ -211,7 +211,7 @@
         if self.progress.contains_key(file) || self.progress.len() < self.max_files {
             return Ok(None);
         }
-        // The server has removed this file long before: a recorder keeps a few hundred files.
+        // Its server has already deleted the file completed first, since a recorder keeps only a few hundred files.
         self.complete.front().cloned().map(Some).ok_or(CapacityExceeded)
     }
 
--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -8,7 +8,7 @@
 #[error("{0}")]
 pub struct DecodeError(pub &'static str);
 
-/// Maximum rows of a block.
+/// Maximum number of rows in a block.
 pub const MAX_BLOCK_ROWS: usize = 1 << 16;
 /// Maximum values of a column; the spans of a block count as one column for each step code.
 pub const MAX_COLUMN_VALUES: usize = MAX_BLOCK_ROWS * 16;
--- a/crates/trace/src/expr.rs
+++ b/crates/trace/src/expr.rs
@@ -15,7 +15,7 @@
 use winnow::token::{take_until, take_while};
 use winnow::{ModalResult, Parser};
 
-/// Properties that a request has or has not.
+/// Boolean properties of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flag {
     Settled,
@@ -339,7 +339,7 @@
     pattern[pattern_at..].iter().all(|symbol| *symbol == '*')
 }
 
-/// Rows of a block that an expression selects, as far as the head tells.
+/// Rows of a block that an expression selects, as far as the head determines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockMatch {
     None,
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::io::{self, Read, Seek, Write};
 
-/// Rows of one file that may wait for earlier rows in blocks not yet read.
+/// Maximum number of rows of one file that wait for earlier rows in blocks not yet read.
 const MAX_WAITING_ROWS: usize = 1 << 17;
 
 /// Rows of one file in time order.
--- a/crates/trace/src/recorder/mod.rs
+++ b/crates/trace/src/recorder/mod.rs
@@ -38,9 +38,9 @@
     pub memory: f64,
     /// Whether the attempt is a retry.
     pub repeat: bool,
-    /// Whether the decline told the caller to try no other server.
+    /// Whether the decline instructed the caller to try no other server.
     pub last: bool,
-    /// Time in s for which a decline told the caller to send nothing.
+    /// Time in s for which a decline instructed the caller to send nothing.
     pub keep_off: f64,
     /// Name of the attempt and key of the request. The file holds hashes of them only.
     pub name: [u8; 16],
--- a/crates/trace/src/recorder/rotation.rs
+++ b/crates/trace/src/recorder/rotation.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Blocks held in memory while the disk fails or is slow. Further records are dropped.
+/// Maximum number of blocks held in memory while the disk fails or is slow. Further records are dropped.
 const MAX_PENDING_BLOCKS: usize = 2;
 /// Delay before a failed disk is retried, in s, doubled with each failure up to the maximum.
 const INITIAL_RETRY_SECONDS: f64 = 1.0;
@@ -87,7 +87,7 @@
 }
 
 impl Rotation {
-    /// `files` are those of earlier processes, oldest first.
+    /// Creates the state of a recorder that starts with the `files` of earlier processes, oldest first.
     pub fn new(limits: RotationLimits, files: Vec<StoredFile>) -> Rotation {
         Rotation {
             limits,
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -123,7 +123,7 @@
 pub struct Disposition(pub u8);
 
 impl Disposition {
-    /// The caller left before an answer, or the trace ends before it.
+    /// The caller stopped waiting before an answer, or the trace ends before one.
     pub const GONE: Disposition = Disposition(Step::GONE.0);
 
     /// Returns the step that the disposition stands for.
@@ -256,7 +256,7 @@
 
 /// Flag in [`Row::flags`]: the attempt is a retry.
 pub const REPEAT: u8 = 1;
-/// Flag in [`Row::flags`]: the decline told the caller to try no other server.
+/// Flag in [`Row::flags`]: the decline instructed the caller to try no other server.
 pub const LAST: u8 = 2;
 
 /// One attempt of a request, from read to the end of its run. Times are in us; version 2 rounds values other than
@@ -282,7 +282,7 @@
     pub name: u32,
     /// Keyed hash of the request's key, 48 bits; 0 without a key.
     pub key: u64,
-    /// Time for which a decline told the caller to send nothing, in ms.
+    /// Time for which a decline instructed the caller to send nothing, in ms.
     pub keep_off: u32,
     pub path: u32,
     /// Time from the previous step to each step, the first from `read`.
@@ -294,7 +294,7 @@
     pub fn repeat(&self) -> bool {
         self.flags & REPEAT != 0
     }
-    /// Returns whether the decline told the caller to try no other server.
+    /// Returns whether the decline instructed the caller to try no other server.
     pub fn last(&self) -> bool {
         self.flags & LAST != 0
     }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -104,7 +104,7 @@
     by_number: BTreeMap<u64, Totals>,
 }
 
-/// Groups that a summary keeps; further callers are counted as one group.
+/// Maximum number of groups in a summary; further callers are counted as one group.
 const MAX_GROUPS: usize = 100_000;
 
 impl Summary {
--- a/crates/worker/src/collection_tasks.rs
+++ b/crates/worker/src/collection_tasks.rs
@@ -26,7 +26,7 @@
     epoch: Epoch,
     /// `None` while a step runs.
     transfer: Option<Transfer>,
-    /// Tells the running step to end early because the part is to be released.
+    /// Set to make the running step end early, because the part is to be released.
     stop_early: Arc<AtomicBool>,
     /// Earliest time of the next step.
     due: f64,
--- a/crates/worker/src/incarnation.rs
+++ b/crates/worker/src/incarnation.rs
@@ -9,7 +9,7 @@
 const INCARNATION_FILE: &str = "life";
 /// File that the next number is written to before it replaces [`INCARNATION_FILE`].
 const TEMPORARY_FILE: &str = "life.new";
-/// Numbers are at least the wall-clock time in us since 1970.
+/// Converts the wall-clock time to microseconds, the lower bound of incarnation numbers.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 /// The reason why no incarnation number is available.
--- a/crates/worker/src/transfer.rs
+++ b/crates/worker/src/transfer.rs
@@ -220,7 +220,7 @@
                 self.plan.record_progress(&id.file, progress);
                 Ok(Flow::Continue)
             }
-            // The effect number is out of step with the trace store: announcing the epoch again resynchronizes it.
+            // The trace store expects another effect number: announcing the epoch again resynchronizes it.
             Response::Put(PutOutcome::Fence(_)) => {
                 self.connection = None;
                 Ok(Flow::Continue)
--- a/crates/worker/src/worker.rs
+++ b/crates/worker/src/worker.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Releases a task, or tells its running step to end first.
+    /// Releases a task if none of its steps is running; otherwise makes the running step end early.
     fn release_task(&mut self, now: f64, task: &Task, epoch: Epoch) {
         if self.collection_tasks.stop_early(task) {
             let action = self.holder.release(task, epoch);
