--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -19,8 +19,9 @@
 /// Summary of a block's rows, from which most queries are answered without reading the body. Numbers refer to [`Names`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BlockHead {
-    /// Time of the first and the last record, in us.
+    /// Time of the first record, in us.
     pub from: i64,
+    /// Time of the last record, in us.
     pub to: i64,
     pub rows: usize,
     pub nodes: Vec<u32>,
@@ -28,8 +29,9 @@
     pub customers: Vec<u32>,
     pub paths: Vec<u32>,
     pub groups: Vec<Group>,
-    /// Longest wait and run, in us.
+    /// Longest wait, in us.
     pub longest_wait: u64,
+    /// Longest run, in us.
     pub longest_run: u64,
 }
 
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -12,15 +12,19 @@
 /// Version written: readers reject other major versions and skip what later minor versions add.
 pub const MAJOR: u16 = 2;
 pub const MINOR: u16 = 0;
-/// Sizes of the file header without its text, a block header, the trailer and an index entry, in bytes.
+/// Size of the file header without its text, in bytes.
 pub const HEADER_BYTES: usize = 16;
+/// Size of a block header, in bytes.
 pub const BLOCK_HEADER_BYTES: usize = 36;
+/// Size of the trailer, in bytes.
 pub const TRAILER_BYTES: usize = 24;
+/// Size of an index entry, in bytes.
 pub const INDEX_ENTRY_BYTES: usize = 36;
 /// First bytes of a block header.
 pub const BLOCK_MAGIC: [u8; 4] = *b"\xf0BL2";
-/// Upper bounds of the header's text and of a stored head or body, in bytes. Writers stay far below them.
+/// Maximum size of the header's text that readers accept, in bytes.
 pub const MAX_HEADER_TEXT_BYTES: usize = 1 << 16;
+/// Maximum size of a stored head or body that readers accept, in bytes.
 pub const MAX_STORED_BYTES: usize = 64 << 20;
 
 /// Kinds of blocks.
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -16,8 +16,9 @@
     trace: Trace<R>,
     /// Offset in us added to every time of this file.
     pub offset: i64,
-    /// Next block to read, and for each block the earliest time in it or in any later block.
+    /// Next block to read.
     next: usize,
+    /// For each block, the earliest time in it or in any later block.
     earliest: Vec<i64>,
     waiting: VecDeque<Row>,
     loaded: Vec<Row>,
--- a/crates/trace/src/recorder/mod.rs
+++ b/crates/trace/src/recorder/mod.rs
@@ -23,8 +23,9 @@
 /// Record of one attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
-    /// Read time in s (Unix), and the time between arrival and read in s.
+    /// Time of the read in s, by the Unix clock.
     pub read: f64,
+    /// Time between arrival and read in s.
     pub unread: f64,
     /// Indices into the lists of [`RecorderConfig`].
     pub product: u16,
@@ -42,8 +43,9 @@
     pub last: bool,
     /// Time in s for which a decline instructed the caller to send nothing.
     pub keep_off: f64,
-    /// Name of the attempt and key of the request. The file holds hashes of them only.
+    /// Name of the attempt. The file holds only a hash of it.
     pub name: [u8; 16],
+    /// Key of the request. The file holds only a hash of it.
     pub key: Option<[u8; 32]>,
     steps: [u8; MAX_STEPS],
     /// Time since the previous step, in us.
@@ -158,8 +160,9 @@
 
 struct Shared {
     ring: ArrayQueue<Item>,
-    /// Records that found the ring full since the thread last checked, and all lost records.
+    /// Number of records that found the ring full since the thread last checked.
     ring_overflows: AtomicU64,
+    /// Number of all lost records.
     lost_records: AtomicU64,
     shutting_down: AtomicBool,
 }
--- a/crates/trace/src/recorder/rotation.rs
+++ b/crates/trace/src/recorder/rotation.rs
@@ -6,14 +6,17 @@
 /// Size and age limits of blocks and files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RotationLimits {
-    /// Rows of a block, and the time in s that a row waits for its block to fill.
+    /// Number of rows in a full block.
     pub block_rows: usize,
+    /// Maximum time in s that a row waits for its block to fill.
     pub max_block_age: f64,
-    /// Bytes of a file, and the time in s for which it is written to.
+    /// Size past which a file is sealed, in bytes.
     pub max_file_bytes: u64,
+    /// Age past which a file is sealed, in s.
     pub max_file_age: f64,
-    /// Total bytes and number of files on disk, the open one included.
+    /// Maximum total size of the files on disk in bytes, the open one included.
     pub max_total_bytes: u64,
+    /// Maximum number of files on disk, the open one included.
     pub max_files: usize,
 }
 
@@ -61,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OpenFileState {
     Closed,
-    /// Time of creation in s, and size in bytes.
+    /// Open, with the time of creation in s and the size in bytes.
     Open(f64, u64),
     /// A write failed part way: nothing more may be written to this file.
     Broken,
@@ -74,14 +77,17 @@
     open: OpenFileState,
     /// Closed files, oldest first.
     files: VecDeque<StoredFile>,
-    /// Rows and notes pending for the next block, and the time of the first.
+    /// Number of rows and notes pending for the next block.
     pending: usize,
+    /// Time of the first pending record, in s.
     pending_since: f64,
-    /// Time of the next retry, and the failures in a row.
+    /// Time of the next retry, in s.
     retry_at: f64,
+    /// Number of consecutive failures.
     failures: u32,
-    /// Lost records that no note reports yet, and all lost records.
+    /// Number of lost records that no note reports yet.
     unreported: u64,
+    /// Number of all lost records.
     pub dropped: u64,
     shutting_down: bool,
 }
--- a/crates/trace/src/row.rs
+++ b/crates/trace/src/row.rs
@@ -174,8 +174,9 @@
     pub name: String,
     /// Value of a request, or of one second of work if `by_work` is set.
     pub value: f64,
-    /// SLA time and expiry in s.
+    /// SLA time in s.
     pub sla: f64,
+    /// Time in s after which a request expires.
     pub expiry: f64,
     pub by_work: bool,
 }
--- a/crates/trace/src/tools.rs
+++ b/crates/trace/src/tools.rs
@@ -24,8 +24,9 @@
 /// Selection of rows by time and expression.
 #[derive(Clone, Debug)]
 pub struct Selection {
-    /// Start (inclusive) and end (exclusive) in us.
+    /// Start of the time range in us, inclusive.
     pub from: i64,
+    /// End of the time range in us, exclusive.
     pub to: i64,
     pub expr: Expr,
 }
@@ -51,8 +52,9 @@
 /// Outcome of reading a trace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScanReport {
-    /// Blocks read, and blocks skipped because their head or time range excluded them or was sufficient.
+    /// Number of blocks whose body was read.
     pub read_blocks: usize,
+    /// Number of blocks skipped because their head or time range excluded them or was sufficient.
     pub skipped_blocks: usize,
     pub rows: u64,
     pub damage: Vec<Damage>,
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -45,7 +45,7 @@
         RunningService { address, stop, main_task }
     }
 
-    /// Waits until the main task ends, which it does only on failure unless the service is stopped.
+    /// Waits until the main task ends, which happens only on failure or when the service is stopped.
     pub async fn wait(&mut self) -> Result<(), ServiceError<E>> {
         (&mut self.main_task).await?.map_err(ServiceError::Failed)
     }
--- a/crates/worker/src/report_planner.rs
+++ b/crates/worker/src/report_planner.rs
@@ -29,7 +29,7 @@
     pub reply_to: mpsc::Sender<CoordinatorReply>,
 }
 
-/// A rejected report. Its server's name is of any length and is truncated in the message.
+/// A rejected report. The server's name is unvalidated, so the message truncates it.
 #[derive(Debug, Error)]
 #[error("rejected report from server {server:.64}: {reason}")]
 pub(crate) struct RejectedReport {
--- a/crates/worker/src/service.rs
+++ b/crates/worker/src/service.rs
@@ -27,7 +27,7 @@
         let _ = self.main_task.await;
     }
 
-    /// Waits until the main task ends, which it does only when a later incarnation supersedes it, unless the worker is stopped.
+    /// Waits until the main task ends, which happens when the worker is stopped or superseded by a later incarnation.
     pub async fn wait(&mut self) {
         let _ = (&mut self.main_task).await;
     }
