--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::io::{self, Read, Seek, Write};
 
-/// Rows of one file that may wait for earlier rows in blocks not yet read.
+/// Maximum number of rows of one file that wait for earlier rows in blocks not yet read.
 const MAX_WAITING_ROWS: usize = 1 << 17;
 
 /// Rows of one file in time order.
@@ -16,8 +16,9 @@
     trace: Trace<R>,
     /// Offset in us added to every time of this file.
     pub offset: i64,
-    /// Next block to read, and for each block the earliest time in it or in any later block.
+    /// Next block to read.
     next: usize,
+    /// For each block, the earliest time in it or in any later block.
     earliest: Vec<i64>,
     waiting: VecDeque<Row>,
     loaded: Vec<Row>,
