--- a/crates/server/src/dispatcher/rounds.rs
+++ b/crates/server/src/dispatcher/rounds.rs
@@ -115,8 +115,8 @@
         SubmitOutcome::Accepted(id)
     }
 
-    /// Queues a request behind the one in flight under the same attempt id. The agent refuses a forged one of
-    /// the two.
+    /// Queues a request behind the one in flight under the same attempt id. One of the
+    /// two may be forged; the agent refuses that one.
     fn await_attempt_id(
         &mut self,
         received: &ReceivedRequest,
--- a/crates/server/src/ingress/decode.rs
+++ b/crates/server/src/ingress/decode.rs
@@ -83,7 +83,7 @@
         let (memory_kb, rank_value) = (parse_number(memory, 'm')?, parse_number(rank, 'p')?);
         let cost_hint = parse_number(hint, 'h')? / MILLISECONDS_PER_SECOND;
         let caller = parse_caller(caller)?;
-        // The policy sums these values: an absurd one would cause it to reject other requests.
+        // The policy adds these values up: an excessive one would make it reject other requests.
         let max_cost_hint = MAX_COST_HINT_TIMEOUTS * settings.timeout;
         if memory_kb >= MAX_MEMORY_KB {
             let expected = format!("less than {MAX_MEMORY_KB} KB");
--- a/crates/server/src/limits.rs
+++ b/crates/server/src/limits.rs
@@ -115,7 +115,7 @@
     pub reply_stall_timeout: f64,
     /// Timeout from the first byte of a message to its last, and from a connection to its first message.
     pub message_timeout: f64,
-    /// Multiple of its usual message interval for which a reused connection may be idle.
+    /// Idle timeout of a reused connection, as a multiple of its mean interval between messages.
     pub idle_interval_factor: f64,
     /// Time for which a connection used only for health checks may be idle.
     pub health_check_idle_timeout: f64,
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -45,7 +45,8 @@
 enum Admission {
     /// In flight under `id`. `is_probe` marks the probe of a suspected connection.
     Accepted { id: u32, is_probe: bool },
-    /// The key or attempt id that it waited for was released: submit it again with this mailbox.
+    /// The key or attempt id that the request waited for was released: submit the request again with this
+    /// mailbox.
     Resubmit(Arc<Mailbox>),
     /// Answered or cancelled.
     Finished,
@@ -55,7 +56,8 @@
 enum ExecutionEnd {
     /// Finished: no further submission.
     Finished,
-    /// The earlier attempt whose result it waited for never ran: submit it again with this mailbox.
+    /// The earlier attempt, whose result the request waited for, never ran: submit the request again with
+    /// this mailbox.
     Resubmit(Arc<Mailbox>),
 }
 
@@ -172,7 +174,7 @@
     connection: &'a Connection,
     tag: u64,
     id: u32,
-    /// Whether it probes if its suspected connection sends valid requests.
+    /// Whether this request is the probe of a suspected connection.
     is_probe: bool,
     guard: InFlightGuard<'a>,
     reply: &'r mut PendingReply<'a>,
@@ -279,7 +281,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Returns whether it comes from a suspected connection and is neither started nor a probe.
+    /// Returns whether the request comes from a suspected connection, has not started and is not a probe.
     fn is_suspected(&self) -> bool {
         !self.paused && !self.is_probe && self.connection.refusals.is_suspected()
     }
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -15,7 +15,7 @@
 const REJECTION_FIELD_BYTES: usize = 24;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Pending answer of a request. A request dropped without an answer, also by a panic, is answered as failed.
+/// Pending answer of a request. A request dropped without an answer, even by a panic, is answered as failed.
 pub(super) struct PendingReply<'a> {
     context: &'a RequestContext,
     connection: &'a Connection,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Guard of a request in flight: on drop, also by a panic, it reports the end to the dispatcher and closes
+/// Guard of a request in flight: on drop, even by a panic, it reports the end to the dispatcher and closes
 /// the idempotency key.
 pub(super) struct InFlightGuard<'a> {
     context: &'a RequestContext,
--- a/crates/server/src/state/counters.rs
+++ b/crates/server/src/state/counters.rs
@@ -1,4 +1,4 @@
-//! Figures reported to the control service: counts by class and tenant since the last report, and current
+//! Load figures reported to the control service: counts by class and tenant since the last report, and current
 //! policy values.
 
 use puffinladder_trace::row::Step;
--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -13,8 +13,8 @@
     Acquired,
     /// An earlier attempt of the same request, with this id, holds the key.
     SameRequest(u32),
-    /// A request with different content holds the key and has not ended. The agent refuses a forged one of
-    /// the two, so the second has to wait.
+    /// A request with different content holds the key and has not ended. One of the two may be forged; the
+    /// agent refuses that one. The second request waits until the first has ended.
     Contended,
     /// A request with different content ran under the key.
     Conflict,
--- a/crates/server/src/state/in_flight.rs
+++ b/crates/server/src/state/in_flight.rs
@@ -15,7 +15,7 @@
     pub mailbox: Arc<Mailbox>,
     /// Whether the policy started its run.
     pub running: bool,
-    /// Time at which it needed no further answer while its run continued, s.
+    /// Time since which it needs no further answer although its run continues, s.
     pub answered_at: Option<f64>,
     /// Mailbox of a second request with the same attempt id, which is submitted again if this one never ran.
     pub duplicate: Option<Arc<Mailbox>>,
--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -14,11 +14,11 @@
 /// Initial capacity of an encoded command.
 const COMMAND_BYTES: usize = 4096;
 
-/// Send time of a command, as the tag of the last poll before it. The agent has read the command once it answers a later
-/// poll.
+/// Position of a command among the polls: the tag of the last poll sent before it. The agent has read the command once it
+/// answers a later poll.
 pub type CommandStamp = u64;
 
-/// Stamp that stands for no command.
+/// Stamp used where no command awaits confirmation.
 pub const NO_COMMAND: CommandStamp = 0;
 /// Stamp of a command that could not be sent; it is never confirmed.
 const NOT_SENT: CommandStamp = u64::MAX;
--- a/crates/server/src/wire/gateway/connection.rs
+++ b/crates/server/src/wire/gateway/connection.rs
@@ -25,7 +25,7 @@
     pub limits: Arc<Limits>,
     /// Logs faults of gateways.
     pub faults: Arc<FaultLog>,
-    /// Maximum idle timeout of a recurring connection, s.
+    /// Maximum idle timeout of a connection that is derived from its interval between messages, s.
     pub max_idle: f64,
     /// Unsent bytes of all connections.
     pub total_unsent: AtomicUsize,
@@ -95,8 +95,8 @@
         self.has_partial_message = !input_empty;
     }
 
-    /// Returns the idle timeout, s: `keepalive`, or longer for a recurring connection, in proportion to its mean interval
-    /// between messages.
+    /// Returns the idle timeout, s: `keepalive`, or longer for a connection with several messages, in proportion to their
+    /// mean interval.
     pub fn idle_timeout(&self, keepalive: f64, context: &ConnectionContext) -> f64 {
         let limits = &context.limits;
         let by_interval = match self.messages {
--- a/crates/server/src/wire/gateway/tags.rs
+++ b/crates/server/src/wire/gateway/tags.rs
@@ -5,7 +5,7 @@
 /// Set of used tags, stored as a contiguous range and the tags above it.
 #[derive(Default)]
 pub struct UsedTags {
-    /// Highest tag up to which all were used.
+    /// Highest tag of the contiguous range: it and all tags below it were used.
     pub highest_contiguous: u64,
     /// Used tags above the contiguous range.
     pub out_of_order: BTreeSet<u64>,
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -162,7 +162,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a decimal number. Avoids `std::fmt`, which needs much stack.
+/// Appends a decimal number. Avoids `std::fmt`, which needs a larger stack.
 pub fn write_decimal(out: &mut Vec<u8>, value: u64) {
     let start = out.len();
     let mut rest = value;
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -30,7 +30,7 @@
     // Some registries accept connections and never respond, and some agents become ready only after their server is healthy.
     let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
     let roster = unresponsive.local_addr().unwrap();
-    // Each server has an address of its own, so that no outgoing connection takes its port while it is down.
+    // Each server has its own IP address, so that no outgoing connection takes its port while it is down.
     let id = std::process::id();
     let mut harnesses: Vec<ServerHarness> = (0..30)
         .map(|index| {
@@ -98,7 +98,7 @@
     let declined = harness.log.lock().iter().filter(|line| line.ends_with(": decline")).count();
     println!("of 120 in hand: {}, of {limit}", 120 - declined);
     assert_eq!(120 - declined, limit);
-    // The advice to all callers together stays within the ramp, and none may retry within a second.
+    // The load signals of all callers together stay within the ramp, and none may retry within a second.
     let has_response = |caller: &&mut Gateway| {
         caller.stream.set_nonblocking(true).unwrap();
         let has_data = caller.stream.peek(&mut [0]).is_ok();
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -1,5 +1,5 @@
 //! Resources of a server process in its default configuration: threads, descriptors and addresses. The operators' acceptance
-//! test allows no child processes and no Unix sockets, so that optional features must not open any by default.
+//! test allows no child processes and no Unix sockets, so optional features must open none by default.
 
 use puffinladder_toy::harness::ServerHarness;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
     targets
 }
 
-/// Returns the socket inodes in a table below `/proc/PID`, which stand in the given column.
+/// Returns the socket inodes in the given column of a table below `/proc/PID`.
 fn socket_inodes(harness: &ServerHarness, table: &str, column: usize) -> BTreeSet<String> {
     let text = fs::read_to_string(proc_path(harness, table)).unwrap_or_default();
     text.lines().skip(1).filter_map(|line| Some(line.split_whitespace().nth(column)?.to_string())).collect()
@@ -98,7 +98,7 @@
     assert_eq!(harness.log.lock().iter().filter(|line| line.contains("shutting down on SIGTERM")).count(), 1);
 }
 
-/// Coordination runs in separate processes, so that the server must not link it through a dependency.
+/// Coordination runs in separate processes, so the server must not link it, even through a dependency.
 #[test]
 fn links_no_consensus_store_or_second_runtime() {
     let arguments =
--- a/crates/server/tests/stories.rs
+++ b/crates/server/tests/stories.rs
@@ -633,7 +633,7 @@
     }
 }
 
-/// A request that waits for a key held by a request of other content must be answered before the process exits, although
+/// A request that waits for a key held by a request with different content must be answered before the process exits, although
 /// the policy does not know it yet.
 #[test]
 fn request_waiting_for_key_is_answered_before_exit() {
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -47,7 +47,7 @@
     FrameTooLong {
         /// Bytes announced by the header.
         length: usize,
-        /// Most bytes of a frame.
+        /// Maximum number of bytes in a frame.
         limit: usize,
     },
     /// The clock is infinite or not a number.
--- a/crates/sim-adapter/src/fields.rs
+++ b/crates/sim-adapter/src/fields.rs
@@ -3,7 +3,7 @@
 use crate::error::RecordError;
 use puffinladder::{Completion, Outcome};
 
-/// The wire gives times in milliseconds, the policy takes seconds.
+/// Conversion from times on the wire (milliseconds) to those of the policy (seconds).
 pub const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 /// Reader of the consecutive fields of a frame.
--- a/crates/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -37,7 +37,7 @@
     pub const INSTANCE: u8 = 160;
 }
 
-/// Bytes of the length field, which it does not include.
+/// Bytes of the length field, which the length does not include.
 const LENGTH_BYTES: usize = 4;
 /// Bytes before the first action: the length and the number of records.
 const HEADER_BYTES: usize = 8;
--- a/examples/proxy/src/lib.rs
+++ b/examples/proxy/src/lib.rs
@@ -54,9 +54,9 @@
 pub enum Event<'a> {
     StreamOpened,
     StreamClosed,
-    /// A message of this many bytes, gRPC prefix included.
+    /// The proxy sent a message of this many bytes, gRPC prefix included.
     Sent(usize),
-    /// A message of this many bytes, gRPC prefix included.
+    /// The proxy received a message of this many bytes, gRPC prefix included.
     Received(usize),
     /// A response was applied and acknowledged.
     Acknowledged(&'a Acknowledgement<'a>),
@@ -157,9 +157,9 @@
 /// A routing decision for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pick {
-    /// Goes to `server` by `plan`, with this much of the lease remaining.
+    /// Routed to `server` according to `plan`, with `remaining_lease` left.
     RouteTo { server: SocketAddr, plan: String, remaining_lease: Duration },
-    /// Dropped, as the plan demands.
+    /// Dropped according to `plan`.
     Dropped { plan: String },
     /// Not routable: the proxy holds no endpoints and routes with valid leases, or no endpoint has a weight.
     Unroutable,
@@ -374,7 +374,7 @@
         read: impl Fn(A) -> Update,
         acknowledge: impl Fn(String, String, Option<Fault>, String) -> Q,
     ) -> Result<(), tonic::Status> {
-        /// Reports the end of the stream, also where the task is aborted.
+        /// Reports the end of the stream, even if the task is aborted.
         struct StreamGuard<'a>(&'a Proxy);
         impl Drop for StreamGuard<'_> {
             fn drop(&mut self) {
--- a/examples/toy/src/agent.rs
+++ b/examples/toy/src/agent.rs
@@ -24,7 +24,7 @@
 
 #[derive(Default, Debug)]
 struct AgentState {
-    /// Greets a server that subscribes.
+    /// Whether the agent greets a server that subscribes.
     ready: bool,
     samples_muted: bool,
     /// Notices that are retained. The first has the sequence number `dropped + 1`.
@@ -177,7 +177,7 @@
 
     fn send(&mut self, line: &Value) {
         if let Some(connection) = &mut self.connection {
-            // A failed write is made up for: the server gets retained notices when it subscribes again.
+            // A failed write loses nothing: the server receives the retained notices when it subscribes again.
             let _ = connection.write_all(format!("{line}\n").as_bytes());
         }
     }
--- a/examples/toy/src/harness.rs
+++ b/examples/toy/src/harness.rs
@@ -48,7 +48,7 @@
     let serial = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path: PathBuf =
         std::env::temp_dir().join(format!("puffinladder-{}-{serial}.json", std::process::id()));
-    std::fs::write(&path, config).expect("the temporary folder takes the configuration");
+    std::fs::write(&path, config).expect("the configuration can be written to the temporary folder");
     let mut child = Command::new(program[0])
         .args(&program[1..])
         .env("BALANCER_CONFIG", &path)
--- a/examples/toy/src/http.rs
+++ b/examples/toy/src/http.rs
@@ -12,7 +12,7 @@
 //! | `hang` | none |
 //! | anything else | 200, `stored` and the body |
 //!
-//! Where the body contains `more`, the reply stands between bytes that do not belong to it.
+//! Where the body contains `more`, the reply is preceded and followed by bytes that do not belong to it.
 
 use crate::Monitor;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads requests and replies to them until the peer closes, a read or write fails, or a body asks for the end.
+/// Reads requests and replies to them until the peer closes, a read or write fails, or a request has the body `break`.
 fn serve_connection(stream: TcpStream, requests: &ReceivedRequests, reply: fn(&str) -> String) {
     let mut input = BufReader::new(stream);
     while let Some(request) = read_request(&mut input) {
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for the peers of a server (agent, store, registry and gateway), written from the protocol
-//! documentation. They serve to try a server by hand and to drive one in integration tests. The body of a request
+//! documentation. They are used to try a server by hand and in integration tests. The body of a request
 //! scripts how the stand-ins handle it, see [`agent`] and [`http`].
 #![forbid(unsafe_code)]
 
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -13,8 +13,8 @@
     /// Rejects a request that never ran. `retry_after` is how long its caller should not retry at this
     /// server (0 for no advice); `do_not_forward` means that no other server should be tried either.
     fn reject(&mut self, id: u32, retry_after: f64, do_not_forward: bool, reason: Reason);
-    /// Answers a request with an error. A running request continues unanswered until it ends, reaches a
-    /// call or is preempted.
+    /// Answers a request with an error. Its run, if any, continues without a further answer until it ends,
+    /// reaches a call or is preempted.
     fn fail(&mut self, id: u32, reason: Reason);
     /// Preempts a running request, as [`Preemption`](crate::Preemption) allows.
     fn preempt(&mut self, id: u32);
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -17,7 +17,7 @@
     ConnectionLost,
     /// It was cancelled.
     Cancelled,
-    /// It ended before it started.
+    /// It ended without having started.
     NotNeeded,
 }
 
@@ -54,16 +54,16 @@
     RunFailed,
     /// The earlier attempt with its idempotency key failed or left no result.
     EarlierAttemptFailed,
-    /// A request with the same name is in flight.
+    /// A request with the same attempt id is in flight.
     DuplicateName,
     /// Its idempotency key belongs to a request with different content.
     KeyConflict,
-    /// The handler of the request in the host ended early.
+    /// The host's handler of the request ended without an answer.
     HandlerLost,
-    // A reason of the policy.
+    // Reason of the policy.
     /// The server is warming up and has reached its limit of requests in flight.
     WarmingUp,
-    // A reason of the host.
+    // Reason of the host.
     /// The agent does not know the earlier requests on its connection.
     UnknownToAgent,
 }
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -90,8 +90,8 @@
         self.lingering_until.push_back(now + self.linger);
     }
 
-    /// Records a failed call. A call that timed out lingers; any other failure counts until the next
-    /// `headroom`.
+    /// Records a failed call. One that timed out occupies the dependency for the linger time; any other counts
+    /// as occupying until the next call of `headroom`.
     pub fn add_failure(&mut self, now: f64, outcome: Outcome) {
         let linger = if outcome == Outcome::TimedOut { self.linger } else { 0.0 };
         self.lingering_until.push_back(now + linger);
--- a/src/policy/calls.rs
+++ b/src/policy/calls.rs
@@ -1,4 +1,4 @@
-//! Downstream calls: which requests may call, call timeouts, retries of failed calls, and degraded answers.
+//! Downstream calls: which requests may make one, call timeouts, retries of failed calls, and degraded answers.
 
 use super::averages::{moving_average, EWMA_WEIGHT};
 use super::in_flight::{InFlight, Stage};
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -4,7 +4,7 @@
 use super::timing::RATE_TIME_CONSTANT_S;
 use crate::{Idempotency, RequestClass};
 
-/// Number of runs over which a baseline is averaged; longer than a fault should affect it.
+/// Number of runs over which a baseline is averaged; enough that a transient fault hardly changes it.
 pub(super) const BASELINE_SAMPLES: f64 = 200.0;
 /// Number of runs before a baseline is valid; the first runs to end are the short ones.
 const MIN_BASELINE_SAMPLES: f64 = 20.0;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -4,7 +4,8 @@
 use super::timing::CONTROL_INTERVAL_S;
 use crate::{Decisions, PolicySettings};
 
-/// Ratio of run time to its reference from which the machine is slow; overload alone stays below it.
+/// Ratio of run time to its reference from which the machine counts as slow; overload alone does not reach
+/// it.
 const SLOW_RUN_TIME_RATIO: f64 = 4.0;
 /// Time for which the machine must look slow before it turns unhealthy, in seconds; longer than one control
 /// step.
--- a/src/policy/load_signal.rs
+++ b/src/policy/load_signal.rs
@@ -13,8 +13,7 @@
 /// Fraction of the shortest wait threshold that tokens may fill with work; the rest allows for unread
 /// requests.
 const TOKEN_WAIT_FRACTION: f64 = 0.5;
-/// Least observed fraction of the rate's time constant, by which the completion rate of a new process is
-/// divided.
+/// Lower bound of the divisor that corrects the completion rate of a new process for its short observation.
 const MIN_OBSERVED_FRACTION: f64 = 0.1;
 /// Factor on the tokens of an idle server, which must absorb a burst.
 const IDLE_TOKEN_MULTIPLE: f64 = 3.0;
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -8,8 +8,8 @@
 pub(super) const PRESSURE_INCREMENT: f64 = 0.03;
 /// Decay of the pressure per control step while the server is busy, in increments.
 const BUSY_DECAY_FACTOR: f64 = 0.5;
-/// Decay of the pressure per control step while cores are free, in increments; idle cores are wasted at once,
-/// and callers return late.
+/// Decay of the pressure per control step while cores are free, in increments; faster than when busy,
+/// since callers return with a delay and the cores stay idle meanwhile.
 const IDLE_DECAY_FACTOR: f64 = 2.0;
 /// Smallest change of the load signal that is sent.
 const MIN_SIGNAL_CHANGE: f64 = 1e-3;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,7 +2,8 @@
 
 use crate::Tenant;
 
-/// Seconds of quota that a bucket holds, in addition to the square root of its rate for random arrivals.
+/// Seconds of quota that a bucket holds. Its capacity includes the square root of the rate in addition,
+/// since arrivals are random.
 const QUOTA_BURST_S: f64 = 1.0;
 
 /// Token bucket for this server's share of a tenant's quota.
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -2,8 +2,8 @@
 
 use crate::PolicySettings;
 
-/// Headroom of the in-flight limit above the sustainable concurrency, in standard deviations and again in
-/// requests.
+/// Headroom of the in-flight limit above the sustainable concurrency: this many standard deviations, plus
+/// the same number of requests.
 const WARM_UP_HEADROOM: f64 = 2.0;
 /// Shortest warm-up, in seconds, since the duration is a divisor.
 const MIN_WARM_UP_S: f64 = 1e-3;
@@ -15,7 +15,7 @@
     cold_fraction: f64,
     duration: f64,
     cores: f64,
-    /// Sustainable runs per core of a warm server beyond the one that uses the core.
+    /// Sustainable runs per core of a warm server, less the one that occupies the core.
     extra_per_core: f64,
     /// Fraction of full speed that the server is assumed to lack.
     capacity_deficit: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -132,7 +132,7 @@
     pub warm_up_duration: f64,
     /// Running requests per core at which a warm server collapses.
     pub overload_multiple: f64,
-    /// Time over which those are averaged, in seconds.
+    /// Time over which running requests are averaged for `overload_multiple`, in seconds.
     pub overload_window: f64,
     /// Time after the notice to drain after which arriving requests must not run, in seconds.
     pub drain_grace: f64,
