--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -167,8 +167,8 @@
     /// Records the end of a run, with its result if it completed.
     pub fn finish(&mut self, key: &IdempotencyKey, id: u32, result: Option<Arc<Vec<u8>>>) {
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.id == id) else { return };
-        // A key is extended before its run starts, so this attempt was aborted before that. Without an expiry
-        // time it would block the expiry of all later keys.
+        // A key is extended before its run starts, so an attempt whose key was never extended did not run. Without
+        // an expiry time its entry would block the expiry of all later keys.
         if entry.valid_until == f64::MAX {
             entry.valid_until = f64::MIN;
         }
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -11,9 +11,9 @@
 use puffinladder_trace::row::{Step, Topic};
 use std::sync::{Arc, Mutex};
 
-/// Smallest change of a policy value that is recorded.
+/// Minimum interval between recorded changes of a policy value, s.
 const MIN_DECISION_CHANGE: f64 = 0.1;
-/// Smallest change of a gauge that is recorded; smaller ones are noise.
+/// Minimum interval between recorded changes of a gauge, s.
 const MIN_GAUGE_CHANGE: f64 = 1.0;
 
 /// Recorder of requests for the trace and the control service. Does nothing if neither is configured.
--- a/crates/server/src/wire/agent/link.rs
+++ b/crates/server/src/wire/agent/link.rs
@@ -129,7 +129,7 @@
         self.state().wake();
     }
 
-    /// Sends a JSON object without its closing brace. Drops it if commands are not accepted.
+    /// Sends a JSON object, given without its closing brace. Drops it if commands are not accepted.
     fn send(&self, line: Vec<u8>) -> CommandStamp {
         let mut state = self.state();
         if !state.accepting_commands {
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -138,11 +138,11 @@
             if sequence <= *last_notice {
                 return Ok(());
             }
-            // Advanced before parsing: a malformed notice would otherwise be replayed on every new connection.
             if sequence > *last_notice + 1 {
                 tracing::warn!("agent: notices {} to {} are missing", *last_notice + 1, sequence - 1);
                 self.dispatcher.mark_outcomes_uncertain(self.clock.now());
             }
+            // Advanced before parsing: a malformed notice would otherwise be replayed on every new connection.
             *last_notice = sequence;
         }
         match Notice::parse(line)? {
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -110,7 +110,7 @@
     }
 
     /// Wakes calls past their deadline, calls with a partial reply that may have stalled, and waiting calls for which a
-    /// slot is free because the call it was offered to has ended.
+    /// slot is free because the call that was offered it has ended.
     pub fn wake_overdue(&self, now: f64) {
         let mut slots = lock(&self.slots);
         let free = self.limits.max_store_connections.saturating_sub(slots.in_use);
--- a/examples/proxy/src/lib.rs
+++ b/examples/proxy/src/lib.rs
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Returns when the request with this number, from 1 on, was sent. Falls back to the first one where the time is no longer
-    /// kept: a lease may be counted from too early a time, never from too late a one.
+    /// Returns when the request with this number, from 1 on, was sent. If that time is no longer kept, returns the time of
+    /// the first request, since a lease may be counted from too early a time but never from too late.
     fn at(&self, number: usize) -> Option<Instant> {
         let back = self.count.checked_sub(number).filter(|_| number > 0)?;
         self.times.iter().rev().nth(back).copied().or(self.first)
--- a/examples/toy/src/http.rs
+++ b/examples/toy/src/http.rs
@@ -12,7 +12,7 @@
 //! | `hang` | none |
 //! | anything else | 200, `stored` and the body |
 //!
-//! Where the body contains `more`, the reply is preceded and followed by bytes that do not belong to it.
+//! Where the body contains `more`, the reply is preceded by an interim reply and followed by bytes that do not belong to it.
 
 use crate::Monitor;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,4 +1,5 @@
-//! Deadlines: answers every request in flight before its deadline.
+//! Deadlines: answers requests that have left the queue before their deadline. Queued ones are rejected in
+//! `queue`.
 
 use super::in_flight::Stage;
 use super::state::AdmissionPolicy;
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -8,8 +8,8 @@
 pub(super) const BASELINE_SAMPLES: f64 = 200.0;
 /// Number of runs before a baseline is valid; the first runs to end are the short ones.
 const MIN_BASELINE_SAMPLES: f64 = 20.0;
-/// Largest ratio of run time to baseline that updates the baseline and does not shrink the concurrency
-/// limit.
+/// Ratio of run time to baseline at which samples of the baseline are clipped, and above which the concurrency
+/// limit may shrink.
 pub(super) const TOLERATED_RUN_TIME_RATIO: f64 = 1.3;
 /// Largest reference run time, as a fraction of the latency objective.
 const MAX_REFERENCE_RUN_FRACTION: f64 = 0.33;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,7 @@
 //! | [`arrivals`] | queueing, replay and rejection on arrival; which idempotency keys are remembered |
 //! | [`queue`] | queue order, wait thresholds, assignment of run slots |
 //! | [`calls`] | downstream calls, their timeouts and retries, degraded answers |
-//! | [`deadlines`] | errors sent before a deadline expires |
+//! | [`deadlines`] | errors sent to requests out of the queue before their deadline |
 //! | [`rejection`] | Retry-After, and whether to try another server |
 //! | [`load_signal`] | load signal on answers |
 //!
--- a/src/policy/rounds.rs
+++ b/src/policy/rounds.rs
@@ -45,7 +45,7 @@
         decisions.set_health(true, true);
         decisions.schedule_tick(TICK_INTERVAL_S);
         if self.warm_up.may_be_cold() {
-            // Callers send to a new server at once, so that its first answer must carry the signal.
+            // Callers send to a new server at once, so its first answer must carry the signal.
             self.step_signal(now, 0.0, decisions);
         }
     }
--- a/src/policy/warm_up.rs
+++ b/src/policy/warm_up.rs
@@ -55,7 +55,7 @@
         now - self.started_at.unwrap_or(now)
     }
 
-    /// Returns the least fraction of full speed reached so far.
+    /// Returns the lower bound of the present fraction of full speed.
     fn capacity_fraction(&self, now: f64) -> f64 {
         let progress = self.uptime(now) / self.duration;
         (self.cold_fraction + (1.0 - self.cold_fraction) * progress).min(1.0)
