--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -13,8 +13,8 @@
     Acquired,
     /// An earlier attempt of the same request, with this id, holds the key.
     SameRequest(u32),
-    /// A request with different content holds the key and has not ended. The agent refuses a forged one of
-    /// the two, so the second has to wait.
+    /// A request with different content holds the key and has not ended. One of the two may be forged; the
+    /// agent refuses that one. The second request waits until the first has ended.
     Contended,
     /// A request with different content ran under the key.
     Conflict,
@@ -167,8 +167,8 @@
     /// Records the end of a run, with its result if it completed.
     pub fn finish(&mut self, key: &IdempotencyKey, id: u32, result: Option<Arc<Vec<u8>>>) {
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.id == id) else { return };
-        // A key is extended before its run starts, so this attempt was aborted before that. Without an expiry
-        // time it would block the expiry of all later keys.
+        // A key is extended before its run starts, so an attempt whose key was never extended did not run. Without
+        // an expiry time its entry would block the expiry of all later keys.
         if entry.valid_until == f64::MAX {
             entry.valid_until = f64::MIN;
         }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -4,12 +4,12 @@
 use super::timing::RATE_TIME_CONSTANT_S;
 use crate::{Idempotency, RequestClass};
 
-/// Number of runs over which a baseline is averaged; longer than a fault should affect it.
+/// Number of runs over which a baseline is averaged; enough that a transient fault hardly changes it.
 pub(super) const BASELINE_SAMPLES: f64 = 200.0;
 /// Number of runs before a baseline is valid; the first runs to end are the short ones.
 const MIN_BASELINE_SAMPLES: f64 = 20.0;
-/// Largest ratio of run time to baseline that updates the baseline and does not shrink the concurrency
-/// limit.
+/// Ratio of run time to baseline at which samples of the baseline are clipped, and above which the concurrency
+/// limit may shrink.
 pub(super) const TOLERATED_RUN_TIME_RATIO: f64 = 1.3;
 /// Largest reference run time, as a fraction of the latency objective.
 const MAX_REFERENCE_RUN_FRACTION: f64 = 0.33;
