--- a/crates/cli/src/capacity/bounds.rs
+++ b/crates/cli/src/capacity/bounds.rs
@@ -1,15 +1,16 @@
-//! Where the code itself refuses more, whatever it would cost: taken from the code, so that the page follows it.
+//! Limits that the code enforces, read from the code so that the page stays current.
 
 use puffinladder_capacity::reckon::Bound;
 use puffinladder_leases::{coordination, table};
 use puffinladder_settings::parse_settings;
 
-pub fn of_the_code() -> Vec<Bound> {
-    let bound = |role: &str, size: &str, most: usize, named: &str| Bound {
+/// Returns the limits of lease store, workers and control service.
+pub fn code_limits() -> Vec<Bound> {
+    let bound = |role: &str, size: &str, most: usize, source: &str| Bound {
         role: role.into(),
         size: size.into(),
         most: most as f64,
-        named: named.into(),
+        named: source.into(),
     };
     let mut bounds = vec![
         bound(
@@ -25,9 +26,9 @@
             "MAX_INSTANCES of crates/leases/src/table/limits.rs",
         ),
     ];
-    // What holds where a control service's settings say nothing.
-    let usual = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\"))";
-    if let Some(control) = parse_settings("usual", usual).ok().and_then(|settings| settings.control) {
+    // The defaults of a control service.
+    let defaults = "(control (xds \"127.0.0.1:1\") (reports \"127.0.0.1:2\"))";
+    if let Some(control) = parse_settings("defaults", defaults).ok().and_then(|settings| settings.control) {
         bounds.push(bound(
             "control",
             "servers",
--- a/crates/cli/src/capacity/mod.rs
+++ b/crates/cli/src/capacity/mod.rs
@@ -1,9 +1,9 @@
-//! `puffinladder capacity`: what of a planned size is carried, by the points that were measured, and whether the page says so.
+//! `puffinladder capacity`: measures the cost of each role, compares a planned size with it, and checks the page of the results.
 
 mod bounds;
 mod measure;
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand};
 use puffinladder_capacity::page;
 use puffinladder_capacity::plan::{self, Plan};
@@ -16,16 +16,16 @@
 #[command(after_help = "Examples, from the root of the checkout:\n  puffinladder capacity plan\n  \
     puffinladder capacity plan other.scm --points points.json\n  \
     puffinladder capacity plan --write docs/CAPACITY.md\n  puffinladder capacity check")]
-pub struct Line {
+pub struct CapacityArgs {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure what each role costs, by real processes at three sizes or more
-    Measure(measure::Line),
-    /// From a size and the points the page's tables: what is carried, what is not, what is not known
+    /// Measure the cost of each role with real processes at three sizes or more
+    Measure(measure::MeasureArgs),
+    /// Print the tables of the page for a planned size: within capacity, beyond it, or not measured
     #[command(
         after_help = "Examples:\n  puffinladder capacity plan\n  puffinladder capacity plan other.scm\n  \
         puffinladder capacity plan --write docs/CAPACITY.md"
@@ -34,12 +34,12 @@
         #[arg(value_name = "PLAN.scm", default_value = "deploy/capacity.scm")]
         plan: PathBuf,
         #[command(flatten)]
-        from: From,
-        /// Put the tables into this page's blocks instead of printing them
+        from: PointsArgs,
+        /// Write the tables into the blocks of this page instead of printing them
         #[arg(long, value_name = "PAGE")]
         write: Option<PathBuf>,
     },
-    /// Fail where the page's tables are not what `plan` prints
+    /// Fail if the page's tables differ from those that `plan` prints
     #[command(
         after_help = "Examples:\n  puffinladder capacity check\n  puffinladder capacity check docs/CAPACITY.md --plan deploy/capacity.scm"
     )]
@@ -49,48 +49,48 @@
         #[arg(long, value_name = "PLAN.scm", default_value = "deploy/capacity.scm")]
         plan: PathBuf,
         #[command(flatten)]
-        from: From,
+        from: PointsArgs,
     },
 }
 
 #[derive(Args)]
-struct From {
-    /// What was measured
+struct PointsArgs {
+    /// File of measured points
     #[arg(long, value_name = "FILE", default_value = "docs/capacity/points.json")]
     points: PathBuf,
 }
 
-/// A file's text, if it is not longer than any of ours may be.
-fn text(file: &Path) -> Result<String, Wrong> {
-    let wrong = |what: String| Wrong::Failed(format!("{}: {what}", file.display()));
-    let opened = std::fs::File::open(file).map_err(|e| wrong(e.to_string()))?;
+/// Reads a file of at most `MOST_BYTES` bytes.
+fn read_text(file: &Path) -> Result<String, CommandError> {
+    let failed = |message: String| CommandError::Failed(format!("{}: {message}", file.display()));
+    let opened = std::fs::File::open(file).map_err(|e| failed(e.to_string()))?;
     let mut text = String::new();
-    opened.take(MOST_BYTES as u64 + 1).read_to_string(&mut text).map_err(|e| wrong(e.to_string()))?;
+    opened.take(MOST_BYTES as u64 + 1).read_to_string(&mut text).map_err(|e| failed(e.to_string()))?;
     if text.len() > MOST_BYTES {
-        return Err(wrong(format!("longer than {MOST_BYTES} bytes")));
+        return Err(failed(format!("longer than {MOST_BYTES} bytes")));
     }
     Ok(text)
 }
 
-fn plan_of(file: &Path) -> Result<Plan, Wrong> {
-    plan::read(&file.display().to_string(), &text(file)?).map_err(|faults| {
+fn load_plan(file: &Path) -> Result<Plan, CommandError> {
+    plan::read(&file.display().to_string(), &read_text(file)?).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        Wrong::Asked(lines.join("\n"))
+        CommandError::Usage(lines.join("\n"))
     })
 }
 
-fn tables_of(plan: &Path, points: &Path) -> Result<Vec<Table>, Wrong> {
-    let plan = plan_of(plan)?;
-    let points = Points::parse(&points.display().to_string(), &text(points)?)
-        .map_err(|fault| Wrong::Failed(fault.to_string()))?;
-    Ok(tables(&plan, &points, &bounds::of_the_code()))
+fn load_tables(plan: &Path, points: &Path) -> Result<Vec<Table>, CommandError> {
+    let plan = load_plan(plan)?;
+    let points = Points::parse(&points.display().to_string(), &read_text(points)?)
+        .map_err(|fault| CommandError::Failed(fault.to_string()))?;
+    Ok(tables(&plan, &points, &bounds::code_limits()))
 }
 
-pub fn run(line: Line) -> Done {
-    match line.command {
-        Command::Measure(line) => measure::run(line),
+pub fn run(args: CapacityArgs) -> CommandResult {
+    match args.command {
+        Command::Measure(args) => measure::run(args),
         Command::Plan { plan, from, write } => {
-            let tables = tables_of(&plan, &from.points)?;
+            let tables = load_tables(&plan, &from.points)?;
             let Some(file) = write else {
                 let mut out = std::io::stdout().lock();
                 for table in &tables {
@@ -99,18 +99,18 @@
                 return Ok(());
             };
             let name = file.display();
-            let page = page::write(&text(&file)?, &tables)
-                .map_err(|fault| Wrong::Failed(format!("{name}:{fault}")))?;
-            // Whole or not at all: half a page would pass for one that somebody shortened.
-            let beside = file.with_extension("md.new");
-            let done = std::fs::write(&beside, page).and_then(|()| std::fs::rename(&beside, &file));
-            done.map_err(|e| Wrong::Failed(format!("{name}: {e}")))
+            let page = page::write(&read_text(&file)?, &tables)
+                .map_err(|fault| CommandError::Failed(format!("{name}:{fault}")))?;
+            // Renamed into place, so that a failed write leaves the old page.
+            let temporary = file.with_extension("md.new");
+            let written = std::fs::write(&temporary, page).and_then(|()| std::fs::rename(&temporary, &file));
+            written.map_err(|e| CommandError::Failed(format!("{name}: {e}")))
         }
         Command::Check { page, plan, from } => {
-            let tables = tables_of(&plan, &from.points)?;
-            page::check(&text(&page)?, &tables).map_err(|fault| {
+            let tables = load_tables(&plan, &from.points)?;
+            page::check(&read_text(&page)?, &tables).map_err(|fault| {
                 let name = page.display();
-                Wrong::Failed(format!(
+                CommandError::Failed(format!(
                     "{name}:{fault}\nrefresh it with: puffinladder capacity plan --write {name}"
                 ))
             })
--- a/crates/cli/src/control/mod.rs
+++ b/crates/cli/src/control/mod.rs
@@ -1,13 +1,13 @@
-//! `puffinladder control`: the control service, and tools round its plan.
+//! `puffinladder control`: the control service, and tools for its plans.
 
 mod bench;
-mod fleet;
-mod town;
+mod demo;
+mod simulation;
 mod watch;
 
-use crate::fleet::Ground;
-use crate::say::{Done, Wrong};
+use crate::fleet::ServiceEnvironment;
 use crate::serve::runtime;
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand};
 use puffinladder_control::fleet::{FleetConfig, FleetView, ReportOutcome};
 use puffinladder_control::plan::Planner;
@@ -17,7 +17,7 @@
 use puffinladder_control::service::{PlanSchedule, ServiceConfig};
 use puffinladder_control::stream::LeaseConfig;
 use puffinladder_leases::protocol::Event;
-use puffinladder_settings::ControlSettings as Told;
+use puffinladder_settings::ControlSettings;
 use std::io::Write;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
@@ -28,8 +28,8 @@
     after_help = "Examples:\n  puffinladder control --settings deploy/control.example.scm\n  \
         puffinladder control plan views.json --zone a\n  puffinladder control town"
 )]
-pub struct Line {
-    /// Settings with a (control ...) in them
+pub struct ControlArgs {
+    /// Settings with a (control ...) section
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
     #[command(subcommand)]
@@ -38,117 +38,125 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// From servers' reports to the plan, without a service: what each would get, and why
+    /// Compute the plan for a list of reports without a service: each server's share and the reason for it
     #[command(
-        after_help = "VIEWS is a JSON list of reports, as /servers of the debug view shows them under \"report\".\n\n\
+        after_help = "VIEWS is a JSON list of reports, as /servers of the debug view lists them under \"report\".\n\n\
         Example:\n  puffinladder control plan views.json --steps 40"
     )]
     Plan {
-        /// - is standard input
+        /// File of reports; - is standard input
         views: String,
-        /// Plans made one after the other from the same reports, a quarter of a second apart: shares move step by step
+        /// Number of successive plans from the same reports, 250 ms apart, since shares move by steps
         #[arg(long, default_value_t = 1)]
         steps: u32,
-        /// The zone whose routes are shown
+        /// Zone whose routes are printed
         #[arg(long)]
         zone: Option<String>,
         #[arg(long)]
         json: bool,
     },
-    /// Look at servers, proxies and ages of a running service on the terminal
+    /// Show servers, proxies and ages of a running service on the terminal
     #[command(after_help = "Example:\n  puffinladder control watch 127.0.0.1:18002")]
     Watch {
-        /// Its debug view
+        /// Address of the service's debug view
         debug: std::net::SocketAddr,
     },
-    /// An example on loopback: two stand-in servers, the service, two stand-in proxies; one server leaves, one slows down
-    Town {
-        /// s that it plays
+    /// Demonstrate the service on loopback with two servers and two proxies; one server slows down, the other drains
+    #[command(name = "town")]
+    Demo {
+        /// Duration, s
         #[arg(long, default_value_t = 20)]
         seconds: u32,
     },
-    /// Measure planning, pushes to many proxies and staleness, on stand-ins on loopback
+    /// Measure planning, pushes to many proxies and staleness, with emulated peers on loopback
     #[command(after_help = "Example:\n  puffinladder control bench --proxies 10,100,1000 --servers 1000")]
     Bench {
         #[arg(long, value_delimiter = ',', default_value = "10,100,1000")]
         proxies: Vec<usize>,
         #[arg(long, default_value_t = 1000)]
         servers: usize,
-        /// Changes that are pushed, for each number of proxies
+        /// Number of pushed changes for each number of proxies
         #[arg(long, default_value_t = 20)]
         changes: usize,
     },
 }
 
-fn setup(told: &Told) -> ServeConfig {
+fn serve_config(settings: &ControlSettings) -> ServeConfig {
     let fleet = FleetConfig {
-        fresh_for: told.fresh_for,
-        expired_after: told.expired_after,
-        panic_threshold: told.panic_threshold,
-        max_servers: told.max_servers,
+        fresh_for: settings.fresh_for,
+        expired_after: settings.expired_after,
+        panic_threshold: settings.panic_threshold,
+        max_servers: settings.max_servers,
         ..FleetConfig::default()
     };
     let lease = LeaseConfig {
-        max_decision_age: told.max_staleness,
-        heartbeat_interval: told.heartbeat_interval,
+        max_decision_age: settings.max_staleness,
+        heartbeat_interval: settings.heartbeat_interval,
         ..LeaseConfig::default()
     };
     let service = ServiceConfig {
         fleet,
         lease,
-        subsets: SubsetConfig { size: told.subset_size, ..SubsetConfig::default() },
-        schedule: PlanSchedule { interval: told.plan_interval, ..PlanSchedule::default() },
+        subsets: SubsetConfig { size: settings.subset_size, ..SubsetConfig::default() },
+        schedule: PlanSchedule { interval: settings.plan_interval, ..PlanSchedule::default() },
     };
-    let tls = told.tls.as_ref().map(|tls| TlsConfig {
+    let tls = settings.tls.as_ref().map(|tls| TlsConfig {
         certificate: (&tls.certificate).into(),
         key: (&tls.key).into(),
         client_authorities: tls.client_authority.as_ref().map(Into::into),
     });
     ServeConfig {
         service,
-        xds: told.xds_listen,
-        reports: told.report_listen,
-        debug: told.debug_listen,
-        snapshot: told.snapshot_file.as_ref().map(Into::into),
-        max_proxies: told.max_proxies,
+        xds: settings.xds_listen,
+        reports: settings.report_listen,
+        debug: settings.debug_listen,
+        snapshot: settings.snapshot_file.as_ref().map(Into::into),
+        max_proxies: settings.max_proxies,
         tls,
     }
 }
 
-pub fn run(line: Line) -> Done {
-    match line.command {
-        None => serve(line.settings),
+pub fn run(args: ControlArgs) -> CommandResult {
+    match args.command {
+        None => serve(args.settings),
         Some(Command::Plan { views, steps, zone, json }) => plan(&views, steps, zone.as_deref(), json),
         Some(Command::Watch { debug }) => watch::watch(debug),
-        Some(Command::Town { seconds }) => runtime()?.block_on(town::town(seconds)),
+        Some(Command::Demo { seconds }) => runtime()?.block_on(demo::run_demo(seconds)),
         Some(Command::Bench { proxies, servers, changes }) => {
             if servers == 0 || changes == 0 || proxies.contains(&0) {
-                return Err(Wrong::Asked("--proxies, --servers and --changes should be 1 or more".into()));
+                return Err(CommandError::Usage(
+                    "--proxies, --servers and --changes should be 1 or more".into(),
+                ));
             }
             runtime()?.block_on(bench::bench(&proxies, servers, changes))
         }
     }
 }
 
-/// Serves on the proving ground until it is told to leave, and says where: proxies, servers, people. A silent server is forgotten after `forget` s.
-pub async fn on_ground(told: &Told, forget: f64, ground: &Ground) -> Done {
-    let mut setup = setup(told);
-    setup.service.fleet.evict_after = forget;
+/// Runs the service in a fault-injection test until SIGTERM; a silent server is evicted after `evict_after` s. Emits its xDS,
+/// report and debug addresses.
+pub async fn run_in_test(
+    settings: &ControlSettings,
+    evict_after: f64,
+    environment: &ServiceEnvironment,
+) -> CommandResult {
+    let mut config = serve_config(settings);
+    config.service.fleet.evict_after = evict_after;
     let mut term = signal(SignalKind::terminate())?;
-    let running = start(setup).await.map_err(std::io::Error::from)?;
+    let running = start(config).await.map_err(std::io::Error::from)?;
     let debug = running.debug.map_or(String::new(), |debug| debug.to_string());
-    ground.events.emit(&Event::Ready { listen: format!("{} {} {debug}", running.xds, running.reports) });
+    environment.events.emit(&Event::Ready { listen: format!("{} {} {debug}", running.xds, running.reports) });
     term.recv().await;
     running.stop().await;
     Ok(())
 }
 
-fn serve(settings: Option<PathBuf>) -> Done {
-    let (name, settings) = crate::serve::settings(settings)?;
-    let told = crate::serve::section(&name, "control", settings.control.clone())?;
-    crate::serve::log(&settings);
+fn serve(settings: Option<PathBuf>) -> CommandResult {
+    let (name, settings) = crate::serve::load_settings(settings)?;
+    let control = crate::serve::require_section(&name, "control", settings.control.clone())?;
+    crate::serve::init_logging(&settings);
     runtime()?.block_on(async {
-        let running = start(setup(&told)).await.map_err(std::io::Error::from)?;
+        let running = start(serve_config(&control)).await.map_err(std::io::Error::from)?;
         tracing::info!("xds on {}, reports on {}", running.xds, running.reports);
         if let Some(view) = running.debug {
             tracing::info!("debug view on http://{view}");
@@ -159,39 +167,40 @@
                 _ = term.recv() => break,
                 _ = tokio::signal::ctrl_c() => break,
                 _ = hup.recv() => match running.reload_certificates() {
-                    Ok(()) => tracing::info!("reload: new connections get the certificates as they are now"),
-                    Err(e) => tracing::error!("reload: nothing changed: {e}"),
+                    Ok(()) => tracing::info!("reload: certificates read again, new connections use them"),
+                    Err(e) => tracing::error!("reload: keeping the current certificates: {e}"),
                 },
             }
         }
-        tracing::info!("was told to leave");
+        tracing::info!("shutting down on SIGTERM or SIGINT");
         running.stop().await;
         Ok(())
     })
 }
 
-fn plan(views: &str, steps: u32, zone: Option<&str>, as_json: bool) -> Done {
+fn plan(views: &str, steps: u32, zone: Option<&str>, as_json: bool) -> CommandResult {
     let text = match views {
         "-" => std::io::read_to_string(std::io::stdin())?,
-        path => std::fs::read_to_string(path).map_err(|e| Wrong::Failed(format!("{path}: {e}")))?,
+        path => std::fs::read_to_string(path).map_err(|e| CommandError::Failed(format!("{path}: {e}")))?,
     };
     let reports: Vec<LoadReport> = serde_json::from_str(&text)
-        .map_err(|e| Wrong::Asked(format!("{views}:{}:{}: {e}", e.line(), e.column())))?;
+        .map_err(|e| CommandError::Usage(format!("{views}:{}:{}: {e}", e.line(), e.column())))?;
     let mut fleet = FleetView::new(FleetConfig::default());
     let mut planner = Planner::default();
-    let mut made = None;
+    let mut plan = None;
     for step in 0..steps.max(1) {
         let now = f64::from(step) * 0.25;
         for (at, report) in reports.iter().enumerate() {
             let sequence = u64::from(step) + 1;
             let report = LoadReport { sequence, created_at: now, ..report.clone() };
             if let ReportOutcome::Invalid(invalid) = fleet.record(now, report) {
-                return Err(Wrong::Asked(format!("{views}: report {}: {invalid}", at + 1)));
+                return Err(CommandError::Usage(format!("{views}: report {}: {invalid}", at + 1)));
             }
         }
-        made = planner.plan(now, &fleet);
+        plan = planner.plan(now, &fleet);
     }
-    let plan = made.ok_or_else(|| Wrong::Failed("no plan: nobody could be routed to".into()))?;
+    let plan =
+        plan.ok_or_else(|| CommandError::Failed("no plan: no server of the reports is routable".into()))?;
     let mut out = std::io::stdout().lock();
     if as_json {
         writeln!(out, "{}", serde_json::to_string_pretty(&plan).map_err(std::io::Error::from)?)?;
@@ -217,13 +226,14 @@
         )?;
     }
     for (name, z) in &plan.zones {
-        let to: Vec<String> = z.spill_targets.iter().map(|(to, share)| format!("{to} {share:.2}")).collect();
-        let to = if z.spill > 0.0 {
-            format!(", {:.1}% elsewhere: {}", z.spill * 100.0, to.join(", "))
+        let targets: Vec<String> =
+            z.spill_targets.iter().map(|(to, share)| format!("{to} {share:.2}")).collect();
+        let spill = if z.spill > 0.0 {
+            format!(", {:.1}% elsewhere: {}", z.spill * 100.0, targets.join(", "))
         } else {
             String::new()
         };
-        writeln!(out, "zone {name}: load {:.1} of {:.1} a second{to}", z.load, z.capacity)?;
+        writeln!(out, "zone {name}: load {:.1} of {:.1} a second{spill}", z.load, z.capacity)?;
     }
     for drop in &plan.drops {
         writeln!(out, "drop {:.1}% of {} of {}", drop.fraction * 100.0, drop.product, drop.customer)?;
--- a/crates/cli/src/control/watch/tests.rs
+++ b/crates/cli/src/control/watch/tests.rs
@@ -4,14 +4,14 @@
 use serde_json::json;
 
 #[test]
-fn what_is_seen_stands_on_a_small_screen_and_so_does_a_fault() {
-    let screen = |seen: &Seen| -> String {
+fn draws_snapshot_and_errors_on_a_small_screen() {
+    let screen = |snapshot: &Snapshot| -> String {
         let mut terminal = Terminal::new(TestBackend::new(80, 24)).unwrap();
-        terminal.draw(|frame| draw(frame, "127.0.0.1:1", seen, 0)).unwrap();
+        terminal.draw(|frame| draw(frame, "127.0.0.1:1", snapshot, 0)).unwrap();
         terminal.backend().buffer().content().iter().map(|cell| cell.symbol()).collect()
     };
     let share = json!({"instance": "n1", "zone": "a", "weight": 0.25, "why": {"target": 0.5, "held": "moves step by step"}});
-    let seen = Seen {
+    let snapshot = Snapshot {
         plan: Some(
             json!({"epoch": 7, "number": 3, "age": 0.1, "plan": {"panic": true, "drops": [], "shares": [share]}}),
         ),
@@ -19,13 +19,12 @@
         proxies: Some(
             json!({"proxies": [{"node": "p1", "zone": "a", "acked": [7, 2], "settled": false, "open_for": 9.0}]}),
         ),
-        fault: None,
+        error: None,
     };
-    let all = screen(&seen);
+    let text = screen(&snapshot);
     for wanted in ["plan 7.3", "PANIC", "25.00% of  50.00%", "moves step by step", "holds 7.2", "behind"] {
-        assert!(all.contains(wanted), "{wanted}: {all}");
+        assert!(text.contains(wanted), "{wanted}: {text}");
     }
-    assert!(
-        screen(&Seen { fault: Some("/plan: refused".into()), ..Seen::default() }).contains("/plan: refused")
-    );
+    assert!(screen(&Snapshot { error: Some("/plan: refused".into()), ..Snapshot::default() })
+        .contains("/plan: refused"));
 }
--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -1,7 +1,7 @@
-//! `puffinladder emulate`: many servers, or callers, in one process, for their control traffic alone (`docs/emulator.md`).
+//! `puffinladder emulate`: the control traffic of many servers or callers from one process (`docs/emulator.md`).
 
-use crate::say::{Done, Wrong};
 use crate::serve::runtime;
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand, ValueEnum};
 use puffinladder_control::stream::LeaseConfig;
 use puffinladder_emulator::callers::{CallersConfig, EmulatedCallers};
@@ -20,23 +20,23 @@
 
 #[derive(Args)]
 #[command(
-    after_help = "Each second, and at the end, one line of JSON on standard output says how many are connected, what went over \
-    their connections,\nand what the process uses. SIGTERM ends it.\n\nExamples:\n  \
+    after_help = "Prints one line of JSON each second and at the end: open connections, the traffic on them, and the resources of the \
+    process.\nSIGTERM ends it.\n\nExamples:\n  \
     puffinladder emulate servers --count 300 --control 127.0.0.1:18001 --span 10s\n  \
     puffinladder emulate callers --count 2000 --control 127.0.0.1:18000 --services 230 --zones 6"
 )]
-pub struct Line {
+pub struct EmulateArgs {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Servers that report to control services and, with --stewards, take parts of quotas and turns
+    /// Emulate servers that report to control services and, with --stewards, receive quota shares and drain slots
     Servers(ServersArgs),
-    /// Callers that take their routing over xDS
+    /// Emulate callers that receive their routes over xDS
     Callers(CallersArgs),
-    /// Print the names that emulated servers use, for settings of stewards and servers
+    /// Print the names that emulated servers use, for the settings of workers and servers
     #[command(after_help = "Example:\n  puffinladder emulate names --customers 15000")]
     Names {
         #[arg(long, default_value_t = 0)]
@@ -48,10 +48,10 @@
 
 #[derive(Args)]
 struct CommonArgs {
-    /// How many
+    /// Number of servers or callers
     #[arg(long)]
     count: usize,
-    /// The number of the first of them: processes beside each other play different ones
+    /// Number of the first; give parallel processes disjoint ranges
     #[arg(long, default_value_t = 0)]
     first: usize,
     /// Addresses of all control services: for reports, or for xDS
@@ -61,10 +61,10 @@
     zones: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Ends after so long [default: at SIGTERM]
+    /// Duration of the run [default: until SIGTERM]
     #[arg(long, value_parser = span)]
     span: Option<Duration>,
-    /// They start evenly over this time
+    /// Time over which the starts are spread evenly
     #[arg(long, value_parser = span_or_none, default_value = "1s")]
     start_within: Duration,
 }
@@ -73,29 +73,29 @@
 struct ServersArgs {
     #[command(flatten)]
     common: CommonArgs,
-    /// Addresses of all stewards
+    /// Addresses of all workers
     #[arg(long, value_delimiter = ',')]
     stewards: Vec<SocketAddr>,
     #[arg(long, default_value_t = 20)]
     customers: usize,
     #[arg(long, default_value_t = 10)]
     products: usize,
-    /// From one report to the next
+    /// Interval between reports
     #[arg(long, value_parser = span, default_value = "250ms")]
     every: Duration,
-    /// Requests a second that one server would be asked
+    /// Requests a second that each server reports
     #[arg(long, default_value_t = 150.0)]
     rate: f64,
-    /// Each says the same in all its reports, so that nothing is decided anew
+    /// Repeat the same load in all reports, so that plans do not change
     #[arg(long)]
     calm: bool,
     /// Servers of the whole fleet, for equal shares of quotas [default: --count]
     #[arg(long)]
     fleet: Option<usize>,
-    /// Each customer's quota over the fleet, txns a second
+    /// Quota of each customer over the fleet, txns a second
     #[arg(long, default_value_t = 100.0)]
     quota: f64,
-    /// How long servers with stewards wait for their turns at SIGTERM
+    /// Longest wait for a drain slot at SIGTERM, with --stewards
     #[arg(long, value_parser = span_or_none, default_value = "0s")]
     patience: Duration,
 }
@@ -104,12 +104,12 @@
 struct CallersArgs {
     #[command(flatten)]
     common: CommonArgs,
-    /// Services that they belong to
+    /// Number of services the callers are spread over
     #[arg(long, default_value_t = 1)]
     services: usize,
     #[arg(long, value_enum, default_value_t = Mode::Delta)]
     mode: Mode,
-    /// The control services' bound on a decision's age: ages are read off leases by it [default: their default]
+    /// Bound on a decision's age that the control services use, to compute ages from leases [default: theirs]
     #[arg(long, value_parser = span)]
     bound: Option<Duration>,
 }
@@ -122,14 +122,14 @@
     State,
 }
 
-/// Time that servers have to end beyond their patience.
+/// Time for servers to stop after the longest wait for a drain slot.
 const SHUTDOWN_SLACK: Duration = Duration::from_secs(2);
-/// The longest span: longer ones are mistakes.
-const DAY: Duration = Duration::from_secs(86_400);
+/// Longest span that an option accepts.
+const MAX_SPAN: Duration = Duration::from_secs(86_400);
 
 fn span_or_none(text: &str) -> Result<Duration, String> {
     let us = parse_span(text).and_then(|us| u64::try_from(us).ok());
-    let span = us.map(Duration::from_micros).filter(|span| *span <= DAY);
+    let span = us.map(Duration::from_micros).filter(|span| *span <= MAX_SPAN);
     span.ok_or("should be a span such as 250ms or 10s, a day at the most".into())
 }
 
@@ -140,11 +140,11 @@
     })
 }
 
-/// A line of what it prints; the keys are described in `docs/emulator.md`.
+/// One printed line of JSON; the keys are described in `docs/emulator.md`.
 #[derive(Serialize)]
 struct Snapshot {
     event: &'static str,
-    /// Seconds since the start.
+    /// Time since the start, s.
     at: f64,
     connected: u64,
     links: u64,
@@ -170,32 +170,31 @@
     lag_p99: Option<f64>,
 }
 
-pub fn run(line: Line) -> Done {
-    match line.command {
-        Command::Servers(line) => {
-            let config = line.config()?;
+pub fn run(args: EmulateArgs) -> CommandResult {
+    match args.command {
+        Command::Servers(args) => {
+            let config = args.config()?;
             runtime()?.block_on(async {
                 let servers = EmulatedServers::start(&config);
                 let stats = servers.stats.clone();
-                print_snapshots(&line.common, &stats, |_| None).await?;
+                print_snapshots(&args.common, &stats, |_| None).await?;
                 let started = Instant::now();
-                // Whoever waits for a drain slot past its patience was stopped in the middle of it.
-                let late =
+                let timed_out =
                     timeout(config.drain_patience + SHUTDOWN_SLACK, servers.shut_down()).await.is_err();
-                if late {
+                if timed_out {
                     eprintln!(
-                        "puffinladder: not all had left after {:.1} s",
+                        "puffinladder: some emulated servers still ran after {:.1} s",
                         started.elapsed().as_secs_f64()
                     );
                 }
                 Ok(())
             })
         }
-        Command::Callers(line) => {
-            let config = line.config()?;
+        Command::Callers(args) => {
+            let config = args.config()?;
             runtime()?.block_on(async {
                 let callers = EmulatedCallers::start(&config);
-                print_snapshots(&line.common, &callers.stats, |end| Some(caller_figures(&callers, end))).await
+                print_snapshots(&args.common, &callers.stats, |end| Some(caller_figures(&callers, end))).await
             })
         }
         Command::Names { customers, products } => {
@@ -212,38 +211,38 @@
 }
 
 impl CommonArgs {
-    /// Checks what would show as another failure later on; `each` is the connections of one server or caller.
-    fn check(&self, each: usize) -> Done {
+    /// Validates the numbers and the descriptor limit, for `connections_each` connections of one server or caller.
+    fn check(&self, connections_each: usize) -> CommandResult {
         if self.count == 0 {
-            return Err(Wrong::Asked("--count: should be 1 or more".into()));
+            return Err(CommandError::Usage("--count: should be 1 or more".into()));
         }
         if self.count.checked_add(self.first).is_none_or(|last| last > 1 << 24) {
-            return Err(Wrong::Asked("--first, --count: numbers go up to 16777216".into()));
+            return Err(CommandError::Usage("--first, --count: numbers go up to 16777216".into()));
         }
-        let needed = self.count as u64 * each as u64;
+        let needed = self.count as u64 * connections_each as u64;
         process_usage::check_descriptors(needed).map_err(|error| {
             let text = format!(
-                "--count: {needed} connections are needed and {error}: play fewer, in more processes"
+                "--count: {needed} connections are needed and {error}: emulate fewer in each of more processes"
             );
-            Wrong::Asked(text)
+            CommandError::Usage(text)
         })
     }
 }
 
 impl ServersArgs {
-    fn config(&self) -> Done<ServersConfig> {
+    fn config(&self) -> CommandResult<ServersConfig> {
         let common = &self.common;
         common.check(common.control.len() + self.stewards.len())?;
         for (key, value) in [("--rate", self.rate), ("--quota", self.quota)] {
             if !(0.0..=1e6).contains(&value) {
-                return Err(Wrong::Asked(format!("{key}: should be from 0 to 1000000")));
+                return Err(CommandError::Usage(format!("{key}: should be from 0 to 1000000")));
             }
         }
-        for (key, value, most) in
+        for (key, value, max) in
             [("--customers", self.customers, 100_000), ("--products", self.products, 10_000)]
         {
-            if value > most {
-                return Err(Wrong::Asked(format!("{key}: should be {most} or less")));
+            if value > max {
+                return Err(CommandError::Usage(format!("{key}: should be {max} or less")));
             }
         }
         Ok(ServersConfig {
@@ -269,7 +268,7 @@
 }
 
 impl CallersArgs {
-    fn config(&self) -> Done<CallersConfig> {
+    fn config(&self) -> CommandResult<CallersConfig> {
         let common = &self.common;
         common.check(1)?;
         Ok(CallersConfig {
@@ -286,7 +285,7 @@
     }
 }
 
-/// What callers hold by now; latencies of the last second, or of all at the end.
+/// Counts callers by state; latencies cover the last second, or the whole run at the end.
 fn caller_figures(callers: &EmulatedCallers, end: bool) -> CallerFigures {
     let counts = callers.counts();
     let mut latencies = callers.latencies();
@@ -301,16 +300,16 @@
     }
 }
 
-/// Prints a line each second until the time is over or a signal ends it, and one then.
+/// Prints a line each second until the span ends or a signal arrives, and a last line then.
 async fn print_snapshots(
     common: &CommonArgs,
     stats: &ConnectionStats,
     mut callers: impl FnMut(bool) -> Option<CallerFigures>,
-) -> Done {
+) -> CommandResult {
     let started = tokio::time::Instant::now();
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let end = common.span.map(|span| started + span);
-    let mut print = |event| -> Done {
+    let deadline = common.span.map(|span| started + span);
+    let mut print = |event| -> CommandResult {
         let snapshot = Snapshot {
             event,
             at: started.elapsed().as_secs_f64(),
@@ -333,13 +332,13 @@
     };
     let mut next = started + Duration::from_secs(1);
     loop {
-        let ends = end.is_some_and(|end| end <= next);
+        let last = deadline.is_some_and(|deadline| deadline <= next);
         tokio::select! {
-            () = sleep_until(end.filter(|_| ends).unwrap_or(next)) => {}
+            () = sleep_until(deadline.filter(|_| last).unwrap_or(next)) => {}
             _ = term.recv() => return print("end"),
             _ = int.recv() => return print("end"),
         }
-        if ends {
+        if last {
             return print("end");
         }
         print("tick")?;
--- a/crates/cli/src/fleet/common.rs
+++ b/crates/cli/src/fleet/common.rs
@@ -1,8 +1,8 @@
-//! What the fleet's services share on the command line: their arguments, their section of the settings, and how long they run.
+//! Common to the fleet's services: arguments, settings section, and running until a stop signal.
 
-use super::{failed, Ground};
-use crate::say::Done;
+use super::{failed, ServiceEnvironment};
 use crate::serve;
+use crate::terminal::CommandResult;
 use clap::Args;
 use puffinladder_settings::Settings;
 use puffinladder_transport::RunningService;
@@ -12,29 +12,33 @@
 /// Arguments that start a service.
 #[derive(Args)]
 pub struct ServiceArgs {
-    /// Settings file with the service's section in it
+    /// Settings file with the service's section
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// Write each event to standard output, a line of JSON each
+    /// Write events to standard output, one line of JSON each
     #[arg(long)]
     events: bool,
 }
 
 impl ServiceArgs {
     /// Reads the settings, starts the log, and returns the section that `select` takes; `key` is its name in the file.
-    pub fn load<T>(self, key: &str, select: impl FnOnce(&Settings) -> Option<T>) -> Done<(T, Ground)> {
-        let (name, settings) = serve::settings(self.settings)?;
-        let section = serve::section(&name, key, select(&settings))?;
-        serve::log(&settings);
-        Ok((section, Ground::usual(self.events)))
+    pub fn load<T>(
+        self,
+        key: &str,
+        select: impl FnOnce(&Settings) -> Option<T>,
+    ) -> CommandResult<(T, ServiceEnvironment)> {
+        let (name, settings) = serve::load_settings(self.settings)?;
+        let section = serve::require_section(&name, key, select(&settings))?;
+        serve::init_logging(&settings);
+        Ok((section, ServiceEnvironment::production(self.events)))
     }
 }
 
-/// Runs a service until it fails or the process is told to stop, and then stops it.
-pub async fn run_until_stopped<E: Display>(mut service: RunningService<E>) -> Done {
-    let ended = match serve::until_told(service.wait()).await? {
-        Some(ended) => ended,
+/// Runs a service until it fails, or stops it on SIGTERM or SIGINT.
+pub async fn run_until_stopped<E: Display>(mut service: RunningService<E>) -> CommandResult {
+    let result = match serve::wait_or_shutdown(service.wait()).await? {
+        Some(result) => result,
         None => service.stop().await,
     };
-    ended.map_err(|e| failed(e.to_string()))
+    result.map_err(|e| failed(e.to_string()))
 }
--- a/crates/cli/src/fleet/lease_store.rs
+++ b/crates/cli/src/fleet/lease_store.rs
@@ -1,9 +1,9 @@
-//! `puffinladder lease-store`: a replica of the lease store, its status, and the members of its cluster.
+//! `puffinladder lease-store`: runs a replica of the lease store, shows its status, and changes the cluster's membership.
 
 use super::common::{run_until_stopped, ServiceArgs};
-use super::{ask, failed, print, Ground};
-use crate::say::{Done, Wrong};
+use super::{failed, print_table, send_request, ServiceEnvironment};
 use crate::serve;
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand};
 use puffinladder_lease_store::durable::DurableState;
 use puffinladder_lease_store::replica::ReplicaConfig;
@@ -16,11 +16,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Name of the replica's file in its folder.
+/// File name of the replica's database.
 const FILE_NAME: &str = "keeper.redb";
-/// How long an operator's command looks for the leader: an election may be under way.
+/// Time limit of the search for the leader, longer than an election.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before all replicas are asked again.
+/// Pause between two rounds over all replicas.
 const LEADER_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Columns of the status table.
 const STATUS_COLUMNS: [&str; 11] = [
@@ -40,11 +40,11 @@
 #[derive(Args)]
 #[command(
     args_conflicts_with_subcommands = true,
-    after_help = "Examples:\n  puffinladder lease-store --settings replica1.scm --found     the first start of all, once for each replica\n  \
-        puffinladder lease-store --settings replica1.scm\n  puffinladder lease-store --settings replica4.scm --join      in place of one whose disk is lost\n  \
+    after_help = "Examples:\n  puffinladder lease-store --settings replica1.scm --found     first start of a new cluster, once for each replica\n  \
+        puffinladder lease-store --settings replica1.scm\n  puffinladder lease-store --settings replica4.scm --join      replaces a replica that lost its disk\n  \
         puffinladder lease-store status --at 127.0.0.1:18201,127.0.0.2:18201"
 )]
-pub struct Line {
+pub struct LeaseStoreArgs {
     #[command(flatten)]
     service: ServiceArgs,
     /// Bootstrap a new cluster: creates this replica's file, which must not exist yet
@@ -59,18 +59,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show each replica's status: who leads, who votes, how far it is
+    /// Show the leader, the voters, and how far each replica has applied the log
     #[command(
         after_help = "Example:\n  puffinladder lease-store status --at 127.0.0.1:18201,127.0.0.2:18201 --json"
     )]
     Status {
-        /// Addresses of the replicas, each of which is asked
+        /// Addresses of all replicas
         #[arg(long, value_delimiter = ',', required = true)]
         at: Vec<SocketAddr>,
         #[arg(long)]
         json: bool,
     },
-    /// Add a replica that was started with --join; it is promoted to a voter once it has nearly the whole log
+    /// Add a replica that was started with --join; it becomes a voter once its log has nearly caught up
     #[command(
         after_help = "Example:\n  puffinladder lease-store add 4 127.0.0.4:18201 --at 127.0.0.1:18201,127.0.0.2:18201"
     )]
@@ -80,7 +80,7 @@
         #[arg(long, value_delimiter = ',', required = true)]
         at: Vec<SocketAddr>,
     },
-    /// Remove a replica for good: its number is never used again
+    /// Remove a replica permanently; its number is never used again
     #[command(
         after_help = "Example:\n  puffinladder lease-store remove 2 --at 127.0.0.1:18201,127.0.0.3:18201"
     )]
@@ -91,11 +91,11 @@
     },
 }
 
-pub fn run(line: Line) -> Done {
-    let Some(command) = line.command else {
-        let start_mode = StartMode::from_flags(line.found, line.join);
-        let (settings, ground) = line.service.load("keeper", |settings| settings.lease_store.clone())?;
-        return serve::runtime()?.block_on(run_replica(&settings, start_mode, &ground));
+pub fn run(args: LeaseStoreArgs) -> CommandResult {
+    let Some(command) = args.command else {
+        let start_mode = StartMode::from_flags(args.found, args.join);
+        let (settings, environment) = args.service.load("keeper", |settings| settings.lease_store.clone())?;
+        return serve::runtime()?.block_on(run_replica(&settings, start_mode, &environment));
     };
     let runtime = serve::runtime()?;
     match command {
@@ -110,14 +110,14 @@
     }
 }
 
-/// Where a replica's file comes from.
+/// How a replica obtains its database file.
 #[derive(Clone, Copy, PartialEq)]
 pub enum StartMode {
-    /// It exists.
+    /// Opens an existing file.
     Open,
-    /// It is created, for a new cluster.
+    /// Creates the file, for a new cluster.
     Bootstrap,
-    /// It is created empty, to join a running cluster.
+    /// Creates an empty file, to join a running cluster.
     Join,
 }
 
@@ -152,8 +152,12 @@
     TaskDeclaration { name: task.name.clone(), parts: task.parts as u32, zone: task.zone.clone() }
 }
 
-/// Runs a replica until it fails or the process is told to stop.
-pub async fn run_replica(settings: &LeaseStoreSettings, start_mode: StartMode, ground: &Ground) -> Done {
+/// Runs a replica until it fails or the process receives a stop signal.
+pub async fn run_replica(
+    settings: &LeaseStoreSettings,
+    start_mode: StartMode,
+    environment: &ServiceEnvironment,
+) -> CommandResult {
     let (store, durable) = open_store(settings, start_mode)?;
     let options = ServerOptions {
         replica: replica_config(settings),
@@ -161,15 +165,15 @@
         peers: settings.peers.clone(),
         tick_interval: settings.tick_interval,
         max_connections: settings.max_connections,
-        clock: ground.clock.clone(),
-        events: ground.events,
-        sync_delay: ground.sync_pause.clone(),
+        clock: environment.clock.clone(),
+        events: environment.events,
+        sync_delay: environment.sync_pause.clone(),
     };
     let service = start(options, store, &durable).await.map_err(|e| failed(e.to_string()))?;
     run_until_stopped(service).await
 }
 
-fn open_store(settings: &LeaseStoreSettings, start_mode: StartMode) -> Done<(Store, DurableState)> {
+fn open_store(settings: &LeaseStoreSettings, start_mode: StartMode) -> CommandResult<(Store, DurableState)> {
     let folder = Path::new(&settings.directory);
     std::fs::create_dir_all(folder).map_err(|e| failed(format!("{}: {e}", settings.directory)))?;
     let path = folder.join(FILE_NAME);
@@ -178,8 +182,8 @@
     let opened = match start_mode {
         StartMode::Open => Store::open(&path),
         StartMode::Bootstrap if !voters.contains(&number) => {
-            let cause = format!("keeper.peers: should name keeper {number} itself to found it");
-            return Err(Wrong::Asked(cause));
+            let message = format!("keeper.peers: should name keeper {number} itself to found it");
+            return Err(CommandError::Usage(message));
         }
         StartMode::Bootstrap => Store::bootstrap(&path, number, &voters),
         StartMode::Join => Store::join(&path, number),
@@ -187,16 +191,18 @@
     let (store, durable) = opened.map_err(|e| failed(e.to_string()))?;
     if store.id() != number {
         let (found, file) = (store.id(), path.display());
-        return Err(failed(format!("{file}: is the disk of replica {found}, and the settings say {number}")));
+        return Err(failed(format!(
+            "{file}: belongs to replica {found}, but the settings have number {number}"
+        )));
     }
     Ok((store, durable))
 }
 
-async fn status(at: &[SocketAddr], json: bool) -> Done {
+async fn status(at: &[SocketAddr], json: bool) -> CommandResult {
     let mut rows = vec![STATUS_COLUMNS.map(String::from).to_vec()];
     let mut reached = 0;
     for &address in at {
-        match ask::<_, ReplicaReply>(address, &ReplicaRequest::Status).await {
+        match send_request::<_, ReplicaReply>(address, &ReplicaRequest::Status).await {
             Ok(ReplicaReply::Status(status)) => {
                 reached += 1;
                 if json {
@@ -204,16 +210,18 @@
                 }
                 rows.push(status_row(address, &status));
             }
-            Ok(other) => rows.push(vec![address.to_string(), format!("says {other:?}")]),
+            Ok(other) => rows.push(vec![address.to_string(), format!("unexpected reply {other:?}")]),
             Err(error) => rows.push(vec![address.to_string(), error]),
         }
     }
     if !json {
-        print(&rows)?;
+        print_table(&rows)?;
     }
     if 2 * reached <= at.len() {
         let replicas = at.len();
-        return Err(failed(format!("{reached} of {replicas} answer: no majority, no lease is granted")));
+        return Err(failed(format!(
+            "{reached} of {replicas} replicas reply: no majority, no lease is granted"
+        )));
     }
     Ok(())
 }
@@ -248,13 +256,13 @@
     }
 }
 
-/// Sends a request to each replica in turn until the leader answers. Retries for a while, since an election may be under way.
-pub async fn ask_leader(at: &[SocketAddr], request: &ReplicaRequest) -> Done<ReplicaReply> {
+/// Sends a request to each replica in turn until the leader replies. Retries for a while, since an election may be under way.
+pub async fn request_leader(at: &[SocketAddr], request: &ReplicaRequest) -> CommandResult<ReplicaReply> {
     let deadline = Instant::now() + LEADER_TIMEOUT;
-    let mut last_error = "no replica was named".to_string();
+    let mut last_error = "no replica address given".to_string();
     loop {
         for &address in at {
-            match ask::<_, ReplicaReply>(address, request).await {
+            match send_request::<_, ReplicaReply>(address, request).await {
                 Ok(ReplicaReply::NotLeader { leader, .. }) => last_error = no_leader_text(leader),
                 Ok(reply) => return Ok(reply),
                 Err(error) => last_error = error,
@@ -269,16 +277,16 @@
 
 fn no_leader_text(leader: Option<u64>) -> String {
     match leader {
-        Some(number) => format!("replica {number} leads, none of these does"),
-        None => "there is no leader".to_string(),
+        Some(number) => format!("replica {number} is the leader, but its address was not given"),
+        None => "the replicas have no leader".to_string(),
     }
 }
 
-/// Sends a command to the leader, which is done when this returns.
-pub async fn command_leader(at: &[SocketAddr], command: &ReplicaRequest) -> Done {
-    match ask_leader(at, command).await? {
+/// Sends a command to the leader, and returns once it is applied.
+pub async fn command_leader(at: &[SocketAddr], command: &ReplicaRequest) -> CommandResult {
+    match request_leader(at, command).await? {
         ReplicaReply::CommandApplied => Ok(()),
         ReplicaReply::CommandFailed(reason) => Err(failed(reason)),
-        other => Err(failed(format!("the replica says {other:?}"))),
+        other => Err(failed(format!("unexpected reply of the replica: {other:?}"))),
     }
 }
--- a/crates/cli/src/fleet/leases.rs
+++ b/crates/cli/src/fleet/leases.rs
@@ -1,9 +1,9 @@
-//! `puffinladder leases`: the leases on the fleet's tasks, and operators' commands on them.
+//! `puffinladder leases`: lists, moves and pauses the leases on the fleet's tasks.
 
-use super::lease_store::{ask_leader, command_leader};
-use super::{failed, print};
-use crate::say::{Done, Wrong};
+use super::lease_store::{command_leader, request_leader};
+use super::{failed, print_table};
 use crate::serve;
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand};
 use puffinladder_leases::protocol::{ReplicaReply, ReplicaRequest};
 use puffinladder_leases::table::{Command as TableCommand, InstanceRow, LeaseRow};
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 
 #[derive(Args)]
-pub struct Line {
-    /// Replicas of the lease store; the leader among them is asked
+pub struct LeasesArgs {
+    /// Replicas of the lease store; the command is sent to the leader among them
     #[arg(long, value_delimiter = ',', global = true)]
     at: Vec<SocketAddr>,
     #[command(subcommand)]
@@ -40,8 +40,9 @@
     /// Move a part to an instance, as soon as its holder has released it
     #[command(after_help = "Example:\n  puffinladder leases move gather/3 s2 --at 127.0.0.1:18201")]
     Move {
-        /// As in gather/3
+        /// Task and part, such as gather/3
         part: String,
+        /// Name of the instance
         to: String,
     },
     /// Revoke all leases on a task, and grant none until it is resumed
@@ -58,13 +59,15 @@
     },
 }
 
-pub fn run(line: Line) -> Done {
-    let at = &line.at;
+pub fn run(args: LeasesArgs) -> CommandResult {
+    let at = &args.at;
     if at.is_empty() {
-        return Err(Wrong::Asked("--at should name keepers, such as 127.0.0.1:18201,127.0.0.2:18201".into()));
+        return Err(CommandError::Usage(
+            "--at should name keepers (lease store replicas), such as 127.0.0.1:18201,127.0.0.2:18201".into(),
+        ));
     }
     let runtime = serve::runtime()?;
-    match line.command {
+    match args.command {
         Command::List { json } => runtime.block_on(list(at, json)),
         Command::Show { task, json } => runtime.block_on(show(at, &task, json)),
         Command::Move { part, to } => {
@@ -80,33 +83,33 @@
     }
 }
 
-/// A task and part such as `gather/3`.
-fn parse_part(text: &str) -> Done<Task> {
-    let wrong = || Wrong::Asked(format!("{text:?}: should be a task and a part, such as gather/3"));
-    let (name, part) = text.rsplit_once('/').ok_or_else(wrong)?;
-    Ok(Task::new(name, part.parse().map_err(|_| wrong())?))
+/// Parses a task and part such as `gather/3`.
+fn parse_part(text: &str) -> CommandResult<Task> {
+    let invalid = || CommandError::Usage(format!("{text:?}: should be a task and a part, such as gather/3"));
+    let (name, part) = text.rsplit_once('/').ok_or_else(invalid)?;
+    Ok(Task::new(name, part.parse().map_err(|_| invalid())?))
 }
 
-async fn change_table(at: &[SocketAddr], command: TableCommand) -> Done {
+async fn change_table(at: &[SocketAddr], command: TableCommand) -> CommandResult {
     command_leader(at, &ReplicaRequest::Command(command)).await
 }
 
-/// The lease table as the leader has it.
+/// Lease table of the leader.
 struct TableView {
     leases: Vec<LeaseRow>,
     instances: Vec<InstanceRow>,
-    /// The table's time, s.
+    /// Time of the table's clock, s.
     now: f64,
 }
 
-async fn read_table(at: &[SocketAddr]) -> Done<TableView> {
-    match ask_leader(at, &ReplicaRequest::Tasks).await? {
+async fn read_table(at: &[SocketAddr]) -> CommandResult<TableView> {
+    match request_leader(at, &ReplicaRequest::Tasks).await? {
         ReplicaReply::Tasks { leases, instances, at } => Ok(TableView { leases, instances, now: at }),
-        other => Err(failed(format!("the replica says {other:?}"))),
+        other => Err(failed(format!("unexpected reply of the replica: {other:?}"))),
     }
 }
 
-fn print_json<T: serde::Serialize>(value: &T) -> Done {
+fn print_json<T: serde::Serialize>(value: &T) -> CommandResult {
     println!("{}", serde_json::to_string(value).map_err(std::io::Error::from)?);
     Ok(())
 }
@@ -115,7 +118,7 @@
     if value { "yes" } else { "no" }.to_string()
 }
 
-async fn list(at: &[SocketAddr], as_json: bool) -> Done {
+async fn list(at: &[SocketAddr], as_json: bool) -> CommandResult {
     let table = read_table(at).await?;
     if as_json {
         return print_json(&(table.leases, table.instances));
@@ -123,7 +126,7 @@
     let mut rows = task_rows(&table.leases);
     rows.push(vec![]);
     rows.extend(instance_rows(&table.instances));
-    print(&rows)
+    print_table(&rows)
 }
 
 fn task_rows(leases: &[LeaseRow]) -> Vec<Vec<String>> {
@@ -166,18 +169,18 @@
     rows
 }
 
-async fn show(at: &[SocketAddr], task: &str, as_json: bool) -> Done {
+async fn show(at: &[SocketAddr], task: &str, as_json: bool) -> CommandResult {
     let table = read_table(at).await?;
     let leases: Vec<LeaseRow> = table.leases.into_iter().filter(|lease| lease.task.name == task).collect();
     if leases.is_empty() {
-        return Err(Wrong::Asked(format!("no task {task:?} is declared")));
+        return Err(CommandError::Usage(format!("no task {task:?} is declared")));
     }
     if as_json {
         return print_json(&leases);
     }
     let mut rows = vec![["part", "holder", "epoch", "age", ""].map(String::from).to_vec()];
     rows.extend(leases.iter().map(|lease| part_row(lease, table.now)));
-    print(&rows)
+    print_table(&rows)
 }
 
 fn part_row(lease: &LeaseRow, now: f64) -> Vec<String> {
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The commands around leases on the fleet's tasks: the lease store, the leases in it, workers and the trace store.
+//! Commands of the fleet's services: the lease store, leases, workers and the trace store.
 
 pub mod common;
 pub mod lease_store;
@@ -6,7 +6,7 @@
 pub mod trace_store;
 pub mod worker;
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use puffinladder_leases::protocol::EventSink;
 use puffinladder_trace_store::injected_bug::InjectedBug;
 use puffinladder_transport::Clock;
@@ -16,20 +16,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the proving ground hands in otherwise than an operator would.
+/// Clock, event output and injected faults of a service; fault-injection tests replace the production values.
 #[derive(Clone)]
-pub struct Ground {
+pub struct ServiceEnvironment {
     pub clock: Clock,
     pub events: EventSink,
-    /// ms that a keeper's syncs take longer.
+    /// Delay of each disk sync of a lease store replica, ms.
     pub sync_pause: Arc<AtomicU64>,
-    /// A bug in the trace store that the checkers must find.
+    /// Bug in the trace store that the checkers must detect.
     pub injected_bug: Option<InjectedBug>,
 }
 
-impl Ground {
-    pub fn usual(events: bool) -> Ground {
-        Ground {
+impl ServiceEnvironment {
+    /// Returns the environment outside of tests: the system clock and no injected faults.
+    pub fn production(events: bool) -> ServiceEnvironment {
+        ServiceEnvironment {
             clock: Clock::system(),
             events: EventSink { enabled: events },
             sync_pause: Arc::default(),
@@ -38,24 +39,28 @@
     }
 }
 
-/// How long an operator waits for an answer.
-const WAIT: Duration = Duration::from_secs(5);
-/// Longest answer, in bytes.
-const LONGEST: usize = 64 << 20;
+/// Time limit of an operator's request.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest reply, bytes.
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// Asks a service one thing.
-pub async fn ask<A: Serialize, B: DeserializeOwned>(at: SocketAddr, ask: &A) -> Result<B, String> {
-    let answer =
-        puffinladder_transport::request(at, ask, WAIT, LONGEST).await.map_err(|e| format!("{at}: {e}"))?;
-    answer.ok_or_else(|| format!("{at}: closed without an answer"))
+/// Sends one request to a service and returns its reply.
+pub async fn send_request<A: Serialize, B: DeserializeOwned>(
+    at: SocketAddr,
+    message: &A,
+) -> Result<B, String> {
+    let reply = puffinladder_transport::request(at, message, REPLY_TIMEOUT, MAX_REPLY_BYTES)
+        .await
+        .map_err(|e| format!("{at}: {e}"))?;
+    reply.ok_or_else(|| format!("{at}: connection closed without a reply"))
 }
 
-fn failed(what: String) -> Wrong {
-    Wrong::Failed(what)
+fn failed(message: String) -> CommandError {
+    CommandError::Failed(message)
 }
 
-/// A table for people: columns as wide as what stands in them.
-fn print(rows: &[Vec<String>]) -> Done {
+/// Prints a table with each column as wide as its widest cell.
+fn print_table(rows: &[Vec<String>]) -> CommandResult {
     use std::io::Write;
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |at: usize| rows.iter().filter_map(|row| row.get(at)).map(|text| text.chars().count()).max();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `puffinladder`: one command line for all that the project does.
+//! `puffinladder`: the command line of the project.
 //!
-//! Exit status: 0 where it was done, 1 where it could not be (a file is missing, a disk full, a trace unreadable),
-//! 2 where what was asked is wrong (the command line, settings, an expression).
+//! Exit status: 0 on success, 1 on a failure at run time (a missing file, a full disk, an unreadable trace), 2 on invalid
+//! input (the command line, settings, an expression).
 #![forbid(unsafe_code)]
 
 mod capacity;
@@ -11,28 +11,28 @@
 mod fleet;
 mod measure;
 mod prove;
-mod say;
 mod serve;
+mod terminal;
 mod trace;
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use puffinladder_settings::LogFormat;
-use say::Wrong;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use terminal::CommandError;
 
-/// Decides inside each server of a fleet what it takes, runs and turns away, and tells afterwards what it did.
+/// Admission control inside each server of a fleet, with the services and tools around it.
 #[derive(Parser)]
 #[command(
     name = "puffinladder",
     version,
     after_help = "Examples:\n  puffinladder serve --config examples/server.json --settings deploy/settings.example.scm\n  \
                   puffinladder check deploy/settings.example.scm\n  puffinladder trace summarise n1.trace --by product\n\n\
-                  Exit status: 0 done, 1 it could not be done, 2 what was asked is wrong"
+                  Exit status: 0 success, 1 failure, 2 invalid command line, settings or expression"
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -43,20 +43,20 @@
     #[command(after_help = "Examples:\n  puffinladder serve --config examples/server.json\n  \
         puffinladder serve --config c.json --settings ours.scm --log-format json --log info,puffinladder_server::txn=trace")]
     Serve {
-        /// The configuration as the platform gives it, a JSON object [default: $BALANCER_CONFIG]
+        /// The platform's configuration, a JSON object [default: $BALANCER_CONFIG]
         #[arg(long, value_name = "FILE")]
         config: Option<String>,
-        /// Our own settings, S-expressions [default: $PUFFINLADDER_SETTINGS, else all off]
+        /// Settings file, S-expressions [default: $PUFFINLADDER_SETTINGS, else all features off]
         #[arg(long, value_name = "FILE")]
         settings: Option<String>,
-        /// How lines of the log are written
+        /// Format of the log lines
         #[arg(long, value_enum)]
-        log_format: Option<Format>,
-        /// Levels of the log by part; $RUST_LOG wins
+        log_format: Option<LogFormatArg>,
+        /// Log levels by module; $RUST_LOG takes precedence
         #[arg(long, value_name = "LEVELS")]
         log: Option<String>,
     },
-    /// Read settings or a configuration, and print what holds with defaults
+    /// Validate settings or a configuration, and print the result with defaults
     #[command(
         after_help = "Examples:\n  puffinladder check deploy/settings.example.scm\n  puffinladder check examples/server.json"
     )]
@@ -65,31 +65,31 @@
         file: PathBuf,
     },
     /// Serve the servers' decisions to proxies over xDS
-    Control(control::Line),
+    Control(control::ControlArgs),
     /// Run one replica of the lease store, which grants leases on the fleet's tasks
     #[command(alias = "keeper")]
-    LeaseStore(fleet::lease_store::Line),
+    LeaseStore(fleet::lease_store::LeaseStoreArgs),
     /// Show the leases on the fleet's tasks; move and pause them
     #[command(alias = "duties")]
-    Leases(fleet::leases::Line),
+    Leases(fleet::leases::LeasesArgs),
     /// Run the fleet's tasks that the lease store grants
     #[command(alias = "steward")]
-    Worker(fleet::worker::Line),
+    Worker(fleet::worker::WorkerArgs),
     /// Store collected traces, each block once
     #[command(alias = "archive")]
-    TraceStore(fleet::trace_store::Line),
-    /// Play many servers or callers in one process, for their control traffic
+    TraceStore(fleet::trace_store::TraceStoreArgs),
+    /// Emulate the control traffic of many servers or callers in one process
     #[command(alias = "hollow")]
-    Emulate(emulate::Line),
-    /// Start many processes, put faults between them, and check what they did
-    Prove(prove::Line),
-    /// Ask, cut, merge, veil and mend traces
+    Emulate(emulate::EmulateArgs),
+    /// Run many processes, inject faults between them, and check their histories
+    Prove(prove::ProveArgs),
+    /// Query, cut, merge, anonymise and repair traces
     Trace {
         #[command(subcommand)]
         command: trace::Command,
     },
-    /// What of a planned size is carried, by what was measured
-    Capacity(capacity::Line),
+    /// Compare a planned fleet size with measured costs
+    Capacity(capacity::CapacityArgs),
     /// Print completions for a shell
     #[command(
         after_help = "Example:\n  puffinladder completions bash > ~/.local/share/bash-completion/completions/puffinladder"
@@ -98,47 +98,46 @@
 }
 
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Format {
+enum LogFormatArg {
     Text,
     Json,
 }
 
 fn main() -> ExitCode {
-    // clap's own status for a wrong command line is 2 already.
-    let done = match Line::parse().command {
+    let result = match CommandLine::parse().command {
         Command::Serve { config, settings, log_format, log } => {
             let log_format = log_format.map(|format| match format {
-                Format::Text => LogFormat::Text,
-                Format::Json => LogFormat::Json,
+                LogFormatArg::Text => LogFormat::Text,
+                LogFormatArg::Json => LogFormat::Json,
             });
             let options = puffinladder_server::Options { config, settings, log_format, log_filter: log };
-            puffinladder_server::run(&options).map_err(|e| Wrong::Failed(e.to_string()))
+            puffinladder_server::run(&options).map_err(|e| CommandError::Failed(e.to_string()))
         }
         Command::Check { file } => check::check(&file),
-        Command::Control(line) => control::run(line),
-        Command::LeaseStore(line) => fleet::lease_store::run(line),
-        Command::Leases(line) => fleet::leases::run(line),
-        Command::Worker(line) => fleet::worker::run(line),
-        Command::TraceStore(line) => fleet::trace_store::run(line),
-        Command::Emulate(line) => emulate::run(line),
-        Command::Prove(line) => prove::run(line),
+        Command::Control(args) => control::run(args),
+        Command::LeaseStore(args) => fleet::lease_store::run(args),
+        Command::Leases(args) => fleet::leases::run(args),
+        Command::Worker(args) => fleet::worker::run(args),
+        Command::TraceStore(args) => fleet::trace_store::run(args),
+        Command::Emulate(args) => emulate::run(args),
+        Command::Prove(args) => prove::run(args),
         Command::Trace { command } => trace::run(command),
-        Command::Capacity(line) => capacity::run(line),
+        Command::Capacity(args) => capacity::run(args),
         Command::Completions { shell } => {
             let mut script = Vec::new();
-            clap_complete::generate(shell, &mut Line::command(), "puffinladder", &mut script);
-            std::io::stdout().write_all(&script).map_err(Wrong::from)
+            clap_complete::generate(shell, &mut CommandLine::command(), "puffinladder", &mut script);
+            std::io::stdout().write_all(&script).map_err(CommandError::from)
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Wrong::Quiet) => ExitCode::SUCCESS,
-        Err(Wrong::Failed(what)) => {
-            eprintln!("puffinladder: {what}");
+        Err(CommandError::OutputClosed) => ExitCode::SUCCESS,
+        Err(CommandError::Failed(message)) => {
+            eprintln!("puffinladder: {message}");
             ExitCode::from(1)
         }
-        Err(Wrong::Asked(what)) => {
-            eprintln!("puffinladder: {what}");
+        Err(CommandError::Usage(message)) => {
+            eprintln!("puffinladder: {message}");
             ExitCode::from(2)
         }
     }
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -1,14 +1,17 @@
-//! What the benches of the command line share.
+//! Helpers of the benchmarks.
 
-/// Memory of this process, MB: `VmRSS:` now, `VmHWM:` at the most so far.
-pub fn memory(which: &str) -> f64 {
+/// Returns a field of `/proc/self/status` in MB: `VmRSS:` is the resident memory, `VmHWM:` its peak.
+pub fn memory(field: &str) -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix(which));
+    let line = status.lines().find_map(|line| line.strip_prefix(field));
     line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
 }
 
-/// The value below which a share of all lie: 0.5 for the median. 0 where there are none.
-pub fn percentile(all: &mut [f64], share: f64) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all.get(((all.len() as f64 * share) as usize).min(all.len().saturating_sub(1))).copied().unwrap_or(0.0)
+/// Returns the quantile `share` (0.5 is the median) of the values, or 0 if there are none.
+pub fn percentile(values: &mut [f64], share: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values
+        .get(((values.len() as f64 * share) as usize).min(values.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0.0)
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,28 +1,30 @@
-//! What all services of the command line share: their settings, their log, and until when they run.
+//! Common to all services of the command line: settings, logging, the runtime and shutdown by signal.
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use puffinladder_settings::{parse_settings, LogFormat, Settings};
 use std::future::Future;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// The settings of a service, from the file named or by PUFFINLADDER_SETTINGS, and the file's name.
-pub fn settings(path: Option<PathBuf>) -> Done<(String, Settings)> {
+/// Reads the settings file at `path`, or else at PUFFINLADDER_SETTINGS, and returns its name and contents.
+pub fn load_settings(path: Option<PathBuf>) -> CommandResult<(String, Settings)> {
     let path = path.or_else(|| std::env::var_os("PUFFINLADDER_SETTINGS").map(Into::into));
-    let path =
-        path.ok_or_else(|| Wrong::Asked("--settings or PUFFINLADDER_SETTINGS should name a file".into()))?;
+    let path = path.ok_or_else(|| {
+        CommandError::Usage("--settings or PUFFINLADDER_SETTINGS should name a settings file".into())
+    })?;
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(&path).map_err(|e| Wrong::Failed(format!("{name}: {e}")))?;
-    let settings = parse_settings(&name, &text).map_err(|error| Wrong::Asked(error.to_string()))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| CommandError::Failed(format!("{name}: {e}")))?;
+    let settings = parse_settings(&name, &text).map_err(|error| CommandError::Usage(error.to_string()))?;
     Ok((name, settings))
 }
 
-/// One section of them, which has to be there.
-pub fn section<T>(name: &str, key: &str, found: Option<T>) -> Done<T> {
-    found.ok_or_else(|| Wrong::Asked(format!("{name}: has no ({key} ...)")))
+/// Returns a section of the settings file `name`, or a usage error that names the missing `key`.
+pub fn require_section<T>(name: &str, key: &str, section: Option<T>) -> CommandResult<T> {
+    section.ok_or_else(|| CommandError::Usage(format!("{name}: has no ({key} ...)")))
 }
 
-pub fn log(settings: &Settings) {
+/// Starts logging to standard error; RUST_LOG takes precedence over the filter of the settings.
+pub fn init_logging(settings: &Settings) {
     let levels = std::env::var("RUST_LOG").ok().or_else(|| settings.log.filter.clone());
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
     let filter =
@@ -34,18 +36,19 @@
     }
 }
 
-pub fn runtime() -> Done<tokio::runtime::Runtime> {
+/// Returns a multi-threaded runtime.
+pub fn runtime() -> CommandResult<tokio::runtime::Runtime> {
     Ok(tokio::runtime::Builder::new_multi_thread().enable_all().build()?)
 }
 
-/// Waits until the service is told to leave, or ends by itself: what that came to.
-pub async fn until_told<T>(ended: impl Future<Output = T>) -> Done<Option<T>> {
+/// Waits for the service or for SIGTERM or SIGINT, and returns the service's result, or `None` after a signal.
+pub async fn wait_or_shutdown<T>(service: impl Future<Output = T>) -> CommandResult<Option<T>> {
     let mut term = signal(SignalKind::terminate())?;
-    let told = tokio::select! {
-        ended = ended => return Ok(Some(ended)),
-        _ = term.recv() => None,
-        _ = tokio::signal::ctrl_c() => None,
-    };
-    tracing::info!("was told to leave");
-    Ok(told)
+    tokio::select! {
+        result = service => return Ok(Some(result)),
+        _ = term.recv() => {}
+        _ = tokio::signal::ctrl_c() => {}
+    }
+    tracing::info!("shutting down on SIGTERM or SIGINT");
+    Ok(None)
 }
--- a/crates/cli/src/tests.rs
+++ b/crates/cli/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 #[test]
-fn the_command_line_is_sound() {
-    Line::command().debug_assert();
+fn passes_clap_debug_asserts() {
+    CommandLine::command().debug_assert();
 }
--- a/crates/cli/src/trace/bench.rs
+++ b/crates/cli/src/trace/bench.rs
@@ -1,9 +1,9 @@
-//! `trace bench`: sizes and speeds on made-up traces, as medians over runs in one process.
+//! `trace bench`: sizes and speeds on synthetic traces, as medians over runs in one process.
 
 use super::input::{open, Output};
-use super::make::write;
+use super::make::write_records;
 use crate::measure::{memory, percentile};
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use puffinladder_trace::block::column_name;
 use puffinladder_trace::file::{BlockKind, FileMetadata, Writer};
 use puffinladder_trace::recorder::rotation::{RotationLimits, StoredFile};
@@ -16,47 +16,47 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Median, least and most of some seconds.
-fn told(mut times: Vec<f64>) -> (f64, f64, f64) {
+/// Returns the median, the least and the largest of the times.
+fn spread(mut times: Vec<f64>) -> (f64, f64, f64) {
     (percentile(&mut times, 0.5), times[0], times[times.len() - 1])
 }
 
-fn timed(runs: usize, mut work: impl FnMut() -> Done) -> Done<(f64, f64, f64)> {
+fn timed(runs: usize, mut work: impl FnMut() -> CommandResult) -> CommandResult<(f64, f64, f64)> {
     let mut times = Vec::new();
     for _ in 0..runs.max(1) {
-        let begun = Instant::now();
+        let started = Instant::now();
         work()?;
-        times.push(begun.elapsed().as_secs_f64());
+        times.push(started.elapsed().as_secs_f64());
     }
-    Ok(told(times))
+    Ok(spread(times))
 }
 
-fn make(folder: &Path, told: &SynthConfig, name: &str) -> Done<String> {
+fn generate(folder: &Path, config: &SynthConfig, name: &str) -> CommandResult<String> {
     let path = folder.join(name).display().to_string();
     let mut names = Names::default();
-    let mut maker = Generator::new(told, &mut names);
-    let meta = FileMetadata { node: told.node.clone(), created: told.from };
-    write(&mut maker, &mut names, &meta, Output::new(&path)?, |_| {})?;
+    let mut maker = Generator::new(config, &mut names);
+    let meta = FileMetadata { node: config.node.clone(), created: config.from };
+    write_records(&mut maker, &mut names, &meta, Output::new(&path)?, |_| {})?;
     Ok(path)
 }
 
-pub fn bench(hours: &[u32], nodes: usize, runs: usize, folder: Option<PathBuf>) -> Done {
+pub fn bench(hours: &[u32], nodes: usize, runs: usize, folder: Option<PathBuf>) -> CommandResult {
     if hours.is_empty() || hours.contains(&0) || nodes == 0 {
-        return Err(Wrong::Asked("--hours and --nodes should be 1 or more".into()));
+        return Err(CommandError::Usage("--hours and --nodes should be 1 or more".into()));
     }
     let own = tempfile::Builder::new().prefix("puffinladder-bench").tempdir()?;
     let folder = folder.unwrap_or_else(|| own.path().to_owned());
-    // First, while the process is small.
-    record(runs)?;
-    println!("medians of {runs} runs (least to most); all on made-up traces of 230 txns a second");
+    // First, before other measurements grow the process.
+    bench_recorder(runs)?;
+    println!("medians of {runs} runs (least to most), on synthetic traces of 230 txns a second");
 
-    let begun = Instant::now();
-    let hour = make(&folder, &SynthConfig::default(), "hour.trace")?;
-    let took = begun.elapsed().as_secs_f64();
+    let started = Instant::now();
+    let hour = generate(&folder, &SynthConfig::default(), "hour.trace")?;
+    let took = started.elapsed().as_secs_f64();
     let mut trace = open(&hour)?;
     let txns = trace.record_count(BlockKind::Rows);
     println!(
-        "an hour: {txns} txns in {} bytes, {:.2} a txn; made in {took:.2} s",
+        "an hour: {txns} txns in {} bytes, {:.2} a txn; generated in {took:.2} s",
         trace.len,
         trace.len as f64 / txns as f64
     );
@@ -64,13 +64,13 @@
         let name = if id == 0 { "heads" } else { column_name(id) };
         println!("  {name:<10} {size:>9} bytes {:>7.3} a txn", size as f64 / txns as f64);
     }
-    let say = |what: &str, (mid, low, high): (f64, f64, f64)| {
-        println!("{what:<52} {:>9.1} ms ({:.1} to {:.1})", mid * 1e3, low * 1e3, high * 1e3);
+    let report = |label: &str, (mid, low, high): (f64, f64, f64)| {
+        println!("{label:<52} {:>9.1} ms ({:.1} to {:.1})", mid * 1e3, low * 1e3, high * 1e3);
     };
 
     let sum = |by, percentiles| {
         let hour = &hour;
-        move || -> Done {
+        move || -> CommandResult {
             let mut trace = open(hour)?;
             let choice = Selection::default();
             tools::summarise(
@@ -85,15 +85,19 @@
             Ok(())
         }
     };
-    say("summarise the hour, with percentiles", timed(runs, sum(Some(GroupBy::Product), true))?);
-    say("summarise the hour, from heads alone", timed(runs, sum(Some(GroupBy::Product), false))?);
+    report("summarise the hour, with percentiles", timed(runs, sum(Some(GroupBy::Product), true))?);
+    report("summarise the hour, from heads alone", timed(runs, sum(Some(GroupBy::Product), false))?);
 
     for hours in hours {
         let path = match hours {
             1 => hour.clone(),
             _ => {
                 let span = 3600.0 * f64::from(*hours);
-                make(&folder, &SynthConfig { span, ..SynthConfig::default() }, &format!("{hours}h.trace"))?
+                generate(
+                    &folder,
+                    &SynthConfig { span, ..SynthConfig::default() },
+                    &format!("{hours}h.trace"),
+                )?
             }
         };
         let out = folder.join("cut.trace").display().to_string();
@@ -106,7 +110,7 @@
             writer.seal()?.finish()
         })?;
         let size = std::fs::metadata(&path)?.len() as f64 / 1e6;
-        say(&format!("cut a minute of {hours} h ({size:.0} MB)"), cut);
+        report(&format!("cut a minute of {hours} h ({size:.0} MB)"), cut);
         if *hours != 1 {
             std::fs::remove_file(&path)?;
         }
@@ -114,9 +118,9 @@
 
     let mut files = Vec::new();
     for node in 0..nodes {
-        let told =
+        let config =
             SynthConfig { seed: node as u64 + 1, node: format!("n{}", node + 1), ..SynthConfig::default() };
-        files.push(make(&folder, &told, &format!("n{node}.trace"))?);
+        files.push(generate(&folder, &config, &format!("n{node}.trace"))?);
     }
     let before = memory("VmHWM:");
     let out = folder.join("merged.trace").display().to_string();
@@ -131,9 +135,9 @@
         rows = tools::merge(traces, &mut writer, &mut |_, _| {})?.rows;
         writer.seal()?.finish()
     })?;
-    say(&format!("merge {nodes} nodes, {rows} txns"), merge);
+    report(&format!("merge {nodes} nodes, {rows} txns"), merge);
     println!(
-        "  {:.2} million txns a second; most memory {before:.0} MB before, {:.0} MB behind",
+        "  {:.2} million txns a second; peak memory {before:.0} MB before, {:.0} MB after",
         rows as f64 / merge.0 / 1e6,
         memory("VmHWM:")
     );
@@ -144,10 +148,10 @@
     Ok(())
 }
 
-/// Swallows what is written.
-struct Nowhere;
+/// Trace directory that discards all files.
+struct NullDirectory;
 
-impl TraceStorage for Nowhere {
+impl TraceStorage for NullDirectory {
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         Ok(Vec::new())
     }
@@ -159,20 +163,21 @@
     }
 }
 
-/// ns of CPU that the recorder's thread has taken.
+/// Returns the CPU time of the recorder's thread, ns.
 fn thread_cpu() -> f64 {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return 0.0 };
     let read = |path: PathBuf| std::fs::read_to_string(path).unwrap_or_default();
-    let ours = tasks.flatten().map(|task| task.path()).find(|path| read(path.join("comm")).trim() == "trace");
-    let told = ours.map(|path| read(path.join("schedstat"))).unwrap_or_default();
-    told.split_whitespace().next().and_then(|ns| ns.parse().ok()).unwrap_or(0.0)
+    let recorder =
+        tasks.flatten().map(|task| task.path()).find(|path| read(path.join("comm")).trim() == "trace");
+    let schedstat = recorder.map(|path| read(path.join("schedstat"))).unwrap_or_default();
+    schedstat.split_whitespace().next().and_then(|ns| ns.parse().ok()).unwrap_or(0.0)
 }
 
-/// What a record costs: whoever makes it (its steps with their clock readings, the way into the ring), and the thread
-/// behind, in time and memory.
-fn record(runs: usize) -> Done {
+/// Measures the cost of a record: on the request's path (clock readings and the ring buffer), and on the recorder's thread, with
+/// its memory.
+fn bench_recorder(runs: usize) -> CommandResult {
     const COUNT: u32 = 1000;
-    let told = RecorderConfig {
+    let config = RecorderConfig {
         node: "n1".into(),
         limits: RotationLimits::default(),
         products: vec![Default::default()],
@@ -181,15 +186,15 @@
         sample: 1,
     };
     let before = memory("VmRSS:");
-    let (recorder, running) = Recorder::start(told, Nowhere, 1 << 20, |_| {})?;
+    let (recorder, running) = Recorder::start(config, NullDirectory, 1 << 20, |_| {})?;
     let unix = || {
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0.0, |s| s.as_secs_f64())
     };
     let mut times = Vec::new();
-    // Enough for a dozen blocks of rows that differ as those of a server do.
+    // Enough for a dozen blocks.
     let rounds = runs.max(1) * 10;
     for round in 0..rounds as u32 {
-        let begun = Instant::now();
+        let started = Instant::now();
         for at in 0..COUNT {
             let mut entry = RequestRecord::new(unix(), (u128::from(round * COUNT + at)).to_le_bytes());
             (entry.caller, entry.hint) = (at % 40, f64::from(at) * 1e-5);
@@ -199,22 +204,22 @@
             }
             recorder.record_request(&entry);
         }
-        times.push(begun.elapsed().as_secs_f64() / f64::from(COUNT));
-        // The thread empties the ring before the next round.
+        times.push(started.elapsed().as_secs_f64() / f64::from(COUNT));
+        // Lets the recorder's thread empty the ring.
         std::thread::sleep(Duration::from_millis(110));
     }
-    let each = thread_cpu() / f64::from(COUNT * rounds as u32);
-    let (mid, low, high) = self::told(times);
+    let cpu_each = thread_cpu() / f64::from(COUNT * rounds as u32);
+    let (mid, low, high) = spread(times);
     println!(
         "{:<52} {:>9.0} ns ({:.0} to {:.0})",
-        "record a txn, on its path",
+        "record a txn, on the request's path",
         mid * 1e9,
         low * 1e9,
         high * 1e9
     );
-    println!("{:<52} {each:>9.0} ns", "the same on the recorder's thread, CPU");
+    println!("{:<52} {cpu_each:>9.0} ns", "the same on the recorder's thread, CPU");
     println!(
-        "  memory {:.1} MB more with the recorder on; lost {} records",
+        "  memory {:.1} MB for the recorder; {} records lost",
         memory("VmRSS:") - before,
         recorder.lost_records()
     );
--- a/crates/cli/src/trace/export.rs
+++ b/crates/cli/src/trace/export.rs
@@ -1,8 +1,8 @@
-//! `trace export`: txns as Parquet or CSV, a row each, for tools that know nothing of traces.
+//! `trace export`: writes txns as rows of Parquet or CSV for other tools.
 
-use super::input::{apart, open, Output};
-use super::Which;
-use crate::say::{bar, damage, step, Done, Wrong};
+use super::input::{open, reject_overwrite, Output};
+use super::RowFilter;
+use crate::terminal::{print_damage, progress_bar, progress_callback, CommandError, CommandResult};
 use parquet::basic::{Compression, ZstdLevel};
 use parquet::data_type::{BoolType, ByteArray, ByteArrayType, DoubleType, Int32Type, Int64Type};
 use parquet::errors::ParquetError;
@@ -37,10 +37,10 @@
     required binary steps (UTF8);
 }";
 
-/// Rows of one group.
-const GROUP: usize = 1 << 17;
+/// Rows of a Parquet row group.
+const MAX_GROUP_ROWS: usize = 1 << 17;
 
-/// One row as both formats have it.
+/// Value of one column of a row.
 enum Cell {
     Time(i64),
     Text(Option<String>),
@@ -50,7 +50,8 @@
     Real(f64),
 }
 
-fn cells(row: &Row, names: &Names) -> Vec<Cell> {
+/// Returns the cells of a row, in the order of [`SCHEMA`].
+fn row_cells(row: &Row, names: &Names) -> Vec<Cell> {
     let path = names.path(row.path);
     let terms = names.product(row.product);
     let disposition = path.disposition();
@@ -81,8 +82,8 @@
     ]
 }
 
-/// A field of CSV, in quotes where it needs them.
-fn csv(cell: &Cell) -> String {
+/// Formats a CSV field, quoted if it needs to be.
+fn csv_field(cell: &Cell) -> String {
     let quoted = |text: &str| {
         if text.contains([',', '"', '\n', '\r']) {
             format!("\"{}\"", text.replace('"', "\"\""))
@@ -91,7 +92,7 @@
         }
     };
     match cell {
-        Cell::Time(at) => quoted(&super::ask::date(*at)),
+        Cell::Time(at) => quoted(&super::query::date(*at)),
         Cell::Text(text) => quoted(text.as_deref().unwrap_or("")),
         Cell::Small(value) => value.to_string(),
         Cell::Large(value) => value.map_or(String::new(), |v| v.to_string()),
@@ -100,59 +101,64 @@
     }
 }
 
-pub fn export(file: &str, which: &Which, as_parquet: bool, out: &str) -> Done {
-    which.expr()?;
-    apart(&[file], out)?;
+/// Exports the selected txns.
+pub fn export(file: &str, filter: &RowFilter, as_parquet: bool, out: &str) -> CommandResult {
+    filter.expr()?;
+    reject_overwrite(&[file], out)?;
     let mut trace = open(file)?;
-    let choice = which.choice(trace.time_range().map_or(0, |span| span.0))?;
+    let choice = filter.choice(trace.time_range().map_or(0, |span| span.0))?;
     let mut output = Output::new(out)?;
-    let schema = Arc::new(parse_message_type(SCHEMA).map_err(wrong)?);
-    let bar = bar("exporting");
+    let schema = Arc::new(parse_message_type(SCHEMA).map_err(parquet_error)?);
+    let bar = progress_bar("exporting");
     let mut names = Names::default();
-    let mut failed: Option<Wrong> = None;
-    let stop = |failed: &mut Option<Wrong>, result: Done| match result {
+    let mut failed: Option<CommandError> = None;
+    let keep_error = |failed: &mut Option<CommandError>, result: CommandResult| match result {
         Ok(()) => ControlFlow::Continue(()),
         Err(e) => {
             *failed = Some(e);
             ControlFlow::Break(())
         }
     };
-    let seen = if as_parquet {
-        let level = ZstdLevel::try_new(3).map_err(wrong)?;
-        let told = WriterProperties::builder().set_compression(Compression::ZSTD(level)).build();
-        let mut writer = SerializedFileWriter::new(output.by_ref(), schema, Arc::new(told)).map_err(wrong)?;
+    let scanned = if as_parquet {
+        let level = ZstdLevel::try_new(3).map_err(parquet_error)?;
+        let properties = WriterProperties::builder().set_compression(Compression::ZSTD(level)).build();
+        let mut writer = SerializedFileWriter::new(output.by_ref(), schema, Arc::new(properties))
+            .map_err(parquet_error)?;
         let mut rows = Vec::new();
-        let seen = scan(&mut trace, &mut names, &choice, &mut step(&bar), |row, names| {
-            rows.push(cells(row, names));
-            let full = rows.len() >= GROUP;
-            stop(&mut failed, if full { group(&mut writer, &mut rows).map_err(wrong) } else { Ok(()) })
+        let scanned = scan(&mut trace, &mut names, &choice, &mut progress_callback(&bar), |row, names| {
+            rows.push(row_cells(row, names));
+            let full = rows.len() >= MAX_GROUP_ROWS;
+            keep_error(
+                &mut failed,
+                if full { write_group(&mut writer, &mut rows).map_err(parquet_error) } else { Ok(()) },
+            )
         })?;
         if failed.is_none() {
-            group(&mut writer, &mut rows).map_err(wrong)?;
-            writer.close().map_err(wrong)?;
+            write_group(&mut writer, &mut rows).map_err(parquet_error)?;
+            writer.close().map_err(parquet_error)?;
         }
-        seen
+        scanned
     } else {
-        let names_of: Vec<&str> = schema.get_fields().iter().map(|field| field.name()).collect();
-        writeln!(output, "{}", names_of.join(","))?;
-        scan(&mut trace, &mut names, &choice, &mut step(&bar), |row, names| {
-            let line: Vec<String> = cells(row, names).iter().map(csv).collect();
-            stop(&mut failed, writeln!(output, "{}", line.join(",")).map_err(Wrong::from))
+        let columns: Vec<&str> = schema.get_fields().iter().map(|field| field.name()).collect();
+        writeln!(output, "{}", columns.join(","))?;
+        scan(&mut trace, &mut names, &choice, &mut progress_callback(&bar), |row, names| {
+            let line: Vec<String> = row_cells(row, names).iter().map(csv_field).collect();
+            keep_error(&mut failed, writeln!(output, "{}", line.join(",")).map_err(CommandError::from))
         })?
     };
     failed.map_or(Ok(()), Err)?;
     output.finish()?;
-    damage(file, &seen.damage);
-    eprintln!("{} txns", seen.rows);
+    print_damage(file, &scanned.damage);
+    eprintln!("{} txns", scanned.rows);
     Ok(())
 }
 
-fn wrong(e: ParquetError) -> Wrong {
-    Wrong::Failed(format!("parquet: {e}"))
+fn parquet_error(e: ParquetError) -> CommandError {
+    CommandError::Failed(format!("parquet: {e}"))
 }
 
-/// Writes rows as one group, column by column.
-fn group<W: Write + Send>(
+/// Writes rows as one row group, column by column.
+fn write_group<W: Write + Send>(
     writer: &mut SerializedFileWriter<W>,
     rows: &mut Vec<Vec<Cell>>,
 ) -> Result<(), ParquetError> {
@@ -163,8 +169,8 @@
     let mut at = 0;
     while let Some(mut column) = group.next_column()? {
         let cells = rows.iter().map(|row| &row[at]);
-        // Where a value may be missing, which rows have one.
-        let mut has: Vec<i16> = Vec::new();
+        // Definition levels of optional columns: 1 for a present value.
+        let mut present: Vec<i16> = Vec::new();
         match &rows[0][at] {
             Cell::Time(_) | Cell::Large(_) => {
                 let mut values = Vec::new();
@@ -174,20 +180,20 @@
                         Cell::Large(value) => *value,
                         _ => None,
                     };
-                    has.push(value.is_some().into());
+                    present.push(value.is_some().into());
                     values.extend(value);
                 }
-                column.typed::<Int64Type>().write_batch(&values, Some(&has), None)?;
+                column.typed::<Int64Type>().write_batch(&values, Some(&present), None)?;
             }
             Cell::Text(_) => {
                 let mut values = Vec::new();
                 for cell in cells {
                     if let Cell::Text(text) = cell {
-                        has.push(text.is_some().into());
+                        present.push(text.is_some().into());
                         values.extend(text.as_ref().map(|text| ByteArray::from(text.as_str())));
                     }
                 }
-                column.typed::<ByteArrayType>().write_batch(&values, Some(&has), None)?;
+                column.typed::<ByteArrayType>().write_batch(&values, Some(&present), None)?;
             }
             Cell::Small(_) => {
                 let values: Vec<i32> = cells.map(|c| if let Cell::Small(v) = c { *v } else { 0 }).collect();
--- a/crates/cli/src/trace/input.rs
+++ b/crates/cli/src/trace/input.rs
@@ -1,36 +1,37 @@
-//! Where traces come from and go to: files and standard streams. An output is whole or not there.
+//! Inputs and outputs of trace commands: files and standard streams. An output file appears only once it is complete.
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use puffinladder_trace::Trace;
 use std::fs::File;
 use std::io::{self, BufWriter, Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
+/// Readable and seekable input of a trace.
 pub trait Source: Read + Seek {}
 impl<T: Read + Seek> Source for T {}
 
 pub type Opened = Trace<Box<dyn Source>>;
 
-/// Opens a trace; `-` is standard input, which goes to a file first, since a trace is read from its end.
-pub fn open(name: &str) -> Done<Opened> {
+/// Opens a trace; `-` is standard input, which is copied to a temporary file, since a trace is read from its end.
+pub fn open(name: &str) -> CommandResult<Opened> {
     let source: Box<dyn Source> = if name == "-" {
         let mut spool = tempfile::tempfile()?;
         io::copy(&mut io::stdin().lock(), &mut spool)?;
         Box::new(spool)
     } else {
-        Box::new(File::open(name).map_err(|e| Wrong::Failed(format!("{name}: {e}")))?)
+        Box::new(File::open(name).map_err(|e| CommandError::Failed(format!("{name}: {e}")))?)
     };
-    Trace::open(source).map_err(|fault| Wrong::from(fault).at(name))
+    Trace::open(source).map_err(|fault| CommandError::from(fault).with_context(name))
 }
 
-/// A place to write to that gets its name only once all is written.
+/// Output stream; a file is written under a temporary name and renamed by [`Output::finish`].
 pub enum Output {
     Stdout(BufWriter<io::Stdout>),
     File { file: BufWriter<File>, part: PathBuf, path: PathBuf },
 }
 
 impl Output {
-    pub fn new(name: &str) -> Done<Output> {
+    pub fn new(name: &str) -> CommandResult<Output> {
         if name == "-" {
             return Ok(Output::Stdout(BufWriter::with_capacity(1 << 20, io::stdout())));
         }
@@ -38,12 +39,12 @@
         let mut part = path.clone().into_os_string();
         part.push(format!(".{}.part", std::process::id()));
         let part = PathBuf::from(part);
-        let file = File::create(&part).map_err(|e| Wrong::Failed(format!("{name}: {e}")))?;
+        let file = File::create(&part).map_err(|e| CommandError::Failed(format!("{name}: {e}")))?;
         Ok(Output::File { file: BufWriter::with_capacity(1 << 20, file), part, path })
     }
 
-    /// All is written: the file gets its name.
-    pub fn finish(mut self) -> Done {
+    /// Flushes the output and renames the file to its name.
+    pub fn finish(mut self) -> CommandResult {
         self.flush()?;
         if let Output::File { part, path, .. } = &mut self {
             std::fs::rename(&*part, &*path)?;
@@ -78,11 +79,11 @@
     }
 }
 
-/// Whether an output would write over one of its inputs while that is read.
-pub fn apart(inputs: &[&str], out: &str) -> Done {
+/// Returns a usage error if the output is one of the inputs.
+pub fn reject_overwrite(inputs: &[&str], out: &str) -> CommandResult {
     let real = |name: &str| Path::new(name).canonicalize().ok();
     match inputs.iter().find(|name| out != "-" && real(name).is_some() && real(name) == real(out)) {
-        Some(name) => Err(Wrong::Asked(format!("{name}: is read and can't be written to as well"))),
+        Some(name) => Err(CommandError::Usage(format!("{name}: is an input and can't be the output too"))),
         None => Ok(()),
     }
 }
--- a/crates/cli/src/trace/make.rs
+++ b/crates/cli/src/trace/make.rs
@@ -1,8 +1,8 @@
 //! The commands that write traces: cut, merge, anonymise, repair, synth.
 
-use super::input::{apart, open, Output};
-use super::Which;
-use crate::say::{bar, damage, step, Done, Wrong};
+use super::input::{open, reject_overwrite, Output};
+use super::RowFilter;
+use crate::terminal::{print_damage, progress_bar, progress_callback, CommandError, CommandResult};
 use puffinladder_trace::anonymise::parse_key;
 use puffinladder_trace::expr::parse_span;
 use puffinladder_trace::file::{FileMetadata, Writer};
@@ -13,45 +13,48 @@
 use puffinladder_trace::v1;
 use std::path::Path;
 
-pub fn cut(file: &str, which: &Which, out: &str) -> Done {
-    which.expr()?;
-    apart(&[file], out)?;
+/// Writes the selected txns of a trace to another.
+pub fn cut(file: &str, filter: &RowFilter, out: &str) -> CommandResult {
+    filter.expr()?;
+    reject_overwrite(&[file], out)?;
     let mut trace = open(file)?;
-    let choice = which.choice(trace.time_range().map_or(0, |span| span.0))?;
+    let choice = filter.choice(trace.time_range().map_or(0, |span| span.0))?;
     let mut writer = Writer::new(Output::new(out)?, &trace.meta)?;
-    let bar = bar("cutting");
-    let seen = tools::cut(&mut trace, &choice, &mut writer, &mut step(&bar))?;
+    let bar = progress_bar("cutting");
+    let result = tools::cut(&mut trace, &choice, &mut writer, &mut progress_callback(&bar))?;
     writer.seal()?.finish()?;
-    damage(file, &seen.damage);
-    eprintln!("{} txns", seen.rows);
+    print_damage(file, &result.damage);
+    eprintln!("{} txns", result.rows);
     Ok(())
 }
 
-pub fn repair(file: &str, out: &str) -> Done {
-    apart(&[file], out)?;
+/// Writes the readable blocks of a damaged trace to a sealed one.
+pub fn repair(file: &str, out: &str) -> CommandResult {
+    reject_overwrite(&[file], out)?;
     let mut trace = open(file)?;
     let mut writer = Writer::new(Output::new(out)?, &trace.meta)?;
-    let bar = bar("mending");
-    let seen = tools::cut(&mut trace, &Selection::default(), &mut writer, &mut step(&bar))?;
+    let bar = progress_bar("repairing");
+    let result = tools::cut(&mut trace, &Selection::default(), &mut writer, &mut progress_callback(&bar))?;
     writer.seal()?.finish()?;
-    damage(file, &seen.damage);
-    eprintln!("{} txns kept, {} parts could not be read", seen.rows, seen.damage.len());
+    print_damage(file, &result.damage);
+    eprintln!("{} txns kept, {} ranges unreadable", result.rows, result.damage.len());
     Ok(())
 }
 
-pub fn merge(files: &[String], offsets: &[String], out: &str) -> Done {
+/// Merges traces in the order of time.
+pub fn merge(files: &[String], offsets: &[String], out: &str) -> CommandResult {
     let names: Vec<&str> = files.iter().map(String::as_str).collect();
-    apart(&names, out)?;
+    reject_overwrite(&names, out)?;
     if names.iter().filter(|name| **name == "-").count() > 1 {
-        return Err(Wrong::Asked("standard input can be read once only".into()));
+        return Err(CommandError::Usage("standard input can be only one of the inputs".into()));
     }
     let mut shift = vec![0i64; files.len()];
     for offset in offsets {
-        let wrong = || Wrong::Asked(format!("--offset {offset}: should be N=SPAN, as in 2=-1500ms"));
-        let (at, span) = offset.split_once('=').ok_or_else(wrong)?;
-        let at: usize = at.parse().ok().filter(|at| (1..=files.len()).contains(at)).ok_or_else(wrong)?;
+        let invalid = || CommandError::Usage(format!("--offset {offset}: should be N=SPAN, as in 2=-1500ms"));
+        let (at, span) = offset.split_once('=').ok_or_else(invalid)?;
+        let at: usize = at.parse().ok().filter(|at| (1..=files.len()).contains(at)).ok_or_else(invalid)?;
         let (sign, span) = span.strip_prefix('-').map_or((1, span), |span| (-1, span));
-        shift[at - 1] = sign * parse_span(span).ok_or_else(wrong)?;
+        shift[at - 1] = sign * parse_span(span).ok_or_else(invalid)?;
     }
     let mut traces = Vec::new();
     for (file, shift) in files.iter().zip(shift) {
@@ -59,53 +62,57 @@
     }
     let made = traces.iter().map(|(trace, _)| trace.meta.created).min().unwrap_or(0);
     let mut writer = Writer::new(Output::new(out)?, &FileMetadata { node: "merged".into(), created: made })?;
-    let bar = bar("merging");
-    let report = tools::merge(traces, &mut writer, &mut step(&bar))?;
+    let bar = progress_bar("merging");
+    let merged = tools::merge(traces, &mut writer, &mut progress_callback(&bar))?;
     writer.seal()?.finish()?;
-    for (at, one) in &report.damage {
-        damage(&files[*at], std::slice::from_ref(one));
+    for (input, range) in &merged.damage {
+        print_damage(&files[*input], std::slice::from_ref(range));
     }
-    eprintln!("{} txns", report.rows);
-    if report.duplicates > 0 {
-        eprintln!("{} txns stood in more than one input and were written once", report.duplicates);
+    eprintln!("{} txns", merged.rows);
+    if merged.duplicates > 0 {
+        eprintln!("{} txns occurred in more than one input and were written once", merged.duplicates);
     }
-    if report.out_of_order > 0 {
-        eprintln!("{} txns are out of order: a node's clock stepped back too far", report.out_of_order);
+    if merged.out_of_order > 0 {
+        eprintln!("{} txns are out of order: a node's clock moved back too far", merged.out_of_order);
     }
     Ok(())
 }
 
-pub fn anonymise(file: &str, key_file: &Path, floor: u64, nodes: bool, out: &str) -> Done {
-    apart(&[file], out)?;
-    let told = key_file.display();
-    let text = std::fs::read_to_string(key_file).map_err(|e| Wrong::Failed(format!("{told}: {e}")))?;
-    let key = parse_key(&text).ok_or_else(|| Wrong::Asked(format!("{told}: should hold 64 hex digits")))?;
+/// Replaces names and keys of a trace by pseudonyms.
+pub fn anonymise(file: &str, key_file: &Path, floor: u64, nodes: bool, out: &str) -> CommandResult {
+    reject_overwrite(&[file], out)?;
+    let key_name = key_file.display();
+    let text =
+        std::fs::read_to_string(key_file).map_err(|e| CommandError::Failed(format!("{key_name}: {e}")))?;
+    let key = parse_key(&text)
+        .ok_or_else(|| CommandError::Usage(format!("{key_name}: should hold 64 hex digits")))?;
     let mut trace = open(file)?;
     let node = if nodes { "anonymised".into() } else { trace.meta.node.clone() };
     let mut writer = Writer::new(Output::new(out)?, &FileMetadata { node, created: trace.meta.created })?;
-    let bar = bar("veiling");
-    let seen = tools::anonymise(&mut trace, &key, floor, nodes, &mut writer, &mut step(&bar))?;
+    let bar = progress_bar("anonymising");
+    let result = tools::anonymise(&mut trace, &key, floor, nodes, &mut writer, &mut progress_callback(&bar))?;
     writer.seal()?.finish()?;
-    damage(file, &seen.damage);
-    eprintln!("{} txns", seen.rows);
+    print_damage(file, &result.damage);
+    eprintln!("{} txns", result.rows);
     Ok(())
 }
 
-pub fn synth(told: &SynthConfig, format: u16, out: &str) -> Done {
-    let good = told.rate > 0.0 && told.rate.is_finite() && (0.0..=1.0).contains(&told.overload_share);
-    if !good || told.node.is_empty() || told.callers == 0 || told.customers == 0 {
-        return Err(Wrong::Asked(
-            "rate should be above 0, rush from 0 to 1, customers and callers 1 or more".into(),
+/// Generates a synthetic trace in format version 1 or 2.
+pub fn synth(config: &SynthConfig, format: u16, out: &str) -> CommandResult {
+    let valid = config.rate > 0.0 && config.rate.is_finite() && (0.0..=1.0).contains(&config.overload_share);
+    if !valid || config.node.is_empty() || config.callers == 0 || config.customers == 0 {
+        return Err(CommandError::Usage(
+            "--rate should be above 0, --rush from 0 to 1, --customers and --callers 1 or more, --node not empty".into(),
         ));
     }
     let mut names = Names::default();
-    let mut maker = Generator::new(told, &mut names);
-    let meta = FileMetadata { node: told.node.clone(), created: told.from };
+    let mut maker = Generator::new(config, &mut names);
+    let meta = FileMetadata { node: config.node.clone(), created: config.from };
     let output = Output::new(out)?;
-    let bar = bar("making up");
-    let whole = (told.span * told.rate) as usize;
+    let bar = progress_bar("generating");
+    let expected = (config.span * config.rate) as usize;
     let mut count = 0usize;
-    let mut show = step(&bar);
+    let mut show = progress_callback(&bar);
     if format == v1::MAJOR {
         let mut writer = v1::Writer::new(output, &meta)?;
         while let Some(record) = maker.next(&mut names) {
@@ -115,26 +122,28 @@
             }
             count += 1;
             if count.is_multiple_of(BLOCK_ROWS) {
-                show(count.min(whole), whole.max(1));
+                show(count.min(expected), expected.max(1));
             }
         }
         writer.finish()?.finish()?;
     } else {
-        count = write(&mut maker, &mut names, &meta, output, |count| show(count.min(whole), whole.max(1)))?;
+        count = write_records(&mut maker, &mut names, &meta, output, |count| {
+            show(count.min(expected), expected.max(1))
+        })?;
     }
     show(1, 1);
     eprintln!("{count} records");
     Ok(())
 }
 
-/// Writes all that a maker gives, and says how many records there were.
-pub fn write(
+/// Writes all records of a generator, and returns their number.
+pub fn write_records(
     maker: &mut Generator,
     names: &mut Names,
     meta: &FileMetadata,
     output: Output,
     mut show: impl FnMut(usize),
-) -> Done<usize> {
+) -> CommandResult<usize> {
     let mut writer = Writer::new(output, meta)?;
     let mut blocks = BlockWriter::new(BLOCK_ROWS, &mut writer);
     let mut count = 0usize;
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -1,14 +1,14 @@
-//! `puffinladder trace`: its commands and their flags.
+//! `puffinladder trace`: commands on traces, and their arguments.
 
-mod ask;
 mod bench;
 mod export;
 mod input;
 mod make;
 mod plot;
+mod query;
 mod view;
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use clap::{Args, Subcommand, ValueEnum};
 use puffinladder_trace::expr::{self, Expr};
 use puffinladder_trace::summary::GroupBy;
@@ -17,16 +17,16 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Tell what is in a trace: versions, span, blocks, losses, a torn end
+    /// Describe a trace: version, span, blocks, losses, a truncated end
     #[command(after_help = "Example:\n  puffinladder trace info n1.trace --columns")]
     Info {
         /// Traces; - is standard input
         #[arg(required = true)]
         files: Vec<String>,
-        /// Bytes that each column takes
+        /// Show the size of each column
         #[arg(long)]
         columns: bool,
-        /// As JSON, an object for each file
+        /// Print JSON, one object for each file
         #[arg(long)]
         json: bool,
     },
@@ -37,15 +37,15 @@
     Cat {
         file: String,
         #[command(flatten)]
-        which: Which,
-        /// A JSON object a line
+        filter: RowFilter,
+        /// Print JSON, one object a line
         #[arg(long)]
         json: bool,
-        /// The state beside the txns instead of the txns
+        /// Print the recorded state instead of the txns
         #[arg(long)]
         notes: bool,
     },
-    /// Print the txns that an expression means
+    /// Print the txns that match an expression
     #[command(after_help = "The language:\n  \
         settled declined voided gone in-sla late replayed ran called skipped repeat last referenced\n  \
         product customer node reason step key name   with = != ~ !~ (patterns: * and ?)\n  \
@@ -57,10 +57,10 @@
         expr: String,
         file: String,
         #[command(flatten)]
-        span: Span,
+        span: TimeRange,
         #[arg(long)]
         json: bool,
-        /// Only how many there are
+        /// Print only the number of matches
         #[arg(long)]
         count: bool,
     },
@@ -72,73 +72,73 @@
     Cut {
         file: String,
         #[command(flatten)]
-        which: Which,
+        filter: RowFilter,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Write traces of many nodes as one, in the order of time
+    /// Merge traces of many nodes into one, ordered by time
     #[command(after_help = "Examples:\n  puffinladder trace merge n*.trace -o all.trace\n  \
         puffinladder trace merge n1.trace n2.trace --offset 2=-1500ms -o all.trace")]
     Merge {
         #[arg(required = true)]
         files: Vec<String>,
-        /// Put on every time of the Nth file, for a clock known to be wrong: N=SPAN
+        /// Add SPAN to every time of the Nth file, to correct a clock: N=SPAN
         #[arg(long, value_name = "N=SPAN", allow_hyphen_values = true)]
         offset: Vec<String>,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Take customers, callers and keys out of a trace
+    /// Replace customers, callers and keys of a trace by pseudonyms
     #[command(
-        after_help = "The same key gives the same names in every file; another key's can't be linked to them.\n\nExample:\n  \
+        after_help = "The same key gives the same pseudonyms in every file; those of different keys can't be linked.\n\nExample:\n  \
         head -c 32 /dev/urandom | od -An -tx1 | tr -d ' \\n' > key\n  \
         puffinladder trace anonymise --key-file key --k 50 n1.trace -o given-away.trace"
     )]
     Anonymise {
         file: String,
-        /// 64 hex digits
+        /// File with 64 hex digits
         #[arg(long, value_name = "FILE")]
         key_file: PathBuf,
-        /// Customers with fewer txns than this go together as one
+        /// Merge customers with fewer txns than this into one
         #[arg(long, default_value_t = 0)]
         k: u64,
-        /// Names of nodes too
+        /// Replace the names of nodes too
         #[arg(long)]
         nodes: bool,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Sum up what was asked for and what was settled within its SLA time
+    /// Sum up the txns by outcome, and the value settled within the SLA time
     #[command(after_help = "Examples:\n  puffinladder trace summarise n1.trace --by reason\n  \
         puffinladder trace summarise n1.trace --by interval --interval 10s --svg hour.svg\n  \
-        puffinladder trace summarise n1.trace --counts    # from the blocks' heads alone")]
+        puffinladder trace summarise n1.trace --counts    # reads only block headers")]
     Summarise {
         file: String,
         #[command(flatten)]
-        which: Which,
+        filter: RowFilter,
         #[arg(long, value_enum)]
-        by: Option<ByWhat>,
+        by: Option<GroupByArg>,
         /// Length of an interval
         #[arg(long, default_value = "60s", value_parser = span)]
         interval: i64,
-        /// No percentiles: blocks that are meant as a whole are not read
+        /// Leave out percentiles; then blocks that match as a whole need not be read
         #[arg(long)]
         counts: bool,
         #[arg(long)]
         json: bool,
-        /// Draw value by interval into this file
+        /// Plot the value by interval into this file
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
     },
-    /// Compare two traces, as of before and after a change
+    /// Compare two traces, such as before and after a change
     #[command(after_help = "Example:\n  puffinladder trace diff before.trace after.trace --by product")]
     Diff {
         before: String,
         after: String,
         #[command(flatten)]
-        which: Which,
+        filter: RowFilter,
         #[arg(long, value_enum, default_value = "reason")]
-        by: ByWhat,
+        by: GroupByArg,
         #[arg(long)]
         json: bool,
     },
@@ -148,22 +148,22 @@
     Export {
         file: String,
         #[command(flatten)]
-        which: Which,
+        filter: RowFilter,
         #[arg(long, conflicts_with = "csv", required_unless_present = "csv")]
         parquet: bool,
         #[arg(long)]
         csv: bool,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Write a sealed trace from a torn or damaged one
+    /// Write a sealed trace from a truncated or damaged one
     #[command(after_help = "Example:\n  puffinladder trace repair torn.trace -o whole.trace")]
     Repair {
         file: String,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Make up a trace, the same for the same seed
+    /// Generate a synthetic trace from a seed
     #[command(
         after_help = "Example:\n  puffinladder trace synth --span 1h --rate 230 --seed 1 -o hour.trace"
     )]
@@ -181,67 +181,70 @@
         customers: usize,
         #[arg(long, default_value_t = 40)]
         callers: u32,
-        /// Share of the time that is a rush
+        /// Share of the time with a load spike
         #[arg(long, default_value_t = 0.2)]
         rush: f64,
         /// Version of the format
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=2))]
         format: u16,
         #[command(flatten)]
-        out: Out,
+        out: OutputArg,
     },
-    /// Look through a trace on the terminal: time line, txns, one txn's life
+    /// Browse a trace on the terminal: time line, txns, details of a txn
     #[command(
-        after_help = "Keys: arrows or j k, page up and down, enter to go in, esc to go back, / to filter, q to end"
+        after_help = "Keys: arrows or j k, page up and down, enter to open, esc to go back, / to filter, q to quit"
     )]
     View { file: String },
-    /// Measure sizes and speeds on made-up traces
+    /// Measure sizes and speeds on synthetic traces
     #[command(after_help = "Example:\n  puffinladder trace bench --hours 1,10,100 --nodes 16")]
     Bench {
         /// Lengths of the traces from which a minute is cut
         #[arg(long, value_delimiter = ',', default_value = "1,10")]
         hours: Vec<u32>,
-        /// Traces that are merged
+        /// Number of traces to merge
         #[arg(long, default_value_t = 16)]
         nodes: usize,
-        /// Times that each is measured; medians are told
+        /// Runs of each measurement; medians are printed
         #[arg(long, default_value_t = 5)]
         runs: usize,
-        /// Where the traces are made; it takes about 13 MB an hour and node
+        /// Folder for the synthetic traces, about 13 MB for each hour and node
         #[arg(long)]
         folder: Option<PathBuf>,
     },
 }
 
-/// Which txns of a trace are meant.
+/// Arguments that select txns of a trace.
 #[derive(Args)]
-pub struct Which {
+pub struct RowFilter {
     #[command(flatten)]
-    span: Span,
+    span: TimeRange,
     /// An expression, as for grep
     #[arg(long = "where", value_name = "EXPR")]
     expr: Option<String>,
 }
 
+/// Arguments that select a range of time.
 #[derive(Args)]
-pub struct Span {
-    /// From this time on: a span since the trace's beginning (30m), or a date (2026-01-01T00:30:00Z)
-    #[arg(long, value_parser = time)]
-    from: Option<Time>,
-    /// Up to this time
-    #[arg(long, value_parser = time)]
-    to: Option<Time>,
+pub struct TimeRange {
+    /// Start time: a span since the trace's beginning (30m), or a date (2026-01-01T00:30:00Z)
+    #[arg(long, value_parser = time_arg)]
+    from: Option<TimeArg>,
+    /// End time, exclusive
+    #[arg(long, value_parser = time_arg)]
+    to: Option<TimeArg>,
 }
 
+/// Argument that names the output.
 #[derive(Args)]
-pub struct Out {
-    /// Where to write; - is standard output
+pub struct OutputArg {
+    /// Output file; - is standard output
     #[arg(short = 'o', long = "out", value_name = "FILE")]
     out: String,
 }
 
+/// Key by which sums are grouped.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum ByWhat {
+pub enum GroupByArg {
     Product,
     Customer,
     Caller,
@@ -250,22 +253,22 @@
     Interval,
 }
 
-impl ByWhat {
+impl GroupByArg {
     fn by(self) -> GroupBy {
         match self {
-            ByWhat::Product => GroupBy::Product,
-            ByWhat::Customer => GroupBy::Customer,
-            ByWhat::Caller => GroupBy::Caller,
-            ByWhat::Reason => GroupBy::Reason,
-            ByWhat::Node => GroupBy::Node,
-            ByWhat::Interval => GroupBy::Interval,
+            GroupByArg::Product => GroupBy::Product,
+            GroupByArg::Customer => GroupBy::Customer,
+            GroupByArg::Caller => GroupBy::Caller,
+            GroupByArg::Reason => GroupBy::Reason,
+            GroupByArg::Node => GroupBy::Node,
+            GroupByArg::Interval => GroupBy::Interval,
         }
     }
 }
 
-/// us, since the trace's beginning or 1970.
+/// Time in us since the trace's beginning, or since 1970.
 #[derive(Clone, Copy)]
-pub enum Time {
+pub enum TimeArg {
     Since(i64),
     Unix(i64),
 }
@@ -274,67 +277,75 @@
     expr::parse_span(text).filter(|span| *span > 0).ok_or("should be a span such as 90s, 30m or 1h30m".into())
 }
 
-fn time(text: &str) -> Result<Time, String> {
+fn time_arg(text: &str) -> Result<TimeArg, String> {
     if let Some(span) = expr::parse_span(text) {
-        return Ok(Time::Since(span));
+        return Ok(TimeArg::Since(span));
     }
     let time: Result<jiff::Timestamp, _> = text.parse();
-    time.map(|time| Time::Unix(time.as_microsecond()))
+    time.map(|time| TimeArg::Unix(time.as_microsecond()))
         .map_err(|_| "should be a span such as 30m, or a date such as 2026-01-01T00:30:00Z".into())
 }
 
-impl Span {
+impl TimeRange {
+    /// Returns the range in us since 1970, for a trace that begins at `begin`.
     fn bounds(&self, begin: i64) -> (i64, i64) {
-        let at = |time: Option<Time>, usual| match time {
-            None => usual,
-            Some(Time::Since(span)) => begin.saturating_add(span),
-            Some(Time::Unix(at)) => at,
+        let resolve = |time: Option<TimeArg>, default| match time {
+            None => default,
+            Some(TimeArg::Since(span)) => begin.saturating_add(span),
+            Some(TimeArg::Unix(time)) => time,
         };
-        (at(self.from, i64::MIN), at(self.to, i64::MAX))
+        (resolve(self.from, i64::MIN), resolve(self.to, i64::MAX))
     }
 }
 
-pub fn parse(text: &str) -> Done<Expr> {
-    expr::parse(text).map_err(|wrong| {
-        let mark = " ".repeat(wrong.column - 1);
-        Wrong::Asked(format!("the expression is wrong at {wrong}\n  {text}\n  {mark}^"))
+/// Parses an expression; the error marks the invalid column.
+pub fn parse_expr(text: &str) -> CommandResult<Expr> {
+    expr::parse(text).map_err(|error| {
+        let mark = " ".repeat(error.column - 1);
+        CommandError::Usage(format!("invalid expression at {error}\n  {text}\n  {mark}^"))
     })
 }
 
-impl Which {
-    fn expr(&self) -> Done<Expr> {
-        self.expr.as_deref().map_or(Ok(Expr::All), parse)
+impl RowFilter {
+    fn expr(&self) -> CommandResult<Expr> {
+        self.expr.as_deref().map_or(Ok(Expr::All), parse_expr)
     }
-    /// The same in a trace that begins at `begin`, us.
-    fn choice(&self, begin: i64) -> Done<Selection> {
+    /// Returns the selection in a trace that begins at `begin`, us.
+    fn choice(&self, begin: i64) -> CommandResult<Selection> {
         let (from, to) = self.span.bounds(begin);
         Ok(Selection { from, to, expr: self.expr()? })
     }
 }
 
-pub fn run(command: Command) -> Done {
+pub fn run(command: Command) -> CommandResult {
     match command {
-        Command::Info { files, columns, json } => ask::info(&files, columns, json),
-        Command::Cat { file, which, json, notes } => ask::cat(&file, &which, json, notes),
-        Command::Grep { expr, file, span, json, count } => ask::grep(&expr, &file, &span, json, count),
-        Command::Cut { file, which, out } => make::cut(&file, &which, &out.out),
+        Command::Info { files, columns, json } => query::info(&files, columns, json),
+        Command::Cat { file, filter, json, notes } => query::cat(&file, &filter, json, notes),
+        Command::Grep { expr, file, span, json, count } => query::grep(&expr, &file, &span, json, count),
+        Command::Cut { file, filter, out } => make::cut(&file, &filter, &out.out),
         Command::Merge { files, offset, out } => make::merge(&files, &offset, &out.out),
         Command::Anonymise { file, key_file, k, nodes, out } => {
             make::anonymise(&file, &key_file, k, nodes, &out.out)
         }
-        Command::Summarise { file, which, by, interval, counts, json, svg } => {
-            let asked = ask::Asked { by: by.map(ByWhat::by), interval, percentiles: !counts, json, svg };
-            ask::summarise(&file, &which, &asked)
+        Command::Summarise { file, filter, by, interval, counts, json, svg } => {
+            let options = query::SummaryOptions {
+                by: by.map(GroupByArg::by),
+                interval,
+                percentiles: !counts,
+                json,
+                svg,
+            };
+            query::summarise(&file, &filter, &options)
         }
-        Command::Diff { before, after, which, by, json } => {
-            ask::diff([&before, &after], &which, by.by(), json)
+        Command::Diff { before, after, filter, by, json } => {
+            query::diff([&before, &after], &filter, by.by(), json)
         }
-        Command::Export { file, which, parquet, csv: _, out } => {
-            export::export(&file, &which, parquet, &out.out)
+        Command::Export { file, filter, parquet, csv: _, out } => {
+            export::export(&file, &filter, parquet, &out.out)
         }
         Command::Repair { file, out } => make::repair(&file, &out.out),
         Command::Synth { span, rate, seed, node, customers, callers, rush, format, out } => {
-            let told = puffinladder_trace::synth::SynthConfig {
+            let config = puffinladder_trace::synth::SynthConfig {
                 seed,
                 span: span as f64 / 1e6,
                 rate,
@@ -344,7 +355,7 @@
                 overload_share: rush,
                 ..Default::default()
             };
-            make::synth(&told, format, &out.out)
+            make::synth(&config, format, &out.out)
         }
         Command::View { file } => view::view(&file),
         Command::Bench { hours, nodes, runs, folder } => bench::bench(&hours, nodes, runs, folder),
--- a/crates/cli/src/trace/plot.rs
+++ b/crates/cli/src/trace/plot.rs
@@ -1,26 +1,26 @@
-//! Pictures of summaries, as SVG.
+//! SVG plots of summaries.
 
-use crate::say::{Done, Wrong};
+use crate::terminal::{CommandError, CommandResult};
 use plotters::prelude::*;
 use puffinladder_trace::summary::Summary;
 use std::path::Path;
 
-/// Value asked for and value settled within its SLA time, by interval (us), and the share declined.
-pub fn value_by_interval(path: &Path, title: &str, summary: &Summary, interval: i64) -> Done {
-    let wrong = |what: String| Wrong::Failed(format!("{}: {what}", path.display()));
+/// Plots the value asked for, the value settled within the SLA time and the rate of declined txns, by interval (us).
+pub fn value_by_interval(path: &Path, title: &str, summary: &Summary, interval: i64) -> CommandResult {
+    let failed = |message: String| CommandError::Failed(format!("{}: {message}", path.display()));
     let seconds = interval as f64 / 1e6;
-    let at = |name: &str| name.trim().trim_end_matches('s').parse::<f64>().unwrap_or(0.0);
+    let start_of = |name: &str| name.trim().trim_end_matches('s').parse::<f64>().unwrap_or(0.0);
     let mut rows: Vec<(f64, f64, f64, f64)> = summary
         .groups
         .iter()
         .map(|(name, sums)| {
             let declined = sums.declined as f64 / seconds;
-            (at(name), sums.requested_value / seconds, sums.value_in_sla / seconds, declined)
+            (start_of(name), sums.requested_value / seconds, sums.value_in_sla / seconds, declined)
         })
         .collect();
     rows.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let last = rows.last().map_or(1.0, |row| row.0 + seconds);
-    let most = rows.iter().map(|row| row.1.max(row.3)).fold(1.0, f64::max) * 1.3;
+    let end = rows.last().map_or(1.0, |row| row.0 + seconds);
+    let max = rows.iter().map(|row| row.1.max(row.3)).fold(1.0, f64::max) * 1.3;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (1000, 420)).into_drawing_area();
@@ -31,14 +31,14 @@
                 .margin(12)
                 .x_label_area_size(36)
                 .y_label_area_size(56)
-                .build_cartesian_2d(0.0..last, 0.0..most)?;
+                .build_cartesian_2d(0.0..end, 0.0..max)?;
             chart
                 .configure_mesh()
                 .x_desc("s since the trace began")
                 .y_desc("a second")
                 .light_line_style(WHITE)
                 .draw()?;
-            // Steps: a value holds for its whole interval.
+            // A step function: each value spans its whole interval.
             let steps = |pick: fn(&(f64, f64, f64, f64)) -> f64| -> Vec<(f64, f64)> {
                 rows.iter().flat_map(|row| [(row.0, pick(row)), (row.0 + seconds, pick(row))]).collect()
             };
@@ -66,7 +66,7 @@
             area.present()?;
             Ok(())
         };
-        draw().map_err(|e| wrong(e.to_string()))?;
+        draw().map_err(|e| failed(e.to_string()))?;
     }
-    std::fs::write(path, svg).map_err(|e| wrong(e.to_string()))
+    std::fs::write(path, svg).map_err(|e| failed(e.to_string()))
 }
--- a/crates/cli/src/trace/ask.rs
+++ b/crates/cli/src/trace/query.rs
@@ -1,25 +1,25 @@
-//! The commands that print: info, cat, grep, summarise, diff.
+//! Commands that print: info, cat, grep, summarise, diff.
 
 use super::input::{open, Opened};
-use super::{parse, plot, Span, Which};
-use crate::say::{bar, damage, step, Done};
+use super::{parse_expr, plot, RowFilter, TimeRange};
+use crate::terminal::{print_damage, progress_bar, progress_callback, CommandResult};
 use puffinladder_trace::block::column_name;
 use puffinladder_trace::file::BlockKind;
 use puffinladder_trace::row::{Names, Note, Row, Topic};
 use puffinladder_trace::summary::{GroupBy, Summary, Totals};
-use puffinladder_trace::tools::{notes, scan, summarise as sum, Selection};
+use puffinladder_trace::tools::{notes, scan, summarise as summarise_trace, Selection};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{self, BufWriter, Write};
 use std::ops::ControlFlow;
 use std::path::PathBuf;
 
-/// A time as people read it, to the microsecond.
+/// Formats a time in us since 1970 as a date.
 pub fn date(us: i64) -> String {
     jiff::Timestamp::from_microsecond(us).map_or_else(|_| format!("{us} us"), |t| format!("{t:.6}"))
 }
 
-/// A span with the unit that suits it.
+/// Formats a span in us with a suitable unit.
 pub fn span(us: u64) -> String {
     match us {
         0..=999 => format!("{us}us"),
@@ -32,19 +32,22 @@
     }
 }
 
+/// Returns the time of the first txn, us since 1970.
 fn begin(trace: &Opened) -> i64 {
     trace.time_range().map_or(0, |span| span.0)
 }
 
-pub fn info(files: &[String], columns: bool, as_json: bool) -> Done {
+/// Describes traces.
+pub fn info(files: &[String], columns: bool, as_json: bool) -> CommandResult {
     let mut out = BufWriter::new(io::stdout().lock());
     for file in files {
         let mut trace = open(file)?;
         let mut names = Names::default();
-        let mut lost = trace.damage.clone();
-        let told = notes(&mut trace, &mut names, &Selection::default(), &mut lost)
-            .map_err(|e| crate::say::Wrong::from(e).at(file))?;
-        let dropped: u64 = told.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| n.value as u64).sum();
+        let mut damage = trace.damage.clone();
+        let recorded = notes(&mut trace, &mut names, &Selection::default(), &mut damage)
+            .map_err(|e| crate::terminal::CommandError::from(e).with_context(file))?;
+        let dropped: u64 =
+            recorded.iter().filter(|n| n.topic == Topic::DROPPED).map(|n| n.value as u64).sum();
         let mut nodes = BTreeSet::new();
         for entry in trace.entries.clone().iter().filter(|entry| entry.kind == BlockKind::Rows) {
             if let Ok(head) = trace.head(entry, &mut names) {
@@ -53,33 +56,33 @@
         }
         let (rows, count) = (trace.record_count(BlockKind::Rows), trace.entries.len());
         let (from, to) = trace.time_range().unwrap_or_default();
-        let each = if rows > 0 { trace.len as f64 / rows as f64 } else { 0.0 };
+        let bytes_each = if rows > 0 { trace.len as f64 / rows as f64 } else { 0.0 };
         let sizes = if columns { trace.column_sizes()? } else { Vec::new() };
         let column = |id: u8| if id == 0 { "heads" } else { column_name(id) };
         if as_json {
-            let lost: Vec<Value> = lost
+            let damage: Vec<Value> = damage
                 .iter()
                 .map(|d| json!({"offset": d.offset, "len": d.len, "rows": d.rows, "what": d.problem}))
                 .collect();
             let sizes: serde_json::Map<String, Value> =
                 sizes.iter().map(|(id, size)| (column(*id).to_owned(), json!(size))).collect();
-            let told = json!({
+            let object = json!({
                 "file": file, "version": format!("{}.{}", trace.major, trace.minor), "node": trace.meta.node, "nodes": nodes,
                 "sealed": trace.sealed, "bytes": trace.len, "txns": rows, "notes": trace.record_count(BlockKind::Notes), "blocks": count,
-                "from_us": from, "to_us": to, "dropped": dropped, "damage": lost, "columns": sizes,
+                "from_us": from, "to_us": to, "dropped": dropped, "damage": damage, "columns": sizes,
             });
-            writeln!(out, "{told}")?;
+            writeln!(out, "{object}")?;
             continue;
         }
         let sealed = if trace.sealed {
             "sealed"
         } else {
-            "not sealed: its node died or still writes, blocks were found by search"
+            "not sealed: its node crashed or still writes; blocks found by scanning"
         };
         writeln!(out, "{file}: version {}.{}, {sealed}", trace.major, trace.minor)?;
         writeln!(
             out,
-            "  written by   {} ({} in it)",
+            "  written by   {} (nodes: {})",
             trace.meta.node,
             nodes.into_iter().collect::<Vec<_>>().join(", ")
         )?;
@@ -94,19 +97,19 @@
         }
         writeln!(
             out,
-            "  txns         {rows} in {count} blocks, {} notes beside them",
+            "  txns         {rows} in {count} blocks, {} state records",
             trace.record_count(BlockKind::Notes)
         )?;
-        writeln!(out, "  size         {} bytes, {each:.2} a txn", trace.len)?;
-        writeln!(out, "  dropped      {dropped} records that the recorder could not keep")?;
-        for one in &lost {
-            let rows = one.rows.map_or(String::new(), |rows| format!(", {rows} records"));
+        writeln!(out, "  size         {} bytes, {bytes_each:.2} a txn", trace.len)?;
+        writeln!(out, "  dropped      {dropped} records dropped by the recorder")?;
+        for range in &damage {
+            let rows = range.rows.map_or(String::new(), |rows| format!(", {rows} records"));
             writeln!(
                 out,
                 "  damage       bytes {} to {}: {}{rows}",
-                one.offset,
-                one.offset + one.len,
-                one.problem
+                range.offset,
+                range.offset + range.len,
+                range.problem
             )?;
         }
         for (id, size) in &sizes {
@@ -122,7 +125,7 @@
     Ok(())
 }
 
-/// A txn as one object.
+/// Returns a txn as a JSON object.
 fn row_json(row: &Row, names: &Names) -> Value {
     let path = names.path(row.path);
     let terms = names.product(row.product);
@@ -146,7 +149,7 @@
     })
 }
 
-/// A txn as one line.
+/// Formats a txn as one line.
 pub fn row_text(row: &Row, names: &Names) -> String {
     let path = names.path(row.path);
     let steps: Vec<String> = path
@@ -175,11 +178,11 @@
     format!("{} {} {} {}", date(note.at), names.text(note.node), note.topic.text(), note.value)
 }
 
-fn print(trace: &mut Opened, name: &str, choice: &Selection, as_json: bool) -> Done<u64> {
+fn print_rows(trace: &mut Opened, name: &str, choice: &Selection, as_json: bool) -> CommandResult<u64> {
     let mut out = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     let mut names = Names::default();
     let mut failed = None;
-    let seen = scan(trace, &mut names, choice, &mut |_, _| {}, |row, names| {
+    let result = scan(trace, &mut names, choice, &mut |_, _| {}, |row, names| {
         let line = if as_json { row_json(row, names).to_string() } else { row_text(row, names) };
         match writeln!(out, "{line}") {
             Ok(()) => ControlFlow::Continue(()),
@@ -191,20 +194,21 @@
     })?;
     failed.map_or(Ok(()), Err)?;
     out.flush()?;
-    damage(name, &seen.damage);
-    Ok(seen.rows)
+    print_damage(name, &result.damage);
+    Ok(result.rows)
 }
 
-pub fn cat(file: &str, which: &Which, as_json: bool, state: bool) -> Done {
-    which.expr()?;
+/// Prints the selected txns, or the recorded state if `state` is set.
+pub fn cat(file: &str, filter: &RowFilter, as_json: bool, state: bool) -> CommandResult {
+    filter.expr()?;
     let mut trace = open(file)?;
-    let choice = which.choice(begin(&trace))?;
+    let choice = filter.choice(begin(&trace))?;
     if !state {
-        return print(&mut trace, file, &choice, as_json).map(drop);
+        return print_rows(&mut trace, file, &choice, as_json).map(drop);
     }
-    let (mut names, mut lost) = (Names::default(), trace.damage.clone());
+    let (mut names, mut damage) = (Names::default(), trace.damage.clone());
     let mut out = BufWriter::new(io::stdout().lock());
-    for note in notes(&mut trace, &mut names, &choice, &mut lost)? {
+    for note in notes(&mut trace, &mut names, &choice, &mut damage)? {
         if as_json {
             let (node, topic) = (names.text(note.node), note.topic.text());
             writeln!(
@@ -217,27 +221,30 @@
         }
     }
     out.flush()?;
-    damage(file, &lost);
+    print_damage(file, &damage);
     Ok(())
 }
 
-pub fn grep(expr: &str, file: &str, which: &Span, as_json: bool, count: bool) -> Done {
-    let expr = parse(expr)?;
+/// Prints or counts the txns that match an expression.
+pub fn grep(expr: &str, file: &str, range: &TimeRange, as_json: bool, count: bool) -> CommandResult {
+    let expr = parse_expr(expr)?;
     let mut trace = open(file)?;
-    let (from, to) = which.bounds(begin(&trace));
+    let (from, to) = range.bounds(begin(&trace));
     let choice = Selection { from, to, expr };
     if !count {
-        return print(&mut trace, file, &choice, as_json).map(drop);
+        return print_rows(&mut trace, file, &choice, as_json).map(drop);
     }
-    let bar = bar("looking");
-    let seen =
-        scan(&mut trace, &mut Names::default(), &choice, &mut step(&bar), |_, _| ControlFlow::Continue(()))?;
-    damage(file, &seen.damage);
-    writeln!(io::stdout(), "{}", seen.rows)?;
+    let bar = progress_bar("searching");
+    let result = scan(&mut trace, &mut Names::default(), &choice, &mut progress_callback(&bar), |_, _| {
+        ControlFlow::Continue(())
+    })?;
+    print_damage(file, &result.damage);
+    writeln!(io::stdout(), "{}", result.rows)?;
     Ok(())
 }
 
-pub struct Asked {
+/// Options of [`summarise`].
+pub struct SummaryOptions {
     pub by: Option<GroupBy>,
     pub interval: i64,
     pub percentiles: bool,
@@ -256,11 +263,11 @@
 fn summary_json(summary: &Summary) -> Value {
     let parts: serde_json::Map<String, Value> =
         summary.groups.iter().map(|(name, sums)| (name.trim().to_owned(), sums_json(sums))).collect();
-    let times = |t: &puffinladder_trace::summary::DurationHistogram| json!({"count": t.0.len(), "p50": t.percentile(50.0), "p90": t.percentile(90.0), "p99": t.percentile(99.0), "p999": t.percentile(99.9), "max": t.0.max()});
-    json!({"total": sums_json(&summary.total), "parts": parts, "wait_us": times(&summary.waits), "run_us": times(&summary.runs)})
+    let percentiles = |t: &puffinladder_trace::summary::DurationHistogram| json!({"count": t.0.len(), "p50": t.percentile(50.0), "p90": t.percentile(90.0), "p99": t.percentile(99.0), "p999": t.percentile(99.9), "max": t.0.max()});
+    json!({"total": sums_json(&summary.total), "parts": parts, "wait_us": percentiles(&summary.waits), "run_us": percentiles(&summary.runs)})
 }
 
-fn line(out: &mut impl Write, name: &str, sums: &Totals) -> io::Result<()> {
+fn write_sums(out: &mut impl Write, name: &str, sums: &Totals) -> io::Result<()> {
     let Totals { requests, settled, in_sla, declined, voided, gone, requested_value, value_in_sla } = sums;
     writeln!(
         out,
@@ -269,22 +276,31 @@
     )
 }
 
-pub fn summarise(file: &str, which: &Which, asked: &Asked) -> Done {
-    which.expr()?;
+/// Prints sums and percentiles of the selected txns.
+pub fn summarise(file: &str, filter: &RowFilter, options: &SummaryOptions) -> CommandResult {
+    filter.expr()?;
     let mut trace = open(file)?;
-    let choice = which.choice(begin(&trace))?;
+    let choice = filter.choice(begin(&trace))?;
     let mut names = Names::default();
-    let bar = bar("summing up");
-    let (summary, seen) =
-        sum(&mut trace, &mut names, &choice, asked.by, asked.interval, asked.percentiles, &mut step(&bar))?;
-    damage(file, &seen.damage);
-    if let Some(path) = &asked.svg {
+    let bar = progress_bar("summing up");
+    let (summary, result) = summarise_trace(
+        &mut trace,
+        &mut names,
+        &choice,
+        options.by,
+        options.interval,
+        options.percentiles,
+        &mut progress_callback(&bar),
+    )?;
+    print_damage(file, &result.damage);
+    if let Some(path) = &options.svg {
         let by = Some(GroupBy::Interval);
-        let (lines, _) = sum(&mut trace, &mut names, &choice, by, asked.interval, false, &mut |_, _| {})?;
-        plot::value_by_interval(path, file, &lines, asked.interval)?;
+        let (lines, _) =
+            summarise_trace(&mut trace, &mut names, &choice, by, options.interval, false, &mut |_, _| {})?;
+        plot::value_by_interval(path, file, &lines, options.interval)?;
     }
     let mut out = BufWriter::new(io::stdout().lock());
-    if asked.json {
+    if options.json {
         writeln!(out, "{}", summary_json(&summary))?;
         out.flush()?;
         return Ok(());
@@ -294,16 +310,16 @@
         "{:<28} {:>9} {:>9} {:>9} {:>9} {:>7} {:>7} {:>11} {:>11} {:>6}",
         "", "asked", "settled", "in SLA", "declined", "voided", "gone", "value", "in SLA", "kept"
     )?;
-    line(&mut out, "all", &summary.total)?;
+    write_sums(&mut out, "all", &summary.total)?;
     for (name, sums) in &summary.groups {
-        line(&mut out, name, sums)?;
+        write_sums(&mut out, name, sums)?;
     }
-    if asked.percentiles {
-        for (what, times) in [("wait", &summary.waits), ("run", &summary.runs)] {
+    if options.percentiles {
+        for (label, times) in [("wait", &summary.waits), ("run", &summary.runs)] {
             let at = |p| span(times.percentile(p));
             writeln!(
                 out,
-                "{what:<5} p50 {} p90 {} p99 {} p99.9 {} most {} of {} txns",
+                "{label:<5} p50 {} p90 {} p99 {} p99.9 {} most {} of {} txns",
                 at(50.0),
                 at(90.0),
                 at(99.0),
@@ -317,20 +333,28 @@
     Ok(())
 }
 
-pub fn diff(files: [&str; 2], which: &Which, by: GroupBy, as_json: bool) -> Done {
-    which.expr()?;
-    let mut both = Vec::new();
+/// Prints the sums and percentiles of two traces side by side.
+pub fn diff(files: [&str; 2], filter: &RowFilter, by: GroupBy, as_json: bool) -> CommandResult {
+    filter.expr()?;
+    let mut summaries = Vec::new();
     for file in files {
         let mut trace = open(file)?;
-        let choice = which.choice(begin(&trace))?;
-        let bar = bar(file);
+        let choice = filter.choice(begin(&trace))?;
+        let bar = progress_bar(file);
         let mut names = Names::default();
-        let (summary, seen) =
-            sum(&mut trace, &mut names, &choice, Some(by), 60_000_000, true, &mut step(&bar))?;
-        damage(file, &seen.damage);
-        both.push(summary);
+        let (summary, result) = summarise_trace(
+            &mut trace,
+            &mut names,
+            &choice,
+            Some(by),
+            60_000_000,
+            true,
+            &mut progress_callback(&bar),
+        )?;
+        print_damage(file, &result.damage);
+        summaries.push(summary);
     }
-    let (before, after) = (&both[0], &both[1]);
+    let (before, after) = (&summaries[0], &summaries[1]);
     let mut out = BufWriter::new(io::stdout().lock());
     if as_json {
         writeln!(out, "{}", json!({"before": summary_json(before), "after": summary_json(after)}))?;
@@ -342,8 +366,8 @@
         "{:<28} {:>10} {:>10} {:>8}   {:>9} {:>9} {:>8}   {:>6} {:>6} {:>7}",
         "", "asked", "then", "", "declined", "then", "", "kept", "then", ""
     )?;
-    let mut line = |name: &str, a: &Totals, b: &Totals| {
-        let share = |a: u64, b: u64| match (a, b) {
+    let mut write_row = |name: &str, a: &Totals, b: &Totals| {
+        let change = |a: u64, b: u64| match (a, b) {
             (0, 0) => "=".to_owned(),
             (0, _) => "new".to_owned(),
             _ => format!("{:+.1}%", (b as f64 / a as f64 - 1.0) * 100.0),
@@ -353,24 +377,24 @@
             "{name:<28} {:>10} {:>10} {:>8}   {:>9} {:>9} {:>8}   {:>6.3} {:>6.3} {:>+7.3}",
             a.requests,
             b.requests,
-            share(a.requests, b.requests),
+            change(a.requests, b.requests),
             a.declined,
             b.declined,
-            share(a.declined, b.declined),
+            change(a.declined, b.declined),
             a.value_share(),
             b.value_share(),
             b.value_share() - a.value_share()
         )
     };
-    line("all", &before.total, &after.total)?;
-    let all: BTreeSet<&String> = before.groups.keys().chain(after.groups.keys()).collect();
+    write_row("all", &before.total, &after.total)?;
+    let keys: BTreeSet<&String> = before.groups.keys().chain(after.groups.keys()).collect();
     let none = Totals::default();
-    for name in all {
-        line(name, before.groups.get(name).unwrap_or(&none), after.groups.get(name).unwrap_or(&none))?;
+    for name in keys {
+        write_row(name, before.groups.get(name).unwrap_or(&none), after.groups.get(name).unwrap_or(&none))?;
     }
-    for (what, a, b) in [("wait", &before.waits, &after.waits), ("run", &before.runs, &after.runs)] {
+    for (label, a, b) in [("wait", &before.waits, &after.waits), ("run", &before.runs, &after.runs)] {
         for p in [50.0, 99.0, 99.9] {
-            writeln!(out, "{what} p{p}: {} then {}", span(a.percentile(p)), span(b.percentile(p)))?;
+            writeln!(out, "{label} p{p}: {} then {}", span(a.percentile(p)), span(b.percentile(p)))?;
         }
     }
     out.flush()?;
--- a/crates/cli/src/trace/view.rs
+++ b/crates/cli/src/trace/view.rs
@@ -1,8 +1,8 @@
-//! `trace view`: a time line of what was settled and declined; from an interval to its txns, from a txn to its life.
+//! `trace view`: a time line of settled and declined txns, the txns of an interval, and the details of a txn.
 
-use super::ask::{date, row_text, span};
 use super::input::{open, Opened};
-use crate::say::{Done, Wrong};
+use super::query::{date, row_text, span};
+use crate::terminal::{CommandError, CommandResult};
 use puffinladder_trace::expr::{self, Expr};
 use puffinladder_trace::row::{Names, Note, Row};
 use puffinladder_trace::summary::Totals;
@@ -15,73 +15,76 @@
 use ratatui::Frame;
 use std::ops::ControlFlow;
 
-/// Intervals of the time line, and txns of one that are shown.
+/// Intervals of the time line.
 const INTERVALS: i64 = 120;
-const MOST_ROWS: usize = 20_000;
+/// Most txns shown of an interval.
+const MAX_ROWS: usize = 20_000;
 
+/// Levels of the view, from the whole trace to one txn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Level {
-    Times,
-    Txns,
-    Life,
+    Timeline,
+    Requests,
+    Detail,
 }
 
-/// What a key asks for that needs the file.
+/// Effect of a key outside of [`ViewState`].
 #[derive(Clone, Debug, PartialEq)]
-enum Wish {
-    Nothing,
-    End,
-    /// Read the time line anew, with this filter.
-    Times(Expr),
-    /// Read the txns of the chosen interval.
-    Txns,
+enum Action {
+    None,
+    Quit,
+    /// Reads the time line with this filter.
+    ReadTimeline(Expr),
+    /// Reads the txns of the selected interval.
+    ReadRequests,
 }
 
-/// Where the one who looks stands. Knows no terminal and no file.
-struct State {
+/// Position in the view, independent of terminal and file.
+struct ViewState {
     level: Level,
-    /// Chosen places: of the interval, of the txn, first line shown of a life.
+    /// Selected line of each level.
     at: [usize; 3],
-    /// How many there are to choose from.
+    /// Number of lines of each level.
     count: [usize; 3],
     page: usize,
-    /// The filter as text, and what is being typed.
+    /// Active filter, as text.
     filter: String,
+    /// Filter being typed.
     typing: Option<String>,
-    fault: String,
+    error: String,
 }
 
-impl State {
-    fn new() -> State {
-        State {
-            level: Level::Times,
+impl ViewState {
+    fn new() -> ViewState {
+        ViewState {
+            level: Level::Timeline,
             at: [0; 3],
             count: [0; 3],
             page: 10,
             filter: String::new(),
             typing: None,
-            fault: String::new(),
+            error: String::new(),
         }
     }
 
-    fn go(&mut self, by: isize) {
+    fn move_by(&mut self, by: isize) {
         let level = self.level as usize;
-        let most = self.count[level].saturating_sub(1);
-        self.at[level] = self.at[level].saturating_add_signed(by).min(most);
+        let last = self.count[level].saturating_sub(1);
+        self.at[level] = self.at[level].saturating_add_signed(by).min(last);
     }
 
-    fn key(&mut self, key: KeyCode) -> Wish {
+    fn key(&mut self, key: KeyCode) -> Action {
         if let Some(mut text) = self.typing.take() {
             match key {
-                KeyCode::Esc => self.fault.clear(),
+                KeyCode::Esc => self.error.clear(),
                 KeyCode::Enter => match expr::parse(&text) {
                     Ok(parsed) => {
-                        (self.filter, self.level) = (text, Level::Times);
-                        self.fault.clear();
-                        return Wish::Times(parsed);
+                        (self.filter, self.level) = (text, Level::Timeline);
+                        self.error.clear();
+                        return Action::ReadTimeline(parsed);
                     }
-                    Err(wrong) => {
-                        self.fault = wrong.to_string();
+                    Err(error) => {
+                        self.error = error.to_string();
                         self.typing = Some(text);
                     }
                 },
@@ -95,34 +98,34 @@
                 }
                 _ => self.typing = Some(text),
             }
-            return Wish::Nothing;
+            return Action::None;
         }
         let page = self.page.max(1) as isize;
         match key {
-            KeyCode::Char('q') => return Wish::End,
-            KeyCode::Down | KeyCode::Char('j') => self.go(1),
-            KeyCode::Up | KeyCode::Char('k') => self.go(-1),
-            KeyCode::PageDown | KeyCode::Char(' ') => self.go(page),
-            KeyCode::PageUp => self.go(-page),
-            KeyCode::Home | KeyCode::Char('g') => self.go(isize::MIN / 2),
-            KeyCode::End | KeyCode::Char('G') => self.go(isize::MAX / 2),
+            KeyCode::Char('q') => return Action::Quit,
+            KeyCode::Down | KeyCode::Char('j') => self.move_by(1),
+            KeyCode::Up | KeyCode::Char('k') => self.move_by(-1),
+            KeyCode::PageDown | KeyCode::Char(' ') => self.move_by(page),
+            KeyCode::PageUp => self.move_by(-page),
+            KeyCode::Home | KeyCode::Char('g') => self.move_by(isize::MIN / 2),
+            KeyCode::End | KeyCode::Char('G') => self.move_by(isize::MAX / 2),
             KeyCode::Char('/') => self.typing = Some(self.filter.clone()),
             KeyCode::Enter | KeyCode::Right | KeyCode::Char('l') => match self.level {
-                Level::Times if self.count[0] > 0 => {
-                    (self.level, self.at[1]) = (Level::Txns, 0);
-                    return Wish::Txns;
+                Level::Timeline if self.count[0] > 0 => {
+                    (self.level, self.at[1]) = (Level::Requests, 0);
+                    return Action::ReadRequests;
                 }
-                Level::Txns if self.count[1] > 0 => (self.level, self.at[2]) = (Level::Life, 0),
+                Level::Requests if self.count[1] > 0 => (self.level, self.at[2]) = (Level::Detail, 0),
                 _ => {}
             },
             KeyCode::Esc | KeyCode::Left | KeyCode::Char('h') | KeyCode::Backspace => match self.level {
-                Level::Times => {}
-                Level::Txns => self.level = Level::Times,
-                Level::Life => self.level = Level::Txns,
+                Level::Timeline => {}
+                Level::Requests => self.level = Level::Timeline,
+                Level::Detail => self.level = Level::Requests,
             },
             _ => {}
         }
-        Wish::Nothing
+        Action::None
     }
 }
 
@@ -130,36 +133,36 @@
     trace: Opened,
     name: String,
     names: Names,
-    state: State,
+    state: ViewState,
     expr: Expr,
     begin: i64,
     interval: i64,
-    /// Of each interval: its sums, whether anything is in it or not.
-    times: Vec<Totals>,
+    /// Totals of each interval.
+    intervals: Vec<Totals>,
     rows: Vec<Row>,
     notes: Vec<Note>,
 }
 
 impl App {
-    fn new(name: &str) -> Done<App> {
+    fn new(name: &str) -> CommandResult<App> {
         let mut trace = open(name)?;
         let (begin, end) = trace.time_range().unwrap_or((0, 0));
         let mut names = Names::default();
-        let mut lost = Vec::new();
-        let notes = notes(&mut trace, &mut names, &Selection::default(), &mut lost)?;
+        let mut damage = Vec::new();
+        let notes = notes(&mut trace, &mut names, &Selection::default(), &mut damage)?;
         let mut app = App {
             trace,
             name: name.to_owned(),
             names,
-            state: State::new(),
+            state: ViewState::new(),
             expr: Expr::All,
             begin,
             interval: ((end - begin) / INTERVALS + 1).max(1_000),
-            times: Vec::new(),
+            intervals: Vec::new(),
             rows: Vec::new(),
             notes,
         };
-        app.read_times()?;
+        app.read_timeline()?;
         Ok(app)
     }
 
@@ -167,33 +170,33 @@
         Selection { from, to, expr: self.expr.clone() }
     }
 
-    fn read_times(&mut self) -> Done {
+    fn read_timeline(&mut self) -> CommandResult {
         let choice = self.choice(i64::MIN, i64::MAX);
-        let mut times = vec![Totals::default(); INTERVALS as usize];
+        let mut intervals = vec![Totals::default(); INTERVALS as usize];
         let (begin, interval) = (self.begin, self.interval);
         scan(&mut self.trace, &mut self.names, &choice, &mut |_, _| {}, |row, names| {
             let at = ((row.read - begin) / interval).clamp(0, INTERVALS - 1) as usize;
             let (step, value) =
                 (names.path(row.path).disposition().step(), row.value(names.product(row.product)));
-            times[at].add(step, 1, value);
+            intervals[at].add(step, 1, value);
             ControlFlow::Continue(())
         })?;
-        while times.last().is_some_and(|sums| sums.requests == 0) {
-            times.pop();
+        while intervals.last().is_some_and(|sums| sums.requests == 0) {
+            intervals.pop();
         }
-        self.state.count[0] = times.len();
-        self.state.at[0] = self.state.at[0].min(times.len().saturating_sub(1));
-        self.times = times;
+        self.state.count[0] = intervals.len();
+        self.state.at[0] = self.state.at[0].min(intervals.len().saturating_sub(1));
+        self.intervals = intervals;
         Ok(())
     }
 
-    fn read_txns(&mut self) -> Done {
+    fn read_requests(&mut self) -> CommandResult {
         let from = self.begin + self.state.at[0] as i64 * self.interval;
         let choice = self.choice(from, from + self.interval);
         let mut rows = Vec::new();
         scan(&mut self.trace, &mut self.names, &choice, &mut |_, _| {}, |row, _| {
             rows.push(row.clone());
-            if rows.len() < MOST_ROWS {
+            if rows.len() < MAX_ROWS {
                 ControlFlow::Continue(())
             } else {
                 ControlFlow::Break(())
@@ -205,15 +208,15 @@
         Ok(())
     }
 
-    fn wish(&mut self, wish: Wish) -> Done<bool> {
-        match wish {
-            Wish::Nothing => {}
-            Wish::End => return Ok(false),
-            Wish::Times(expr) => {
+    fn apply(&mut self, action: Action) -> CommandResult<bool> {
+        match action {
+            Action::None => {}
+            Action::Quit => return Ok(false),
+            Action::ReadTimeline(expr) => {
                 self.expr = expr;
-                self.read_times()?;
+                self.read_timeline()?;
             }
-            Wish::Txns => self.read_txns()?,
+            Action::ReadRequests => self.read_requests()?,
         }
         Ok(true)
     }
@@ -223,15 +226,15 @@
         let [top, middle, bottom] = parts.areas(frame.area());
         let height = usize::from(middle.height.saturating_sub(2));
         self.state.page = height;
-        let total = self.times.iter().map(|sums| sums.requests).sum::<u64>();
+        let total = self.intervals.iter().map(|sums| sums.requests).sum::<u64>();
         let filter = if self.state.filter.is_empty() { "all" } else { &self.state.filter };
         let sealed = if self.trace.sealed { "" } else { " (not sealed)" };
         let head = format!("{}{sealed}  {total} txns  filter: {filter}", self.name);
         frame.render_widget(Paragraph::new(head).style(Style::new().add_modifier(Modifier::BOLD)), top);
         let (title, lines, chosen) = match self.state.level {
-            Level::Times => self.time_lines(usize::from(middle.width)),
-            Level::Txns => self.txn_lines(),
-            Level::Life => self.life_lines(),
+            Level::Timeline => self.timeline_lines(usize::from(middle.width)),
+            Level::Requests => self.request_lines(),
+            Level::Detail => self.detail_lines(),
         };
         let first = chosen.saturating_sub(height.saturating_sub(1));
         let mark = Style::new().add_modifier(Modifier::REVERSED);
@@ -244,20 +247,20 @@
             .collect();
         frame.render_widget(Paragraph::new(lines).block(Block::bordered().title(title)), middle);
         let below = match &self.state.typing {
-            Some(text) if self.state.fault.is_empty() => {
-                format!("filter: {text}_   enter takes it, esc leaves it")
+            Some(text) if self.state.error.is_empty() => {
+                format!("filter: {text}_   enter: apply   esc: cancel")
             }
-            Some(text) => format!("filter: {text}_   {}", self.state.fault),
-            None => "arrows or j k: move   enter: in   esc: out   /: filter   q: end".into(),
+            Some(text) => format!("filter: {text}_   {}", self.state.error),
+            None => "arrows or j k: move   enter: open   esc: back   /: filter   q: quit".into(),
         };
         frame.render_widget(Paragraph::new(below).style(Style::new().fg(Color::DarkGray)), bottom);
     }
 
-    fn time_lines(&self, width: usize) -> (String, Vec<Line<'static>>, usize) {
-        let most = self.times.iter().map(|sums| sums.requests).max().unwrap_or(1).max(1);
+    fn timeline_lines(&self, width: usize) -> (String, Vec<Line<'static>>, usize) {
+        let max = self.intervals.iter().map(|sums| sums.requests).max().unwrap_or(1).max(1);
         let room = width.saturating_sub(44).max(8);
-        let lines = self.times.iter().enumerate().map(|(at, sums)| {
-            let cells = |count: u64| (count as usize * room).div_ceil(most as usize);
+        let lines = self.intervals.iter().enumerate().map(|(at, sums)| {
+            let cells = |count: u64| (count as usize * room).div_ceil(max as usize);
             let (settled, declined) = (cells(sums.in_sla), cells(sums.declined));
             let rest = cells(sums.requests).saturating_sub(settled + declined);
             Line::from(vec![
@@ -277,7 +280,7 @@
         (title, lines.collect(), self.state.at[0])
     }
 
-    fn txn_lines(&self) -> (String, Vec<Line<'static>>, usize) {
+    fn request_lines(&self) -> (String, Vec<Line<'static>>, usize) {
         let lines = self.rows.iter().map(|row| {
             let path = self.names.path(row.path);
             let disposition = path.disposition().step();
@@ -298,11 +301,11 @@
                 Span::styled(disposition.text(), Style::new().fg(color)),
             ])
         });
-        let more = if self.rows.len() >= MOST_ROWS { " and more" } else { "" };
+        let more = if self.rows.len() >= MAX_ROWS { " and more" } else { "" };
         (format!(" {}{more} txns ", self.rows.len()), lines.collect(), self.state.at[1])
     }
 
-    fn life_lines(&mut self) -> (String, Vec<Line<'static>>, usize) {
+    fn detail_lines(&mut self) -> (String, Vec<Line<'static>>, usize) {
         let Some(row) = self.rows.get(self.state.at[1]) else { return (String::new(), Vec::new(), 0) };
         let path = self.names.path(row.path);
         let terms = self.names.product(row.product);
@@ -327,7 +330,7 @@
                 f64::from(row.rank) / 64.0
             )),
             Line::from(""),
-            Line::from(format!("{:>12}  lay unread before it was read", span(row.unread.into()))),
+            Line::from(format!("{:>12}  unread before the server read it", span(row.unread.into()))),
         ];
         let mut at = 0u64;
         for (step, took) in path.steps().zip(&row.spans) {
@@ -335,38 +338,38 @@
             lines.push(Line::from(format!("{:>12}  {}", span(at), step.text())));
         }
         if row.keep_off > 0 {
-            lines.push(Line::from(format!("{:>12}  told to keep off for {} ms", "", row.keep_off)));
+            lines.push(Line::from(format!("{:>12}  Retry-After of {} ms", "", row.keep_off)));
         }
         lines.push(Line::from(""));
-        let state = self.notes.iter().rfind(|note| note.at <= row.read && note.topic.text() == "limit");
-        if let Some(note) = state {
-            lines.push(Line::from(format!("limit then {}", note.value)));
+        let limit = self.notes.iter().rfind(|note| note.at <= row.read && note.topic.text() == "limit");
+        if let Some(note) = limit {
+            lines.push(Line::from(format!("limit at that time {}", note.value)));
         }
         lines.push(Line::from(row_text(row, &self.names)));
         self.state.count[2] = lines.len();
-        (" one txn's life ".into(), lines, self.state.at[2])
+        (" details of one txn ".into(), lines, self.state.at[2])
     }
 }
 
-pub fn view(file: &str) -> Done {
+pub fn view(file: &str) -> CommandResult {
     let mut app = App::new(file)?;
-    // Sets a hook that gives the terminal back on a panic, too.
-    let mut terminal = ratatui::try_init().map_err(|e| Wrong::Failed(format!("no terminal: {e}")))?;
-    let looked = look(&mut app, &mut terminal);
+    // Also installs a panic hook that restores the terminal.
+    let mut terminal = ratatui::try_init().map_err(|e| CommandError::Failed(format!("no terminal: {e}")))?;
+    let result = run_event_loop(&mut app, &mut terminal);
     ratatui::restore();
-    looked
+    result
 }
 
-fn look(app: &mut App, terminal: &mut ratatui::DefaultTerminal) -> Done {
+fn run_event_loop(app: &mut App, terminal: &mut ratatui::DefaultTerminal) -> CommandResult {
     loop {
         terminal.draw(|frame| app.draw(frame))?;
         let Event::Key(key) = event::read()? else { continue };
         if key.kind == KeyEventKind::Release {
             continue;
         }
-        let ends = key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c');
-        let wish = if ends { Wish::End } else { app.state.key(key.code) };
-        if !app.wish(wish)? {
+        let interrupted = key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c');
+        let action = if interrupted { Action::Quit } else { app.state.key(key.code) };
+        if !app.apply(action)? {
             return Ok(());
         }
     }
--- a/crates/cli/src/trace/view/tests.rs
+++ b/crates/cli/src/trace/view/tests.rs
@@ -4,8 +4,8 @@
 
 fn press(app: &mut App, keys: &[KeyCode]) {
     for key in keys {
-        let wish = app.state.key(*key);
-        assert!(app.wish(wish).is_ok_and(|goes_on| goes_on));
+        let action = app.state.key(*key);
+        assert!(app.apply(action).is_ok_and(|running| running));
     }
 }
 
@@ -17,19 +17,22 @@
 }
 
 #[test]
-fn from_the_time_line_to_one_txn_s_life_and_back_with_a_filter() {
+fn navigates_from_time_line_to_details_and_applies_filter() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("a.trace").display().to_string();
-    let told = puffinladder_trace::synth::SynthConfig { span: 400.0, rate: 20.0, ..Default::default() };
-    assert!(super::super::make::synth(&told, 2, &path).is_ok());
+    let config = puffinladder_trace::synth::SynthConfig { span: 400.0, rate: 20.0, ..Default::default() };
+    assert!(super::super::make::synth(&config, 2, &path).is_ok());
     let mut app = App::new(&path).unwrap_or_else(|_| panic!("a trace that opens"));
     let all = screen(&mut app);
     assert!(all.contains("value kept by") && all.contains("asked"), "{all}");
     press(&mut app, &[KeyCode::Down, KeyCode::Enter]);
     assert!(screen(&mut app).contains("wait"));
     press(&mut app, &[KeyCode::Enter]);
-    let life = screen(&mut app);
-    assert!(life.contains("one txn's life") && life.contains("lay unread"), "{life}");
+    let details = screen(&mut app);
+    assert!(
+        details.contains("details of one txn") && details.contains("unread before the server read it"),
+        "{details}"
+    );
     press(&mut app, &[KeyCode::Esc, KeyCode::Esc, KeyCode::Char('/')]);
     press(&mut app, &"declined und".chars().map(KeyCode::Char).collect::<Vec<_>>());
     press(&mut app, &[KeyCode::Enter]);
--- a/crates/cli/tests/capacity.rs
+++ b/crates/cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page and its command, as somebody at a terminal meets them.
+//! `capacity plan` and `capacity check` on the repository's page and on changed copies.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -17,11 +17,11 @@
         .unwrap()
 }
 
-fn said(out: &Output) -> String {
+fn stderr(out: &Output) -> String {
     String::from_utf8_lossy(&out.stderr).into_owned()
 }
 
-/// A copy of the checkout's page, plan and points that a test may spoil.
+/// Copies the checkout's page, plan and points to a folder that a test may change.
 fn copy() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     for file in ["docs/CAPACITY.md", "docs/capacity/points.json", "deploy/capacity.scm"] {
@@ -32,7 +32,7 @@
     folder
 }
 
-/// Series of one role along servers, linear in both measures.
+/// Returns a series of one role along `servers`, linear in both measures.
 fn points(slope: f64) -> String {
     let point = |n: f64| {
         format!(
@@ -47,22 +47,22 @@
     format!("{{\"points\": [{}]}}", all.join(", "))
 }
 
-/// The page of this checkout says what its plan and its points say. Red: `puffinladder capacity plan --write docs/CAPACITY.md`.
+/// On failure, refresh the page with `puffinladder capacity plan --write docs/CAPACITY.md`.
 #[test]
-fn the_pages_tables_are_what_the_plan_prints() {
+fn page_matches_plan_and_points() {
     let out = run(&root(), "check");
-    assert!(out.status.success(), "{}", said(&out));
+    assert!(out.status.success(), "{}", stderr(&out));
 }
 
 #[test]
-fn a_figure_that_was_changed_by_hand_is_found_wherever_it_stands() {
+fn check_finds_each_changed_figure() {
     let folder = copy();
     let page = folder.path().join("docs/CAPACITY.md");
-    let sound = std::fs::read_to_string(&page).unwrap();
+    let original = std::fs::read_to_string(&page).unwrap();
     assert!(run(folder.path(), "check").status.success());
     let mut inside = false;
     let mut figures = Vec::new();
-    for (at, line) in sound.lines().enumerate() {
+    for (at, line) in original.lines().enumerate() {
         if line.starts_with("<!-- ") {
             inside = line.starts_with("<!-- capacity");
             continue;
@@ -73,48 +73,52 @@
         }
     }
     assert!(figures.len() > 20, "only {} lines with figures", figures.len());
-    // A dozen of them over the whole page: each is a process.
+    // A dozen over the whole page, since each check is a process.
     for &(at, line, digit) in figures.iter().step_by(figures.len() / 12) {
         let other = if &line[digit..=digit] == "7" { "8" } else { "7" };
         let changed = format!("{}{other}{}", &line[..digit], &line[digit + 1..]);
         let lines: Vec<&str> =
-            sound.lines().enumerate().map(|(k, l)| if k == at { &changed } else { l }).collect();
+            original.lines().enumerate().map(|(k, l)| if k == at { &changed } else { l }).collect();
         std::fs::write(&page, lines.join("\n") + "\n").unwrap();
         let out = run(folder.path(), "check");
         assert_eq!(out.status.code(), Some(1), "line {}: {line}", at + 1);
-        assert!(said(&out).contains(&format!("docs/CAPACITY.md:{}: block ", at + 1)), "{}", said(&out));
+        assert!(stderr(&out).contains(&format!("docs/CAPACITY.md:{}: block ", at + 1)), "{}", stderr(&out));
     }
 }
 
 #[test]
-fn new_points_make_the_check_red_until_the_page_is_written_anew() {
+fn new_points_fail_the_check_until_the_page_is_written() {
     let folder = copy();
     let at = folder.path();
     std::fs::write(at.join("docs/capacity/points.json"), points(0.001)).unwrap();
     assert_eq!(run(at, "check").status.code(), Some(1));
     let out = run(at, "plan --write docs/CAPACITY.md");
-    assert!(out.status.success() && out.stdout.is_empty(), "{}", said(&out));
+    assert!(out.status.success() && out.stdout.is_empty(), "{}", stderr(&out));
     assert!(run(at, "check").status.success());
     let page = std::fs::read_to_string(at.join("docs/CAPACITY.md")).unwrap();
     let line =
         page.lines().find(|line| line.starts_with("| steward-turns |") && line.contains("| cpu |")).unwrap();
     assert!(line.contains("| 0.73 cores |") && line.contains("a + b·servers"), "{line}");
     let prose = std::fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap();
-    let kept = "## How to refresh them";
-    assert_eq!(page.split(kept).nth(1).unwrap(), prose.split(kept).nth(1).unwrap(), "prose stays as it is");
-    // Another slope and another plan give other tables.
-    let told = |line: &str| String::from_utf8(run(at, line).stdout).unwrap();
-    let first = told("plan");
+    let heading = "## How to refresh them";
+    assert_eq!(
+        page.split(heading).nth(1).unwrap(),
+        prose.split(heading).nth(1).unwrap(),
+        "the prose must not change"
+    );
+    // A different slope and a different plan give different tables.
+    let stdout = |line: &str| String::from_utf8(run(at, line).stdout).unwrap();
+    let first = stdout("plan");
     std::fs::write(at.join("other.json"), points(0.002)).unwrap();
-    assert_ne!(first, told("plan --points other.json"));
+    assert_ne!(first, stdout("plan --points other.json"));
     let plan = std::fs::read_to_string(at.join("deploy/capacity.scm")).unwrap();
     std::fs::write(at.join("other.scm"), plan.replace("(servers 730)", "(servers 500)")).unwrap();
-    assert_ne!(first, told("plan other.scm"));
-    assert_eq!(first, told("plan deploy/capacity.scm"));
+    assert_ne!(first, stdout("plan other.scm"));
+    assert_eq!(first, stdout("plan deploy/capacity.scm"));
 }
 
 #[test]
-fn what_is_wrong_with_a_file_is_said_with_its_place_and_the_page_stays_as_it_was() {
+fn file_errors_name_their_place_and_leave_the_page() {
     let folder = copy();
     let at = folder.path();
     let page = std::fs::read_to_string(at.join("docs/CAPACITY.md")).unwrap();
@@ -136,8 +140,8 @@
         ("plan --points deploy/capacity.scm", 1, "deploy/capacity.scm: is not JSON"),
     ] {
         let out = run(at, line);
-        assert_eq!(out.status.code(), Some(status), "{line}: {}", said(&out));
-        assert!(said(&out).contains(wanted), "{line}: {}", said(&out));
+        assert_eq!(out.status.code(), Some(status), "{line}: {}", stderr(&out));
+        assert!(stderr(&out).contains(wanted), "{line}: {}", stderr(&out));
     }
     assert_eq!(std::fs::read_to_string(at.join("docs/CAPACITY.md")).unwrap(), page);
 }
