--- a/crates/server/src/dispatcher/decisions.rs
+++ b/crates/server/src/dispatcher/decisions.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    fn reject(&mut self, id: u32, retry_after: f64, last: bool, reason: Reason) {
-        remove_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, last, reason });
+    fn reject(&mut self, id: u32, retry_after: f64, do_not_forward: bool, reason: Reason) {
+        remove_unrun(self.in_flight, self.keys, id, Event::Reject { retry_after, do_not_forward, reason });
     }
 
     fn fail(&mut self, id: u32, reason: Reason) {
@@ -80,17 +80,17 @@
         self.send(id, Event::Pause);
     }
 
-    fn allow_call(&mut self, id: u32, limit: f64) {
-        self.send(id, Event::Call { limit });
+    fn allow_call(&mut self, id: u32, timeout: f64) {
+        self.send(id, Event::Call { limit: timeout });
     }
 
     fn skip_call(&mut self, id: u32) {
         self.send(id, Event::SkipCall);
     }
 
-    fn remember_key(&mut self, id: u32, span: f64) {
+    fn remember_key(&mut self, id: u32, duration: f64) {
         if let Some(key) = self.in_flight.get_mut(id).and_then(|request| request.key) {
-            self.keys.extend(&key, id, self.now + span);
+            self.keys.extend(&key, id, self.now + duration);
         }
     }
 
@@ -105,22 +105,22 @@
         self.send(id, Event::Replay);
     }
 
-    fn set_health(&mut self, healthy: bool, _stored: bool) {
-        self.published.set_healthy(healthy);
-        self.log.record_health(self.now, healthy);
+    fn set_health(&mut self, is_healthy: bool, _is_cacheable: bool) {
+        self.published.set_healthy(is_healthy);
+        self.log.record_health(self.now, is_healthy);
     }
 
-    fn set_load_signal(&mut self, amount: f64) {
-        self.published.set_load_signal(amount);
-        self.log.record_change(self.now, Topic::SIGNAL, amount);
+    fn set_load_signal(&mut self, signal: f64) {
+        self.published.set_load_signal(signal);
+        self.log.record_change(self.now, Topic::SIGNAL, signal);
     }
 
-    fn set_keepalive(&mut self, span: f64) {
-        *self.keepalive = span;
+    fn set_keepalive(&mut self, timeout: f64) {
+        *self.keepalive = timeout;
     }
 
-    fn schedule_tick(&mut self, after: f64) {
-        *self.tick_at = self.now + after;
+    fn schedule_tick(&mut self, delay: f64) {
+        *self.tick_at = self.now + delay;
     }
 
     fn record_limits(&mut self, runs: f64, calls: f64, pressure: f64) {
--- a/crates/server/src/ingress/listener.rs
+++ b/crates/server/src/ingress/listener.rs
@@ -41,7 +41,7 @@
                 Err(error) => {
                     // The process may be out of descriptors: closing a connection frees one.
                     tracing::warn!("listener: accept failed: {error}");
-                    connections.close_idlest();
+                    connections.evict_idle_connection();
                     self.housekeeping.wait();
                 }
             }
@@ -56,7 +56,7 @@
         if connections.is_full() || excess > limits.closing_allowance {
             return false;
         }
-        excess == 0 || connections.close_idlest()
+        excess == 0 || connections.evict_idle_connection()
     }
 
     fn start_session(&self, serial: usize, stream: TcpStream) {
--- a/crates/server/src/ingress/tests.rs
+++ b/crates/server/src/ingress/tests.rs
@@ -42,7 +42,7 @@
     let connection = session.connection.clone();
     // The close is requested before the session reads the request. Closing after the read would lose the request, or run
     // it twice when the gateway resends it.
-    assert!(server.connections.close_idlest());
+    assert!(server.connections.evict_idle_connection());
     gateway.write_all(&request()).unwrap();
     let serving = may::go!(move || session.serve(&stream));
     while connection.state().open_requests.is_empty() && server.connections.count() > 0 {
@@ -60,7 +60,7 @@
 #[test]
 fn discards_messages_after_close_without_reset() {
     let (server, session, stream, mut gateway) = served_connection();
-    assert!(server.connections.close_idlest());
+    assert!(server.connections.evict_idle_connection());
     let serving = may::go!(move || session.serve(&stream));
     let mut bytes = [0; 16];
     assert_eq!(gateway.read(&mut bytes).unwrap(), 0, "FIN is sent first");
@@ -81,19 +81,17 @@
     lock(&connections.closing).extend([session.connection.clone(), other.connection.clone()]);
     connections.descriptors.store(max - 1, Ordering::Relaxed);
     assert!(
-        connections.reserve_descriptor() && connections.is_closing(&session.connection),
+        connections.may_accept() && connections.is_closing(&session.connection),
         "no connection ends while a descriptor is free"
     );
     connections.descriptors.store(max, Ordering::Relaxed);
-    assert!(!connections.reserve_descriptor());
+    assert!(!connections.may_accept());
     assert!(!connections.is_closing(&session.connection) && connections.is_closing(&other.connection));
-    assert!(!connections.reserve_descriptor() && !connections.is_closing(&other.connection));
+    assert!(!connections.may_accept() && !connections.is_closing(&other.connection));
     // With no closing connection left, the idle one is asked to close. A busy one is not, and the new one is rejected.
-    assert!(
-        !connections.reserve_descriptor() && std::mem::take(&mut session.connection.state().close_requested)
-    );
+    assert!(!connections.may_accept() && std::mem::take(&mut session.connection.state().close_requested));
     session.connection.open(1, &Arc::default());
-    assert!(connections.reserve_descriptor() && !session.connection.state().close_requested);
+    assert!(connections.may_accept() && !session.connection.state().close_requested);
 }
 
 #[test]
--- a/crates/server/src/lifecycle/recording.rs
+++ b/crates/server/src/lifecycle/recording.rs
@@ -38,7 +38,7 @@
     /// Records and counts requests.
     pub log: RequestLog,
     /// Handle of the recorder's thread.
-    pub running: Option<RecorderHandle>,
+    pub recorder_handle: Option<RecorderHandle>,
 }
 
 /// Starts the recorder if the settings enable a trace.
@@ -53,7 +53,7 @@
     counters: Option<Arc<Counters>>,
 ) -> Result<Recording, StartError> {
     let Some(trace) = trace else {
-        return Ok(Recording { log: RequestLog::new(None, counters), running: None });
+        return Ok(Recording { log: RequestLog::new(None, counters), recorder_handle: None });
     };
     let policy = &config.policy;
     let product = |(name, class): (&String, &RequestClass)| Product {
@@ -78,12 +78,13 @@
         key: trace.key_file.as_deref().map_or_else(|| Ok(random_key()), load_key)?,
         sample: trace.sample_interval,
     };
-    let folder = TraceDirectory { path: trace.directory.clone().into(), prefix: format!("{}-", config.name) };
-    std::fs::create_dir_all(&folder.path)
+    let directory =
+        TraceDirectory { path: trace.directory.clone().into(), prefix: format!("{}-", config.name) };
+    std::fs::create_dir_all(&directory.path)
         .map_err(|source| StartError::TraceFolder { folder: trace.directory.clone(), source })?;
     let warn = |line: &str| tracing::warn!("{line}");
-    let started = Recorder::start(recorder_config, folder, limits.recorder_stack_bytes, warn);
-    let (recorder, running) = started.map_err(StartError::TraceThread)?;
+    let started = Recorder::start(recorder_config, directory, limits.recorder_stack_bytes, warn);
+    let (recorder, recorder_handle) = started.map_err(StartError::TraceThread)?;
     tracing::info!("writing trace to {}", trace.directory);
-    Ok(Recording { log: RequestLog::new(Some(recorder), counters), running: Some(running) })
+    Ok(Recording { log: RequestLog::new(Some(recorder), counters), recorder_handle: Some(recorder_handle) })
 }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -49,12 +49,13 @@
     let limits = Limits::new(&config, reserved_descriptors(&settings));
     logging::start(&limits, &settings.log)?;
     let counters = settings.publish.as_ref().map(|_| new_counters(&config));
-    let Recording { log, running } = recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
+    let Recording { log, recorder_handle } =
+        recording::start(settings.trace.as_ref(), &config, &limits, counters)?;
     let server = Arc::new(Server::new(config, limits, log));
     configure_coroutines(&server.limits);
     start_services(&server, &settings)?;
     start_signal_thread(&server, source, signals)?;
-    run_until_shutdown(&server, Shutdown::new(running));
+    run_until_shutdown(&server, Shutdown::new(recorder_handle));
     tracing::info!("{}: shutdown complete", server.config.name);
     logging::flush();
     Ok(())
--- a/crates/server/src/request/execution.rs
+++ b/crates/server/src/request/execution.rs
@@ -159,7 +159,9 @@
         tracing::trace!(target: LOG_TARGET, "txn at tag {}: waits for its key", self.tag);
         match (mailbox.receive(), self.connection.renew_mailbox(self.tag)) {
             (Event::KeyReleased, Some(new)) => return Admission::Resubmit(new),
-            (Event::Reject { retry_after, last, reason }, _) => reply.reject(retry_after, last, reason),
+            (Event::Reject { retry_after, do_not_forward, reason }, _) => {
+                reply.reject(retry_after, do_not_forward, reason)
+            }
             (Event::Cancelled, _) => reply.cancel(),
             _ => {}
         }
@@ -233,7 +235,7 @@
             Event::Replay => self.await_result(mailbox),
             Event::AtCall { sequence, body } => self.request_call(sequence, body),
             Event::Call { limit } => self.make_call(limit, mailbox),
-            Event::Returned { outcome, took, body } => self.deliver_reply(outcome, took, body),
+            Event::Returned { outcome, duration, body } => self.deliver_reply(outcome, duration, body),
             Event::SkipCall => self.skip_call(),
             // Only the pending answer ends here: the run continues.
             Event::Fail(reason) => self.reply.fail(reason),
@@ -247,8 +249,8 @@
                     self.send_last_command();
                 }
             }
-            Event::Reject { retry_after, last, reason } => {
-                self.reply.reject(retry_after, last, reason);
+            Event::Reject { retry_after, do_not_forward, reason } => {
+                self.reply.reject(retry_after, do_not_forward, reason);
                 self.guard.disarm();
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
@@ -262,9 +264,9 @@
                 self.finish(Outcome::NotNeeded, 0.0, Vec::new());
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
-            Event::Ended { outcome, took, body } => {
+            Event::Ended { outcome, duration, body } => {
                 self.connection.refusals.record_known();
-                self.finish(outcome, took, body);
+                self.finish(outcome, duration, body);
                 return ControlFlow::Break(ExecutionEnd::Finished);
             }
             Event::OutcomeLost => {
@@ -358,14 +360,14 @@
         self.store_call = Some(self.context.store.call(attempt, body, limit, mailbox));
     }
 
-    fn deliver_reply(&mut self, outcome: Outcome, took: f64, body: Vec<u8>) {
+    fn deliver_reply(&mut self, outcome: Outcome, duration: f64, body: Vec<u8>) {
         self.store_call = None;
         self.reply.entry.record(Step::returned(outcome));
         if outcome == Outcome::Completed {
             self.pending_call.reply = body;
             self.send_command(AgentCommand::Deliver);
         }
-        self.context.dispatcher.report_call_finished(self.id, outcome, took);
+        self.context.dispatcher.report_call_finished(self.id, outcome, duration);
     }
 
     fn skip_call(&mut self) {
@@ -374,7 +376,7 @@
     }
 
     /// Answers the request and records the end of its run.
-    fn finish(&mut self, outcome: Outcome, took: f64, body: Vec<u8>) {
+    fn finish(&mut self, outcome: Outcome, duration: f64, body: Vec<u8>) {
         if let Some(call) = self.store_call.take() {
             call.abandon();
         }
@@ -382,7 +384,7 @@
         let (dispatcher, key) = (&self.context.dispatcher, self.received.key.as_ref());
         match outcome {
             Outcome::Completed => {
-                self.reply.entry.record_run(took);
+                self.reply.entry.record_run(duration);
                 let result = Arc::new(body);
                 dispatcher.finish_key(key, self.id, Some(&result));
                 self.reply.complete(&result);
@@ -392,7 +394,7 @@
         }
         // No effect if the request was already answered.
         self.reply.fail(Reason::RunFailed);
-        self.guard.report_ended(outcome, took);
+        self.guard.report_ended(outcome, duration);
     }
 
     fn send_command(&mut self, command: AgentCommand) {
--- a/crates/server/src/request/reply.rs
+++ b/crates/server/src/request/reply.rs
@@ -20,7 +20,7 @@
     context: &'a RequestContext,
     connection: &'a Connection,
     tag: u64,
-    owed: bool,
+    is_pending: bool,
     /// Log entry of the request.
     pub(super) entry: RequestEntry<'a>,
 }
@@ -34,11 +34,11 @@
         received: &ReceivedRequest,
     ) -> PendingReply<'a> {
         let entry = context.dispatcher.log.open(received, &context.config.policy);
-        PendingReply { context, connection, tag, owed: true, entry }
+        PendingReply { context, connection, tag, is_pending: true, entry }
     }
 
     fn send(&mut self, status: &str, fields: &[u8], body: &[u8], step: Step) {
-        if std::mem::take(&mut self.owed) {
+        if std::mem::take(&mut self.is_pending) {
             self.entry.record(step);
             let mut all_fields = Vec::with_capacity(ANSWER_FIELD_BYTES);
             self.context.dispatcher.write_load_signal(&mut all_fields);
@@ -58,14 +58,14 @@
     }
 
     /// Answers that the request was rejected; `retry_after` is in seconds, 0 for none.
-    pub(super) fn reject(&mut self, retry_after: f64, last: bool, reason: Reason) {
-        self.entry.record_retry_after(retry_after, last);
+    pub(super) fn reject(&mut self, retry_after: f64, do_not_forward: bool, reason: Reason) {
+        self.entry.record_retry_after(retry_after, do_not_forward);
         let mut fields = Vec::with_capacity(REJECTION_FIELD_BYTES);
         if retry_after > 0.0 {
             fields.extend_from_slice(b"w=");
             resp::write_decimal(&mut fields, (retry_after * MILLISECONDS_PER_SECOND).ceil() as u64);
         }
-        if last {
+        if do_not_forward {
             fields.extend_from_slice(if fields.is_empty() { b"l=1" } else { b",l=1" });
         }
         self.send("503", &fields, &[], Step::declined(reason));
@@ -78,7 +78,7 @@
 
     /// Drops the pending answer of a cancelled request.
     pub(super) fn cancel(&mut self) {
-        self.owed = false;
+        self.is_pending = false;
         self.entry.record(Step::GONE);
     }
 }
--- a/crates/server/src/state/idempotency.rs
+++ b/crates/server/src/state/idempotency.rs
@@ -227,7 +227,7 @@
         let is_overdue = |contender: &mut Contender| contender.deadline.min(answer_deadline) < now;
         for contender in self.contenders.extract_if(.., is_overdue) {
             let reason = Reason::KeyConflict;
-            contender.mailbox.send(Event::Reject { retry_after: 0.0, last: false, reason });
+            contender.mailbox.send(Event::Reject { retry_after: 0.0, do_not_forward: false, reason });
         }
     }
 
--- a/crates/server/src/state/mailbox.rs
+++ b/crates/server/src/state/mailbox.rs
@@ -15,7 +15,7 @@
         /// Retry-After, s; 0 for none.
         retry_after: f64,
         /// Whether the gateway should not try another server.
-        last: bool,
+        do_not_forward: bool,
         /// Reason of the rejection.
         reason: Reason,
     },
@@ -44,7 +44,7 @@
         /// Outcome of the run.
         outcome: Outcome,
         /// Run time, s.
-        took: f64,
+        duration: f64,
         /// Result of the run.
         body: Vec<u8>,
     },
@@ -59,7 +59,7 @@
         /// Outcome of the call.
         outcome: Outcome,
         /// Duration of the call, s.
-        took: f64,
+        duration: f64,
         /// Body of the reply.
         body: Vec<u8>,
     },
--- a/crates/server/src/state/request_log.rs
+++ b/crates/server/src/state/request_log.rs
@@ -12,9 +12,9 @@
 use std::sync::{Arc, Mutex};
 
 /// Minimum interval between recorded changes of a policy value, s.
-const MIN_DECISION_CHANGE: f64 = 0.1;
+const MIN_DECISION_INTERVAL_S: f64 = 0.1;
 /// Minimum interval between recorded changes of a gauge, s.
-const MIN_GAUGE_CHANGE: f64 = 1.0;
+const MIN_GAUGE_INTERVAL_S: f64 = 1.0;
 
 /// Recorder of requests for the trace and the control service. Does nothing if neither is configured.
 #[derive(Default)]
@@ -100,12 +100,12 @@
 
     /// Records a policy value in the trace if it changed.
     pub fn record_change(&self, now: f64, topic: Topic, value: f64) {
-        self.record_change_above(now, topic, value, MIN_DECISION_CHANGE);
+        self.record_change_spaced(now, topic, value, MIN_DECISION_INTERVAL_S);
     }
 
-    fn record_change_above(&self, now: f64, topic: Topic, value: f64, min_change: f64) {
+    fn record_change_spaced(&self, now: f64, topic: Topic, value: f64, min_interval: f64) {
         if let Some(trace) = &self.trace {
-            if lock(&trace.changes).accept(now, topic.0, value, min_change) {
+            if lock(&trace.changes).accept(now, topic.0, value, min_interval) {
                 trace.recorder.record_note(now, topic, value);
             }
         }
@@ -124,7 +124,7 @@
         ];
         for (topic, value) in gauge_values {
             if let Some(value) = value {
-                self.record_change_above(unix_now(), topic, value, MIN_GAUGE_CHANGE);
+                self.record_change_spaced(unix_now(), topic, value, MIN_GAUGE_INTERVAL_S);
             }
         }
     }
@@ -171,9 +171,9 @@
     }
 
     /// Records the Retry-After (s) of a rejection, and whether it asks the gateway not to try another server.
-    pub fn record_retry_after(&mut self, retry_after: f64, last: bool) {
+    pub fn record_retry_after(&mut self, retry_after: f64, do_not_forward: bool) {
         if let Some(recorded) = &mut self.recorded {
-            (recorded.entry.keep_off, recorded.entry.last) = (retry_after, last);
+            (recorded.entry.keep_off, recorded.entry.last) = (retry_after, do_not_forward);
         }
         if let (Some(counted), true) = (&self.counted, retry_after > 0.0) {
             counted.counters.set_retry_after(retry_after);
--- a/crates/server/src/wire/agent/notice.rs
+++ b/crates/server/src/wire/agent/notice.rs
@@ -24,7 +24,7 @@
     /// A run waits at a downstream call.
     AtCall { sequence: u64, body: Vec<u8> },
     /// A run has ended.
-    Ended { outcome: Outcome, took: f64, body: Vec<u8> },
+    Ended { outcome: Outcome, duration: f64, body: Vec<u8> },
     /// The agent refuses a command.
     Refusal { command: &'a str },
     /// Notice of an unknown type.
@@ -64,10 +64,10 @@
             },
             "outcome" => {
                 let milliseconds = line.get("ms").and_then(Value::as_f64).unwrap_or_default();
-                let took = milliseconds / MILLISECONDS_PER_SECOND;
+                let duration = milliseconds / MILLISECONDS_PER_SECOND;
                 Notice::Ended {
                     outcome: parse_outcome(string_field(line, "end")),
-                    took,
+                    duration,
                     body: parse_body(line)?,
                 }
             }
--- a/crates/server/src/wire/agent/reader.rs
+++ b/crates/server/src/wire/agent/reader.rs
@@ -156,8 +156,8 @@
             Notice::ReplayEnd => self.resume_commands(),
             Notice::Gauges { tag, values } => self.receive_gauges(tag, values),
             Notice::AtCall { sequence, body } => self.send_event(line, Event::AtCall { sequence, body }),
-            Notice::Ended { outcome, took, body } => {
-                self.send_event(line, Event::Ended { outcome, took, body })
+            Notice::Ended { outcome, duration, body } => {
+                self.send_event(line, Event::Ended { outcome, duration, body })
             }
             Notice::Refusal { command } => {
                 let id = notice::string_field(line, "id");
--- a/crates/server/src/wire/gateway/connections.rs
+++ b/crates/server/src/wire/gateway/connections.rs
@@ -108,7 +108,7 @@
 
     /// Closes one idle connection: preferably one without messages, then one with a single message, and among those the
     /// longest unused. A gateway sending at that moment resends. Returns false if no connection is idle.
-    pub fn close_idlest(&self) -> bool {
+    pub fn evict_idle_connection(&self) -> bool {
         let connections = self.serving();
         let candidates = connections.values().filter_map(|connection| {
             let state = connection.state();
@@ -124,7 +124,7 @@
 
     /// Waits until a descriptor is available.
     pub fn wait_for_descriptor(&self) {
-        while !self.reserve_descriptor() {
+        while !self.may_accept() {
             self.released.wait();
         }
     }
@@ -132,13 +132,13 @@
     /// Returns whether the listener may accept a connection. At the limit, ends the oldest closing connection or closes an
     /// idle one and returns false. If no connection is idle, returns true: the new connection is accepted on a reserved
     /// descriptor and rejected.
-    pub fn reserve_descriptor(&self) -> bool {
+    pub fn may_accept(&self) -> bool {
         if !self.is_full() {
             return true;
         }
         match lock(&self.closing).pop_front() {
             Some(oldest) => oldest.wake(),
-            None => return !self.close_idlest(),
+            None => return !self.evict_idle_connection(),
         }
         false
     }
--- a/crates/server/src/wire/store.rs
+++ b/crates/server/src/wire/store.rs
@@ -99,7 +99,7 @@
                 Err(CallError::Ended(outcome)) => CallReply { outcome, body: Vec::new() },
                 Err(CallError::Abandoned) => return,
             };
-            mailbox.send(Event::Returned { outcome, took: client.clock.now() - started_at, body });
+            mailbox.send(Event::Returned { outcome, duration: client.clock.now() - started_at, body });
         });
         call
     }
